--- a/src/main/java/gingerspool/autoscaler/Autoscaler.java
+++ b/src/main/java/gingerspool/autoscaler/Autoscaler.java
@@ -2,7 +2,7 @@
 
 import gingerspool.slots.Function;
 import gingerspool.slots.Instance;
-import gingerspool.slots.SlotKeeper;
+import gingerspool.slots.SlotAllocator;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -59,7 +59,7 @@
         void leaves(Instance instance);
     }
 
-    private final SlotKeeper keeper;
+    private final SlotAllocator keeper;
     private final double rate;
     private final double lag;
     private final String prefix;
@@ -88,7 +88,7 @@
 
     /** The prefix makes this scaler's nonces its own. */
     public Autoscaler(
-            SlotKeeper keeper,
+            SlotAllocator keeper,
             double rate,
             double lag,
             String prefix,
@@ -236,7 +236,7 @@
         int n = mustStand || f.inHand() > 0 ? 1 : 0;
         while (n > 0
                 && (n * f.concurrency < backlog
-                        || StartDelays.longer(n * f.concurrency, load, span / run) > LATE)) {
+                        || ErlangDelay.longer(n * f.concurrency, load, span / run) > LATE)) {
             n++;
         }
         return n;
--- a/src/main/java/gingerspool/autoscaler/StartDelays.java
+++ b/src/main/java/gingerspool/autoscaler/ErlangDelay.java
@@ -1,8 +1,8 @@
 package gingerspool.autoscaler;
 
 /** Erlang's delay formula: how long tasks wait for a slot. */
-final class StartDelays {
-    private StartDelays() {}
+final class ErlangDelay {
+    private ErlangDelay() {}
 
     /**
      * P(wait longer than a span) with so many slots, this load in slots, and spans in mean running
--- a/src/main/java/gingerspool/capacity/CountingRelay.java
+++ b/src/main/java/gingerspool/capacity/CountingRelay.java
@@ -3,9 +3,9 @@
 import gingerspool.codec.KryoCodec;
 import gingerspool.codec.MalformedMessageException;
 import gingerspool.codec.MessageTypes;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Frames;
 import gingerspool.wire.Listener;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.AsynchronousSocketChannel;
@@ -37,14 +37,15 @@
         final List<byte[]> early = new ArrayList<>();
     }
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final InetSocketAddress control;
     private final Listener listener;
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
     private final Map<Frames, Pair> pairs = new HashMap<>();
     private Map<String, Count> counts = new TreeMap<>();
 
-    CountingRelay(Turns turns, InetSocketAddress at, InetSocketAddress control) throws IOException {
+    CountingRelay(EventLoop turns, InetSocketAddress at, InetSocketAddress control)
+            throws IOException {
         this.turns = turns;
         this.control = control;
         listener = new Listener(turns, at, this);
--- a/src/main/java/gingerspool/capacity/HollowPlatform.java
+++ b/src/main/java/gingerspool/capacity/HollowPlatform.java
@@ -1,11 +1,11 @@
 package gingerspool.capacity;
 
 import gingerspool.wire.BadMessage;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Inbound;
 import gingerspool.wire.Json;
 import gingerspool.wire.Listener;
 import gingerspool.wire.Message;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.AsynchronousSocketChannel;
@@ -18,16 +18,16 @@
  * A platform whose list of instances never changes: one of each function, in pages; it has no
  * machine with room, and starts and stops nothing.
  */
-final class HollowPlatform implements Listener.Owner, Inbound.Door {
+final class HollowPlatform implements Listener.Owner, Inbound.Handler {
     static final int PAGE = 100;
     private static final String TOKEN = "PageToken=";
     static final int SLOTS = 4;
-    private final Turns turns;
+    private final EventLoop turns;
     private final Listener listener;
     private final SampleConfiguration sample;
     private final int instances;
 
-    HollowPlatform(Turns turns, InetSocketAddress at, SampleConfiguration sample, int instances)
+    HollowPlatform(EventLoop turns, InetSocketAddress at, SampleConfiguration sample, int instances)
             throws IOException {
         this.turns = turns;
         this.sample = sample;
--- a/src/main/java/gingerspool/capacity/LoopbackCore.java
+++ b/src/main/java/gingerspool/capacity/LoopbackCore.java
@@ -2,9 +2,9 @@
 
 import gingerspool.codec.Messages;
 import gingerspool.controlplane.ControlNode;
-import gingerspool.daemon.Loop;
 import gingerspool.dataplane.HollowScheduler;
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
+import gingerspool.wire.SingleThreadEventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -131,8 +131,8 @@
     }
 
     private final Path folder = Files.createTempDirectory("gingerspool-capacity");
-    private final Loop schedulers;
-    private final Loop relays = new Loop();
+    private final SingleThreadEventLoop schedulers;
+    private final SingleThreadEventLoop relays = new SingleThreadEventLoop();
     private final HttpClient operator =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
     private final SampleConfiguration sample;
@@ -141,7 +141,7 @@
     private final CountingRelay relay;
     private final HollowPlatform platform;
     private final ControlNode control;
-    private final Settings schedulerSettings;
+    private final NodeSettings schedulerSettings;
     private final int controlPort = freePort();
     private final ThreadGroup controlThreads = new ThreadGroup("control");
     private final ThreadGroup schedulerThreads = new ThreadGroup("schedulers");
@@ -178,13 +178,13 @@
     }
 
     /** A loop whose thread belongs to the group of the caller's. */
-    private static Loop loop() throws IOException {
-        Loop loop = new Loop();
+    private static SingleThreadEventLoop loop() throws IOException {
+        SingleThreadEventLoop loop = new SingleThreadEventLoop();
         loop.enter(() -> {});
         return loop;
     }
 
-    private static ControlNode begun(Settings settings) throws Exception {
+    private static ControlNode begun(NodeSettings settings) throws Exception {
         ControlNode node = new ControlNode(settings);
         node.begin(
                 why -> {
@@ -199,7 +199,7 @@
         }
     }
 
-    private Settings settings(String name, int innerPort) throws Exception {
+    private NodeSettings settings(String name, int innerPort) throws Exception {
         Path file = folder.resolve(name + ".toml");
         Files.writeString(
                 file,
@@ -236,10 +236,10 @@
                                 IP,
                                 controlPort,
                                 gingerspool.wire.Address.text(platform.address())));
-        return Settings.read(file);
+        return NodeSettings.read(file);
     }
 
-    private static <T> T on(Loop loop, Supplier<T> what) throws Exception {
+    private static <T> T on(SingleThreadEventLoop loop, Supplier<T> what) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.enter(() -> done.complete(what.get()));
         return done.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/gingerspool/capacity/QueueSeries.java
+++ b/src/main/java/gingerspool/capacity/QueueSeries.java
@@ -5,10 +5,10 @@
 import gingerspool.codec.MessageTypes;
 import gingerspool.codec.Messages;
 import gingerspool.configuration.Configuration;
-import gingerspool.daemon.Loop;
 import gingerspool.dataplane.HollowScheduler;
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
 import gingerspool.wire.Json;
+import gingerspool.wire.SingleThreadEventLoop;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -88,12 +88,12 @@
                 file,
                 "NodeName = \"front\"\nIpAddress = \"127.0.8.1\"\nZone = \"zone-a\"\n"
                         + "InternalPortRange = [1,1]\n[Zones]\nzone-a = \"region-a\"\n");
-        Loop loop = new Loop();
+        SingleThreadEventLoop loop = new SingleThreadEventLoop();
         try {
             HollowScheduler scheduler =
                     new HollowScheduler(
                             loop,
-                            Settings.read(file),
+                            NodeSettings.read(file),
                             () -> HollowScheduler.registration("front", "zone-a"),
                             message -> {});
             Configuration c = new SampleConfiguration(seed).typed(queues);
--- a/src/main/java/gingerspool/capacity/SlotSeries.java
+++ b/src/main/java/gingerspool/capacity/SlotSeries.java
@@ -5,7 +5,7 @@
 import gingerspool.codec.Messages;
 import gingerspool.slots.Function;
 import gingerspool.slots.Instance;
-import gingerspool.slots.SlotKeeper;
+import gingerspool.slots.SlotAllocator;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -158,8 +158,8 @@
         double micros(int size) throws Exception;
     }
 
-    private SlotKeeper keeper() {
-        return new SlotKeeper(
+    private SlotAllocator keeper() {
+        return new SlotAllocator(
                 INTERVAL,
                 0,
                 (scheduler, message) -> {
@@ -173,21 +173,21 @@
         return "front-" + number;
     }
 
-    private static void register(SlotKeeper keeper, int number) {
+    private static void register(SlotAllocator keeper, int number) {
         keeper.registered(
                 0, scheduler(number), new Messages.Register(scheduler(number), ZONE, 0, Map.of()));
     }
 
-    private SlotKeeper registered(int schedulers) {
-        SlotKeeper keeper = keeper();
+    private SlotAllocator registered(int schedulers) {
+        SlotAllocator keeper = keeper();
         for (int i = 0; i < schedulers; i++) {
             register(keeper, i);
         }
         return keeper;
     }
 
-    private SlotKeeper functions(int count) {
-        SlotKeeper keeper = keeper();
+    private SlotAllocator functions(int count) {
+        SlotAllocator keeper = keeper();
         for (int i = 0; i < count; i++) {
             Function f = keeper.unrouted("fn-" + i);
             f.boot = 500;
@@ -200,8 +200,8 @@
     }
 
     /** Instances spread over the functions. */
-    private SlotKeeper instances(int functions, int count) {
-        SlotKeeper keeper = functions(functions);
+    private SlotAllocator instances(int functions, int count) {
+        SlotAllocator keeper = functions(functions);
         List<Function> all = List.copyOf(keeper.functions());
         for (int i = 0; i < count; i++) {
             keeper.add(
@@ -217,13 +217,13 @@
         return keeper;
     }
 
-    private SlotKeeper instances(int count) {
+    private SlotAllocator instances(int count) {
         return instances(1, count);
     }
 
     /** Each scheduler tells as it registers that it holds one slot of one instance. */
-    private SlotKeeper held(int count) {
-        SlotKeeper keeper = instances(1, Math.max(1, count / SLOTS));
+    private SlotAllocator held(int count) {
+        SlotAllocator keeper = instances(1, Math.max(1, count / SLOTS));
         for (int i = 0; i < count; i++) {
             Map<String, Integer> one = Map.of("i-" + i / SLOTS, 1);
             keeper.registered(
@@ -236,10 +236,10 @@
     }
 
     /** Ten schedulers that each have a request in hand of every function. */
-    private SlotKeeper demands(int count) {
+    private SlotAllocator demands(int count) {
         int schedulers = 10;
         int functions = Math.max(1, count / schedulers);
-        SlotKeeper keeper = functions(functions);
+        SlotAllocator keeper = functions(functions);
         for (int i = 0; i < schedulers; i++) {
             register(keeper, i);
             for (int k = 0; k < functions; k++) {
@@ -252,7 +252,7 @@
 
     /** A request: demand, grant, return, and the demand that says that nothing is lacked. */
     private double cycle(int functions, int instances, int schedulers) throws Exception {
-        SlotKeeper keeper = instances(functions, functions * instances);
+        SlotAllocator keeper = instances(functions, functions * instances);
         for (int i = 0; i < schedulers; i++) {
             register(keeper, i);
             keeper.demanded(
@@ -262,7 +262,7 @@
         return Meter.microsOf(() -> oneCycle(keeper));
     }
 
-    private void oneCycle(SlotKeeper keeper) {
+    private void oneCycle(SlotAllocator keeper) {
         granted = null;
         long before = requests - 1;
         requests++;
@@ -283,19 +283,19 @@
     }
 
     private double holdings(int instances) throws Exception {
-        SlotKeeper keeper = instances(instances);
+        SlotAllocator keeper = instances(instances);
         register(keeper, 0);
         Messages.SlotHoldings none = new Messages.SlotHoldings(0, Map.of());
         return Meter.microsOf(() -> keeper.holds(0, scheduler(0), none));
     }
 
     private double register(int instances) throws Exception {
-        SlotKeeper keeper = instances(instances);
+        SlotAllocator keeper = instances(instances);
         return Meter.microsOf(() -> register(keeper, 0));
     }
 
     private double keeperTick(int functions) throws Exception {
-        SlotKeeper keeper = instances(functions, functions);
+        SlotAllocator keeper = instances(functions, functions);
         register(keeper, 0);
         for (int i = 0; i < functions; i++) {
             keeper.demanded(
@@ -305,7 +305,7 @@
     }
 
     private double scalerTick(int functions, int instances) throws Exception {
-        SlotKeeper keeper = instances(functions, instances);
+        SlotAllocator keeper = instances(functions, instances);
         Autoscaler scaler = new Autoscaler(keeper, 0, 1000, "p-", 0, new NoActions());
         scaler.hostsBegin();
         for (int i = 0; i < 100; i++) {
--- a/src/main/java/gingerspool/cli/Commands.java
+++ b/src/main/java/gingerspool/cli/Commands.java
@@ -5,7 +5,7 @@
 import gingerspool.daemon.Daemon;
 import gingerspool.daemon.FileDaemon;
 import gingerspool.simhost.SimHost;
-import gingerspool.toml.Fault;
+import gingerspool.toml.Diagnostic;
 import java.io.PrintWriter;
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
@@ -74,7 +74,7 @@
     private static OperatorFile read(String name, PrintWriter err) {
         try {
             OperatorFile file = OperatorFile.read(Path.of(name));
-            for (Fault f : file.faults()) {
+            for (Diagnostic f : file.faults()) {
                 err.println(f);
             }
             return file.faults().isEmpty() ? file : null;
--- a/src/main/java/gingerspool/cli/NodeProgram.java
+++ b/src/main/java/gingerspool/cli/NodeProgram.java
@@ -2,7 +2,7 @@
 
 import gingerspool.controlplane.ControlNode;
 import gingerspool.dataplane.SchedulerNode;
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
 import gingerspool.settings.SettingsException;
 import java.io.IOException;
 import java.util.Map;
@@ -30,7 +30,7 @@
         CountDownLatch ended = new CountDownLatch(1);
         AtomicInteger code = new AtomicInteger(DONE);
         try {
-            Settings settings = Settings.read(environment);
+            NodeSettings settings = NodeSettings.read(environment);
             if (program.equals("control")) {
                 ControlNode control = new ControlNode(settings);
                 Signal.handle(new Signal("TERM"), s -> control.stop(ended::countDown));
@@ -65,9 +65,10 @@
     }
 
     /** A file that can't be used changes nothing. */
-    private static void reload(Map<String, String> environment, Consumer<Settings> to, Logger log) {
+    private static void reload(
+            Map<String, String> environment, Consumer<NodeSettings> to, Logger log) {
         try {
-            to.accept(Settings.read(environment));
+            to.accept(NodeSettings.read(environment));
         } catch (SettingsException e) {
             log.warn("settings.fault why=\"{}\"", e.getMessage());
         }
--- a/src/main/java/gingerspool/cli/Platforms.java
+++ b/src/main/java/gingerspool/cli/Platforms.java
@@ -2,12 +2,12 @@
 
 import gingerspool.configuration.ConfigurationState;
 import gingerspool.controlplane.ControlNode;
-import gingerspool.daemon.Loop;
 import gingerspool.dataplane.SchedulerNode;
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
 import gingerspool.settings.SettingsException;
 import gingerspool.standin.Cloud;
 import gingerspool.wire.Address;
+import gingerspool.wire.SingleThreadEventLoop;
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -76,7 +76,7 @@
         @Override
         public Integer call() {
             try {
-                Settings s = Settings.read(file);
+                NodeSettings s = NodeSettings.read(file);
                 spec.commandLine().getOut().println(file + ": can be used by " + s.name);
                 return 0;
             } catch (SettingsException e) {
@@ -167,7 +167,7 @@
                         .connectTimeout(Duration.ofSeconds(1))
                         .followRedirects(HttpClient.Redirect.ALWAYS)
                         .build();
-        private final Loop loop = new Loop();
+        private final SingleThreadEventLoop loop = new SingleThreadEventLoop();
         public final Cloud cloud;
         private final Path folder;
         public final List<ControlNode> core = new ArrayList<>();
@@ -192,7 +192,8 @@
             front.forEach(SchedulerNode::begin);
         }
 
-        private Settings settings(String name, String ip) throws IOException, SettingsException {
+        private NodeSettings settings(String name, String ip)
+                throws IOException, SettingsException {
             Path file = folder.resolve(name + ".toml");
             Files.writeString(
                     file,
@@ -238,7 +239,7 @@
                                     ip,
                                     CONTROL,
                                     Address.text(cloud.address())));
-            return Settings.read(file);
+            return NodeSettings.read(file);
         }
 
         public String control() {
--- a/src/main/java/gingerspool/cli/Rigs.java
+++ b/src/main/java/gingerspool/cli/Rigs.java
@@ -1,6 +1,5 @@
 package gingerspool.cli;
 
-import gingerspool.daemon.Loop;
 import gingerspool.experiment.Experiment;
 import gingerspool.judge.Judge;
 import gingerspool.judge.Verdict;
@@ -11,6 +10,7 @@
 import gingerspool.standin.Fleet;
 import gingerspool.wire.Address;
 import gingerspool.wire.BadMessage;
+import gingerspool.wire.SingleThreadEventLoop;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.io.PrintWriter;
@@ -109,7 +109,7 @@
         @Override
         void play(Plan plan, List<InetSocketAddress> to) throws IOException, InterruptedException {
             PrintWriter err = spec.commandLine().getErr();
-            Loop loop = new Loop();
+            SingleThreadEventLoop loop = new SingleThreadEventLoop();
             Fleet fleet = new Fleet(loop, plan, to, log);
             CountDownLatch done = new CountDownLatch(1);
             loop.enter(
@@ -168,7 +168,7 @@
         void play(Plan plan, List<InetSocketAddress> to) throws IOException, InterruptedException {
             PrintWriter err = spec.commandLine().getErr();
             PrintWriter out = spec.commandLine().getOut();
-            Loop loop = new Loop();
+            SingleThreadEventLoop loop = new SingleThreadEventLoop();
             Load load = new Load(loop, plan, to, record);
             CompletableFuture<Void> done = new CompletableFuture<>();
             loop.enter(() -> load.play(() -> done.complete(null)));
--- a/src/main/java/gingerspool/config/Check.java
+++ b/src/main/java/gingerspool/config/Check.java
@@ -7,10 +7,10 @@
 import gingerspool.route.Match;
 import gingerspool.route.Policy;
 import gingerspool.route.Table;
-import gingerspool.toml.Fault;
-import gingerspool.toml.Place;
-import gingerspool.toml.Said;
+import gingerspool.toml.Diagnostic;
 import gingerspool.toml.Section;
+import gingerspool.toml.SourceLocation;
+import gingerspool.toml.SourcedValue;
 import gingerspool.toml.Units;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -52,14 +52,14 @@
     private record Rule(
             Predicate<Case> when,
             String key,
-            Function<Case, Said<?>> said,
+            Function<Case, SourcedValue<?>> said,
             Function<Case, String> text) {}
 
     private final OperatorFile file;
-    private final List<Fault> faults;
+    private final List<Diagnostic> faults;
     private final List<Rule> rules = new ArrayList<>();
 
-    Check(OperatorFile file, List<Fault> faults) {
+    Check(OperatorFile file, List<Diagnostic> faults) {
         this.file = file;
         this.faults = faults;
         rulesOfCopies();
@@ -240,7 +240,7 @@
     private void rule(
             Predicate<Case> when,
             String key,
-            Function<Case, Said<?>> said,
+            Function<Case, SourcedValue<?>> said,
             Function<Case, String> text) {
         rules.add(new Rule(when, key, said, text));
     }
@@ -287,7 +287,7 @@
         return all;
     }
 
-    private Said<?> chainSaid(Case c) {
+    private SourcedValue<?> chainSaid(Case c) {
         return c.said.assignments != null
                 ? c.said.assignments
                 : c.said.timeout != null ? c.said.timeout : c.said.pause;
@@ -310,8 +310,8 @@
     void run() {
         if (file.profiles.isEmpty() && file.deployment.isWhole()) {
             faults.add(
-                    new Fault(
-                            new Place(file.files().get(0), 0),
+                    new Diagnostic(
+                            new SourceLocation(file.files().get(0), 0),
                             "profile",
                             "is missing: no task could come"));
         }
@@ -319,14 +319,14 @@
                 && file.workers.isEmpty()
                 && file.deployment.listPlace() == null) {
             faults.add(
-                    new Fault(
-                            new Place(file.files().get(0), 0),
+                    new Diagnostic(
+                            new SourceLocation(file.files().get(0), 0),
                             "worker",
                             "is missing, and so is scheduler.discovery: no task could be run"));
         }
         if (!file.workers.isEmpty() && file.deployment.listPlace() != null) {
             faults.add(
-                    new Fault(
+                    new Diagnostic(
                             file.deployment.listPlace(),
                             "scheduler.discovery",
                             "is set, and workers are listed as well: one or the other"));
@@ -349,18 +349,18 @@
     private void look(Case c) {
         for (Rule r : rules) {
             if (r.when.test(c)) {
-                Said<?> said = r.said.apply(c);
-                Place at =
+                SourcedValue<?> said = r.said.apply(c);
+                SourceLocation at =
                         said == null || said.at() == null
                                 ? c.route != null ? c.route.at : c.profile.at
                                 : said.at();
-                faults.add(new Fault(at, owner(c, said) + r.key, r.text.apply(c)));
+                faults.add(new Diagnostic(at, owner(c, said) + r.key, r.text.apply(c)));
             }
         }
     }
 
     /** The route, the profile or the defaults that said it, or null. */
-    private PolicyPart table(Case c, Said<?> said) {
+    private PolicyPart table(Case c, SourcedValue<?> said) {
         return c.route != null && owns(c.route.policy, said)
                 ? c.route.policy
                 : owns(c.profile.policy, said)
@@ -369,7 +369,7 @@
     }
 
     /** The path of the table at fault: the one that said it, else the one concerned. */
-    private String owner(Case c, Said<?> said) {
+    private String owner(Case c, SourcedValue<?> said) {
         PolicyPart p = said == null ? null : table(c, said);
         return p != null && p == file.defaults
                 ? "defaults."
@@ -378,7 +378,7 @@
                         : "profile." + c.profile.name + ".";
     }
 
-    private static boolean owns(PolicyPart p, Said<?> said) {
+    private static boolean owns(PolicyPart p, SourcedValue<?> said) {
         return p.assignments == said
                 || p.timeout == said
                 || p.pause == said
@@ -395,7 +395,7 @@
             RoutePart first = r.name.isEmpty() ? null : seen.putIfAbsent(r.name, r);
             if (first != null) {
                 faults.add(
-                        new Fault(
+                        new Diagnostic(
                                 r.section.placeOf("name"),
                                 r.section.path("name"),
                                 "is \""
@@ -412,7 +412,7 @@
             String p = r.match.profile();
             if (p != null && !file.hasProfile(p)) {
                 faults.add(
-                        new Fault(
+                        new Diagnostic(
                                 r.at,
                                 r.section.path + " (" + r.name + ").match.profile",
                                 "is \""
@@ -423,7 +423,7 @@
             String t = r.match.tenant();
             if (t != null && !file.tenants.isEmpty() && !file.tenants.containsKey(t)) {
                 faults.add(
-                        new Fault(
+                        new Diagnostic(
                                 r.at,
                                 r.section.path + " (" + r.name + ").match.tenant",
                                 "is \""
@@ -458,7 +458,7 @@
                 List<String> names = new ArrayList<>();
                 by.keySet().forEach(o -> names.add("\"" + o.name + "\" (" + o.at + ")"));
                 faults.add(
-                        new Fault(
+                        new Diagnostic(
                                 r.at,
                                 r.section.path + " (" + r.name + ")",
                                 "can never match: "
--- a/src/main/java/gingerspool/config/Deployment.java
+++ b/src/main/java/gingerspool/config/Deployment.java
@@ -1,8 +1,8 @@
 package gingerspool.config;
 
-import gingerspool.toml.Place;
-import gingerspool.toml.Said;
 import gingerspool.toml.Section;
+import gingerspool.toml.SourceLocation;
+import gingerspool.toml.SourcedValue;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -37,9 +37,9 @@
     private final Map<String, Object> duties = new HashMap<>();
     private final Map<String, Object> specifics = new HashMap<>();
     private boolean listens;
-    private Place listPlace;
+    private SourceLocation listPlace;
 
-    private static void put(Map<String, Object> to, String name, Said<?> said) {
+    private static void put(Map<String, Object> to, String name, SourcedValue<?> said) {
         if (said != null && said.value() != null) {
             to.put(
                     name,
@@ -61,8 +61,8 @@
         return true;
     }
 
-    private static Said<String> address(Section s, String key) {
-        Said<String> said = s.text(key, null);
+    private static SourcedValue<String> address(Section s, String key) {
+        SourcedValue<String> said = s.text(key, null);
         if (said != null && !isAddress(said.value())) {
             s.fault(
                     key,
@@ -80,7 +80,7 @@
         put(node, "discovery", address(s, "discovery"));
         listens = s.has("listen");
         listPlace = s.has("discovery") ? s.placeOf("discovery") : null;
-        Said<String> seed = s.text("seed", null);
+        SourcedValue<String> seed = s.text("seed", null);
         if (seed != null && !seed.value().matches("[0-9a-fA-F]{1,16}")) {
             s.fault("seed", "is \"" + seed.value() + "\", wanted up to 16 hex digits");
         }
@@ -137,7 +137,7 @@
         put(limits, "bodyBytes", s.size("bodies", null, 65536, 1e12));
         put(limits, "connIdleMs", s.span("connection_idle", 5000.0, 10, DAY));
         put(limits, "connectTimeoutMs", s.span("connect_within", 250.0, 1, 60_000));
-        Said<Double> advice = s.span("advice", 1000.0, 0, DAY);
+        SourcedValue<Double> advice = s.span("advice", 1000.0, 0, DAY);
         limits.put("retryAfter", advice.value() > 0);
         put(limits, "maxRetryAfterMs", advice);
     }
@@ -147,7 +147,7 @@
         return listens;
     }
 
-    Place listPlace() {
+    SourceLocation listPlace() {
         return listPlace;
     }
 
--- a/src/main/java/gingerspool/config/Explain.java
+++ b/src/main/java/gingerspool/config/Explain.java
@@ -2,7 +2,7 @@
 
 import gingerspool.dispatch.Outcome;
 import gingerspool.route.Policy;
-import gingerspool.toml.Said;
+import gingerspool.toml.SourcedValue;
 import gingerspool.toml.Units;
 import java.util.ArrayList;
 import java.util.List;
@@ -20,7 +20,7 @@
      */
     public static List<String> lines(OperatorFile file) {
         List<String> lines = new ArrayList<>();
-        for (Map.Entry<String, Said<String>> e : file.notes().entrySet()) {
+        for (Map.Entry<String, SourcedValue<String>> e : file.notes().entrySet()) {
             lines.add(line(e.getKey() + " = " + e.getValue().value(), e.getValue().where()));
         }
         for (OperatorFile.RoutePart r : file.routes) {
@@ -54,7 +54,7 @@
         return String.format(Locale.ROOT, "%-64s # %s", text, where);
     }
 
-    private static String line(String text, Said<?> said) {
+    private static String line(String text, SourcedValue<?> said) {
         return line(text, said == null ? "default" : said.where());
     }
 
--- a/src/main/java/gingerspool/config/OperatorFile.java
+++ b/src/main/java/gingerspool/config/OperatorFile.java
@@ -4,11 +4,11 @@
 import gingerspool.route.Match;
 import gingerspool.route.Policy;
 import gingerspool.route.Routes;
-import gingerspool.toml.Fault;
+import gingerspool.toml.Diagnostic;
 import gingerspool.toml.Layers;
-import gingerspool.toml.Place;
-import gingerspool.toml.Said;
 import gingerspool.toml.Section;
+import gingerspool.toml.SourceLocation;
+import gingerspool.toml.SourcedValue;
 import gingerspool.toml.Units;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -35,12 +35,12 @@
     /** A [profile.NAME]. */
     static final class ProfilePart {
         String name;
-        Place at;
-        Said<String> effect;
-        Said<Double> expiry;
-        Said<Double> due;
-        Said<Double> window;
-        Said<String> scope;
+        SourceLocation at;
+        SourcedValue<String> effect;
+        SourcedValue<Double> expiry;
+        SourcedValue<Double> due;
+        SourcedValue<Double> window;
+        SourcedValue<String> scope;
         double stretch;
         double utility;
         double tardyUtility;
@@ -61,7 +61,7 @@
     static final class RoutePart {
         String name;
         Section section;
-        Place at;
+        SourceLocation at;
         Match match;
         PolicyPart policy;
     }
@@ -70,8 +70,8 @@
     record WorkerPart(
             String name, String address, String zone, String kind, int cell, double size) {}
 
-    private final List<Fault> faults = new ArrayList<>();
-    private final Map<String, Said<String>> notes = new LinkedHashMap<>();
+    private final List<Diagnostic> faults = new ArrayList<>();
+    private final Map<String, SourcedValue<String>> notes = new LinkedHashMap<>();
     private final List<Path> files;
     final Map<String, ProfilePart> profiles = new LinkedHashMap<>();
     final Map<String, Double> tenants = new LinkedHashMap<>();
@@ -83,7 +83,7 @@
     private String logForm;
 
     /** What [limits] says of the installation. */
-    record Limits(int assignments, Said<Boolean> copies, Said<Boolean> cancels) {}
+    record Limits(int assignments, SourcedValue<Boolean> copies, SourcedValue<Boolean> cancels) {}
 
     private OperatorFile(Path file) {
         Layers layers = new Layers(faults);
@@ -93,7 +93,7 @@
             readAll(layers.section(file, notes));
             new Check(this, faults).run();
         }
-        List<Fault> sorted = new ArrayList<>(new LinkedHashSet<>(faults));
+        List<Diagnostic> sorted = new ArrayList<>(new LinkedHashSet<>(faults));
         Collections.sort(sorted, (a, b) -> a.at().compareTo(b.at()));
         faults.clear();
         faults.addAll(sorted);
@@ -105,7 +105,7 @@
     }
 
     /** All that is wrong, by file and line; none if the file can be used. */
-    public List<Fault> faults() {
+    public List<Diagnostic> faults() {
         return Collections.unmodifiableList(faults);
     }
 
@@ -115,7 +115,7 @@
     }
 
     /** What `explain` shows: each key with its value in words and where it was said. */
-    public Map<String, Said<String>> notes() {
+    public Map<String, SourcedValue<String>> notes() {
         return Collections.unmodifiableMap(notes);
     }
 
@@ -170,13 +170,13 @@
             if (!s.has("effect")) {
                 s.fault("", "has no effect");
             }
-            p.effect = new Said<>("side-effecting", s.at);
+            p.effect = new SourcedValue<>("side-effecting", s.at);
         }
         if (p.expiry == null) {
             if (!s.has("expiry")) {
                 s.fault("", "has no expiry");
             }
-            p.expiry = new Said<>(YEAR, s.at);
+            p.expiry = new SourcedValue<>(YEAR, s.at);
         }
         p.due = s.span("due", Math.min(1000, p.expiry.value()), 0, YEAR);
         if (p.due.value() > p.expiry.value()) {
@@ -200,7 +200,7 @@
         p.utility = s.number("utility", 1.0, 0, 1e9).value();
         p.tardyUtility = s.number("tardy_utility", 0.0, 0, 1e9).value();
         p.priority = s.whole("priority", 0, -1000, 1000).value();
-        Said<String> kind = s.text("kind", null);
+        SourcedValue<String> kind = s.text("kind", null);
         p.kind = kind == null ? null : kind.value();
         p.policy = PolicyPart.read(s);
         s.end();
@@ -208,8 +208,8 @@
     }
 
     private void readWorker(Section s) {
-        Said<String> name = s.text("name", null);
-        Said<String> address = s.text("address", null);
+        SourcedValue<String> name = s.text("name", null);
+        SourcedValue<String> address = s.text("address", null);
         if (name == null || address == null) {
             s.fault("", "needs name and address");
         }
@@ -242,16 +242,16 @@
         RoutePart r = new RoutePart();
         r.section = s;
         r.at = s.at;
-        Said<String> name = s.text("name", null);
+        SourcedValue<String> name = s.text("name", null);
         r.name = name == null ? "" : name.value();
         if (!s.has("name")) {
             s.fault("", "has no name");
         }
         Section m = s.section("match");
-        Said<String> profile = m.text("profile", null);
-        Said<String> path = m.text("path", null);
-        Said<String> host = m.text("host", null);
-        Said<String> tenant = m.text("tenant", null);
+        SourcedValue<String> profile = m.text("profile", null);
+        SourcedValue<String> path = m.text("path", null);
+        SourcedValue<String> host = m.text("host", null);
+        SourcedValue<String> tenant = m.text("tenant", null);
         String pathFault = path == null ? null : Match.pathFault(path.value());
         String hostFault = host == null ? null : Match.hostFault(host.value());
         if (pathFault != null) {
@@ -269,12 +269,12 @@
         routes.add(r);
     }
 
-    private static String text(Said<String> said) {
+    private static String text(SourcedValue<String> said) {
         return said == null ? null : said.value();
     }
 
     /** " (FILE:LINE)", or nothing for a default. */
-    static String where(Said<?> said) {
+    static String where(SourcedValue<?> said) {
         return said == null || said.at() == null ? "" : " (" + said.at() + ")";
     }
 
--- a/src/main/java/gingerspool/config/PolicyPart.java
+++ b/src/main/java/gingerspool/config/PolicyPart.java
@@ -2,8 +2,8 @@
 
 import gingerspool.dispatch.Outcome;
 import gingerspool.route.Policy;
-import gingerspool.toml.Said;
 import gingerspool.toml.Section;
+import gingerspool.toml.SourcedValue;
 import gingerspool.toml.Units;
 import java.util.EnumSet;
 import java.util.List;
@@ -18,14 +18,14 @@
             List.of("unreachable", "full", "error", "reset", "timeout");
     private static final double DAY = 8.64e7;
 
-    Said<Integer> assignments;
-    Said<Double> timeout;
-    Said<Policy.Pause> pause;
-    Said<Policy.Copies> copies;
-    Said<Policy.Repeats> repeats;
-    Said<Policy.Bound> limit;
-    Said<Policy.Bound> tenantLimit;
-    Said<Set<Outcome>> again;
+    SourcedValue<Integer> assignments;
+    SourcedValue<Double> timeout;
+    SourcedValue<Policy.Pause> pause;
+    SourcedValue<Policy.Copies> copies;
+    SourcedValue<Policy.Repeats> repeats;
+    SourcedValue<Policy.Bound> limit;
+    SourcedValue<Policy.Bound> tenantLimit;
+    SourcedValue<Set<Outcome>> again;
 
     private PolicyPart() {}
 
@@ -38,20 +38,20 @@
         p.repeats = s.has("repeats") ? repeats(s) : null;
         p.limit = s.has("limit") ? bound(s, "limit") : null;
         p.tenantLimit = s.has("tenant_limit") ? bound(s, "tenant_limit") : null;
-        Said<List<String>> words = s.words("again", null, OUTCOMES);
+        SourcedValue<List<String>> words = s.words("again", null, OUTCOMES);
         if (words != null) {
             Set<Outcome> set = EnumSet.noneOf(Outcome.class);
             words.value().forEach(w -> set.add(Outcome.valueOf(w.toUpperCase(Locale.ROOT))));
-            p.again = new Said<>(set, words.at());
+            p.again = new SourcedValue<>(set, words.at());
         }
         return p;
     }
 
-    private static Said<Policy.Pause> pause(Section s) {
+    private static SourcedValue<Policy.Pause> pause(Section s) {
         Section in = s.section("pause");
-        Said<Double> first = in.span("first", 0.0, 0, DAY);
-        Said<Double> most = in.span("most", first.value(), 0, DAY);
-        Said<Double> jitter = in.number("jitter", 0.0, 0, 1);
+        SourcedValue<Double> first = in.span("first", 0.0, 0, DAY);
+        SourcedValue<Double> most = in.span("most", first.value(), 0, DAY);
+        SourcedValue<Double> jitter = in.number("jitter", 0.0, 0, 1);
         if (!in.has("first")) {
             in.fault("", "needs first");
         }
@@ -64,13 +64,14 @@
                             + Units.text(first.value()));
         }
         in.end();
-        return new Said<>(new Policy.Pause(first.value(), most.value(), jitter.value()), in.at);
+        return new SourcedValue<>(
+                new Policy.Pause(first.value(), most.value(), jitter.value()), in.at);
     }
 
-    private static Said<Policy.Copies> copies(Section s) {
+    private static SourcedValue<Policy.Copies> copies(Section s) {
         Section in = s.section("copies");
-        Said<Integer> most = in.whole("most", 1, 1, Integer.MAX_VALUE);
-        Said<Double> after = in.span("after", 0.0, 0, DAY);
+        SourcedValue<Integer> most = in.whole("most", 1, 1, Integer.MAX_VALUE);
+        SourcedValue<Double> after = in.span("after", 0.0, 0, DAY);
         if (most.value() > 1 && !in.has("after")) {
             in.fault("", "needs after: how long an assignment is out before another joins it");
         }
@@ -78,25 +79,25 @@
             in.fault("", "needs most");
         }
         in.end();
-        return new Said<>(new Policy.Copies(most.value(), after.value()), in.at);
+        return new SourcedValue<>(new Policy.Copies(most.value(), after.value()), in.at);
     }
 
-    private static Said<Policy.Repeats> repeats(Section s) {
+    private static SourcedValue<Policy.Repeats> repeats(Section s) {
         Section in = s.section("repeats");
-        Said<Double> share = in.number("share", 0.0, 0, 1);
-        Said<Double> least = in.number("least_per_s", 0.0, 0, 1e6);
+        SourcedValue<Double> share = in.number("share", 0.0, 0, 1);
+        SourcedValue<Double> least = in.number("least_per_s", 0.0, 0, 1e6);
         if (!in.has("share") && !in.has("least_per_s")) {
             in.fault("", "needs share or least_per_s");
         }
         in.end();
-        return new Said<>(new Policy.Repeats(share.value(), least.value()), in.at);
+        return new SourcedValue<>(new Policy.Repeats(share.value(), least.value()), in.at);
     }
 
-    private static Said<Policy.Bound> bound(Section s, String key) {
+    private static SourcedValue<Policy.Bound> bound(Section s, String key) {
         Section in = s.section(key);
-        Said<Integer> inHand = in.whole("in_hand", null, 1, Integer.MAX_VALUE);
-        Said<Double> rate = in.number("rate_per_s", null, 0.001, 1e6);
-        Said<Double> burst =
+        SourcedValue<Integer> inHand = in.whole("in_hand", null, 1, Integer.MAX_VALUE);
+        SourcedValue<Double> rate = in.number("rate_per_s", null, 0.001, 1e6);
+        SourcedValue<Double> burst =
                 in.number("burst", rate == null ? null : Math.max(1, rate.value()), 1, 1e6);
         boolean found = in.mark("found", false).value();
         if (found && inHand != null) {
@@ -114,7 +115,7 @@
         }
         in.end();
         double none = Double.POSITIVE_INFINITY;
-        return new Said<>(
+        return new SourcedValue<>(
                 new Policy.Bound(
                         inHand == null ? none : inHand.value(),
                         rate == null ? none : rate.value(),
@@ -137,7 +138,7 @@
         return p;
     }
 
-    private static <T> T value(Said<T> said, T other) {
+    private static <T> T value(SourcedValue<T> said, T other) {
         return said == null ? other : said.value();
     }
 
--- a/src/main/java/gingerspool/configuration/ConfigurationState.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationState.java
@@ -4,7 +4,7 @@
 import com.google.protobuf.util.JsonFormat;
 import gingerspool.wire.BadMessage;
 import gingerspool.wire.Json;
-import gingerspool.wire.Tree;
+import gingerspool.wire.JsonTree;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -113,17 +113,17 @@
         for (Object list : lists) {
             Map<Object, Object> byName = new LinkedHashMap<>();
             for (Object item : list(next.get(list), String.valueOf(list))) {
-                byName.put(Tree.at(item, "Name"), item);
+                byName.put(JsonTree.at(item, "Name"), item);
             }
             for (Object name : list(table(said, "Removals").get(list), "Removals." + list)) {
                 byName.remove(name);
             }
             for (Object item : list(table(said, "Upserts").get(list), "Upserts." + list)) {
-                if (Tree.text(null, item, "Name") == null) {
+                if (JsonTree.text(null, item, "Name") == null) {
                     throw new InvalidConfigurationException(
                             "an item of Upserts." + list + " has no Name");
                 }
-                byName.put(Tree.at(item, "Name"), item);
+                byName.put(JsonTree.at(item, "Name"), item);
             }
             next.put(String.valueOf(list), new ArrayList<>(byName.values()));
         }
@@ -211,7 +211,7 @@
     private static boolean weighsNothing(List<?> parts) {
         double sum = 0;
         for (Object part : parts) {
-            if (!(Tree.at(part, "Weight") instanceof Number weight)) {
+            if (!(JsonTree.at(part, "Weight") instanceof Number weight)) {
                 return false;
             }
             sum += weight.doubleValue();
@@ -304,12 +304,12 @@
     public void restore(byte[] state) {
         try {
             Object all = Json.read(state, 0, state.length);
-            tree = copy((Map<?, ?>) Tree.at(all, "tree"));
+            tree = copy((Map<?, ?>) JsonTree.at(all, "tree"));
             configuration = typed(tree);
             accepted =
-                    Tree.at(all, "taken") instanceof Map<?, ?> earlier
+                    JsonTree.at(all, "taken") instanceof Map<?, ?> earlier
                             ? AcceptedChanges.ofEarlierForm(earlier)
-                            : AcceptedChanges.of((Map<?, ?>) Tree.at(all, "accepted"));
+                            : AcceptedChanges.of((Map<?, ?>) JsonTree.at(all, "accepted"));
         } catch (BadMessage | InvalidConfigurationException e) {
             throw new IllegalStateException(
                     "a state that was made here can't be read: " + e.getMessage(), e);
--- a/src/main/java/gingerspool/consensus/Safeguard.java
+++ b/src/main/java/gingerspool/consensus/ConsensusSafeguard.java
@@ -4,7 +4,7 @@
  * The guards of the replicated log that safety or recovery depends on. A production replica has all
  * of them; a test may take one out, to show that some history goes wrong without it.
  */
-public enum Safeguard {
+public enum ConsensusSafeguard {
     /** A member asks whether it would be elected before it raises its term. */
     PRE_VOTE,
 
--- a/src/main/java/gingerspool/consensus/Departure.java
+++ b/src/main/java/gingerspool/consensus/Departure.java
@@ -80,7 +80,7 @@
 
     /** Whether nothing is lost if this member's process ends now. */
     boolean mayStop() {
-        if (!context.guarded(Safeguard.LEAVER_STAYS_UNTIL_SWAPPED) || !context.isVoter()) {
+        if (!context.guarded(ConsensusSafeguard.LEAVER_STAYS_UNTIL_SWAPPED) || !context.isVoter()) {
             return true;
         }
         boolean alone = context.log.voters().all().size() == 1;
--- a/src/main/java/gingerspool/consensus/Durability.java
+++ b/src/main/java/gingerspool/consensus/Durability.java
@@ -25,7 +25,7 @@
 
     /** Up to here the log's entries are durable. */
     long durableIndex() {
-        return context.guarded(Safeguard.SYNC_BEFORE_ACKNOWLEDGE)
+        return context.guarded(ConsensusSafeguard.SYNC_BEFORE_ACKNOWLEDGE)
                 ? durableIndex
                 : context.log.last();
     }
@@ -50,7 +50,7 @@
         whenSaved(
                 () -> {
                     if (truncations == before
-                            || !context.guarded(Safeguard.TRUNCATION_RESETS_DURABLE)) {
+                            || !context.guarded(ConsensusSafeguard.TRUNCATION_RESETS_DURABLE)) {
                         durableIndex = Math.max(durableIndex, upTo);
                         onDurableEntries.run();
                     }
@@ -66,7 +66,7 @@
     /** Entries beyond this index were removed. */
     void truncated(long lastKept) {
         truncations++;
-        if (context.guarded(Safeguard.TRUNCATION_RESETS_DURABLE)) {
+        if (context.guarded(ConsensusSafeguard.TRUNCATION_RESETS_DURABLE)) {
             durableIndex = Math.min(durableIndex, lastKept);
         }
     }
--- a/src/main/java/gingerspool/consensus/Election.java
+++ b/src/main/java/gingerspool/consensus/Election.java
@@ -49,7 +49,9 @@
         // its process, and in its own term it granted nobody else one.
         boolean ownTerm = context.self.equals(context.votedFor);
         boolean free =
-                founds || ownTerm || !context.guarded(Safeguard.LEASE_WAITED_OUT_AFTER_RESTART);
+                founds
+                        || ownTerm
+                        || !context.guarded(ConsensusSafeguard.LEASE_WAITED_OUT_AFTER_RESTART);
         withheldUntil = free ? context.now : context.now + context.lease();
         double spread = ownTerm ? 2 * ReplicaContext.HEARTBEATS : 2;
         electionAt = withheldUntil + context.lease() * context.random.nextDouble() / spread;
@@ -92,7 +94,7 @@
         context.leader = null;
         candidateTerm = Math.max(candidateTerm, context.term + 1);
         delayElection();
-        if (!context.guarded(Safeguard.PRE_VOTE)) {
+        if (!context.guarded(ConsensusSafeguard.PRE_VOTE)) {
             stand();
             return;
         }
@@ -119,7 +121,7 @@
                         countVotes();
                     }
                 };
-        if (context.guarded(Safeguard.VOTE_DURABLE_BEFORE_REPLY)) {
+        if (context.guarded(ConsensusSafeguard.VOTE_DURABLE_BEFORE_REPLY)) {
             durability.whenSaved(ask);
         } else {
             ask.run();
@@ -182,7 +184,7 @@
     void onRequestVote(Member from, ConsensusMessage.RequestVote request) {
         boolean repeated =
                 from.equals(context.votedFor)
-                        || !context.guarded(Safeguard.ONE_VOTE_PER_TERM)
+                        || !context.guarded(ConsensusSafeguard.ONE_VOTE_PER_TERM)
                                 && upToDate(request.lastTerm(), request.last());
         if (request.term() == context.term && repeated && context.role != Role.LEADER) {
             grant(from, request.term());
@@ -210,7 +212,7 @@
     private boolean mayVote(Member from, long term) {
         boolean withheld =
                 context.now < withheldUntil
-                        && context.guarded(Safeguard.VOTE_WITHHELD_DURING_LEASE);
+                        && context.guarded(ConsensusSafeguard.VOTE_WITHHELD_DURING_LEASE);
         return term > context.term
                 && (!withheld || from.equals(context.votedFor))
                 && !leads.getAsBoolean();
@@ -218,7 +220,7 @@
 
     private boolean upToDate(long lastTerm, long last) {
         RaftLog log = context.log;
-        return !context.guarded(Safeguard.VOTE_ONLY_FOR_UP_TO_DATE_LOG)
+        return !context.guarded(ConsensusSafeguard.VOTE_ONLY_FOR_UP_TO_DATE_LOG)
                 || lastTerm > log.lastTerm()
                 || lastTerm == log.lastTerm() && last >= log.last();
     }
@@ -230,7 +232,7 @@
                         context.send(to, new ConsensusMessage.VoteReply(term, true));
                     }
                 };
-        if (context.guarded(Safeguard.VOTE_DURABLE_BEFORE_REPLY)) {
+        if (context.guarded(ConsensusSafeguard.VOTE_DURABLE_BEFORE_REPLY)) {
             durability.whenSaved(reply);
         } else {
             reply.run();
--- a/src/main/java/gingerspool/consensus/Follower.java
+++ b/src/main/java/gingerspool/consensus/Follower.java
@@ -60,7 +60,8 @@
             boolean differs =
                     index <= log.last()
                             && (log.termAt(index) != entry.term()
-                                    || !context.guarded(Safeguard.TRUNCATE_ONLY_ON_CONFLICT));
+                                    || !context.guarded(
+                                            ConsensusSafeguard.TRUNCATE_ONLY_ON_CONFLICT));
             if (differs) {
                 // What the leader does not have was never committed.
                 log.truncate(index);
@@ -82,7 +83,7 @@
     private double leaseAnswer(double sentAt) {
         boolean durable =
                 durability.voteIsDurable()
-                        || !context.guarded(Safeguard.LEASE_COUNTS_DURABLE_VOTES);
+                        || !context.guarded(ConsensusSafeguard.LEASE_COUNTS_DURABLE_VOTES);
         return durable ? sentAt : Double.NEGATIVE_INFINITY;
     }
 
@@ -105,7 +106,7 @@
     private void answer(Member to, long matching, double sentAt) {
         long durable = durability.durableIndex();
         long last =
-                context.guarded(Safeguard.ACKNOWLEDGE_MATCHED_PREFIX)
+                context.guarded(ConsensusSafeguard.ACKNOWLEDGE_MATCHED_PREFIX)
                         ? Math.min(durable, matching)
                         : durable;
         context.send(to, new ConsensusMessage.AppendReply(context.term, true, last, 0, sentAt));
@@ -133,7 +134,7 @@
     private boolean isAhead(SnapshotPiece piece) {
         return piece.index() > context.applied
                 || context.log.voters().isEmpty()
-                || !context.guarded(Safeguard.SNAPSHOT_ONLY_FORWARD);
+                || !context.guarded(ConsensusSafeguard.SNAPSHOT_ONLY_FORWARD);
     }
 
     private void reply(Member to, SnapshotPiece piece, int received, double sentAt) {
@@ -153,7 +154,7 @@
         boolean matches =
                 snapshot.index() > log.base().index()
                         && log.matches(snapshot.index(), snapshot.term())
-                        && context.guarded(Safeguard.SNAPSHOT_KEEPS_MATCHING_LOG);
+                        && context.guarded(ConsensusSafeguard.SNAPSHOT_KEEPS_MATCHING_LOG);
         if (matches) {
             log.compact(snapshot);
         } else {
--- a/src/main/java/gingerspool/consensus/LeaderLease.java
+++ b/src/main/java/gingerspool/consensus/LeaderLease.java
@@ -20,7 +20,8 @@
 
     /** Until when the lease is trusted. */
     double end() {
-        double trusted = context.guarded(Safeguard.LEASE_TRUSTED_IN_PART) ? TRUSTED : 1 / TRUSTED;
+        double trusted =
+                context.guarded(ConsensusSafeguard.LEASE_TRUSTED_IN_PART) ? TRUSTED : 1 / TRUSTED;
         return context.quorumSet().reached(replication::leaseAcknowledgedAt, 0)
                 + trusted * context.lease();
     }
@@ -32,7 +33,7 @@
     boolean leads(double at) {
         return context.role == Role.LEADER
                 && (replication.isOwnTermCommitted()
-                        || !context.guarded(Safeguard.SERVE_AFTER_OWN_TERM_COMMITTED))
+                        || !context.guarded(ConsensusSafeguard.SERVE_AFTER_OWN_TERM_COMMITTED))
                 && at < end();
     }
 
@@ -43,7 +44,7 @@
     boolean isLost() {
         double since = Math.max(end(), replication.electedAt() + context.lease());
         return context.role == Role.LEADER
-                && context.guarded(Safeguard.STEP_DOWN_WITHOUT_LEASE)
+                && context.guarded(ConsensusSafeguard.STEP_DOWN_WITHOUT_LEASE)
                 && context.now > since + context.lease();
     }
 }
--- a/src/main/java/gingerspool/consensus/Membership.java
+++ b/src/main/java/gingerspool/consensus/Membership.java
@@ -99,9 +99,9 @@
         VoterSet voters = log.voters();
         if (!lease.leads(context.now)
                 || !replication.isOwnTermCommitted()
-                        && context.guarded(Safeguard.MEMBERSHIP_CHANGE_AFTER_OWN_TERM)
+                        && context.guarded(ConsensusSafeguard.MEMBERSHIP_CHANGE_AFTER_OWN_TERM)
                 || log.votersIndex() > context.committed
-                        && context.guarded(Safeguard.ONE_MEMBERSHIP_CHANGE_AT_A_TIME)) {
+                        && context.guarded(ConsensusSafeguard.ONE_MEMBERSHIP_CHANGE_AT_A_TIME)) {
             return;
         }
         if (voters.isJoint()) {
@@ -205,7 +205,7 @@
     private boolean isReady(Member learner) {
         boolean caughtUp =
                 replication.progress(learner).matched >= committedBefore
-                        || !context.guarded(Safeguard.LEARNER_CAUGHT_UP_BEFORE_VOTING);
+                        || !context.guarded(ConsensusSafeguard.LEARNER_CAUGHT_UP_BEFORE_VOTING);
         return isPresent(learner) && caughtUp;
     }
 }
--- a/src/main/java/gingerspool/consensus/Replica.java
+++ b/src/main/java/gingerspool/consensus/Replica.java
@@ -322,7 +322,7 @@
 
     /** Whether it comes from the leader of our term or a newer one; others are told so. */
     private boolean heardLeader(Member from, long term) {
-        if (term < context.term && context.guarded(Safeguard.OLD_TERMS_REFUSED)) {
+        if (term < context.term && context.guarded(ConsensusSafeguard.OLD_TERMS_REFUSED)) {
             context.send(
                     from,
                     new ConsensusMessage.AppendReply(
--- a/src/main/java/gingerspool/consensus/ReplicaContext.java
+++ b/src/main/java/gingerspool/consensus/ReplicaContext.java
@@ -49,7 +49,7 @@
         random = new SplittableRandom(settings.randomSeed());
     }
 
-    boolean guarded(Safeguard safeguard) {
+    boolean guarded(ConsensusSafeguard safeguard) {
         return settings.guarded(safeguard);
     }
 
@@ -68,7 +68,7 @@
     /** Those whose majorities decide. */
     VoterSet quorumSet() {
         VoterSet voters = log.voters();
-        return voters.isJoint() && !guarded(Safeguard.JOINT_QUORUM)
+        return voters.isJoint() && !guarded(ConsensusSafeguard.JOINT_QUORUM)
                 ? VoterSet.of(voters.incoming())
                 : voters;
     }
@@ -79,7 +79,7 @@
      * can win.
      */
     boolean isVoter() {
-        if (!guarded(Safeguard.REMOVAL_ONLY_BY_COMMITTED_CHANGE)) {
+        if (!guarded(ConsensusSafeguard.REMOVAL_ONLY_BY_COMMITTED_CHANGE)) {
             return log.voters().contains(self);
         }
         if (log.votersAt(committed).contains(self)) {
--- a/src/main/java/gingerspool/consensus/ReplicaSettings.java
+++ b/src/main/java/gingerspool/consensus/ReplicaSettings.java
@@ -21,7 +21,7 @@
         long randomSeed,
         int snapshotFloor,
         int pieceBytes,
-        Set<Safeguard> disabled) {
+        Set<ConsensusSafeguard> disabled) {
     private static final int SNAPSHOT_FLOOR = 1 << 20;
     private static final int PIECE_BYTES = 1 << 16;
 
@@ -30,7 +30,7 @@
         this(tolerated, lease, seeds, randomSeed, SNAPSHOT_FLOOR, PIECE_BYTES, Set.of());
     }
 
-    boolean guarded(Safeguard safeguard) {
+    boolean guarded(ConsensusSafeguard safeguard) {
         return !disabled.contains(safeguard);
     }
 }
--- a/src/main/java/gingerspool/consensus/Replication.java
+++ b/src/main/java/gingerspool/consensus/Replication.java
@@ -253,13 +253,13 @@
         if (context.role != Role.LEADER) {
             return;
         }
-        boolean copies = context.guarded(Safeguard.MORE_COPIES_THAN_LOSSES);
+        boolean copies = context.guarded(ConsensusSafeguard.MORE_COPIES_THAN_LOSSES);
         int least = copies ? context.settings.tolerated() + 1 : 0;
         long held = (long) context.quorumSet().reached(this::durableAt, least);
         // What older terms left counts only with an entry of this term behind it.
         if (held > context.committed
                 && (context.log.termAt(held) == context.term
-                        || !context.guarded(Safeguard.COMMIT_ONLY_OWN_TERM))) {
+                        || !context.guarded(ConsensusSafeguard.COMMIT_ONLY_OWN_TERM))) {
             context.committed = held;
             heartbeatAt = context.now;
             onCommitted.run();
--- a/src/main/java/gingerspool/controlplane/ControlNode.java
+++ b/src/main/java/gingerspool/controlplane/ControlNode.java
@@ -11,12 +11,12 @@
 import gingerspool.consensus.Replica;
 import gingerspool.consensus.ReplicaEnvironment;
 import gingerspool.consensus.ReplicaSettings;
-import gingerspool.daemon.Loop;
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
 import gingerspool.storage.DurableLog;
 import gingerspool.storage.LogWriter;
 import gingerspool.storage.RecoveredLog;
 import gingerspool.storage.StorageException;
+import gingerspool.wire.SingleThreadEventLoop;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -52,8 +52,8 @@
     /** Milliseconds between two summaries in the log. */
     private static final double SUMMARY = 10_000;
 
-    private final Settings settings;
-    final Loop loop;
+    private final NodeSettings settings;
+    final SingleThreadEventLoop loop;
     final ConfigurationState configurationState = new ConfigurationState();
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
     private final LogWriter writer;
@@ -74,7 +74,7 @@
     private LeaderWatch watch;
 
     /** Null until SIGTERM. */
-    private OrderlyStop stopping;
+    private GracefulShutdown stopping;
 
     /** The replica sees what is changed here. */
     private final List<String> seeds;
@@ -82,9 +82,9 @@
     private double wakesAt = Double.POSITIVE_INFINITY;
     private int announcements;
 
-    public ControlNode(Settings settings) throws IOException {
+    public ControlNode(NodeSettings settings) throws IOException {
         this.settings = settings;
-        loop = new Loop();
+        loop = new SingleThreadEventLoop();
         writer = new LogWriter(new DurableLog(settings.data, settings.diskMb), loop::enter, this);
         calls =
                 new OperatorCalls(
@@ -191,7 +191,7 @@
                         return;
                     }
                     LOG.info("stop.begins");
-                    stopping = new OrderlyStop(loop, settings.grace, new Stopping(then));
+                    stopping = new GracefulShutdown(loop, settings.grace, new Stopping(then));
                     if (replica != null) {
                         replica.leave(loop.now());
                         afterReplica();
@@ -200,7 +200,7 @@
                 });
     }
 
-    private final class Stopping implements OrderlyStop.Process {
+    private final class Stopping implements GracefulShutdown.Process {
         private final Runnable then;
 
         Stopping(Runnable then) {
@@ -243,7 +243,7 @@
     }
 
     /** Where to look for the core where no member that is known answers. */
-    public void reload(Settings now) {
+    public void reload(NodeSettings now) {
         loop.enter(
                 () -> {
                     if (!seeds.equals(seedsOf(now))) {
@@ -254,7 +254,7 @@
                 });
     }
 
-    private static List<String> seedsOf(Settings settings) {
+    private static List<String> seedsOf(NodeSettings settings) {
         return settings.seeds.stream().map(a -> a.getAddress().getHostAddress()).toList();
     }
 
--- a/src/main/java/gingerspool/controlplane/OrderlyStop.java
+++ b/src/main/java/gingerspool/controlplane/GracefulShutdown.java
@@ -1,13 +1,13 @@
 package gingerspool.controlplane;
 
-import gingerspool.wire.Turns;
+import gingerspool.wire.EventLoop;
 
 /**
  * The end of a control process after SIGTERM. It stays a voter until its replacement is agreed on,
  * or none is to be had, or a part of the grace period is over; then operators are taken no more,
  * those that wait are answered, and it ends. No I/O of its own.
  */
-final class OrderlyStop {
+final class GracefulShutdown {
     /** The part of the grace period in which a replacement is waited for. */
     private static final double WAIT = 0.6;
 
@@ -31,14 +31,14 @@
         void end();
     }
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final double grace;
     private final Process process;
     private double beganAt = Double.NaN;
     private boolean isClosed;
 
     /** The grace period is in milliseconds. */
-    OrderlyStop(Turns turns, double grace, Process process) {
+    GracefulShutdown(EventLoop turns, double grace, Process process) {
         this.turns = turns;
         this.grace = grace;
         this.process = process;
--- a/src/main/java/gingerspool/controlplane/InternalEndpoint.java
+++ b/src/main/java/gingerspool/controlplane/InternalEndpoint.java
@@ -2,10 +2,10 @@
 
 import gingerspool.codec.KryoCodec;
 import gingerspool.codec.MalformedMessageException;
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Frames;
 import gingerspool.wire.Listener;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.AsynchronousSocketChannel;
@@ -46,14 +46,14 @@
         }
     }
 
-    private final Turns turns;
-    private final Settings settings;
+    private final EventLoop turns;
+    private final NodeSettings settings;
     private final KryoCodec codec;
     private final Owner owner;
     private final Listener listener;
     private final Map<Frames, Accepted> links = new LinkedHashMap<>();
 
-    InternalEndpoint(Turns turns, Settings settings, KryoCodec codec, Owner owner)
+    InternalEndpoint(EventLoop turns, NodeSettings settings, KryoCodec codec, Owner owner)
             throws IOException {
         this.turns = turns;
         this.settings = settings;
--- a/src/main/java/gingerspool/controlplane/LeaderDuties.java
+++ b/src/main/java/gingerspool/controlplane/LeaderDuties.java
@@ -3,12 +3,12 @@
 import gingerspool.autoscaler.Autoscaler;
 import gingerspool.codec.Messages;
 import gingerspool.configuration.Configuration;
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
 import gingerspool.slots.Function;
 import gingerspool.slots.Instance;
-import gingerspool.slots.SlotKeeper;
-import gingerspool.wire.Tree;
-import gingerspool.wire.Turns;
+import gingerspool.slots.SlotAllocator;
+import gingerspool.wire.EventLoop;
+import gingerspool.wire.JsonTree;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -24,7 +24,7 @@
  * holds. Ends with the term.
  */
 final class LeaderDuties
-        implements Autoscaler.Actions, SlotKeeper.Messenger, SchedulerRegistry.Slots {
+        implements Autoscaler.Actions, SlotAllocator.Messenger, SchedulerRegistry.Slots {
     private static final Logger LOG = LogManager.getLogger(LeaderDuties.class);
     private static final double TICK = 50;
 
@@ -37,14 +37,14 @@
 
     private static final int TRIES = 4;
 
-    private final Turns turns;
-    private final Settings settings;
+    private final EventLoop turns;
+    private final NodeSettings settings;
     private final long term;
     private final BooleanSupplier holds;
     private final BiConsumer<String, Object> send;
     private final Consumer<Object> sendToAll;
     private final Platform platform;
-    final SlotKeeper keeper;
+    final SlotAllocator keeper;
     private final Autoscaler autoscaler;
     private boolean ended;
     private double hostsAt;
@@ -57,8 +57,8 @@
     long refusals;
 
     LeaderDuties(
-            Turns turns,
-            Settings settings,
+            EventLoop turns,
+            NodeSettings settings,
             Platform platform,
             long term,
             BooleanSupplier holds,
@@ -71,7 +71,7 @@
         this.send = send;
         this.sendToAll = sendToAll;
         this.platform = platform;
-        keeper = new SlotKeeper(settings.beat, turns.now(), this);
+        keeper = new SlotAllocator(settings.beat, turns.now(), this);
         autoscaler =
                 new Autoscaler(
                         keeper,
@@ -169,7 +169,7 @@
             platform.hosts(
                     a -> {
                         if (a.status() == 200
-                                && Tree.at(a.tree(), "Workers") instanceof List<?> l
+                                && JsonTree.at(a.tree(), "Workers") instanceof List<?> l
                                 && !ended) {
                             hosts(l);
                         }
@@ -181,11 +181,11 @@
         autoscaler.hostsBegin();
         for (Object h : all) {
             autoscaler.host(
-                    Tree.text("", h, "Name"),
-                    Tree.text("", h, "Zone"),
-                    Tree.number(0, h, "MemoryMb"),
-                    Tree.number(0, h, "FreeMemoryMb"),
-                    Tree.text("", h, "State").equals("ready"));
+                    JsonTree.text("", h, "Name"),
+                    JsonTree.text("", h, "Zone"),
+                    JsonTree.number(0, h, "MemoryMb"),
+                    JsonTree.number(0, h, "FreeMemoryMb"),
+                    JsonTree.text("", h, "State").equals("ready"));
         }
         autoscaler.hostsEnd();
     }
@@ -194,19 +194,19 @@
         double now = turns.now();
         Set<String> leave = new HashSet<>();
         for (Object e : all) {
-            String id = Tree.text("", e, "Identifier");
-            boolean ready = Tree.text("", e, "State").equals("ready");
+            String id = JsonTree.text("", e, "Identifier");
+            boolean ready = JsonTree.text("", e, "State").equals("ready");
             Instance i = keeper.instance(id);
             if (i == null && !id.isEmpty()) {
                 i =
                         keeper.add(
                                 now,
                                 id,
-                                keeper.unrouted(Tree.text("", e, "Service")),
-                                Tree.text("", e, "Address"),
-                                Tree.text("", e, "Zone"),
-                                Tree.text("", e, "Worker"),
-                                (int) Tree.number(1, e, "ConcurrencySlots"),
+                                keeper.unrouted(JsonTree.text("", e, "Service")),
+                                JsonTree.text("", e, "Address"),
+                                JsonTree.text("", e, "Zone"),
+                                JsonTree.text("", e, "Worker"),
+                                (int) JsonTree.number(1, e, "ConcurrencySlots"),
                                 Instance.State.STARTING);
             }
             if (i != null) {
@@ -252,12 +252,12 @@
                 nonce,
                 a -> {
                     double now = turns.now();
-                    String id = Tree.text("", a.tree(), "Identifier");
+                    String id = JsonTree.text("", a.tree(), "Identifier");
                     if (ended) {
                         return;
                     }
                     if (a.status() == 200 && !id.isEmpty()) {
-                        autoscaler.started(now, nonce, id, Tree.text("", a.tree(), "Address"));
+                        autoscaler.started(now, nonce, id, JsonTree.text("", a.tree(), "Address"));
                     } else if ((a.status() == 0 || a.status() >= 500) && tries < TRIES) {
                         // It may have been carried out: the same nonce gives the same instance.
                         again(
--- a/src/main/java/gingerspool/controlplane/OperatorCalls.java
+++ b/src/main/java/gingerspool/controlplane/OperatorCalls.java
@@ -6,8 +6,8 @@
 import gingerspool.consensus.Member;
 import gingerspool.consensus.Replica;
 import gingerspool.wire.Address;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Json;
-import gingerspool.wire.Turns;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -26,7 +26,7 @@
     /** Seconds until a member that knows no leader may be worth another call. */
     private static final int RETRY_AFTER_S = 1;
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final int controlPort;
     private final KryoCodec codec;
     private final ConfigurationState state;
@@ -43,7 +43,7 @@
 
     /** The replica is null until the disk was read. */
     OperatorCalls(
-            Turns turns,
+            EventLoop turns,
             int controlPort,
             KryoCodec codec,
             ConfigurationState state,
--- a/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
+++ b/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
@@ -1,10 +1,10 @@
 package gingerspool.controlplane;
 
 import gingerspool.wire.BadMessage;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Inbound;
 import gingerspool.wire.Listener;
 import gingerspool.wire.Message;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.SocketAddress;
 import java.nio.channels.AsynchronousSocketChannel;
@@ -13,18 +13,19 @@
 import java.util.function.Consumer;
 
 /** Where operators call: reads requests and hands them on as command objects. */
-final class OperatorEndpoint implements Listener.Owner, Inbound.Door {
+final class OperatorEndpoint implements Listener.Owner, Inbound.Handler {
     private static final double PATIENCE = 10_000;
     private static final int HEAD_MOST = 16 * 1024;
     private static final int BODY_MOST = 2 << 20;
     private static final int MOST = 256;
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final Consumer<OperatorCall> run;
     private final Set<Inbound> open = new HashSet<>();
     private final Listener listener;
 
-    OperatorEndpoint(Turns turns, SocketAddress at, Consumer<OperatorCall> run) throws IOException {
+    OperatorEndpoint(EventLoop turns, SocketAddress at, Consumer<OperatorCall> run)
+            throws IOException {
         this.turns = turns;
         this.run = run;
         listener = new Listener(turns, at, this);
--- a/src/main/java/gingerspool/controlplane/PeerLinks.java
+++ b/src/main/java/gingerspool/controlplane/PeerLinks.java
@@ -2,9 +2,9 @@
 
 import gingerspool.codec.KryoCodec;
 import gingerspool.codec.Messages;
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Frames;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
@@ -33,8 +33,8 @@
     /** In heartbeat intervals: how long a link is kept to one that is wanted no more. */
     private static final double UNWANTED = 4;
 
-    private final Turns turns;
-    private final Settings settings;
+    private final EventLoop turns;
+    private final NodeSettings settings;
     private final KryoCodec codec;
     private final Map<String, Peer> peers = new HashMap<>();
 
@@ -45,7 +45,7 @@
         double heardAt;
     }
 
-    PeerLinks(Turns turns, Settings settings, KryoCodec codec) {
+    PeerLinks(EventLoop turns, NodeSettings settings, KryoCodec codec) {
         this.turns = turns;
         this.settings = settings;
         this.codec = codec;
--- a/src/main/java/gingerspool/controlplane/PlatformClient.java
+++ b/src/main/java/gingerspool/controlplane/PlatformClient.java
@@ -1,14 +1,14 @@
 package gingerspool.controlplane;
 
-import gingerspool.store.Pool;
+import gingerspool.store.ConnectionPool;
 import gingerspool.wire.Address;
 import gingerspool.wire.BadMessage;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Inbound;
 import gingerspool.wire.Json;
+import gingerspool.wire.JsonTree;
 import gingerspool.wire.Message;
 import gingerspool.wire.Outbound;
-import gingerspool.wire.Tree;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -25,16 +25,16 @@
     private static final int MOST = 32;
     private static final double KEPT = 5000;
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final InetSocketAddress address;
     private final double patience;
-    private final Pool pool;
+    private final ConnectionPool pool;
 
-    PlatformClient(Turns turns, InetSocketAddress address, double patience) {
+    PlatformClient(EventLoop turns, InetSocketAddress address, double patience) {
         this.turns = turns;
         this.address = address;
         this.patience = patience;
-        pool = new Pool(turns, patience, KEPT, MOST);
+        pool = new ConnectionPool(turns, patience, KEPT, MOST);
     }
 
     @Override
@@ -47,12 +47,12 @@
                 target,
                 a -> {
                     if (a.status() != 200
-                            || !(Tree.at(a.tree(), "Instances") instanceof List<?> l)) {
+                            || !(JsonTree.at(a.tree(), "Instances") instanceof List<?> l)) {
                         then.accept(null);
                         return;
                     }
                     all.addAll(l);
-                    String next = Tree.text("", a.tree(), "NextPageToken");
+                    String next = JsonTree.text("", a.tree(), "NextPageToken");
                     if (next.isEmpty()) {
                         then.accept(all);
                     } else {
--- a/src/main/java/gingerspool/controlplane/RepairExchange.java
+++ b/src/main/java/gingerspool/controlplane/RepairExchange.java
@@ -7,7 +7,7 @@
 import gingerspool.configuration.InvalidConfigurationException;
 import gingerspool.consensus.Member;
 import gingerspool.consensus.Replica;
-import gingerspool.wire.Turns;
+import gingerspool.wire.EventLoop;
 import java.util.List;
 import java.util.function.BiConsumer;
 import org.apache.logging.log4j.LogManager;
@@ -20,7 +20,7 @@
 final class RepairExchange {
     private static final Logger LOG = LogManager.getLogger(RepairExchange.class);
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final String ip;
     private final ConfigurationState state;
     private final Replica replica;
@@ -45,7 +45,7 @@
     private String askedFrom = "";
 
     RepairExchange(
-            Turns turns,
+            EventLoop turns,
             String ip,
             ConfigurationState state,
             Replica replica,
--- a/src/main/java/gingerspool/controlplane/SchedulerRegistry.java
+++ b/src/main/java/gingerspool/controlplane/SchedulerRegistry.java
@@ -3,8 +3,8 @@
 import gingerspool.antientropy.RangeDigests;
 import gingerspool.codec.Messages;
 import gingerspool.configuration.ConfigurationState;
-import gingerspool.settings.Settings;
-import gingerspool.wire.Turns;
+import gingerspool.settings.NodeSettings;
+import gingerspool.wire.EventLoop;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -43,8 +43,8 @@
         }
     }
 
-    private final Turns turns;
-    private final Settings settings;
+    private final EventLoop turns;
+    private final NodeSettings settings;
     private final ConfigurationState state;
     private final Map<InternalEndpoint.Link, Scheduler> byLink = new HashMap<>();
     private final Map<String, Scheduler> byName = new HashMap<>();
@@ -58,7 +58,7 @@
     private long pushedDigest;
     private double pushedAt;
 
-    SchedulerRegistry(Turns turns, Settings settings, ConfigurationState state) {
+    SchedulerRegistry(EventLoop turns, NodeSettings settings, ConfigurationState state) {
         this.turns = turns;
         this.settings = settings;
         this.state = state;
--- a/src/main/java/gingerspool/daemon/Configuration.java
+++ b/src/main/java/gingerspool/daemon/Configuration.java
@@ -1,7 +1,7 @@
 package gingerspool.daemon;
 
+import gingerspool.dispatch.DispatcherSettings;
 import gingerspool.dispatch.Profile;
-import gingerspool.dispatch.Settings;
 import gingerspool.wire.LoadReport;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -19,7 +19,7 @@
 public final class Configuration {
     private static final Logger LOG = LoggerFactory.getLogger(Configuration.class);
 
-    public final Settings settings = new Settings();
+    public final DispatcherSettings settings = new DispatcherSettings();
     public final Map<String, Profile> profiles = new HashMap<>();
     public final Map<String, Integer> tenants = new HashMap<>();
     public final Map<String, Integer> zones = new HashMap<>();
@@ -141,16 +141,16 @@
         settings.listOnRequest = all.at("discovery").text("").equals("ask");
         settings.order =
                 switch (all.at("specifics").at("queueOrder").text("")) {
-                    case "priority" -> Settings.Order.PRIORITY;
-                    case "backfill" -> Settings.Order.BACKFILL;
-                    default -> Settings.Order.FIRST_COME;
+                    case "priority" -> DispatcherSettings.Order.PRIORITY;
+                    case "backfill" -> DispatcherSettings.Order.BACKFILL;
+                    default -> DispatcherSettings.Order.FIRST_COME;
                 };
         settings.progressEvery = all.at("specifics").at("progressMs").number(0);
         settings.tellsStart = all.at("specifics").at("tellsStart").mark();
     }
 
     private void readLimits(Key all, Key limits) throws ConfigurationException {
-        Settings s = settings;
+        DispatcherSettings s = settings;
         s.excessUtility = all.at("excessUtility").number(1);
         s.utilityByWork = all.at("utilityBy").text("").equals("work");
         s.mayProbe = limits.at("probes").mark();
--- a/src/main/java/gingerspool/daemon/Daemon.java
+++ b/src/main/java/gingerspool/daemon/Daemon.java
@@ -3,11 +3,12 @@
 import gingerspool.handover.Handover;
 import gingerspool.wire.Address;
 import gingerspool.wire.BadMessage;
-import gingerspool.wire.Door;
+import gingerspool.wire.ClientEndpoint;
 import gingerspool.wire.Inbound;
-import gingerspool.wire.ManagementDoor;
+import gingerspool.wire.JsonTree;
+import gingerspool.wire.ManagementEndpoint;
 import gingerspool.wire.Message;
-import gingerspool.wire.Tree;
+import gingerspool.wire.SingleThreadEventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
@@ -63,8 +64,8 @@
 
     final NodeConfiguration node;
     final Scheduler scheduler;
-    final Loop loop;
-    final Door door;
+    final SingleThreadEventLoop loop;
+    final ClientEndpoint door;
     final CountDownLatch ended = new CountDownLatch(1);
     volatile int exitCode;
 
@@ -74,10 +75,10 @@
     /** How long the last reload of an operator's file held the loop, in milliseconds. */
     volatile double appliedIn;
 
-    private final Life life = new Life();
+    private final ProcessLifecycle life = new ProcessLifecycle();
 
     /** Null where operators have no address to call. */
-    final ManagementDoor management;
+    final ManagementEndpoint management;
 
     private boolean looking;
 
@@ -93,13 +94,13 @@
         this.node = node;
         int toWorkers = (node.sockets - RESERVE) / WORKER_SHARE;
         int toClients = node.sockets - RESERVE - toWorkers;
-        loop = new Loop();
+        loop = new SingleThreadEventLoop();
         scheduler = new Scheduler(loop, node, (int) (TASK_SHARE * toClients), toWorkers);
-        door = new Door(loop, node.listen, node.management != null, toClients, scheduler);
+        door = new ClientEndpoint(loop, node.listen, node.management != null, toClients, scheduler);
         management =
                 node.management == null
                         ? null
-                        : new ManagementDoor(loop, node.management, CALLS, new Operators());
+                        : new ManagementEndpoint(loop, node.management, CALLS, new Operators());
         handover = management == null || node.scratch == null ? null : handover();
         if (handover != null) {
             scheduler.elsewhere(handover::callBack);
@@ -227,7 +228,10 @@
     void leave(double from) {
         LOG.atInfo().addKeyValue("in_hand", scheduler.unanswered()).log("leaving");
         life.leave(
-                from, Life.STILL_COMING + Math.min(LONGEST, node.deployment.longestExpiry) - SPARE);
+                from,
+                ProcessLifecycle.STILL_COMING
+                        + Math.min(LONGEST, node.deployment.longestExpiry)
+                        - SPARE);
         look();
     }
 
@@ -325,7 +329,7 @@
         @Override
         public void take(Object state) throws BadMessage {
             List<String> suspended = Handover.suspended(state);
-            if (!(Tree.at(state, "list") instanceof Map)) {
+            if (!(JsonTree.at(state, "list") instanceof Map)) {
                 throw new BadMessage(400, "without a list");
             }
             String of = scheduler.discovery() == null ? "" : Address.text(scheduler.discovery());
@@ -333,16 +337,17 @@
             // first.
             if (!begun) {
                 scheduler.begin(
-                        Tree.at(state, "list"), Tree.text("", state, "discovery").equals(of));
+                        JsonTree.at(state, "list"),
+                        JsonTree.text("", state, "discovery").equals(of));
                 begun = true;
-                if (Tree.at(state, "learned") instanceof Map<?, ?> learned) {
+                if (JsonTree.at(state, "learned") instanceof Map<?, ?> learned) {
                     scheduler.learn(learned);
                 } else {
                     LOG.atWarn().log("learned.none");
                 }
             }
             scheduler.suspendJust(suspended);
-            setDrained(Tree.mark(state, "drained"));
+            setDrained(JsonTree.mark(state, "drained"));
         }
 
         @Override
@@ -451,28 +456,28 @@
     }
 
     /** What operators' calls do here. */
-    private final class Operators implements ManagementDoor.Office {
+    private final class Operators implements ManagementEndpoint.Office {
         @Override
         public boolean takesClients() {
             return life.takesClients() && (handover == null || handover.isAnnounced());
         }
 
         @Override
-        public void suspend(String worker, boolean suspended, ManagementDoor.Reply reply) {
+        public void suspend(String worker, boolean suspended, ManagementEndpoint.Reply reply) {
             boolean known = life.hasStarted() && scheduler.suspend(worker, suspended);
             if (!life.hasStarted()) {
-                reply.answer(ManagementDoor.Answer.NO);
+                reply.answer(ManagementEndpoint.Answer.NO);
             } else if (!known) {
-                reply.answer(ManagementDoor.Answer.UNKNOWN);
+                reply.answer(ManagementEndpoint.Answer.UNKNOWN);
             } else {
                 spread(suspended ? "suspend" : "resume", worker, reply);
             }
         }
 
         @Override
-        public void drain(boolean drained, ManagementDoor.Reply reply) {
+        public void drain(boolean drained, ManagementEndpoint.Reply reply) {
             if (!life.hasStarted()) {
-                reply.answer(ManagementDoor.Answer.NO);
+                reply.answer(ManagementEndpoint.Answer.NO);
                 return;
             }
             setDrained(drained);
@@ -480,14 +485,14 @@
         }
 
         /** Yes once whoever else has to know it does. */
-        private void spread(String what, String worker, ManagementDoor.Reply reply) {
+        private void spread(String what, String worker, ManagementEndpoint.Reply reply) {
             LOG.atInfo()
                     .addKeyValue("call", what)
                     .addKeyValue("worker", worker)
                     .addKeyValue("in_hand", scheduler.unanswered())
                     .log("operators.call");
             if (handover == null) {
-                reply.answer(ManagementDoor.Answer.YES);
+                reply.answer(ManagementEndpoint.Answer.YES);
             } else {
                 handover.word(
                         what,
@@ -495,8 +500,8 @@
                         told ->
                                 reply.answer(
                                         told
-                                                ? ManagementDoor.Answer.YES
-                                                : ManagementDoor.Answer.NO));
+                                                ? ManagementEndpoint.Answer.YES
+                                                : ManagementEndpoint.Answer.NO));
             }
         }
 
--- a/src/main/java/gingerspool/daemon/FileDaemon.java
+++ b/src/main/java/gingerspool/daemon/FileDaemon.java
@@ -3,7 +3,7 @@
 import gingerspool.config.OperatorFile;
 import gingerspool.dispatch.Profile;
 import gingerspool.route.Routes;
-import gingerspool.toml.Fault;
+import gingerspool.toml.Diagnostic;
 import gingerspool.wire.BadMessage;
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
@@ -44,7 +44,7 @@
         }
         OperatorFile file = OperatorFile.read(d.path);
         // The form of the log is chosen before the first line of it, which fixes it for good.
-        LogForm.choose(file.faults().isEmpty() ? file.logForm() : "simple");
+        LogBackend.choose(file.faults().isEmpty() ? file.logForm() : "simple");
         return Daemon.serve(() -> d.first(file), d::begin, d::reload);
     }
 
@@ -86,8 +86,8 @@
         return node;
     }
 
-    private static void tell(List<Fault> faults) {
-        for (Fault f : faults) {
+    private static void tell(List<Diagnostic> faults) {
+        for (Diagnostic f : faults) {
             log().atError()
                     .addKeyValue("file", f.at().file())
                     .addKeyValue("line", f.at().line())
--- a/src/main/java/gingerspool/daemon/LogForm.java
+++ b/src/main/java/gingerspool/daemon/LogBackend.java
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Which library writes the log. To be called once, before anything is logged. */
-final class LogForm {
-    private LogForm() {}
+final class LogBackend {
+    private LogBackend() {}
 
     static void choose(String form) {
         if (!form.equals("json")) {
--- a/src/main/java/gingerspool/daemon/Life.java
+++ b/src/main/java/gingerspool/daemon/ProcessLifecycle.java
@@ -5,7 +5,7 @@
  * succeeded, alone again, leaving) and says what clients are to see of it. Times are milliseconds
  * on the loop's clock.
  */
-final class Life {
+final class ProcessLifecycle {
     /** After it is said that nobody new is to come here, clients come for this long. */
     static final double STILL_COMING = 700;
 
--- a/src/main/java/gingerspool/daemon/Scheduler.java
+++ b/src/main/java/gingerspool/daemon/Scheduler.java
@@ -1,26 +1,26 @@
 package gingerspool.daemon;
 
 import gingerspool.dispatch.Assignment;
+import gingerspool.dispatch.DispatchActions;
 import gingerspool.dispatch.Dispatcher;
 import gingerspool.dispatch.Outcome;
-import gingerspool.dispatch.Outlet;
 import gingerspool.dispatch.Task;
 import gingerspool.route.Routes;
-import gingerspool.store.Errand;
-import gingerspool.store.Hand;
-import gingerspool.store.HeldTask;
-import gingerspool.store.Pool;
-import gingerspool.store.Roster;
+import gingerspool.store.ClientTask;
+import gingerspool.store.ConnectionPool;
+import gingerspool.store.TaskRegistry;
+import gingerspool.store.WorkerAttempt;
+import gingerspool.store.WorkerDirectory;
 import gingerspool.wire.Address;
 import gingerspool.wire.BadMessage;
-import gingerspool.wire.Door;
+import gingerspool.wire.ClientEndpoint;
+import gingerspool.wire.DiscoveryClient;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Inbound;
 import gingerspool.wire.Message;
 import gingerspool.wire.Outbound;
 import gingerspool.wire.TaskRequest;
-import gingerspool.wire.ToWorker;
-import gingerspool.wire.Turns;
-import gingerspool.wire.Watch;
+import gingerspool.wire.WorkerProtocol;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -43,7 +43,11 @@
  * The Dispatcher on sockets: hands it what comes in, carries out what it decides, decides nothing
  * itself.
  */
-final class Scheduler implements Outlet, Door.Desk, Watch.Follower, Errand.Home {
+final class Scheduler
+        implements DispatchActions,
+                ClientEndpoint.Desk,
+                DiscoveryClient.Follower,
+                WorkerAttempt.Owner {
     private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
 
     /** The part of the heap that tasks' bodies may fill. */
@@ -66,13 +70,13 @@
 
     private static final double WATCH_PAUSE_MOST = 1600;
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final Configuration deployment;
     private InetSocketAddress discovery;
     private final Dispatcher dispatcher;
-    private final Hand hand;
-    private final Pool pool;
-    private final Roster roster = new Roster();
+    private final TaskRegistry hand;
+    private final ConnectionPool pool;
+    private final WorkerDirectory roster = new WorkerDirectory();
     private final Set<String> suspended = new TreeSet<>();
     private final double ahead;
 
@@ -80,7 +84,7 @@
     private Routes routes;
 
     private BiConsumer<byte[], IntConsumer> elsewhere;
-    private Watch watch;
+    private DiscoveryClient watch;
     private double watchPause = WATCH_PAUSE;
     private long version;
     private boolean remembered;
@@ -90,18 +94,20 @@
     private int abandoned;
     private int left;
 
-    Scheduler(Turns turns, NodeConfiguration node, int mostTasks, int mostToWorkers) {
+    Scheduler(EventLoop turns, NodeConfiguration node, int mostTasks, int mostToWorkers) {
         this.turns = turns;
         deployment = node.deployment;
         discovery = node.discovery;
         long mostBytes = Runtime.getRuntime().maxMemory() / BODY_SHARE;
         hand =
-                new Hand(
+                new TaskRegistry(
                         Math.min(mostTasks, deployment.mostTasks),
                         deployment.mostBytes > 0
                                 ? Math.min(mostBytes, deployment.mostBytes)
                                 : mostBytes);
-        pool = new Pool(turns, deployment.connectWithin, deployment.connectionIdle, mostToWorkers);
+        pool =
+                new ConnectionPool(
+                        turns, deployment.connectWithin, deployment.connectionIdle, mostToWorkers);
         ahead = AHEAD * Math.max(deployment.settings.tick, deployment.answerGrace);
         dispatcher = new Dispatcher(deployment.settings, node.seed, this);
     }
@@ -113,7 +119,7 @@
     void begin(Object known, boolean ofThisDiscovery) throws BadMessage {
         if (known != null) {
             remembered = discovery != null;
-            Watch.tell(known, this);
+            DiscoveryClient.tell(known, this);
             remembered = false;
             version = ofThisDiscovery ? version : 0;
         }
@@ -156,7 +162,7 @@
 
     /** Another fixed list: who is not on it is gone. */
     void listFixed(Object list) throws BadMessage {
-        Watch.tell(list, this);
+        DiscoveryClient.tell(list, this);
     }
 
     // ---- The list ----
@@ -186,7 +192,7 @@
             pool.empty(w);
         }
         pool.keep(w, state == Dispatcher.RUNNING && !suspended.contains(host));
-        roster.says(w, new Roster.Entry(zone, kind, cell, size, started));
+        roster.says(w, new WorkerDirectory.Entry(zone, kind, cell, size, started));
         if (roster.turns(w, state)) {
             LOG.atInfo()
                     .addKeyValue("worker", host)
@@ -233,7 +239,7 @@
     @Override
     public void watchList() {
         if (watch == null && discovery != null) {
-            watch = Watch.open(turns, discovery, version, deployment.connectWithin, this);
+            watch = DiscoveryClient.open(turns, discovery, version, deployment.connectWithin, this);
         }
     }
 
@@ -271,8 +277,8 @@
             pool.keep(w, false);
             // Guards the ban against what was decided before it and waits for a connection to come
             // up.
-            for (HeldTask t : hand.all()) {
-                Errand errand = outAt(t, w);
+            for (ClientTask t : hand.all()) {
+                WorkerAttempt errand = outAt(t, w);
                 if (errand != null) {
                     errand.takeBack();
                 }
@@ -309,7 +315,7 @@
     Map<String, Object> list() {
         List<Object> hosts = new ArrayList<>();
         for (int w = 0; w < roster.size(); w++) {
-            Roster.Entry e = roster.entry(w);
+            WorkerDirectory.Entry e = roster.entry(w);
             if (e == null) {
                 continue;
             }
@@ -381,7 +387,7 @@
 
     @Override
     public void arrived(TaskRequest request) {
-        HeldTask t = new HeldTask(request.id(), request.client(), request.message());
+        ClientTask t = new ClientTask(request.id(), request.client(), request.message());
         t.profile = deployment.profiles.get(request.profile());
         String tenant = request.tenant();
         t.tenant = tenant == null ? -1 : deployment.tenants.getOrDefault(tenant, -1);
@@ -412,7 +418,7 @@
         hand.release(t);
     }
 
-    private void gone(HeldTask t) {
+    private void gone(ClientTask t) {
         clear(t, false);
         left++;
         Trace.answered(turns.now(), t, "left");
@@ -424,7 +430,7 @@
      * Nothing is owed any more for this task: its client, and its place within the limits, are let
      * go.
      */
-    private void clear(HeldTask t, boolean finished) {
+    private void clear(ClientTask t, boolean finished) {
         t.client = null;
         if (t.stay != null) {
             Routes.done(turns.now(), t.stay, finished);
@@ -433,23 +439,23 @@
 
     @Override
     public void bounce(Task task, double pause) {
-        HeldTask t = (HeldTask) task;
+        ClientTask t = (ClientTask) task;
         bounced++;
         Trace.answered(turns.now(), t, "bounced");
-        Door.bounced(t.client, pause);
+        ClientEndpoint.bounced(t.client, pause);
         answered(t);
     }
 
     @Override
     public void abandon(Task task) {
-        HeldTask t = (HeldTask) task;
+        ClientTask t = (ClientTask) task;
         abandoned++;
         Trace.answered(turns.now(), t, "abandoned");
-        Door.abandoned(t.client);
+        ClientEndpoint.abandoned(t.client);
         answered(t);
     }
 
-    private void answered(HeldTask t) {
+    private void answered(ClientTask t) {
         clear(t, false);
         hand.release(t);
     }
@@ -458,8 +464,8 @@
 
     @Override
     public void send(Assignment a, double timeout) {
-        HeldTask t = (HeldTask) a.task;
-        Errand errand = new Errand(a, deployment.reports, this);
+        ClientTask t = (ClientTask) a.task;
+        WorkerAttempt errand = new WorkerAttempt(a, deployment.reports, this);
         t.errands.add(errand);
         double now = turns.now();
         double wait = timeout > 0 ? Math.min(timeout, t.expiry - now) : t.expiry - now;
@@ -475,7 +481,7 @@
             Future<?> alarm = turns.after(wait, () -> errand.giveUp(Outcome.TIMEOUT));
             errand.begin(connection, alarm);
             connection.ask(
-                    ToWorker.request(t.request, address, wait),
+                    WorkerProtocol.request(t.request, address, wait),
                     wait + deployment.connectWithin,
                     errand);
         } catch (IOException e) {
@@ -489,15 +495,15 @@
 
     @Override
     public void cancel(Assignment a) {
-        Errand errand = ((HeldTask) a.task).errands.get(a.number);
+        WorkerAttempt errand = ((ClientTask) a.task).errands.get(a.number);
         turns.turn(() -> errand.giveUp(Outcome.CANCELLED));
     }
 
     @Override
-    public void giveUp(Errand errand) {
+    public void giveUp(WorkerAttempt errand) {
         int w = errand.assignment.worker;
         try {
-            byte[] request = ToWorker.giveUp(errand.task.id, roster.address(w));
+            byte[] request = WorkerProtocol.giveUp(errand.task.id, roster.address(w));
             pool.take(w, roster.address(w)).ask(request, deployment.connectWithin, null);
         } catch (IOException e) {
             LOG.atWarn()
@@ -510,13 +516,13 @@
     @Override
     public boolean told(
             String id, String from, String state, double share, String result, Object load) {
-        HeldTask t = hand.find(id);
+        ClientTask t = hand.find(id);
         int worker = roster.find(from);
-        Errand errand = t == null ? null : outAt(t, worker);
+        WorkerAttempt errand = t == null ? null : outAt(t, worker);
         if (errand == null) {
             return t != null && t.errands.stream().anyMatch(e -> e.assignment.worker == worker);
         }
-        Outcome how = ToWorker.outcome(state);
+        Outcome how = WorkerProtocol.outcome(state);
         if (how != null) {
             end(errand, how, result, load);
         } else if (state.equals("started")) {
@@ -536,12 +542,12 @@
         }
     }
 
-    private void end(Errand errand, Outcome how, String result, Object load) {
-        HeldTask t = errand.task;
+    private void end(WorkerAttempt errand, Outcome how, String result, Object load) {
+        ClientTask t = errand.task;
         if (how == Outcome.OK && t.client != null) {
             finished++;
             Trace.answered(turns.now(), t, "finished");
-            Door.finished(t.client, result);
+            ClientEndpoint.finished(t.client, result);
             clear(t, true);
         }
         Outcome sure = how == Outcome.FULL && repeats(errand) ? Outcome.RESET : how;
@@ -551,8 +557,8 @@
     /**
      * Guards rule two: that a task was handed back may be a repeat, said of an earlier assignment.
      */
-    private static boolean repeats(Errand errand) {
-        for (Errand e : errand.task.errands) {
+    private static boolean repeats(WorkerAttempt errand) {
+        for (WorkerAttempt e : errand.task.errands) {
             if (e != errand
                     && e.endedByCallBack()
                     && e.assignment.worker == errand.assignment.worker) {
@@ -566,8 +572,8 @@
      * The task's errand that is out at this worker, or null: what is late or repeated counts for
      * nothing.
      */
-    private static Errand outAt(HeldTask t, int worker) {
-        for (Errand e : t.errands) {
+    private static WorkerAttempt outAt(ClientTask t, int worker) {
+        for (WorkerAttempt e : t.errands) {
             if (!e.isOver() && e.assignment.worker == worker) {
                 return e;
             }
@@ -576,8 +582,8 @@
     }
 
     @Override
-    public void ended(Errand errand, Outcome how, double[] report) {
-        HeldTask t = errand.task;
+    public void ended(WorkerAttempt errand, Outcome how, double[] report) {
+        ClientTask t = errand.task;
         outcomes[how.ordinal()]++;
         Trace.ended(errand.assignment, roster.name(errand.assignment.worker), how, report);
         boolean over = t.ended() || how == Outcome.OK;
@@ -591,14 +597,14 @@
             InetSocketAddress address = roster.address(worker);
             pool.take(worker, address)
                     .ask(
-                            ToWorker.probe(address),
+                            WorkerProtocol.probe(address),
                             deployment.connectWithin,
                             new Outbound.Caller() {
                                 @Override
                                 public void answered(Message answer) {
                                     probed(
                                             worker,
-                                            deployment.reports.read(ToWorker.probed(answer)));
+                                            deployment.reports.read(WorkerProtocol.probed(answer)));
                                 }
 
                                 @Override
@@ -627,12 +633,12 @@
 
     /** Abandons what is still in hand: better this answer than none. */
     void abandonAll() {
-        for (HeldTask t : hand.all()) {
+        for (ClientTask t : hand.all()) {
             if (t.client != null) {
                 Inbound client = t.client;
                 clear(t, false);
                 abandoned++;
-                Door.abandoned(client);
+                ClientEndpoint.abandoned(client);
                 dispatcher.left(turns.now(), t);
             }
         }
@@ -641,7 +647,7 @@
     /** How many tasks have no answer yet. */
     int unanswered() {
         int n = 0;
-        for (HeldTask t : hand.all()) {
+        for (ClientTask t : hand.all()) {
             n += t.client == null ? 0 : 1;
         }
         return n;
--- a/src/main/java/gingerspool/daemon/Trace.java
+++ b/src/main/java/gingerspool/daemon/Trace.java
@@ -2,7 +2,7 @@
 
 import gingerspool.dispatch.Assignment;
 import gingerspool.dispatch.Outcome;
-import gingerspool.store.HeldTask;
+import gingerspool.store.ClientTask;
 import java.util.Arrays;
 import java.util.Locale;
 import org.slf4j.Logger;
@@ -18,7 +18,7 @@
 
     private Trace() {}
 
-    static void arrived(HeldTask t) {
+    static void arrived(ClientTask t) {
         if (LOG.isDebugEnabled()) {
             LOG.atDebug()
                     .addKeyValue("task", t.id)
@@ -54,7 +54,7 @@
         }
     }
 
-    static void answered(double at, HeldTask t, String how) {
+    static void answered(double at, ClientTask t, String how) {
         if (LOG.isDebugEnabled()) {
             LOG.atDebug()
                     .addKeyValue("task", t.id)
--- a/src/main/java/gingerspool/dataplane/Attempt.java
+++ b/src/main/java/gingerspool/dataplane/Attempt.java
@@ -2,16 +2,16 @@
 
 import gingerspool.dispatch.Assignment;
 import gingerspool.dispatch.Outcome;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Message;
 import gingerspool.wire.Outbound;
-import gingerspool.wire.Safeguard;
-import gingerspool.wire.Turns;
+import gingerspool.wire.RequestSafeguard;
 import java.util.concurrent.Future;
 
 /** One assignment under way to an instance. The first of its possible ends counts. */
 final class Attempt implements Outbound.Caller {
     /** Who is told how it ended; the answer is null where there is none of ours. */
-    interface Home {
+    interface Owner {
         void ended(Attempt attempt, Outcome how, Message answer);
     }
 
@@ -19,18 +19,18 @@
     final PendingRequest pending;
     final InstanceSlot slot;
     final double sentAt;
-    private final Turns turns;
-    private final Home home;
+    private final EventLoop turns;
+    private final Owner owner;
     private Outbound connection;
     private Future<?> alarm;
     private Outcome how;
 
-    Attempt(Assignment assignment, InstanceSlot slot, Turns turns, Home home) {
+    Attempt(Assignment assignment, InstanceSlot slot, EventLoop turns, Owner owner) {
         this.assignment = assignment;
         this.slot = slot;
         this.turns = turns;
         sentAt = turns.now();
-        this.home = home;
+        this.owner = owner;
         pending = (PendingRequest) assignment.task;
     }
 
@@ -57,7 +57,7 @@
     @Override
     public boolean isMine(Message answer) {
         String id = answer.field("request-id");
-        return id == null || id.equals(pending.id) || !turns.has(Safeguard.RESPONSE_ID);
+        return id == null || id.equals(pending.id) || !turns.has(RequestSafeguard.RESPONSE_ID);
     }
 
     /** Guards against answers that are cut: only a length that was told shows that one is whole. */
@@ -70,7 +70,7 @@
     @Override
     public boolean mayKeep(Message answer) {
         return !InstanceResponse.isDoubtful(answer, pending.id)
-                || !turns.has(Safeguard.DOUBTFUL_RESPONSE_CLOSES);
+                || !turns.has(RequestSafeguard.DOUBTFUL_RESPONSE_CLOSES);
     }
 
     @Override
@@ -84,7 +84,11 @@
         // Only where not a byte was written it is sure that it never ran.
         boolean begun = hasBegun();
         connection = null;
-        end(begun && turns.has(Safeguard.BYTE_WRITTEN) ? Outcome.RESET : Outcome.UNREACHABLE, null);
+        end(
+                begun && turns.has(RequestSafeguard.BYTE_WRITTEN)
+                        ? Outcome.RESET
+                        : Outcome.UNREACHABLE,
+                null);
     }
 
     /** Ends it from here: the connection goes, and what the instance does of it is not known. */
@@ -114,6 +118,6 @@
         if (alarm != null) {
             alarm.cancel(false);
         }
-        home.ended(this, as, answer);
+        owner.ended(this, as, answer);
     }
 }
--- a/src/main/java/gingerspool/dataplane/ControlLinks.java
+++ b/src/main/java/gingerspool/dataplane/ControlLinks.java
@@ -4,9 +4,9 @@
 import gingerspool.codec.MalformedMessageException;
 import gingerspool.codec.MessageTypes;
 import gingerspool.codec.Messages;
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Frames;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
@@ -33,8 +33,8 @@
     private static final double CONNECT = 0.25;
     private static final double AGAIN = 0.1;
 
-    private final Turns turns;
-    private final Settings settings;
+    private final EventLoop turns;
+    private final NodeSettings settings;
     private final Supplier<Messages.Register> enrol;
     private final Consumer<Object> words;
     private final KryoCodec coder = new KryoCodec(MessageTypes.ALL);
@@ -67,8 +67,8 @@
 
     /** The enrolment is made anew for each leader; words are those of the leader. */
     ControlLinks(
-            Turns turns,
-            Settings settings,
+            EventLoop turns,
+            NodeSettings settings,
             Supplier<Messages.Register> enrol,
             Consumer<Object> words) {
         this.turns = turns;
--- a/src/main/java/gingerspool/dataplane/FunctionQueue.java
+++ b/src/main/java/gingerspool/dataplane/FunctionQueue.java
@@ -4,21 +4,21 @@
 import gingerspool.configuration.Route;
 import gingerspool.configuration.Service;
 import gingerspool.dispatch.Assignment;
+import gingerspool.dispatch.DispatchActions;
 import gingerspool.dispatch.Dispatcher;
+import gingerspool.dispatch.DispatcherSettings;
 import gingerspool.dispatch.Outcome;
-import gingerspool.dispatch.Outlet;
 import gingerspool.dispatch.Profile;
 import gingerspool.dispatch.Report;
 import gingerspool.dispatch.RetryBudget;
-import gingerspool.dispatch.Settings;
 import gingerspool.dispatch.Task;
 import gingerspool.dispatch.Terms;
-import gingerspool.store.Pool;
+import gingerspool.store.ConnectionPool;
 import gingerspool.wire.Address;
 import gingerspool.wire.BadMessage;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Message;
-import gingerspool.wire.Safeguard;
-import gingerspool.wire.Turns;
+import gingerspool.wire.RequestSafeguard;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -36,7 +36,7 @@
  * and the Dispatcher, which picks the instance as soon as a slot is there and decides on further
  * assignments.
  */
-final class FunctionQueue implements Outlet, Attempt.Home {
+final class FunctionQueue implements DispatchActions, Attempt.Owner {
     /**
      * Spans in parts of a heartbeat interval: how long a slot is kept idle, and how often desks are
      * looked over.
@@ -96,11 +96,11 @@
 
     /** What a desk needs of the program round it. */
     interface Environment {
-        Turns turns();
+        EventLoop turns();
 
-        Pool pool();
+        ConnectionPool pool();
 
-        gingerspool.settings.Settings settings();
+        gingerspool.settings.NodeSettings settings();
 
         /** Schedulers that share the budget of repeats, this one included. */
         int schedulers();
@@ -120,7 +120,7 @@
     }
 
     private final Environment environment;
-    private final Turns turns;
+    private final EventLoop turns;
     private final String name;
     private Service service;
     private Dispatcher dispatcher;
@@ -190,7 +190,7 @@
             return;
         }
         stale = false;
-        Settings s = new Settings();
+        DispatcherSettings s = new DispatcherSettings();
         s.profiles = profiles.toArray(new Profile[0]);
         for (int i = 0; i < s.profiles.length; i++) {
             s.profiles[i].index = i;
@@ -220,7 +220,7 @@
      */
     private Terms terms(PendingRequest v) {
         retryBudget.share(environment.schedulers());
-        return !v.safe() && turns.has(Safeguard.UNSAFE_ONCE)
+        return !v.safe() && turns.has(RequestSafeguard.UNSAFE_ONCE)
                 ? CAREFUL
                 : safeTerms.computeIfAbsent(
                         mostAttempts(v),
@@ -228,11 +228,14 @@
     }
 
     private RetryBudget budget() {
-        return turns.has(Safeguard.RETRY_BUDGET) ? retryBudget : null;
+        return turns.has(RequestSafeguard.RETRY_BUDGET) ? retryBudget : null;
     }
 
     private int mostAttempts(PendingRequest v) {
-        int most = turns.has(Safeguard.MOST_ATTEMPTS) ? v.route.getAttempts() : ASSIGNMENTS_MOST;
+        int most =
+                turns.has(RequestSafeguard.MOST_ATTEMPTS)
+                        ? v.route.getAttempts()
+                        : ASSIGNMENTS_MOST;
         return Math.max(1, most) + v.unreached;
     }
 
@@ -249,7 +252,7 @@
                 p.work = RUN * Math.max(1, r.getAim());
                 p.prio = -r.getPriority();
                 p.effect =
-                        r.getKind().equals("safe") || !turns.has(Safeguard.UNSAFE_ONCE)
+                        r.getKind().equals("safe") || !turns.has(RequestSafeguard.UNSAFE_ONCE)
                                 ? Profile.Effect.IDEMPOTENT
                                 : Profile.Effect.SIDE_EFFECTING;
                 all.putIfAbsent(p.name, p);
@@ -706,7 +709,7 @@
     }
 
     private String named(InstanceSlot s) {
-        return turns.has(Safeguard.EXPECTED_INSTANCE) ? s.instance : null;
+        return turns.has(RequestSafeguard.EXPECTED_INSTANCE) ? s.instance : null;
     }
 
     @Override
--- a/src/main/java/gingerspool/dataplane/FunctionRetryBudget.java
+++ b/src/main/java/gingerspool/dataplane/FunctionRetryBudget.java
@@ -3,7 +3,7 @@
 import gingerspool.dispatch.RetryBudget;
 import gingerspool.route.Budget;
 import gingerspool.route.Policy;
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
 
 /**
  * This scheduler's part of the budget of repeats that the platform allows one function. The floor
@@ -18,11 +18,11 @@
 
     private static final double FLOOR_USED = 0.5;
 
-    private final Settings settings;
+    private final NodeSettings settings;
     private Budget budget;
     private int schedulers;
 
-    FunctionRetryBudget(Settings settings, int schedulers) {
+    FunctionRetryBudget(NodeSettings settings, int schedulers) {
         this.settings = settings;
         share(schedulers);
     }
--- a/src/main/java/gingerspool/dataplane/HollowScheduler.java
+++ b/src/main/java/gingerspool/dataplane/HollowScheduler.java
@@ -3,9 +3,9 @@
 import gingerspool.codec.Messages;
 import gingerspool.configuration.Route;
 import gingerspool.configuration.Service;
-import gingerspool.settings.Settings;
-import gingerspool.store.Pool;
-import gingerspool.wire.Turns;
+import gingerspool.settings.NodeSettings;
+import gingerspool.store.ConnectionPool;
+import gingerspool.wire.EventLoop;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -16,8 +16,8 @@
  * queues of functions that nobody calls. Thousands share a process and one thread.
  */
 public final class HollowScheduler {
-    private final Turns turns;
-    private final Settings settings;
+    private final EventLoop turns;
+    private final NodeSettings settings;
     private final ControlLinks links;
     private int identities;
 
@@ -26,8 +26,8 @@
      * consumer.
      */
     public HollowScheduler(
-            Turns turns,
-            Settings settings,
+            EventLoop turns,
+            NodeSettings settings,
             Supplier<Messages.Register> registration,
             Consumer<Object> messages) {
         this.turns = turns;
@@ -59,17 +59,17 @@
     /** What a queue needs; nothing is ever sent to an instance or answered to a client. */
     private final class Surroundings implements FunctionQueue.Environment {
         @Override
-        public Turns turns() {
+        public EventLoop turns() {
             return turns;
         }
 
         @Override
-        public Pool pool() {
+        public ConnectionPool pool() {
             return null;
         }
 
         @Override
-        public Settings settings() {
+        public NodeSettings settings() {
             return settings;
         }
 
--- a/src/main/java/gingerspool/dataplane/InstanceResponse.java
+++ b/src/main/java/gingerspool/dataplane/InstanceResponse.java
@@ -3,7 +3,7 @@
 import gingerspool.dispatch.Outcome;
 import gingerspool.wire.Inbound;
 import gingerspool.wire.Message;
-import gingerspool.wire.Safeguard;
+import gingerspool.wire.RequestSafeguard;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -91,25 +91,26 @@
     /**
      * What an answer says of the assignment. Only its own word that it never ran counts as such.
      */
-    static Outcome outcome(Message answer, String id, Predicate<Safeguard> has) {
+    static Outcome outcome(Message answer, String id, Predicate<RequestSafeguard> has) {
         int status = answer.status();
         boolean named = id.equals(answer.field("request-id"));
         boolean says =
                 answer.field("not-executed") != null
                         || status == 421
-                        || !has.test(Safeguard.REFUSAL_MARK) && PROMISES.contains(status);
+                        || !has.test(RequestSafeguard.REFUSAL_MARK) && PROMISES.contains(status);
         // Guards unsafe requests: a refusal without our id may be another request's.
-        if (says && (named || !has.test(Safeguard.REFUSAL_ID))) {
+        if (says && (named || !has.test(RequestSafeguard.REFUSAL_ID))) {
             return Outcome.FULL;
         }
         boolean encoded =
-                answer.field("content-encoding") != null && has.test(Safeguard.CONTENT_ENCODING);
+                answer.field("content-encoding") != null
+                        && has.test(RequestSafeguard.CONTENT_ENCODING);
         boolean unstamped =
                 status < 300
                         && answer.field("server-stamp") == null
-                        && has.test(Safeguard.SERVER_STAMP);
+                        && has.test(RequestSafeguard.SERVER_STAMP);
         boolean failed = status >= 500 || PROMISES.contains(status);
-        boolean known = named || !has.test(Safeguard.RESPONSE_ID);
+        boolean known = named || !has.test(RequestSafeguard.RESPONSE_ID);
         return !known || encoded || unstamped || failed ? Outcome.ERROR : Outcome.OK;
     }
 
@@ -122,11 +123,11 @@
     }
 
     /** Whether a failure may be passed on as it is: it must not promise what is not so. */
-    static boolean mayPass(Message failure, String id, Predicate<Safeguard> has) {
+    static boolean mayPass(Message failure, String id, Predicate<RequestSafeguard> has) {
         boolean promises =
                 failure != null
                         && PROMISES.contains(failure.status())
-                        && has.test(Safeguard.PROMISE);
+                        && has.test(RequestSafeguard.PROMISE);
         return failure != null
                 && failure.status() >= 400
                 && id.equals(failure.field("request-id"))
--- a/src/main/java/gingerspool/dataplane/ReadinessEndpoint.java
+++ b/src/main/java/gingerspool/dataplane/ReadinessEndpoint.java
@@ -1,10 +1,10 @@
 package gingerspool.dataplane;
 
 import gingerspool.wire.BadMessage;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Inbound;
 import gingerspool.wire.Listener;
 import gingerspool.wire.Message;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.SocketAddress;
 import java.nio.channels.AsynchronousSocketChannel;
@@ -12,16 +12,16 @@
 import java.util.function.BooleanSupplier;
 
 /** Where the platform asks whether clients are to come here. */
-final class ReadinessEndpoint implements Listener.Owner, Inbound.Door {
+final class ReadinessEndpoint implements Listener.Owner, Inbound.Handler {
     private static final double PATIENCE = 10_000;
     private static final int MOST = 64;
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final BooleanSupplier ready;
     private final Listener listener;
     private int open;
 
-    ReadinessEndpoint(Turns turns, SocketAddress at, BooleanSupplier ready) throws IOException {
+    ReadinessEndpoint(EventLoop turns, SocketAddress at, BooleanSupplier ready) throws IOException {
         this.turns = turns;
         this.ready = ready;
         listener = new Listener(turns, at, this);
--- a/src/main/java/gingerspool/dataplane/RequestRouter.java
+++ b/src/main/java/gingerspool/dataplane/RequestRouter.java
@@ -5,12 +5,12 @@
 import gingerspool.configuration.Route;
 import gingerspool.configuration.RouteTable;
 import gingerspool.configuration.Service;
-import gingerspool.settings.Settings;
-import gingerspool.store.Pool;
+import gingerspool.settings.NodeSettings;
+import gingerspool.store.ConnectionPool;
 import gingerspool.wire.BadMessage;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Inbound;
 import gingerspool.wire.Message;
-import gingerspool.wire.Turns;
 import java.nio.channels.AsynchronousSocketChannel;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -27,7 +27,7 @@
  * Clients' requests from their arrival to their one answer: the clients' connections, the route
  * table in force, a queue for each function that was asked for, and the time that each request has.
  */
-final class RequestRouter implements Inbound.Door, FunctionQueue.Environment {
+final class RequestRouter implements Inbound.Handler, FunctionQueue.Environment {
     /** Limits while there is no configuration: milliseconds and bytes. */
     private static final double DEFAULT_IDLE_TIMEOUT = 15_000;
 
@@ -58,9 +58,9 @@
     /** Counts of requests since the start, for the log. */
     record Counts(int taken, int served, int refused, int failed, int overfull) {}
 
-    private final Turns turns;
-    private final Settings settings;
-    private final Pool pool;
+    private final EventLoop turns;
+    private final NodeSettings settings;
+    private final ConnectionPool pool;
     private final ControlPlane control;
 
     /** Called whenever a client's connection has closed. */
@@ -82,7 +82,11 @@
     private int failed;
 
     RequestRouter(
-            Turns turns, Settings settings, Pool pool, ControlPlane control, Runnable whenClosed) {
+            EventLoop turns,
+            NodeSettings settings,
+            ConnectionPool pool,
+            ControlPlane control,
+            Runnable whenClosed) {
         this.turns = turns;
         this.settings = settings;
         this.pool = pool;
@@ -324,17 +328,17 @@
     // ---- What queues need ----
 
     @Override
-    public Turns turns() {
+    public EventLoop turns() {
         return turns;
     }
 
     @Override
-    public Pool pool() {
+    public ConnectionPool pool() {
         return pool;
     }
 
     @Override
-    public Settings settings() {
+    public NodeSettings settings() {
         return settings;
     }
 
--- a/src/main/java/gingerspool/dataplane/SchedulerNode.java
+++ b/src/main/java/gingerspool/dataplane/SchedulerNode.java
@@ -4,10 +4,10 @@
 import gingerspool.antientropy.RangeDigests;
 import gingerspool.codec.Messages;
 import gingerspool.configuration.Configuration;
-import gingerspool.daemon.Loop;
-import gingerspool.settings.Settings;
-import gingerspool.store.Pool;
+import gingerspool.settings.NodeSettings;
+import gingerspool.store.ConnectionPool;
 import gingerspool.wire.Listener;
+import gingerspool.wire.SingleThreadEventLoop;
 import java.io.IOException;
 import java.nio.channels.AsynchronousSocketChannel;
 import org.apache.logging.log4j.LogManager;
@@ -48,8 +48,8 @@
     /** How often the core is told the digest of our copy, in heartbeat intervals. */
     private static final double COMPARE_INTERVAL = 4;
 
-    private final Settings settings;
-    private final Loop loop;
+    private final NodeSettings settings;
+    private final SingleThreadEventLoop loop;
     private final Listener listener;
     private final ReadinessEndpoint readiness;
     private final ControlLinks core;
@@ -62,11 +62,11 @@
     private double leavingAt = Double.NaN;
     private Runnable whenLeft;
 
-    public SchedulerNode(Settings settings) throws IOException {
+    public SchedulerNode(NodeSettings settings) throws IOException {
         this.settings = settings;
-        loop = new Loop();
-        Pool pool =
-                new Pool(
+        loop = new SingleThreadEventLoop();
+        ConnectionPool pool =
+                new ConnectionPool(
                         loop,
                         CONNECT_TIMEOUT * settings.beat,
                         POOL_IDLE_TIMEOUT,
@@ -148,7 +148,7 @@
     }
 
     /** The settings file has changed. */
-    public void settings(Settings now) {
+    public void settings(NodeSettings now) {
         loop.enter(() -> core.seeds(now.seeds));
     }
 
--- a/src/main/java/gingerspool/dispatch/GivingUp.java
+++ b/src/main/java/gingerspool/dispatch/AdmissionPolicy.java
@@ -1,22 +1,22 @@
 package gingerspool.dispatch;
 
-import static gingerspool.dispatch.Learned.SAMPLES;
+import static gingerspool.dispatch.Estimates.SAMPLES;
 
 /** When a task is given up: its best chance is under a bound that rises with strain. */
-final class GivingUp {
+final class AdmissionPolicy {
     /** A task whose best chance is lower than this is given up. */
     static final double HOPELESS = 0.08;
 
     /** How much higher that bound is when every task waits: a late one costs another its place. */
     private static final double PRESSED = 0.6;
 
-    private final Learned known;
+    private final Estimates known;
     private final Workers fleet;
     private final QueuedWork queued;
     private final RunningTimes runs;
     private final OverdueSends overdue;
 
-    GivingUp(Learned known, QueuedWork queued, RunningTimes runs, OverdueSends overdue) {
+    AdmissionPolicy(Estimates known, QueuedWork queued, RunningTimes runs, OverdueSends overdue) {
         this.known = known;
         fleet = known.fleet;
         this.queued = queued;
--- a/src/main/java/gingerspool/dispatch/ColdBudget.java
+++ b/src/main/java/gingerspool/dispatch/ColdBudget.java
@@ -5,11 +5,11 @@
     /** The part of all dispatchers' budget for a cold worker that one task may be. */
     private static final double COLD_GRAIN = 1.0 / 6;
 
-    private final Learned known;
+    private final Estimates known;
     private final Workers fleet;
     private final Speed speed;
 
-    ColdBudget(Learned known, Speed speed) {
+    ColdBudget(Estimates known, Speed speed) {
         this.known = known;
         fleet = known.fleet;
         this.speed = speed;
--- a/src/main/java/gingerspool/dispatch/Outlet.java
+++ b/src/main/java/gingerspool/dispatch/DispatchActions.java
@@ -1,7 +1,7 @@
 package gingerspool.dispatch;
 
 /** What a Dispatcher calls to act. Calls take effect in the order made. */
-public interface Outlet {
+public interface DispatchActions {
     /** Starts the assignment; a time-out of 0 is until the task's expiry. */
     void send(Assignment assignment, double timeout);
 
--- a/src/main/java/gingerspool/dispatch/Dispatcher.java
+++ b/src/main/java/gingerspool/dispatch/Dispatcher.java
@@ -7,40 +7,40 @@
 /**
  * All decisions of one scheduler. It is made from the deployment's Settings; then each input is one
  * call that carries the time (listed, arrived, ended, started, probed, wake ...), and it acts only
- * through Outlet. After every input the Rules are gone through in order until none fires. Workers
- * are dense indexes given by the caller; tasks and assignments are objects. Times are milliseconds.
- * See docs/design.md.
+ * through DispatchActions. After every input the Rules are gone through in order until none fires.
+ * Workers are dense indexes given by the caller; tasks and assignments are objects. Times are
+ * milliseconds. See docs/design.md.
  */
-public final class Dispatcher extends Learned {
+public final class Dispatcher extends Estimates {
     public static final int GONE = 0;
     public static final int DRAINING = 1;
     public static final int RUNNING = 2;
 
-    private final Outlet out;
+    private final DispatchActions out;
     private final SplittableRandom chance;
     private final Speed speed;
     private final RunningTimes runs;
     private final QueuedWork queued;
-    private final OwnSends ownSends;
+    private final LocalSends ownSends;
     private final PeerSends peerSends;
     private final PairTable pairs;
     private final Reports reports;
     private final ReportReader reportReader;
-    private final LaterWork later;
+    private final FutureArrivals later;
     private final ColdBudget coldBudget;
     private final Health health;
     private final Score score;
     private final ServerChoice choice;
-    private final GivingUp givingUp;
-    private final FurtherTries tries;
-    private final Worth worth;
+    private final AdmissionPolicy givingUp;
+    private final RetryPolicy tries;
+    private final TaskValue worth;
     private final Rules rules;
     private final OverdueSends overdue;
     private final PendingTasks pending;
 
     /** A dispatcher for this deployment; its chance is drawn from the seed. */
-    public Dispatcher(Settings s, long seed, Outlet out) {
-        super(s, QueuedWork.K, LaterWork.BINS + 1);
+    public Dispatcher(DispatcherSettings s, long seed, DispatchActions out) {
+        super(s, QueuedWork.K, FutureArrivals.BINS + 1);
         this.out = out;
         chance = new SplittableRandom(seed);
         Arrays.fill(firstTryAge, Double.POSITIVE_INFINITY);
@@ -57,20 +57,20 @@
         speed = new Speed(this);
         runs = new RunningTimes(this, speed);
         queued = new QueuedWork(this, speed);
-        ownSends = new OwnSends(this, out);
+        ownSends = new LocalSends(this, out);
         pairs = new PairTable(this, speed, queued);
         reports = new Reports(this, speed, queued, ownSends, pairs, out);
         reportReader = new ReportReader(this, reports);
         peerSends = new PeerSends(this, speed, queued, ownSends);
-        later = new LaterWork(this, speed, queued, ownSends);
+        later = new FutureArrivals(this, speed, queued, ownSends);
         coldBudget = new ColdBudget(this, speed);
         health = new Health(this);
         score = new Score(this, speed, queued, pairs, later);
         choice = new ServerChoice(this, speed, queued, ownSends, coldBudget, health, score, chance);
         overdue = new OverdueSends();
-        givingUp = new GivingUp(this, queued, runs, overdue);
-        tries = new FurtherTries(this, chance);
-        worth = new Worth(this);
+        givingUp = new AdmissionPolicy(this, queued, runs, overdue);
+        tries = new RetryPolicy(this, chance);
+        worth = new TaskValue(this);
         pending = new PendingTasks(this, out);
         Sender sender =
                 new Sender(this, speed, queued, ownSends, pairs, coldBudget, overdue, pending, out);
--- a/src/main/java/gingerspool/dispatch/Settings.java
+++ b/src/main/java/gingerspool/dispatch/DispatcherSettings.java
@@ -4,7 +4,7 @@
  * What a deployment tells a dispatcher at its start, in the terms used here. Times in milliseconds,
  * rates a second.
  */
-public final class Settings {
+public final class DispatcherSettings {
     /** In which order workers take from their queues. */
     public enum Order {
         FIRST_COME,
--- a/src/main/java/gingerspool/dispatch/Learned.java
+++ b/src/main/java/gingerspool/dispatch/Estimates.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** What a Dispatcher has learned: figures only, and how they pass from one process to the next. */
-abstract class Learned extends Parameters {
+abstract class Estimates extends Parameters {
     /** N_S: pair rows, mixes and running times look back over about this many samples. */
     static final int SAMPLES = 64;
 
@@ -65,7 +65,7 @@
     boolean reportsQueue;
     private List<String> afresh = List.of();
 
-    Learned(Settings s, int regions, int bins) {
+    Estimates(DispatcherSettings s, int regions, int bins) {
         super(s);
         int profiles = s.profiles.length;
         int tenants = s.allowance.length;
--- a/src/main/java/gingerspool/dispatch/LaterWork.java
+++ b/src/main/java/gingerspool/dispatch/FutureArrivals.java
@@ -1,19 +1,19 @@
 package gingerspool.dispatch;
 
 /** X: later work that runs first, on workers that order by priority. */
-final class LaterWork {
+final class FutureArrivals {
     /** Bins of running time and of X; a bin is a quarter of the mean running time. */
     static final int BINS = 16;
 
     private static final double BINS_PER_RUN = 4;
 
-    private final Learned known;
+    private final Estimates known;
     private final Workers fleet;
     private final Speed speed;
     private final QueuedWork queued;
-    private final OwnSends ownSends;
+    private final LocalSends ownSends;
 
-    LaterWork(Learned known, Speed speed, QueuedWork queued, OwnSends ownSends) {
+    FutureArrivals(Estimates known, Speed speed, QueuedWork queued, LocalSends ownSends) {
         this.known = known;
         fleet = known.fleet;
         this.speed = speed;
@@ -31,8 +31,8 @@
             int w = a.worker;
             fleet.mixRun[w][how == Outcome.FULL ? 0 : bin(a.run)]++;
             fleet.mixProfile[w][a.task.profile.index]++;
-            Workers.halve(fleet.mixRun[w], Learned.SAMPLES);
-            Workers.halve(fleet.mixProfile[w], Learned.SAMPLES);
+            Workers.halve(fleet.mixRun[w], Estimates.SAMPLES);
+            Workers.halve(fleet.mixProfile[w], Estimates.SAMPLES);
         }
     }
 
--- a/src/main/java/gingerspool/dispatch/Health.java
+++ b/src/main/java/gingerspool/dispatch/Health.java
@@ -2,10 +2,10 @@
 
 /** What a worker can be trusted with: failures lately, overdue sends, back-off, silence. */
 final class Health {
-    private final Learned known;
+    private final Estimates known;
     private final Workers fleet;
 
-    Health(Learned known) {
+    Health(Estimates known) {
         this.known = known;
         fleet = known.fleet;
     }
@@ -22,7 +22,7 @@
         if (fleet.fail[w][p] == 0) {
             return 0;
         }
-        double span = Learned.SAMPLES * known.tick * 20 * Math.max(1, fleet.failRow[w][p]);
+        double span = Estimates.SAMPLES * known.tick * 20 * Math.max(1, fleet.failRow[w][p]);
         return fleet.fail[w][p] * Math.exp((fleet.failAt[w][p] - known.now) / span);
     }
 
--- a/src/main/java/gingerspool/dispatch/OwnSends.java
+++ b/src/main/java/gingerspool/dispatch/LocalSends.java
@@ -1,15 +1,15 @@
 package gingerspool.dispatch;
 
 /** Own unfinished sends, which count in O at once, and the sends that other dispatchers tell of. */
-final class OwnSends {
-    private final Learned known;
+final class LocalSends {
+    private final Estimates known;
     private final Workers fleet;
-    private final Outlet out;
+    private final DispatchActions out;
 
     /** Work from which on a send is told, in shares of the mean. */
     private double tellFrom;
 
-    OwnSends(Learned known, Outlet out) {
+    LocalSends(Estimates known, DispatchActions out) {
         this.known = known;
         fleet = known.fleet;
         this.out = out;
@@ -55,7 +55,7 @@
 
     /** Our sends to the worker a millisecond, counting so many more now. */
     double sendRate(int w, int more) {
-        double span = Learned.SAMPLES * known.meanWork;
+        double span = Estimates.SAMPLES * known.meanWork;
         fleet.sendRate[w] =
                 fleet.sendRate[w] * Math.exp((fleet.rateAt[w] - known.now) / span) + more / span;
         fleet.rateAt[w] = known.now;
--- a/src/main/java/gingerspool/dispatch/PairTable.java
+++ b/src/main/java/gingerspool/dispatch/PairTable.java
@@ -2,12 +2,12 @@
 
 /** p(k given O): counts of the region believed at a send against the region told afterwards. */
 final class PairTable {
-    private final Learned known;
+    private final Estimates known;
     private final Workers fleet;
     private final Speed speed;
     private final QueuedWork queued;
 
-    PairTable(Learned known, Speed speed, QueuedWork queued) {
+    PairTable(Estimates known, Speed speed, QueuedWork queued) {
         this.known = known;
         fleet = known.fleet;
         this.speed = speed;
@@ -24,8 +24,8 @@
         if (times > 0) {
             fleet.pairs[w][believed][told] += times;
             known.pool[believed][told] += times;
-            Workers.halve(fleet.pairs[w][believed], Learned.SAMPLES);
-            Workers.halve(known.pool[believed], Learned.SAMPLES);
+            Workers.halve(fleet.pairs[w][believed], Estimates.SAMPLES);
+            Workers.halve(known.pool[believed], Estimates.SAMPLES);
         }
     }
 
--- a/src/main/java/gingerspool/dispatch/Parameters.java
+++ b/src/main/java/gingerspool/dispatch/Parameters.java
@@ -53,7 +53,7 @@
     final String basisOfReports;
     final String basisOfTasks;
 
-    Parameters(Settings s) {
+    Parameters(DispatcherSettings s) {
         if (s.profiles.length == 0) {
             throw new IllegalArgumentException("settings without profiles");
         }
@@ -76,7 +76,7 @@
                                 TELLS_WORTH
                                         * 256
                                         / (TELLS * Math.max(s.tellFee, 1e-9) * (dispatchers - 1)));
-        byPriority = s.order == Settings.Order.PRIORITY;
+        byPriority = s.order == DispatcherSettings.Order.PRIORITY;
         tellsStart = s.tellsStart;
         progressEvery = s.progressEvery;
         mostTries = Math.max(1, s.mostAssignments);
--- a/src/main/java/gingerspool/dispatch/PeerSends.java
+++ b/src/main/java/gingerspool/dispatch/PeerSends.java
@@ -2,13 +2,13 @@
 
 /** Notes the sends that other dispatchers tell of. */
 final class PeerSends {
-    private final Learned known;
+    private final Estimates known;
     private final Workers fleet;
     private final Speed speed;
     private final QueuedWork queued;
-    private final OwnSends ownSends;
+    private final LocalSends ownSends;
 
-    PeerSends(Learned known, Speed speed, QueuedWork queued, OwnSends ownSends) {
+    PeerSends(Estimates known, Speed speed, QueuedWork queued, LocalSends ownSends) {
         this.known = known;
         fleet = known.fleet;
         this.speed = speed;
--- a/src/main/java/gingerspool/dispatch/PendingTasks.java
+++ b/src/main/java/gingerspool/dispatch/PendingTasks.java
@@ -6,12 +6,12 @@
 
 /** The tasks that wait for a decision, and the timer that brings us back to them. */
 final class PendingTasks {
-    private final Learned known;
-    private final Outlet out;
+    private final Estimates known;
+    private final DispatchActions out;
     private final List<Task> tasks = new ArrayList<>();
     private double wakeAt = Double.POSITIVE_INFINITY;
 
-    PendingTasks(Learned known, Outlet out) {
+    PendingTasks(Estimates known, DispatchActions out) {
         this.known = known;
         this.out = out;
     }
--- a/src/main/java/gingerspool/dispatch/QueuedWork.java
+++ b/src/main/java/gingerspool/dispatch/QueuedWork.java
@@ -7,11 +7,11 @@
 
     static final int K = TH.length + 1;
 
-    private final Learned known;
+    private final Estimates known;
     private final Workers fleet;
     private final Speed speed;
 
-    QueuedWork(Learned known, Speed speed) {
+    QueuedWork(Estimates known, Speed speed) {
         this.known = known;
         fleet = known.fleet;
         this.speed = speed;
--- a/src/main/java/gingerspool/dispatch/ReportReader.java
+++ b/src/main/java/gingerspool/dispatch/ReportReader.java
@@ -4,11 +4,11 @@
 
 /** Notes what a load report says of a worker and passes its jobs on. */
 final class ReportReader {
-    private final Learned known;
+    private final Estimates known;
     private final Workers fleet;
     private final Reports reports;
 
-    ReportReader(Learned known, Reports reports) {
+    ReportReader(Estimates known, Reports reports) {
         this.known = known;
         fleet = known.fleet;
         this.reports = reports;
--- a/src/main/java/gingerspool/dispatch/Reports.java
+++ b/src/main/java/gingerspool/dispatch/Reports.java
@@ -5,21 +5,21 @@
     /** T_p, the period of fetching reports and renewing tables of X, in mean running times. */
     static final double REFRESH = 0.5;
 
-    private final Learned known;
+    private final Estimates known;
     private final Workers fleet;
     private final Speed speed;
     private final QueuedWork queued;
-    private final OwnSends ownSends;
+    private final LocalSends ownSends;
     private final PairTable pairs;
-    private final Outlet out;
+    private final DispatchActions out;
 
     Reports(
-            Learned known,
+            Estimates known,
             Speed speed,
             QueuedWork queued,
-            OwnSends ownSends,
+            LocalSends ownSends,
             PairTable pairs,
-            Outlet out) {
+            DispatchActions out) {
         this.known = known;
         fleet = known.fleet;
         this.speed = speed;
@@ -38,7 +38,7 @@
         fleet.others[w] = before + (Math.max(0, n - fleet.ownSmooth[w]) - before) / 3;
         int g = queued.group(w);
         fleet.groupOthers[g] +=
-                (fleet.others[w] / speed.slotsOf(w) - fleet.groupOthers[g]) / Learned.SAMPLES;
+                (fleet.others[w] / speed.slotsOf(w) - fleet.groupOthers[g]) / Estimates.SAMPLES;
         int k = QueuedWork.region(queued.load(w, fleet.others[w]));
         for (int i = 0; i < QueuedWork.K; i++) {
             pairs.count(w, i, k, fleet.sentIn[w][i]);
--- a/src/main/java/gingerspool/dispatch/FurtherTries.java
+++ b/src/main/java/gingerspool/dispatch/RetryPolicy.java
@@ -3,11 +3,11 @@
 import java.util.SplittableRandom;
 
 /** Further assignments: whether a task's effect, its terms and its budget allow one, and when. */
-final class FurtherTries {
-    private final Learned known;
+final class RetryPolicy {
+    private final Estimates known;
     private final SplittableRandom chance;
 
-    FurtherTries(Learned known, SplittableRandom chance) {
+    RetryPolicy(Estimates known, SplittableRandom chance) {
         this.known = known;
         this.chance = chance;
     }
--- a/src/main/java/gingerspool/dispatch/Rules.java
+++ b/src/main/java/gingerspool/dispatch/Rules.java
@@ -4,15 +4,15 @@
 
 /** The rules, gone through in order after each input until none fires. */
 final class Rules {
-    private final Learned known;
+    private final Estimates known;
     private final Reports reports;
     private final ServerChoice choice;
-    private final GivingUp givingUp;
-    private final FurtherTries tries;
+    private final AdmissionPolicy givingUp;
+    private final RetryPolicy tries;
     private final PendingTasks pending;
     private final Sender sender;
     private final SplittableRandom chance;
-    private final Outlet out;
+    private final DispatchActions out;
 
     /** The task that the rules look at, or null. */
     private Task task;
@@ -23,15 +23,15 @@
     private double askGap;
 
     Rules(
-            Learned known,
+            Estimates known,
             Reports reports,
             ServerChoice choice,
-            GivingUp givingUp,
-            FurtherTries tries,
+            AdmissionPolicy givingUp,
+            RetryPolicy tries,
             PendingTasks pending,
             Sender sender,
             SplittableRandom chance,
-            Outlet out) {
+            DispatchActions out) {
         this.known = known;
         this.reports = reports;
         this.choice = choice;
@@ -96,7 +96,7 @@
         if (allowed) {
             choice.weigh(task);
         }
-        if (allowed && choice.best >= 0 && choice.bestChance >= GivingUp.HOPELESS) {
+        if (allowed && choice.best >= 0 && choice.bestChance >= AdmissionPolicy.HOPELESS) {
             sender.send(task, choice.best);
         } else {
             pending.remove(task);
@@ -120,7 +120,7 @@
     private void giveUp() {
         task.ended = true;
         pending.remove(task);
-        if (GivingUp.harmless(task)) {
+        if (AdmissionPolicy.harmless(task)) {
             out.bounce(task, known.longestAdvice);
         } else {
             out.abandon(task);
--- a/src/main/java/gingerspool/dispatch/RunningTimes.java
+++ b/src/main/java/gingerspool/dispatch/RunningTimes.java
@@ -1,17 +1,17 @@
 package gingerspool.dispatch;
 
-import static gingerspool.dispatch.Learned.SAMPLES;
+import static gingerspool.dispatch.Estimates.SAMPLES;
 
 /** Learning of running times: the work to expect of a task, and how fast workers do it. */
 final class RunningTimes {
     /** What is kept of a sum at each new sample, where it looks back over eight times N_S. */
     private static final double KEPT = 1 - 1.0 / (8 * SAMPLES);
 
-    private final Learned known;
+    private final Estimates known;
     private final Workers fleet;
     private final Speed speed;
 
-    RunningTimes(Learned known, Speed speed) {
+    RunningTimes(Estimates known, Speed speed) {
         this.known = known;
         fleet = known.fleet;
         this.speed = speed;
--- a/src/main/java/gingerspool/dispatch/Score.java
+++ b/src/main/java/gingerspool/dispatch/Score.java
@@ -5,18 +5,18 @@
     /** Where running times are looked at, in standard deviations of their logarithm. */
     private static final double[] LIKELY = {-1.15, -0.32, 0.32, 1.15};
 
-    private final Learned known;
+    private final Estimates known;
     private final Speed speed;
     private final QueuedWork queued;
     private final PairTable pairs;
-    private final LaterWork later;
+    private final FutureArrivals later;
 
     private final double[] likely = new double[LIKELY.length];
     private final double[] allowed = new double[LIKELY.length];
     private final double[] weight = new double[LIKELY.length];
     private double shares;
 
-    Score(Learned known, Speed speed, QueuedWork queued, PairTable pairs, LaterWork later) {
+    Score(Estimates known, Speed speed, QueuedWork queued, PairTable pairs, FutureArrivals later) {
         this.known = known;
         this.speed = speed;
         this.queued = queued;
--- a/src/main/java/gingerspool/dispatch/Sender.java
+++ b/src/main/java/gingerspool/dispatch/Sender.java
@@ -2,28 +2,28 @@
 
 /** Sends a task to the worker chosen for it and tells every part that it is under way. */
 final class Sender {
-    private final Learned known;
+    private final Estimates known;
     private final Workers fleet;
     private final Speed speed;
     private final QueuedWork queued;
-    private final OwnSends ownSends;
+    private final LocalSends ownSends;
     private final PairTable pairs;
     private final ColdBudget coldBudget;
     private final OverdueSends overdue;
     private final PendingTasks pending;
-    private final Outlet out;
+    private final DispatchActions out;
     private long serial;
 
     Sender(
-            Learned known,
+            Estimates known,
             Speed speed,
             QueuedWork queued,
-            OwnSends ownSends,
+            LocalSends ownSends,
             PairTable pairs,
             ColdBudget coldBudget,
             OverdueSends overdue,
             PendingTasks pending,
-            Outlet out) {
+            DispatchActions out) {
         this.known = known;
         fleet = known.fleet;
         this.speed = speed;
--- a/src/main/java/gingerspool/dispatch/ServerChoice.java
+++ b/src/main/java/gingerspool/dispatch/ServerChoice.java
@@ -1,6 +1,6 @@
 package gingerspool.dispatch;
 
-import static gingerspool.dispatch.Learned.SAMPLES;
+import static gingerspool.dispatch.Estimates.SAMPLES;
 
 import java.util.SplittableRandom;
 
@@ -15,11 +15,11 @@
     /** What a queue costs in score, since a task that joins it makes those behind it wait. */
     private static final double CROWDED = 0.2;
 
-    private final Learned known;
+    private final Estimates known;
     private final Workers fleet;
     private final Speed speed;
     private final QueuedWork queued;
-    private final OwnSends ownSends;
+    private final LocalSends ownSends;
     private final ColdBudget coldBudget;
     private final Health health;
     private final Score score;
@@ -32,10 +32,10 @@
     boolean anyReady;
 
     ServerChoice(
-            Learned known,
+            Estimates known,
             Speed speed,
             QueuedWork queued,
-            OwnSends ownSends,
+            LocalSends ownSends,
             ColdBudget coldBudget,
             Health health,
             Score score,
--- a/src/main/java/gingerspool/dispatch/Speed.java
+++ b/src/main/java/gingerspool/dispatch/Speed.java
@@ -2,10 +2,10 @@
 
 /** How fast a worker runs: its slots, the pace of one, and how warm it is. */
 final class Speed {
-    private final Learned known;
+    private final Estimates known;
     private final Workers fleet;
 
-    Speed(Learned known) {
+    Speed(Estimates known) {
         this.known = known;
         fleet = known.fleet;
     }
--- a/src/main/java/gingerspool/dispatch/Worth.java
+++ b/src/main/java/gingerspool/dispatch/TaskValue.java
@@ -1,10 +1,10 @@
 package gingerspool.dispatch;
 
 /** What a task is worth, and until when. */
-final class Worth {
-    private final Learned known;
+final class TaskValue {
+    private final Estimates known;
 
-    Worth(Learned known) {
+    TaskValue(Estimates known) {
         this.known = known;
     }
 
@@ -25,7 +25,7 @@
     double of(Task t) {
         double worth =
                 (t.profile.utility + worstBonus(t)) * (known.byWork ? t.work : 1) * withinShare(t);
-        known.meanWorth += (worth - known.meanWorth) / Learned.SAMPLES;
+        known.meanWorth += (worth - known.meanWorth) / Estimates.SAMPLES;
         return worth;
     }
 
@@ -44,8 +44,8 @@
         int worst = p;
         known.came[p] += known.byWork ? t.work : 1;
         for (int q = 0; q < known.profiles.length; q++) {
-            known.came[q] -= known.came[q] / (4 * Learned.SAMPLES);
-            known.served[q] -= known.served[q] / (4 * Learned.SAMPLES);
+            known.came[q] -= known.came[q] / (4 * Estimates.SAMPLES);
+            known.served[q] -= known.served[q] / (4 * Estimates.SAMPLES);
             all += known.came[q] * known.profiles[q].utility;
             worst = shareServed(q) < shareServed(worst) ? q : worst;
         }
--- a/src/main/java/gingerspool/experiment/Experiment.java
+++ b/src/main/java/gingerspool/experiment/Experiment.java
@@ -5,7 +5,7 @@
 import gingerspool.scenario.Plan;
 import gingerspool.scenario.Scenario;
 import gingerspool.scenario.ScenarioFile;
-import gingerspool.toml.Fault;
+import gingerspool.toml.Diagnostic;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -32,7 +32,7 @@
     public static int run(Path file, int seeds, Path against, Path jar, Path out, PrintStream to)
             throws InterruptedException {
         ScenarioFile read = ScenarioFile.read(file);
-        for (Fault f : read.faults()) {
+        for (Diagnostic f : read.faults()) {
             to.println(f);
         }
         if (!read.faults().isEmpty()) {
--- a/src/main/java/gingerspool/experiment/Run.java
+++ b/src/main/java/gingerspool/experiment/Run.java
@@ -1,6 +1,5 @@
 package gingerspool.experiment;
 
-import gingerspool.daemon.Loop;
 import gingerspool.judge.Judge;
 import gingerspool.judge.Verdict;
 import gingerspool.load.Load;
@@ -8,6 +7,7 @@
 import gingerspool.scenario.Scenario;
 import gingerspool.standin.Fleet;
 import gingerspool.wire.Address;
+import gingerspool.wire.SingleThreadEventLoop;
 import java.io.File;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -77,8 +77,8 @@
     Verdict play() throws IOException, InterruptedException {
         Files.createDirectories(folder);
         Files.writeString(folder.resolve("plan.txt"), plan.text());
-        Loop fleetLoop = new Loop();
-        Loop loadLoop = new Loop();
+        SingleThreadEventLoop fleetLoop = new SingleThreadEventLoop();
+        SingleThreadEventLoop loadLoop = new SingleThreadEventLoop();
         Path clients = folder.resolve("clients.tsv");
         Path executions = folder.resolve("executions.tsv");
         try {
@@ -137,7 +137,8 @@
     }
 
     /** Does this on the loop and waits for it. */
-    private static void on(Loop loop, Step step) throws IOException, InterruptedException {
+    private static void on(SingleThreadEventLoop loop, Step step)
+            throws IOException, InterruptedException {
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.enter(
                 () -> {
@@ -155,7 +156,7 @@
         }
     }
 
-    private void waitFor(CompletableFuture<Void> done, Loop loop)
+    private void waitFor(CompletableFuture<Void> done, SingleThreadEventLoop loop)
             throws InterruptedException, IOException {
         double most = s.length + 3 * s.longestExpiry() + 30_000;
         for (double waited = 0; !done.isDone(); waited += 1000) {
@@ -273,7 +274,7 @@
     }
 
     /** Kills and terminates schedulers when that is due, and starts them anew. */
-    private void schedulersFaults(Loop loop) {
+    private void schedulersFaults(SingleThreadEventLoop loop) {
         long from = System.nanoTime();
         List<Plan.Blow> all = new ArrayList<>(plan.blows);
         all.removeIf(
@@ -304,7 +305,7 @@
         }
     }
 
-    private void befall(Loop loop, Plan.Blow b, long from)
+    private void befall(SingleThreadEventLoop loop, Plan.Blow b, long from)
             throws IOException, InterruptedException {
         Scenario.Fault f = b.fault();
         Thread.sleep(Math.max(0, (long) f.at - (System.nanoTime() - from) / 1_000_000));
@@ -321,7 +322,8 @@
     }
 
     /** Starts a second process beside the first; once it has the clients, the first is to leave. */
-    private void replace(Loop loop, int i) throws IOException, InterruptedException {
+    private void replace(SingleThreadEventLoop loop, int i)
+            throws IOException, InterruptedException {
         Process old = processes.get(i);
         managed.set(i, freePort());
         processes.set(i, start(i));
@@ -336,7 +338,8 @@
     }
 
     /** The second process is killed this long after its start, wherever it stands then. */
-    private void killHeir(Loop loop, Scenario.Fault f) throws IOException, InterruptedException {
+    private void killHeir(SingleThreadEventLoop loop, Scenario.Fault f)
+            throws IOException, InterruptedException {
         InetSocketAddress own = managed.get(f.scheduler);
         managed.set(f.scheduler, freePort());
         Process heir = start(f.scheduler);
@@ -347,7 +350,8 @@
         until(f.scheduler, own, "/v1/readyz");
     }
 
-    private void drain(Loop loop, Scenario.Fault f) throws IOException, InterruptedException {
+    private void drain(SingleThreadEventLoop loop, Scenario.Fault f)
+            throws IOException, InterruptedException {
         call(managed.get(f.scheduler), "POST", "/v1/scheduler/drain");
         Thread.sleep(FRONT_LOOKS);
         noted(loop, f.scheduler, "drained");
@@ -357,7 +361,8 @@
         noted(loop, f.scheduler, "up");
     }
 
-    private void suspend(Loop loop, Plan.Blow b) throws IOException, InterruptedException {
+    private void suspend(SingleThreadEventLoop loop, Plan.Blow b)
+            throws IOException, InterruptedException {
         for (boolean on : new boolean[] {true, false}) {
             for (int w : b.workers()) {
                 for (int i = 0; i < s.schedulers.count; i++) {
@@ -374,7 +379,8 @@
         }
     }
 
-    private void end(Loop loop, Scenario.Fault f) throws IOException, InterruptedException {
+    private void end(SingleThreadEventLoop loop, Scenario.Fault f)
+            throws IOException, InterruptedException {
         Process p = processes.get(f.scheduler);
         boolean kill = f.what.equals("scheduler-killed");
         noted(loop, f.scheduler, kill ? "killed" : "terminated");
@@ -397,7 +403,7 @@
         }
     }
 
-    private void noted(Loop loop, int scheduler, String what)
+    private void noted(SingleThreadEventLoop loop, int scheduler, String what)
             throws IOException, InterruptedException {
         on(loop, () -> load.note(scheduler, what));
     }
--- a/src/main/java/gingerspool/handover/Handover.java
+++ b/src/main/java/gingerspool/handover/Handover.java
@@ -2,11 +2,11 @@
 
 import gingerspool.wire.Address;
 import gingerspool.wire.BadMessage;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Inbound;
 import gingerspool.wire.Json;
+import gingerspool.wire.JsonTree;
 import gingerspool.wire.Message;
-import gingerspool.wire.Tree;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -86,7 +86,7 @@
         void fail(String why);
     }
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final Executor files;
     private final Executor loop;
     private final Path file;
@@ -94,7 +94,7 @@
     private final double connectWithin;
     private final House house;
     private final Succession succession = new Succession();
-    private final Note found;
+    private final HandoverFile found;
     private String token = "";
     private Peer before;
     private Peer after;
@@ -112,7 +112,7 @@
      * `loop`; own is where this process is called.
      */
     public Handover(
-            Turns turns,
+            EventLoop turns,
             Executor files,
             Executor loop,
             Path folder,
@@ -126,13 +126,13 @@
         this.own = own;
         this.connectWithin = connectWithin;
         this.house = house;
-        file = Note.path(folder, name);
-        found = Note.read(file);
+        file = HandoverFile.path(folder, name);
+        found = HandoverFile.read(file);
     }
 
     /** The workers under a ban that a state tells of. */
     public static List<String> suspended(Object state) throws BadMessage {
-        return Note.names(state);
+        return HandoverFile.names(state);
     }
 
     /**
@@ -156,7 +156,7 @@
         act(succession.begin(found != null));
     }
 
-    private void act(Succession.Act act) {
+    private void act(Succession.Action act) {
         switch (act) {
             case ASK -> ask();
             case SERVE_ALONE -> serveAlone();
@@ -195,7 +195,7 @@
         heard = 0;
         asks++;
         early.clear();
-        byte[] call = body(Map.of("v", Note.VERSION, "token", token, "ask", asks));
+        byte[] call = body(Map.of("v", HandoverFile.VERSION, "token", token, "ask", asks));
         before.words.call(
                 "join",
                 call,
@@ -207,7 +207,7 @@
                             return;
                         }
                         Object state = Json.read(body, 0, body.length);
-                        if (Tree.number(0, state, "v") != Note.VERSION) {
+                        if (JsonTree.number(0, state, "v") != HandoverFile.VERSION) {
                             throw new BadMessage(400, "of another version");
                         }
                         house.take(state);
@@ -263,7 +263,7 @@
                         act(succession.refused());
                     } else {
                         LOG.atWarn().addKeyValue("status", status).log("handover.not_retired");
-                        Succession.Act then = succession.beforeGone();
+                        Succession.Action then = succession.beforeGone();
                         dropBefore();
                         act(then);
                     }
@@ -272,7 +272,7 @@
 
     private static int descriptors(byte[] body) {
         try {
-            return (int) Tree.number(0, Json.read(body, 0, body.length), "descriptors");
+            return (int) JsonTree.number(0, Json.read(body, 0, body.length), "descriptors");
         } catch (BadMessage e) {
             return 0;
         }
@@ -399,7 +399,8 @@
 
     /** Writes the note beside the loop; what can't be written is told, and holds nothing up. */
     private void note(Runnable written) {
-        Note note = new Note(Address.text(own), token, house.suspended(), house.isDrained());
+        HandoverFile note =
+                new HandoverFile(Address.text(own), token, house.suspended(), house.isDrained());
         files.execute(
                 () -> {
                     try {
@@ -487,7 +488,10 @@
         switch (path) {
             case "join" -> joined(from, who, Json.read(body, 0, body.length));
             case "take" ->
-                    take(from, who, (long) Tree.number(-1, Json.read(body, 0, body.length), "n"));
+                    take(
+                            from,
+                            who,
+                            (long) JsonTree.number(-1, Json.read(body, 0, body.length), "n"));
             case "hold" -> {
                 if (after == null || !after.name().equals(who)) {
                     from.answer(409, List.of(), "not the heir\n");
@@ -513,13 +517,17 @@
     }
 
     private void joined(Inbound from, String who, Object call) throws BadMessage {
-        if (Tree.number(0, call, "v") != Note.VERSION) {
-            throw new BadMessage(400, "v is not " + Note.VERSION);
+        if (JsonTree.number(0, call, "v") != HandoverFile.VERSION) {
+            throw new BadMessage(400, "v is not " + HandoverFile.VERSION);
         }
         Peer heir =
                 new Peer(
-                        turns, Address.read(who), Tree.text("", call, "token"), own, connectWithin);
-        if (succession.asked(who) != Succession.Act.TELL) {
+                        turns,
+                        Address.read(who),
+                        JsonTree.text("", call, "token"),
+                        own,
+                        connectWithin);
+        if (succession.asked(who) != Succession.Action.TELL) {
             from.answer(409, List.of(), "not serving\n");
             return;
         }
@@ -527,9 +535,9 @@
             after.close();
         }
         after = heir;
-        after.ask = (long) Tree.number(0, call, "ask");
+        after.ask = (long) JsonTree.number(0, call, "ask");
         Map<String, Object> state = new LinkedHashMap<>();
-        state.put("v", Note.VERSION);
+        state.put("v", HandoverFile.VERSION);
         state.put("suspended", house.suspended());
         state.put("drained", house.isDrained());
         state.putAll(house.state());
@@ -538,7 +546,7 @@
     }
 
     private void take(Inbound from, String who, long words) {
-        if (succession.asksToTake(who, words) != Succession.Act.RETIRE) {
+        if (succession.asksToTake(who, words) != Succession.Action.RETIRE) {
             from.answer(409, List.of(), "not yet\n");
             return;
         }
@@ -561,18 +569,18 @@
 
     private void word(Inbound from, String who, Object word) {
         boolean fromBefore = before != null && before.name().equals(who);
-        if (fromBefore && !succession.isServing() && Tree.number(0, word, "ask") != asks) {
+        if (fromBefore && !succession.isServing() && JsonTree.number(0, word, "ask") != asks) {
             // Guards what is said later: the state that was asked for since has this word in it.
             from.answer(200, List.of(), NOTHING);
             return;
         }
         Runnable carry =
                 () -> {
-                    String what = Tree.text("", word, "do");
-                    String worker = Tree.text("", word, "worker");
+                    String what = JsonTree.text("", word, "do");
+                    String worker = JsonTree.text("", word, "worker");
                     house.word(what, worker);
                     if (fromBefore) {
-                        heard = (long) Tree.number(0, word, "n");
+                        heard = (long) JsonTree.number(0, word, "n");
                     }
                     spread(
                             what,
--- a/src/main/java/gingerspool/handover/Note.java
+++ b/src/main/java/gingerspool/handover/HandoverFile.java
@@ -2,7 +2,7 @@
 
 import gingerspool.wire.BadMessage;
 import gingerspool.wire.Json;
-import gingerspool.wire.Tree;
+import gingerspool.wire.JsonTree;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -23,8 +23,8 @@
  * the workers that are under a ban, which hold even if it can't be called any more. Written whole,
  * then renamed.
  */
-record Note(String at, String token, List<String> suspended, boolean drained) {
-    private static final Logger LOG = LoggerFactory.getLogger(Note.class);
+record HandoverFile(String at, String token, List<String> suspended, boolean drained) {
+    private static final Logger LOG = LoggerFactory.getLogger(HandoverFile.class);
     static final int VERSION = 1;
     private static final long MOST = 1024 * 1024;
 
@@ -36,7 +36,7 @@
      * What the file holds; null if there is none, or none that can be used, which is told in the
      * log.
      */
-    static Note read(Path file) {
+    static HandoverFile read(Path file) {
         try {
             if (Files.size(file) > MOST) {
                 throw new BadMessage(400, "longer than " + MOST + " bytes");
@@ -53,22 +53,22 @@
         }
     }
 
-    static Note read(String text) throws BadMessage {
+    static HandoverFile read(String text) throws BadMessage {
         Object tree = Json.read(text);
-        if (Tree.number(0, tree, "v") != VERSION) {
+        if (JsonTree.number(0, tree, "v") != VERSION) {
             throw new BadMessage(400, "v is not " + VERSION);
         }
-        return new Note(
-                Tree.text("", tree, "at"),
-                Tree.text("", tree, "token"),
+        return new HandoverFile(
+                JsonTree.text("", tree, "at"),
+                JsonTree.text("", tree, "token"),
                 names(tree),
-                Tree.mark(tree, "drained"));
+                JsonTree.mark(tree, "drained"));
     }
 
     /** The names under `suspended`, of a note or a state. */
     static List<String> names(Object tree) throws BadMessage {
         List<String> names = new ArrayList<>();
-        if (Tree.at(tree, "suspended") instanceof List<?> list) {
+        if (JsonTree.at(tree, "suspended") instanceof List<?> list) {
             for (Object o : list) {
                 if (!(o instanceof String s)) {
                     throw new BadMessage(400, "suspended holds something that is no name");
--- a/src/main/java/gingerspool/handover/Peer.java
+++ b/src/main/java/gingerspool/handover/Peer.java
@@ -2,10 +2,10 @@
 
 import gingerspool.wire.Address;
 import gingerspool.wire.BadMessage;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Inbound;
 import gingerspool.wire.Message;
 import gingerspool.wire.Outbound;
-import gingerspool.wire.Turns;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -44,7 +44,7 @@
     /** It keeps a call open, whose end tells its own. */
     boolean holds;
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final double connectWithin;
     private boolean closed;
 
@@ -57,7 +57,7 @@
 
     /** Own is where this process itself is called. */
     Peer(
-            Turns turns,
+            EventLoop turns,
             InetSocketAddress at,
             String token,
             InetSocketAddress own,
--- a/src/main/java/gingerspool/handover/Succession.java
+++ b/src/main/java/gingerspool/handover/Succession.java
@@ -24,7 +24,7 @@
     }
 
     /** What is to be done. */
-    enum Act {
+    enum Action {
         /** Nothing. */
         NONE,
         /** Ask the process before this one for its state. */
@@ -67,70 +67,70 @@
     }
 
     /** The process starts; a note names one before it or not. */
-    Act begin(boolean named) {
+    Action begin(boolean named) {
         before = named ? Before.ASKED : Before.NONE;
         serving = !named;
-        return named ? Act.ASK : Act.SERVE_ALONE;
+        return named ? Action.ASK : Action.SERVE_ALONE;
     }
 
     /** The state came from the one before. */
-    Act stateCame() {
+    Action stateCame() {
         if (before != Before.ASKED) {
-            return Act.NONE;
+            return Action.NONE;
         }
         before = Before.TAKING;
-        return Act.TAKE;
+        return Action.TAKE;
     }
 
     /** The one before has no state to tell, or none in time. */
-    Act stateFailed() {
+    Action stateFailed() {
         if (before != Before.ASKED) {
-            return Act.NONE;
+            return Action.NONE;
         }
         before = Before.NONE;
         serving = true;
-        return Act.SERVE_ALONE;
+        return Action.SERVE_ALONE;
     }
 
     /** The one before has retired. */
-    Act retired() {
+    Action retired() {
         if (before != Before.TAKING) {
-            return Act.NONE;
+            return Action.NONE;
         }
         before = Before.BESIDE;
         serving = true;
-        return Act.SERVE;
+        return Action.SERVE;
     }
 
     /** The one before will not retire yet: words have passed since the state was told. */
-    Act refused() {
+    Action refused() {
         if (before != Before.TAKING) {
-            return Act.NONE;
+            return Action.NONE;
         }
         before = Before.ASKED;
-        return Act.ASK;
+        return Action.ASK;
     }
 
     /** The one before has ended, or says nothing any more. */
-    Act beforeGone() {
+    Action beforeGone() {
         Before was = before;
         before = Before.NONE;
         boolean first = !serving;
         serving = true;
         return was == Before.TAKING && first
-                ? Act.SERVE
-                : was == Before.ASKED ? Act.SERVE_ALONE : Act.NONE;
+                ? Action.SERVE
+                : was == Before.ASKED ? Action.SERVE_ALONE : Action.NONE;
     }
 
     /** Another process asks for the state; the latest to ask is the heir. */
-    Act asked(String who) {
+    Action asked(String who) {
         if (!serving || after == After.SUCCEEDED) {
-            return Act.REFUSE;
+            return Action.REFUSE;
         }
         after = After.JOINED;
         heir = who;
         told = 0;
-        return Act.TELL;
+        return Action.TELL;
     }
 
     /** An operator's word came that the heir must have; tells whether there is an heir to tell. */
@@ -143,12 +143,12 @@
     }
 
     /** The heir has bound and asks us to retire; it has had so many words since the state. */
-    Act asksToTake(String who, long words) {
+    Action asksToTake(String who, long words) {
         if (after != After.JOINED || !who.equals(heir) || !counted(words)) {
-            return Act.REFUSE;
+            return Action.REFUSE;
         }
         after = After.SUCCEEDED;
-        return Act.RETIRE;
+        return Action.RETIRE;
     }
 
     /** Whether just so many words were told. */
@@ -157,13 +157,13 @@
     }
 
     /** The heir is gone. */
-    Act heirGone(String who) {
+    Action heirGone(String who) {
         if (after == After.NONE || !who.equals(heir)) {
-            return Act.NONE;
+            return Action.NONE;
         }
         boolean had = after == After.SUCCEEDED;
         after = After.NONE;
         heir = "";
-        return had ? Act.TAKE_BACK : Act.NONE;
+        return had ? Action.TAKE_BACK : Action.NONE;
     }
 }
--- a/src/main/java/gingerspool/load/Client.java
+++ b/src/main/java/gingerspool/load/Client.java
@@ -2,8 +2,8 @@
 
 import gingerspool.wire.BadMessage;
 import gingerspool.wire.Completions;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Message;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
@@ -33,7 +33,7 @@
     }
 
     final int scheduler;
-    private final Turns turns;
+    private final EventLoop turns;
     private final AsynchronousSocketChannel channel;
     private final Owner owner;
     private final ByteBuffer buffer = ByteBuffer.allocate(16 * 1024);
@@ -51,7 +51,7 @@
 
     int requests;
 
-    Client(Turns turns, int scheduler, InetSocketAddress to, Owner owner) throws IOException {
+    Client(EventLoop turns, int scheduler, InetSocketAddress to, Owner owner) throws IOException {
         this.turns = turns;
         this.scheduler = scheduler;
         this.owner = owner;
--- a/src/main/java/gingerspool/load/HostileClients.java
+++ b/src/main/java/gingerspool/load/HostileClients.java
@@ -1,8 +1,8 @@
 package gingerspool.load;
 
 import gingerspool.scenario.Scenario;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Message;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -13,7 +13,7 @@
 
 /** Clients that misbehave: slow heads, half requests, floods of connections and nonsense. */
 final class HostileClients {
-    private final Turns turns;
+    private final EventLoop turns;
     private final SplittableRandom chance;
     private final List<InetSocketAddress> schedulers;
     private final IntSupplier choose;
@@ -22,7 +22,7 @@
 
     /** None comes after `until`, in milliseconds of Unix time; `choose` gives a scheduler or -1. */
     HostileClients(
-            Turns turns,
+            EventLoop turns,
             SplittableRandom chance,
             List<InetSocketAddress> schedulers,
             IntSupplier choose,
--- a/src/main/java/gingerspool/load/Load.java
+++ b/src/main/java/gingerspool/load/Load.java
@@ -2,8 +2,8 @@
 
 import gingerspool.scenario.Plan;
 import gingerspool.scenario.Scenario;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Message;
-import gingerspool.wire.Turns;
 import java.io.BufferedWriter;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -51,7 +51,7 @@
         }
     }
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final Plan plan;
     private final Scenario scenario;
     private final List<InetSocketAddress> schedulers;
@@ -78,7 +78,7 @@
      */
     double slowedBy;
 
-    public Load(Turns turns, Plan plan, List<InetSocketAddress> schedulers, Path file)
+    public Load(EventLoop turns, Plan plan, List<InetSocketAddress> schedulers, Path file)
             throws IOException {
         this.turns = turns;
         this.plan = plan;
--- a/src/main/java/gingerspool/scenario/ScenarioFile.java
+++ b/src/main/java/gingerspool/scenario/ScenarioFile.java
@@ -1,9 +1,9 @@
 package gingerspool.scenario;
 
-import gingerspool.toml.Fault;
+import gingerspool.toml.Diagnostic;
 import gingerspool.toml.Layers;
-import gingerspool.toml.Said;
 import gingerspool.toml.Section;
+import gingerspool.toml.SourcedValue;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -55,8 +55,8 @@
         FAULTS.put("suspend", List.of());
     }
 
-    private final List<Fault> faults = new ArrayList<>();
-    private final Map<String, Said<String>> notes = new LinkedHashMap<>();
+    private final List<Diagnostic> faults = new ArrayList<>();
+    private final Map<String, SourcedValue<String>> notes = new LinkedHashMap<>();
     private final Scenario s = new Scenario();
     private final Path file;
 
@@ -74,7 +74,7 @@
         return new ScenarioFile(file);
     }
 
-    public List<Fault> faults() {
+    public List<Diagnostic> faults() {
         return Collections.unmodifiableList(faults);
     }
 
@@ -151,7 +151,7 @@
         c.descriptors = t.whole("descriptors", 1024, 64, 1 << 20).value();
         c.assignments = t.whole("assignments", 3, 1, 4).value();
         c.copies = t.mark("copies", false).value();
-        Said<String> operators = t.text("file", null);
+        SourcedValue<String> operators = t.text("file", null);
         c.file = operators == null ? null : operators.value();
         c.zones = t.texts("zones", s.fleet.zones);
         c.pinFrom = t.whole("pin_from", -1, -1, 1023).value();
@@ -180,7 +180,7 @@
         k.share = t.number("share", 1.0, 0, 1e6).value();
         k.work = t.span("work", 20.0, 0.01, HOUR).value();
         k.spread = t.number("spread", 0.5, 0, 3).value();
-        Said<Double> tail = t.number("tail", null, 1.01, 100);
+        SourcedValue<Double> tail = t.number("tail", null, 1.01, 100);
         k.tail = tail == null ? 0 : tail.value();
         k.width = t.whole("width", 1, 1, 10_000).value();
         k.memory = t.number("memory", 0.0, 0, 1e9).value();
@@ -206,7 +206,7 @@
         l.burstFactor = burst.number("factor", 5.0, 1, 1e6).value();
         burst.end();
         l.rampTo = t.number("ramp_to", l.rate, 0.001, 1e6).value();
-        Said<String> trace = t.text("trace", null);
+        SourcedValue<String> trace = t.text("trace", null);
         l.trace = trace == null ? null : trace.value();
         if (l.arrivals == Scenario.Arrivals.TRACE && trace == null) {
             t.fault("", "needs trace: a file with a line for each request");
@@ -227,7 +227,7 @@
     private void fault(Section t) {
         Scenario.Fault f = new Scenario.Fault();
         List<String> words = new ArrayList<>(FAULTS.keySet());
-        Said<String> what = t.word("what", null, words);
+        SourcedValue<String> what = t.word("what", null, words);
         f.what = what == null || what.value() == null ? "" : what.value();
         if (!t.has("what")) {
             t.fault("", "has no what, one of " + String.join(", ", words));
@@ -237,10 +237,10 @@
         if (f.at >= s.length) {
             t.fault("at", "is after the end");
         }
-        Said<Integer> workers = t.whole("workers", null, 1, 10_000);
-        Said<Double> share = t.number("share", null, 0, 1);
-        Said<String> zone = t.word("zone", null, s.fleet.zones);
-        Said<String> worker = t.text("worker", null);
+        SourcedValue<Integer> workers = t.whole("workers", null, 1, 10_000);
+        SourcedValue<Double> share = t.number("share", null, 0, 1);
+        SourcedValue<String> zone = t.word("zone", null, s.fleet.zones);
+        SourcedValue<String> worker = t.text("worker", null);
         int ways = (workers != null ? 1 : 0) + (zone != null ? 1 : 0) + (worker != null ? 1 : 0);
         if (ways > 1) {
             t.fault("", "says in more than one way who it befalls: workers, zone, worker");
@@ -252,7 +252,7 @@
         f.share = share == null ? Double.NaN : share.value();
         f.zone = zone == null ? null : zone.value();
         f.worker = worker == null ? null : worker.value();
-        Said<String> profile = t.word("profile", null, new ArrayList<>(s.kinds.keySet()));
+        SourcedValue<String> profile = t.word("profile", null, new ArrayList<>(s.kinds.keySet()));
         f.profile = profile == null ? null : profile.value();
         f.factor = t.number("factor", 5.0, 0, 1e6).value();
         f.scheduler = t.whole("scheduler", 0, 0, 199).value();
--- a/src/main/java/gingerspool/settings/Settings.java
+++ b/src/main/java/gingerspool/settings/NodeSettings.java
@@ -1,6 +1,6 @@
 package gingerspool.settings;
 
-import gingerspool.toml.Fault;
+import gingerspool.toml.Diagnostic;
 import gingerspool.toml.Layers;
 import gingerspool.toml.Section;
 import gingerspool.wire.Address;
@@ -16,7 +16,7 @@
  * What a process is told in its settings file. Times are milliseconds, rates a second. Keys that
  * aren't asked for are passed over, since new ones may appear.
  */
-public final class Settings {
+public final class NodeSettings {
     /** The variable that holds the file's path. */
     public static final String VARIABLE = "GINGERSPOOL_CONFIG";
 
@@ -71,7 +71,7 @@
     public final double cloudLag;
     public final double dutyRate;
 
-    private Settings(Section s) {
+    private NodeSettings(Section s) {
         name = s.text("NodeName", null).value();
         ip = text(s, "IpAddress");
         zone = text(s, "Zone");
@@ -146,7 +146,7 @@
     }
 
     /** The file that the environment names. */
-    public static Settings read(Map<String, String> environment) throws SettingsException {
+    public static NodeSettings read(Map<String, String> environment) throws SettingsException {
         String file = environment.get(VARIABLE);
         if (file == null || file.isBlank()) {
             throw new SettingsException(
@@ -155,18 +155,18 @@
         return read(Path.of(file));
     }
 
-    public static Settings read(Path file) throws SettingsException {
-        List<Fault> faults = new ArrayList<>();
+    public static NodeSettings read(Path file) throws SettingsException {
+        List<Diagnostic> faults = new ArrayList<>();
         Layers layers = new Layers(faults);
         layers.readAlone(file);
         Section section = layers.section(file, new java.util.HashMap<>());
         if (faults.isEmpty() && !section.has("NodeName")) {
             section.fault("NodeName", "is missing");
         }
-        Settings made = faults.isEmpty() ? new Settings(section) : null;
+        NodeSettings made = faults.isEmpty() ? new NodeSettings(section) : null;
         if (!faults.isEmpty()) {
             throw new SettingsException(
-                    faults.stream().map(Fault::toString).collect(Collectors.joining("; ")));
+                    faults.stream().map(Diagnostic::toString).collect(Collectors.joining("; ")));
         }
         return made;
     }
--- a/src/main/java/gingerspool/simhost/Instance.java
+++ b/src/main/java/gingerspool/simhost/Instance.java
@@ -3,12 +3,12 @@
 import gingerspool.daemon.Configuration;
 import gingerspool.daemon.ConfigurationException;
 import gingerspool.dispatch.Assignment;
+import gingerspool.dispatch.DispatchActions;
 import gingerspool.dispatch.Dispatcher;
 import gingerspool.dispatch.Outcome;
-import gingerspool.dispatch.Outlet;
 import gingerspool.dispatch.Report;
 import gingerspool.dispatch.Task;
-import gingerspool.wire.Tree;
+import gingerspool.wire.JsonTree;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -20,7 +20,7 @@
  * One scheduler of the simulator: a Dispatcher, and the names under which the wire knows what it
  * holds.
  */
-final class Instance implements Outlet {
+final class Instance implements DispatchActions {
     private final String id;
     private final StringBuilder reply;
     private final Dispatcher dispatcher;
@@ -140,24 +140,24 @@
         }
         dispatcher.listBegins(at, whole);
         for (Object entry : pages[page]) {
-            String name = Tree.text(null, entry, "worker");
+            String name = JsonTree.text(null, entry, "worker");
             if (name == null) {
                 throw new WireException("field worker of a list entry is missing");
             }
             int state =
-                    switch (Tree.text("", entry, "stageState")) {
+                    switch (JsonTree.text("", entry, "stageState")) {
                         case "Running" -> Dispatcher.RUNNING;
                         case "Stopping" -> Dispatcher.DRAINING;
                         default -> Dispatcher.GONE;
                     };
             dispatcher.listed(
                     workers.computeIfAbsent(name, this::newWorker),
-                    deployment.zones.getOrDefault(Tree.text("", entry, "site"), -1),
-                    deployment.kinds.getOrDefault(Tree.text("", entry, "classOfHost"), 0),
-                    (int) Tree.number(0, entry, "bay"),
+                    deployment.zones.getOrDefault(JsonTree.text("", entry, "site"), -1),
+                    deployment.kinds.getOrDefault(JsonTree.text("", entry, "classOfHost"), 0),
+                    (int) JsonTree.number(0, entry, "bay"),
                     state,
-                    Tree.number(1, entry, "capacityHint"),
-                    Tree.number(0, entry, "readyAtMs"));
+                    JsonTree.number(1, entry, "capacityHint"),
+                    JsonTree.number(0, entry, "readyAtMs"));
         }
         dispatcher.listEnds(at, whole, form.equals("remembered"));
     }
@@ -197,7 +197,7 @@
         deployment.reportPlaces.forEach(
                 (name, place) -> {
                     if (place >= 0) {
-                        report[place] = Tree.number(Double.NaN, metrics, name);
+                        report[place] = JsonTree.number(Double.NaN, metrics, name);
                     }
                 });
         return report;
--- a/src/main/java/gingerspool/slots/SlotKeeper.java
+++ b/src/main/java/gingerspool/slots/SlotAllocator.java
@@ -18,7 +18,7 @@
  * schedulers tell as they enrol, and gives nothing until they had the time to. Times are
  * milliseconds of a steady clock.
  */
-public final class SlotKeeper {
+public final class SlotAllocator {
     /**
      * Schedulers' slots are theirs for so many beats after their link broke: who lives is back by
      * then.
@@ -68,7 +68,7 @@
 
     private double now;
 
-    public SlotKeeper(double heartbeat, double now, Messenger messenger) {
+    public SlotAllocator(double heartbeat, double now, Messenger messenger) {
         this.heartbeat = heartbeat;
         this.messenger = messenger;
         this.now = now;
@@ -434,7 +434,7 @@
 
     public Load load() {
         return functions.values().stream()
-                .map(SlotKeeper::load)
+                .map(SlotAllocator::load)
                 .reduce(new Load(0, 0, 0, 0, 0, 0), Load::and);
     }
 
--- a/src/main/java/gingerspool/standin/Acceptor.java
+++ b/src/main/java/gingerspool/standin/Acceptor.java
@@ -1,7 +1,7 @@
 package gingerspool.standin;
 
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Listener;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -14,7 +14,10 @@
         implements Listener.Owner {
     /** Listens at this port, 0 for one that the system chooses. */
     static Listener at(
-            Turns turns, int port, BooleanSupplier room, Consumer<AsynchronousSocketChannel> take)
+            EventLoop turns,
+            int port,
+            BooleanSupplier room,
+            Consumer<AsynchronousSocketChannel> take)
             throws IOException {
         return new Listener(
                 turns,
--- a/src/main/java/gingerspool/standin/CallBacks.java
+++ b/src/main/java/gingerspool/standin/CallBacks.java
@@ -1,9 +1,9 @@
 package gingerspool.standin;
 
 import gingerspool.wire.Address;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Message;
 import gingerspool.wire.Outbound;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -19,14 +19,14 @@
     private static final double PATIENCE = 2000;
     private static final double CONNECT = 500;
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final InetSocketAddress to;
     private final Deque<Outbound> free = new ArrayDeque<>();
     private final Set<Outbound> all = new HashSet<>();
     private boolean shut;
     private boolean silent;
 
-    CallBacks(Turns turns, InetSocketAddress to) {
+    CallBacks(EventLoop turns, InetSocketAddress to) {
         this.turns = turns;
         this.to = to;
     }
--- a/src/main/java/gingerspool/standin/Cloud.java
+++ b/src/main/java/gingerspool/standin/Cloud.java
@@ -2,12 +2,12 @@
 
 import gingerspool.wire.Address;
 import gingerspool.wire.BadMessage;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Inbound;
 import gingerspool.wire.Json;
+import gingerspool.wire.JsonTree;
 import gingerspool.wire.Listener;
 import gingerspool.wire.Message;
-import gingerspool.wire.Tree;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -24,8 +24,8 @@
  * requests at once and turn away what is over or meant for another. All on loopback and one loop;
  * for tests and for trying out.
  */
-public final class Cloud implements Listener.Owner, Inbound.Door {
-    private final Turns turns;
+public final class Cloud implements Listener.Owner, Inbound.Handler {
+    private final EventLoop turns;
     private final double boot;
     private final double work;
     private final double lag;
@@ -45,7 +45,7 @@
     public boolean down;
 
     /** One started copy of a service. */
-    private final class Instance implements Listener.Owner, Inbound.Door {
+    private final class Instance implements Listener.Owner, Inbound.Handler {
         final String id;
         final String service;
         final String host;
@@ -126,7 +126,7 @@
      * system's choice.
      */
     public Cloud(
-            Turns turns,
+            EventLoop turns,
             String ip,
             Map<String, String> hosts,
             double boot,
@@ -172,11 +172,11 @@
                 case "POST /v1/begin" ->
                         begin(
                                 from,
-                                Tree.text("", body, "Service"),
-                                Tree.text("", body, "Worker"),
-                                Tree.text("", body, "Nonce"));
+                                JsonTree.text("", body, "Service"),
+                                JsonTree.text("", body, "Worker"),
+                                JsonTree.text("", body, "Nonce"));
                 case "POST /v1/stop" -> {
-                    Instance i = instances.remove(Tree.text("", body, "Identifier"));
+                    Instance i = instances.remove(JsonTree.text("", body, "Identifier"));
                     if (i != null) {
                         i.stop();
                     }
--- a/src/main/java/gingerspool/standin/Discovery.java
+++ b/src/main/java/gingerspool/standin/Discovery.java
@@ -1,8 +1,8 @@
 package gingerspool.standin;
 
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Listener;
 import gingerspool.wire.Message;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.AsynchronousSocketChannel;
@@ -23,7 +23,7 @@
 final class Discovery {
     private static final double EMPTY_LINE_EVERY = 2000;
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final ExecutionLog log;
     private final List<Listener> listeners = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
@@ -35,7 +35,7 @@
     private boolean down;
     private double slow;
 
-    Discovery(Turns turns, int schedulers, ExecutionLog log) throws IOException {
+    Discovery(EventLoop turns, int schedulers, ExecutionLog log) throws IOException {
         this.turns = turns;
         this.log = log;
         for (int s = 0; s < schedulers; s++) {
--- a/src/main/java/gingerspool/standin/Fleet.java
+++ b/src/main/java/gingerspool/standin/Fleet.java
@@ -2,7 +2,7 @@
 
 import gingerspool.scenario.Plan;
 import gingerspool.scenario.Scenario;
-import gingerspool.wire.Turns;
+import gingerspool.wire.EventLoop;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -24,7 +24,7 @@
     private static final double LOOK_EVERY = 20;
     private static final double FLUSH_EVERY = 500;
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final Plan plan;
     private final ExecutionLog log;
     private final Discovery discovery;
@@ -32,7 +32,7 @@
     private boolean over;
 
     /** The schedulers' addresses, where call-backs go, are known beforehand. */
-    public Fleet(Turns turns, Plan plan, List<InetSocketAddress> schedulers, Path record)
+    public Fleet(EventLoop turns, Plan plan, List<InetSocketAddress> schedulers, Path record)
             throws IOException {
         this.turns = turns;
         this.plan = plan;
--- a/src/main/java/gingerspool/standin/Link.java
+++ b/src/main/java/gingerspool/standin/Link.java
@@ -2,8 +2,8 @@
 
 import gingerspool.wire.BadMessage;
 import gingerspool.wire.Completions;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Message;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
@@ -32,7 +32,7 @@
 
     private static final int ROOM = 16 * 1024;
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final AsynchronousSocketChannel channel;
     private final Server server;
     private ByteBuffer buffer = ByteBuffer.allocate(ROOM);
@@ -53,7 +53,7 @@
     /** How many requests came on it. */
     int requests;
 
-    Link(Turns turns, AsynchronousSocketChannel channel, Server server) {
+    Link(EventLoop turns, AsynchronousSocketChannel channel, Server server) {
         this.turns = turns;
         this.channel = channel;
         this.server = server;
--- a/src/main/java/gingerspool/standin/Worker.java
+++ b/src/main/java/gingerspool/standin/Worker.java
@@ -2,9 +2,9 @@
 
 import gingerspool.scenario.Plan;
 import gingerspool.scenario.Scenario;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Listener;
 import gingerspool.wire.Message;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.AsynchronousSocketChannel;
@@ -35,7 +35,7 @@
     final String name;
     final String zone;
     final int number;
-    private final Turns turns;
+    private final EventLoop turns;
     private final Scenario scenario;
     private final Machine.Spec spec;
     private final ExecutionLog log;
@@ -70,7 +70,7 @@
     double faultShare = 1;
 
     Worker(
-            Turns turns,
+            EventLoop turns,
             Plan plan,
             int number,
             List<InetSocketAddress> schedulers,
--- a/src/main/java/gingerspool/storage/DurableLog.java
+++ b/src/main/java/gingerspool/storage/DurableLog.java
@@ -136,15 +136,15 @@
         if (form[0] > FORM) {
             throw new UnsupportedFormatException(file, form[0], FORM);
         }
-        return form[0] == FORM_1 ? LogForm1.codec() : codec;
+        return form[0] == FORM_1 ? LogFormat1.codec() : codec;
     }
 
     private static Snapshot snapshot(Object read) {
-        return read instanceof LogForm1.State old ? old.upgraded() : (Snapshot) read;
+        return read instanceof LogFormat1.State old ? old.upgraded() : (Snapshot) read;
     }
 
     private static LogEntry entry(Object read) {
-        return read instanceof LogForm1.Entry old ? old.upgraded() : (LogEntry) read;
+        return read instanceof LogFormat1.Entry old ? old.upgraded() : (LogEntry) read;
     }
 
     private static List<LogEntry> entries(
--- a/src/main/java/gingerspool/storage/LogForm1.java
+++ b/src/main/java/gingerspool/storage/LogFormat1.java
@@ -11,7 +11,7 @@
  * The records of log files of form 1, in which voters were one list. Their components keep the
  * names and order that were written.
  */
-final class LogForm1 {
+final class LogFormat1 {
     /** An entry, as it was. */
     record Entry(long term, byte[] command, List<Member> members) {
         LogEntry upgraded() {
@@ -31,5 +31,5 @@
                 List.of(DurableLog.Vote.class, Member.class, Entry.class, State.class));
     }
 
-    private LogForm1() {}
+    private LogFormat1() {}
 }
--- a/src/main/java/gingerspool/store/HeldTask.java
+++ b/src/main/java/gingerspool/store/ClientTask.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /** A task in hand, with its client's connection, its request and its errands. */
-public final class HeldTask extends Task {
+public final class ClientTask extends Task {
     public final Message request;
 
     /** Null once the client has its answer or has gone. */
@@ -18,9 +18,9 @@
     public Routes.Stay stay;
 
     /** By number of the assignment. */
-    public final List<Errand> errands = new ArrayList<>(1);
+    public final List<WorkerAttempt> errands = new ArrayList<>(1);
 
-    public HeldTask(String id, Inbound client, Message request) {
+    public ClientTask(String id, Inbound client, Message request) {
         super(id);
         this.client = client;
         this.request = request;
--- a/src/main/java/gingerspool/store/Pool.java
+++ b/src/main/java/gingerspool/store/ConnectionPool.java
@@ -1,7 +1,7 @@
 package gingerspool.store;
 
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Outbound;
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -18,15 +18,15 @@
  * Our connections to workers: those at rest are kept by worker for a while, the latest is used
  * first.
  */
-public final class Pool {
+public final class ConnectionPool {
     /** A resting connection is closed after this part of the time that workers allow. */
     private static final double KEPT = 0.6;
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final double connectWithin;
-    private final Rest rest;
+    private final IdleTimeout rest;
     private int most;
-    private final List<Berth> berths = new ArrayList<>();
+    private final List<WorkerConnections> berths = new ArrayList<>();
 
     /** The longest at rest first. */
     private final Set<Outbound> resting = new LinkedHashSet<>();
@@ -34,15 +34,15 @@
     private final Map<Outbound, Consumer<Boolean>> knocks = new HashMap<>();
     private int count;
 
-    public Pool(Turns turns, double connectWithin, double idleMost, int most) {
+    public ConnectionPool(EventLoop turns, double connectWithin, double idleMost, int most) {
         this.turns = turns;
         this.connectWithin = connectWithin;
-        rest = new Rest(KEPT * idleMost);
+        rest = new IdleTimeout(KEPT * idleMost);
         this.most = most;
     }
 
     /** The connections to one worker. */
-    private final class Berth implements Outbound.Owner {
+    private final class WorkerConnections implements Outbound.Owner {
         private final Deque<Outbound> free = new ArrayDeque<>();
         private boolean kept = true;
 
@@ -84,9 +84,9 @@
         }
     }
 
-    private Berth berth(int worker) {
+    private WorkerConnections berth(int worker) {
         while (berths.size() <= worker) {
-            berths.add(new Berth());
+            berths.add(new WorkerConnections());
         }
         return berths.get(worker);
     }
@@ -100,14 +100,14 @@
         if (count >= most) {
             throw new IOException("all " + most + " connections to workers are in use");
         }
-        Berth berth = berth(worker);
+        WorkerConnections berth = berth(worker);
         knocks.put(Outbound.open(turns, address, connectWithin, berth), then);
         count++;
     }
 
     /** A connection to this worker, at rest or new; it must be used at once. */
     public Outbound take(int worker, InetSocketAddress address) throws IOException {
-        Berth berth = berth(worker);
+        WorkerConnections berth = berth(worker);
         // The latest one is on top: if it has rested too long, so have the others.
         double span = rest.span(turns.now());
         while (!berth.free.isEmpty() && berth.free.peek().restedFor() > span) {
--- a/src/main/java/gingerspool/store/Rest.java
+++ b/src/main/java/gingerspool/store/IdleTimeout.java
@@ -5,7 +5,7 @@
  * connections at rest sooner than they say, and without a word: one that breaks as it is used again
  * tells so.
  */
-final class Rest {
+final class IdleTimeout {
     /** The shortest span, in parts of the longest, from where it can grow again. */
     private static final double LEAST = 1.0 / 1024;
 
@@ -13,7 +13,7 @@
     private double span;
     private double since;
 
-    Rest(double most) {
+    IdleTimeout(double most) {
         this.most = most;
         span = most;
     }
