--- a/src/main/java/gingerspool/store/Hand.java
+++ b/src/main/java/gingerspool/store/TaskRegistry.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /** The tasks in hand, by the id that clients and workers call them. */
-public final class Hand {
-    private final Map<String, HeldTask> tasks = new HashMap<>();
+public final class TaskRegistry {
+    private final Map<String, ClientTask> tasks = new HashMap<>();
     private final int most;
     private final long mostBytes;
     private long bytes;
 
-    public Hand(int most, long mostBytes) {
+    public TaskRegistry(int most, long mostBytes) {
         this.most = most;
         this.mostBytes = mostBytes;
     }
@@ -21,23 +21,23 @@
         return tasks.size() < most && bytes + more <= mostBytes;
     }
 
-    public HeldTask find(String id) {
+    public ClientTask find(String id) {
         return tasks.get(id);
     }
 
-    public void add(HeldTask t) {
+    public void add(ClientTask t) {
         tasks.put(t.id, t);
         bytes += t.size();
     }
 
     /** Lets a task go once it has its answer and nothing of it is out. */
-    public void release(HeldTask t) {
+    public void release(ClientTask t) {
         if (t.ended() && t.outstanding() == 0 && tasks.remove(t.id, t)) {
             bytes -= t.size();
         }
     }
 
-    public List<HeldTask> all() {
+    public List<ClientTask> all() {
         return new ArrayList<>(tasks.values());
     }
 
--- a/src/main/java/gingerspool/store/Errand.java
+++ b/src/main/java/gingerspool/store/WorkerAttempt.java
@@ -5,26 +5,26 @@
 import gingerspool.wire.LoadReport;
 import gingerspool.wire.Message;
 import gingerspool.wire.Outbound;
-import gingerspool.wire.ToWorker;
+import gingerspool.wire.WorkerProtocol;
 import java.util.concurrent.Future;
 
 /**
  * One assignment under way. Every race between its possible ends is decided in end(): the first
  * counts.
  */
-public final class Errand implements Outbound.Caller {
+public final class WorkerAttempt implements Outbound.Caller {
     /** Who is told how it ended. */
-    public interface Home {
-        void ended(Errand errand, Outcome how, double[] report);
+    public interface Owner {
+        void ended(WorkerAttempt errand, Outcome how, double[] report);
 
         /** The worker has the task and is to be told to let it go. */
-        void giveUp(Errand errand);
+        void giveUp(WorkerAttempt errand);
     }
 
     public final Assignment assignment;
-    public final HeldTask task;
+    public final ClientTask task;
     private final LoadReport reports;
-    private final Home home;
+    private final Owner owner;
 
     /** Carries the request until the worker has answered it. */
     private Outbound connection;
@@ -34,11 +34,11 @@
     private boolean over;
     private boolean byCallBack;
 
-    public Errand(Assignment assignment, LoadReport reports, Home home) {
+    public WorkerAttempt(Assignment assignment, LoadReport reports, Owner owner) {
         this.assignment = assignment;
         this.reports = reports;
-        this.home = home;
-        task = (HeldTask) assignment.task;
+        this.owner = owner;
+        task = (ClientTask) assignment.task;
     }
 
     /** Begins: the connection may be null where there was none to be had. */
@@ -59,11 +59,11 @@
     @Override
     public void answered(Message answer) {
         connection = null;
-        Outcome how = ToWorker.outcome(answer);
+        Outcome how = WorkerProtocol.outcome(answer);
         if (how == null) {
             taken = true;
         } else {
-            end(how, reports.read(ToWorker.load(answer)));
+            end(how, reports.read(WorkerProtocol.load(answer)));
         }
     }
 
@@ -92,7 +92,7 @@
             connection.drop();
             connection = null;
         } else if (taken) {
-            home.giveUp(this);
+            owner.giveUp(this);
         }
         end(how, null);
     }
@@ -119,6 +119,6 @@
         if (alarm != null) {
             alarm.cancel(false);
         }
-        home.ended(this, how, report);
+        owner.ended(this, how, report);
     }
 }
--- a/src/main/java/gingerspool/store/Roster.java
+++ b/src/main/java/gingerspool/store/WorkerDirectory.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** The workers that the list has named, under the dense index that the Dispatcher knows them by. */
-public final class Roster {
+public final class WorkerDirectory {
     private final Map<String, Integer> indexes = new HashMap<>();
     private final List<String> names = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
--- a/src/main/java/gingerspool/toml/Layers.java
+++ b/src/main/java/gingerspool/toml/Layers.java
@@ -50,14 +50,14 @@
     private static final Set<String> NAMED = Set.of("profile", "tenant");
     private static final Set<String> APPENDED = Set.of("route", "worker");
 
-    private final List<Fault> faults;
+    private final List<Diagnostic> faults;
     private final Map<String, Node> merged = new LinkedHashMap<>();
     private final Set<Path> files = new LinkedHashSet<>();
 
     /** The files under way, by their real path, each with the place that includes it. */
     private final Deque<Path> open = new ArrayDeque<>();
 
-    public Layers(List<Fault> faults) {
+    public Layers(List<Diagnostic> faults) {
         this.faults = faults;
     }
 
@@ -72,36 +72,36 @@
     /**
      * The merged tree as a section to be read; what is read is noted, in order, for explanations.
      */
-    public Section section(Path file, Map<String, Said<String>> notes) {
-        Place whole = new Place(file, 0);
+    public Section section(Path file, Map<String, SourcedValue<String>> notes) {
+        SourceLocation whole = new SourceLocation(file, 0);
         return new Section("", new Node(whole, merged), whole, faults, notes);
     }
 
     /** Reads the file and its includes; faults go to the list. */
     public void read(Path file) {
-        layer(file, new Place(file, 0), "");
+        layer(file, new SourceLocation(file, 0), "");
     }
 
     /** Reads one file that includes nothing, and asks nothing of where it really lies. */
     public void readAlone(Path file) {
-        String text = text(file, new Place(file, 0), "");
+        String text = text(file, new SourceLocation(file, 0), "");
         Node tree = text == null ? null : parse(file, text);
         if (tree != null) {
             lay(tree);
         }
     }
 
-    private void layer(Path file, Place from, String key) {
+    private void layer(Path file, SourceLocation from, String key) {
         Path real;
         try {
             real = file.toRealPath();
         } catch (IOException | SecurityException e) {
-            faults.add(new Fault(from, key, reason(file, e, !key.isEmpty())));
+            faults.add(new Diagnostic(from, key, reason(file, e, !key.isEmpty())));
             return;
         }
         if (open.contains(real)) {
             faults.add(
-                    new Fault(
+                    new Diagnostic(
                             from,
                             key,
                             "includes " + file + ", which includes this file: a circle"));
@@ -111,7 +111,7 @@
             return;
         }
         if (files.size() >= MOST_FILES) {
-            faults.add(new Fault(from, key, "includes more than " + MOST_FILES + " files"));
+            faults.add(new Diagnostic(from, key, "includes more than " + MOST_FILES + " files"));
             return;
         }
         files.add(real);
@@ -130,13 +130,13 @@
     }
 
     /** The file's text, or null with a fault. */
-    private String text(Path file, Place from, String key) {
-        Place whole = key.isEmpty() ? new Place(file, 0) : from;
+    private String text(Path file, SourceLocation from, String key) {
+        SourceLocation whole = key.isEmpty() ? new SourceLocation(file, 0) : from;
         String named = key.isEmpty() ? "" : file + " ";
         try {
             if (!Files.isRegularFile(file)) {
                 faults.add(
-                        new Fault(
+                        new Diagnostic(
                                 whole,
                                 key,
                                 named
@@ -151,7 +151,7 @@
             }
             if (bytes.length > MOST_BYTES) {
                 faults.add(
-                        new Fault(
+                        new Diagnostic(
                                 whole,
                                 key,
                                 named + "is larger than " + (MOST_BYTES >> 20) + " MiB"));
@@ -160,14 +160,14 @@
             String text =
                     StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
             if (text.isBlank()) {
-                faults.add(new Fault(whole, key, named + "is empty"));
+                faults.add(new Diagnostic(whole, key, named + "is empty"));
                 return null;
             }
             return text;
         } catch (CharacterCodingException e) {
-            faults.add(new Fault(whole, key, named + "is not UTF-8"));
+            faults.add(new Diagnostic(whole, key, named + "is not UTF-8"));
         } catch (IOException | SecurityException e) {
-            faults.add(new Fault(whole, key, reason(file, e, !key.isEmpty())));
+            faults.add(new Diagnostic(whole, key, reason(file, e, !key.isEmpty())));
         }
         return null;
     }
@@ -199,8 +199,10 @@
                             : c == ']' || c == '}' ? deep - 1 : c == '\n' && deep < 0 ? 0 : deep;
             if (deep > DEEPEST) {
                 faults.add(
-                        new Fault(
-                                new Place(file, line), "", "nests more than " + DEEPEST + " deep"));
+                        new Diagnostic(
+                                new SourceLocation(file, line),
+                                "",
+                                "nests more than " + DEEPEST + " deep"));
                 return null;
             }
         }
@@ -208,26 +210,28 @@
         try {
             result = Toml.parse(text);
         } catch (RuntimeException | StackOverflowError e) {
-            faults.add(new Fault(new Place(file, 0), "", "is not TOML that can be read: " + e));
+            faults.add(
+                    new Diagnostic(
+                            new SourceLocation(file, 0), "", "is not TOML that can be read: " + e));
             return null;
         }
         result.errors()
                 .forEach(
                         e ->
                                 faults.add(
-                                        new Fault(
-                                                new Place(file, e.position().line()),
+                                        new Diagnostic(
+                                                new SourceLocation(file, e.position().line()),
                                                 "",
                                                 "is not TOML: "
                                                         + e.getMessage().replaceAll("\\s+", " "))));
-        return result.hasErrors() ? null : Node.of(result, new Place(file, 0));
+        return result.hasErrors() ? null : Node.of(result, new SourceLocation(file, 0));
     }
 
     private void include(Path file, Node include) {
         List<Node> patterns = include.list();
         if (patterns == null) {
             faults.add(
-                    new Fault(
+                    new Diagnostic(
                             include.at,
                             "include",
                             "is " + include.sort() + ", wanted a list of paths"));
@@ -235,7 +239,7 @@
         }
         for (Node n : patterns) {
             if (!(n.value instanceof String pattern) || pattern.isBlank()) {
-                faults.add(new Fault(n.at, "include", "holds " + n.sort() + ", wanted paths"));
+                faults.add(new Diagnostic(n.at, "include", "holds " + n.sort() + ", wanted paths"));
                 continue;
             }
             try {
@@ -244,10 +248,10 @@
                 }
             } catch (InvalidPathException | PatternSyntaxException e) {
                 faults.add(
-                        new Fault(
+                        new Diagnostic(
                                 n.at, "include", "holds a pattern that can't be read: " + pattern));
             } catch (IOException | SecurityException e) {
-                faults.add(new Fault(n.at, "include", reason(Path.of(pattern), e, true)));
+                faults.add(new Diagnostic(n.at, "include", reason(Path.of(pattern), e, true)));
             }
         }
     }
@@ -256,7 +260,7 @@
      * The files that a pattern names, beside the including file, by name; `*` only in the last
      * part.
      */
-    private List<Path> paths(Path file, String pattern, Place at) throws IOException {
+    private List<Path> paths(Path file, String pattern, SourceLocation at) throws IOException {
         Path base = file.toAbsolutePath().getParent();
         Path wanted = relative(file, pattern);
         if (pattern.indexOf('*') < 0 && pattern.indexOf('?') < 0) {
@@ -266,7 +270,8 @@
         String folder = slash < 0 ? "" : pattern.substring(0, slash);
         if (folder.indexOf('*') >= 0) {
             faults.add(
-                    new Fault(at, "include", "has * before the last part of the path: " + pattern));
+                    new Diagnostic(
+                            at, "include", "has * before the last part of the path: " + pattern));
             return List.of();
         }
         PathMatcher match =
@@ -274,7 +279,7 @@
         List<Path> found = new ArrayList<>();
         Path in = folder.isEmpty() ? base : base.resolve(folder);
         if (!Files.isDirectory(in)) {
-            faults.add(new Fault(at, "include", folder + " is no directory"));
+            faults.add(new Diagnostic(at, "include", folder + " is no directory"));
             return found;
         }
         try (DirectoryStream<Path> entries = Files.newDirectoryStream(in)) {
@@ -323,7 +328,7 @@
                     Node first = before.get(key);
                     if (once && first != null) {
                         faults.add(
-                                new Fault(
+                                new Diagnostic(
                                         node.at,
                                         name + "." + key,
                                         "is defined twice, first at " + first.at));
--- a/src/main/java/gingerspool/toml/Node.java
+++ b/src/main/java/gingerspool/toml/Node.java
@@ -14,16 +14,16 @@
  * date that nothing here wants.
  */
 public final class Node {
-    public final Place at;
+    public final SourceLocation at;
     public final Object value;
 
-    Node(Place at, Object value) {
+    Node(SourceLocation at, Object value) {
         this.at = at;
         this.value = value;
     }
 
     /** The table of a parsed file; positions are TOML's, from line 1. */
-    public static Node of(TomlTable table, Place at) {
+    public static Node of(TomlTable table, SourceLocation at) {
         Map<String, Node> entries = new LinkedHashMap<>();
         for (String name : table.keySet()) {
             List<String> key = List.of(name);
@@ -32,7 +32,7 @@
         return new Node(at, entries);
     }
 
-    private static Node of(Object value, Place at) {
+    private static Node of(Object value, SourceLocation at) {
         if (value instanceof TomlTable t) {
             return of(t, at);
         }
@@ -46,8 +46,8 @@
         return new Node(at, value);
     }
 
-    private static Place place(Place other, TomlPosition position) {
-        return position == null ? other : new Place(other.file(), position.line());
+    private static SourceLocation place(SourceLocation other, TomlPosition position) {
+        return position == null ? other : new SourceLocation(other.file(), position.line());
     }
 
     /** The entries of a table, or null where this is none. */
--- a/src/main/java/gingerspool/toml/Section.java
+++ b/src/main/java/gingerspool/toml/Section.java
@@ -16,26 +16,26 @@
  */
 public final class Section {
     public final String path;
-    public final Place at;
+    public final SourceLocation at;
     private final Map<String, Node> entries;
-    private final List<Fault> faults;
-    private final Map<String, Said<String>> notes;
+    private final List<Diagnostic> faults;
+    private final Map<String, SourcedValue<String>> notes;
     private final TreeSet<String> known = new TreeSet<>();
 
     /** A table that may be absent (null). */
     public Section(
             String path,
             Node node,
-            Place other,
-            List<Fault> faults,
-            Map<String, Said<String>> notes) {
+            SourceLocation other,
+            List<Diagnostic> faults,
+            Map<String, SourcedValue<String>> notes) {
         this.path = path;
         this.faults = faults;
         this.notes = notes;
         at = node == null ? other : node.at;
         Map<String, Node> table = node == null ? Map.of() : node.table();
         if (table == null) {
-            faults.add(new Fault(node.at, path, "is " + node.sort() + ", wanted a table"));
+            faults.add(new Diagnostic(node.at, path, "is " + node.sort() + ", wanted a table"));
             table = Map.of();
         }
         entries = table;
@@ -46,7 +46,7 @@
         return entries.containsKey(key);
     }
 
-    public Place placeOf(String key) {
+    public SourceLocation placeOf(String key) {
         Node n = entries.get(key);
         return n == null ? at : n.at;
     }
@@ -56,7 +56,7 @@
     }
 
     public void fault(String key, String what) {
-        faults.add(new Fault(placeOf(key), key.isEmpty() ? path : path(key), what));
+        faults.add(new Diagnostic(placeOf(key), key.isEmpty() ? path : path(key), what));
     }
 
     /** A table inside this one. */
@@ -102,7 +102,7 @@
     // ---- Values; each is null where the key is absent and there is no fallback ----
 
     /** A span of time in milliseconds. */
-    public Said<Double> span(String key, Double other, double least, double most) {
+    public SourcedValue<Double> span(String key, Double other, double least, double most) {
         return unit(
                 key,
                 other,
@@ -114,7 +114,7 @@
     }
 
     /** A size in bytes. */
-    public Said<Double> size(String key, Double other, double least, double most) {
+    public SourcedValue<Double> size(String key, Double other, double least, double most) {
         return unit(
                 key,
                 other,
@@ -125,7 +125,7 @@
                 n -> Units.plain(n) + "B");
     }
 
-    private Said<Double> unit(
+    private SourcedValue<Double> unit(
             String key,
             Double other,
             double least,
@@ -153,7 +153,7 @@
                 });
     }
 
-    public Said<Double> number(String key, Double other, double least, double most) {
+    public SourcedValue<Double> number(String key, Double other, double least, double most) {
         return value(
                 key,
                 other,
@@ -170,7 +170,7 @@
                 });
     }
 
-    public Said<Integer> whole(String key, Integer other, int least, int most) {
+    public SourcedValue<Integer> whole(String key, Integer other, int least, int most) {
         return value(
                 key,
                 other,
@@ -184,7 +184,7 @@
                 });
     }
 
-    public Said<Boolean> mark(String key, Boolean other) {
+    public SourcedValue<Boolean> mark(String key, Boolean other) {
         return value(
                 key,
                 other,
@@ -195,7 +195,7 @@
                                 : bad(key, "is " + n.sort() + ", wanted true or false"));
     }
 
-    public Said<String> text(String key, String other) {
+    public SourcedValue<String> text(String key, String other) {
         return value(
                 key,
                 other,
@@ -207,8 +207,8 @@
     }
 
     /** One of these words. */
-    public Said<String> word(String key, String other, List<String> words) {
-        Said<String> said = text(key, other);
+    public SourcedValue<String> word(String key, String other, List<String> words) {
+        SourcedValue<String> said = text(key, other);
         if (said != null
                 && said.value() != null
                 && !words.contains(said.value())
@@ -220,13 +220,13 @@
                             + "\", wanted one of "
                             + String.join(", ", words)
                             + nearest(said.value(), words));
-            return new Said<>(other, null);
+            return new SourcedValue<>(other, null);
         }
         return said;
     }
 
     /** A list of these words, each at most once. */
-    public Said<List<String>> words(String key, List<String> other, List<String> words) {
+    public SourcedValue<List<String>> words(String key, List<String> other, List<String> words) {
         return value(
                 key,
                 other,
@@ -315,8 +315,8 @@
     }
 
     /** Notes for `explain` what came of the key. */
-    public void note(String key, String text, Place from) {
-        notes.put(path(key), new Said<>(text, from));
+    public void note(String key, String text, SourceLocation from) {
+        notes.put(path(key), new SourcedValue<>(text, from));
     }
 
     private <T> T bad(String key, String what) {
@@ -333,13 +333,15 @@
                         : v;
     }
 
-    private <T> Said<T> value(
+    private <T> SourcedValue<T> value(
             String key, T other, Function<T, String> shown, Function<Node, T> read) {
         known.add(key);
         Node n = entries.get(key);
         T v = n == null ? null : read.apply(n);
-        Said<T> said =
-                v != null ? new Said<>(v, n.at) : other != null ? new Said<>(other, null) : null;
+        SourcedValue<T> said =
+                v != null
+                        ? new SourcedValue<>(v, n.at)
+                        : other != null ? new SourcedValue<>(other, null) : null;
         if (said != null) {
             note(key, shown.apply(said.value()), said.at());
         }
@@ -352,7 +354,7 @@
                 (key, node) -> {
                     if (!known.contains(key)) {
                         faults.add(
-                                new Fault(
+                                new Diagnostic(
                                         node.at,
                                         path(key),
                                         "is not a key here" + near(key, known, Integer.MAX_VALUE)));
--- a/src/main/java/gingerspool/wire/Door.java
+++ b/src/main/java/gingerspool/wire/ClientEndpoint.java
@@ -13,8 +13,8 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /** Where clients and call-backs come in: owns their connections and turns requests into calls. */
-public final class Door implements Inbound.Door, Listener.Owner {
-    private static final Logger LOG = LoggerFactory.getLogger(Door.class);
+public final class ClientEndpoint implements Inbound.Handler, Listener.Owner {
+    private static final Logger LOG = LoggerFactory.getLogger(ClientEndpoint.class);
 
     /** Who is behind the door. */
     public interface Desk {
@@ -43,7 +43,7 @@
         }
     }
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final Desk desk;
     private int most;
     private SocketAddress at;
@@ -69,7 +69,7 @@
     /**
      * Holds so many connections at the most; others may listen at the same address if it is shared.
      */
-    public Door(Turns turns, SocketAddress at, boolean shared, int most, Desk desk) {
+    public ClientEndpoint(EventLoop turns, SocketAddress at, boolean shared, int most, Desk desk) {
         this.turns = turns;
         this.desk = desk;
         this.most = most;
@@ -273,13 +273,13 @@
     /** A worker's word, wherever it came to; tells whether it is about a task that is ours. */
     public boolean callBack(byte[] body) throws BadMessage {
         Object call = Json.read(body, 0, body.length);
-        String id = Tree.text("", call, "id");
-        String from = Tree.text("", call, "from");
-        String state = Tree.text("", call, "state");
+        String id = JsonTree.text("", call, "id");
+        String from = JsonTree.text("", call, "from");
+        String state = JsonTree.text("", call, "state");
         if (id.isEmpty() || from.isEmpty() || state.isEmpty()) {
             throw new BadMessage(400, "a call-back needs id, from and state");
         }
-        if (state.equals("done") && !(Tree.at(call, "result") instanceof String)) {
+        if (state.equals("done") && !(JsonTree.at(call, "result") instanceof String)) {
             throw new BadMessage(400, "a call-back of done needs a result in text");
         }
         LOG.atDebug()
@@ -291,9 +291,9 @@
                 id,
                 from,
                 state,
-                Tree.number(Double.NaN, call, "share"),
-                Tree.text("", call, "result"),
-                Tree.at(call, "load"));
+                JsonTree.number(Double.NaN, call, "share"),
+                JsonTree.text("", call, "result"),
+                JsonTree.at(call, "load"));
     }
 
     private void task(Inbound client, Message request, String path) throws BadMessage {
--- a/src/main/java/gingerspool/wire/Completions.java
+++ b/src/main/java/gingerspool/wire/Completions.java
@@ -8,7 +8,7 @@
     private Completions() {}
 
     /** The end of a read or write becomes a turn; a failure counts as -1 bytes. */
-    public static CompletionHandler<Integer, Void> onTurn(Turns turns, IntConsumer then) {
+    public static CompletionHandler<Integer, Void> onTurn(EventLoop turns, IntConsumer then) {
         return new CompletionHandler<>() {
             @Override
             public void completed(Integer bytes, Void none) {
--- a/src/main/java/gingerspool/wire/Connection.java
+++ b/src/main/java/gingerspool/wire/Connection.java
@@ -24,7 +24,7 @@
     /** The largest buffer of this connection: what is taken only whole must fit. */
     private int most;
 
-    final Turns turns;
+    final EventLoop turns;
     private final AsynchronousSocketChannel channel;
 
     /** What was read: from start to its position. */
@@ -42,11 +42,11 @@
     private final CompletionHandler<Integer, Void> reads;
     private final CompletionHandler<Integer, Void> writes;
 
-    Connection(Turns turns, AsynchronousSocketChannel channel) {
+    Connection(EventLoop turns, AsynchronousSocketChannel channel) {
         this(turns, channel, MOST);
     }
 
-    Connection(Turns turns, AsynchronousSocketChannel channel, int most) {
+    Connection(EventLoop turns, AsynchronousSocketChannel channel, int most) {
         this.turns = turns;
         this.most = most;
         this.channel = channel;
--- a/src/main/java/gingerspool/wire/Watch.java
+++ b/src/main/java/gingerspool/wire/DiscoveryClient.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /** One watch on the list of workers, from its call to its end: one JSON object a line. */
-public final class Watch implements Outbound.Caller, Outbound.Owner {
-    private static final Logger LOG = LoggerFactory.getLogger(Watch.class);
+public final class DiscoveryClient implements Outbound.Caller, Outbound.Owner {
+    private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
 
     /** A line comes at least every 2 s, so this much silence is a failure. */
     private static final double SILENCE = 4500;
@@ -45,18 +45,18 @@
     private int held;
     private boolean over;
 
-    private Watch(Follower follower) {
+    private DiscoveryClient(Follower follower) {
         this.follower = follower;
     }
 
     /** Calls for what changed after this version, and for all changes from then on. */
-    public static Watch open(
-            Turns turns,
+    public static DiscoveryClient open(
+            EventLoop turns,
             InetSocketAddress discovery,
             long since,
             double within,
             Follower follower) {
-        Watch watch = new Watch(follower);
+        DiscoveryClient watch = new DiscoveryClient(follower);
         try {
             watch.connection = Outbound.open(turns, discovery, within, watch);
             String call =
@@ -103,19 +103,19 @@
 
     /** Tells what a list says, whole or changes only. */
     public static void tell(Object list, Follower follower) throws BadMessage {
-        if (!(Tree.at(list, "hosts") instanceof List<?> hosts)) {
+        if (!(JsonTree.at(list, "hosts") instanceof List<?> hosts)) {
             throw new BadMessage(400, "a list without hosts");
         }
-        boolean whole = Tree.mark(list, "whole");
-        follower.listBegins((long) Tree.number(0, list, "seq"), whole);
+        boolean whole = JsonTree.mark(list, "whole");
+        follower.listBegins((long) JsonTree.number(0, list, "seq"), whole);
         for (Object h : hosts) {
-            String host = Tree.text("", h, "host");
+            String host = JsonTree.text("", h, "host");
             if (host.isEmpty()) {
                 LOG.atWarn().addKeyValue("entry", h).log("list.entry_without_host");
                 continue;
             }
             int state =
-                    switch (Tree.text("", h, "health")) {
+                    switch (JsonTree.text("", h, "health")) {
                         case "SERVING" -> Dispatcher.RUNNING;
                         case "DRAINING" -> Dispatcher.DRAINING;
                         default -> Dispatcher.GONE;
@@ -123,12 +123,12 @@
             follower.listed(
                     host,
                     dial(h),
-                    Tree.text("", h, "site"),
-                    Tree.text("", h, "class"),
-                    (int) Tree.number(0, h, "block"),
+                    JsonTree.text("", h, "site"),
+                    JsonTree.text("", h, "class"),
+                    (int) JsonTree.number(0, h, "block"),
                     state,
-                    Tree.number(1, h, "share"),
-                    Tree.number(0, h, "born_ms"));
+                    JsonTree.number(1, h, "share"),
+                    JsonTree.number(0, h, "born_ms"));
         }
         follower.listEnds(whole);
     }
@@ -136,7 +136,7 @@
     /** Guards the list against one bad entry: without an address a worker is named but not used. */
     private static InetSocketAddress dial(Object entry) {
         try {
-            return Address.read(Tree.text("", entry, "dial"));
+            return Address.read(JsonTree.text("", entry, "dial"));
         } catch (BadMessage e) {
             LOG.atWarn().addKeyValue("entry", entry).log("list.entry_without_address");
             return null;
--- a/src/main/java/gingerspool/wire/Turns.java
+++ b/src/main/java/gingerspool/wire/EventLoop.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Future;
 
 /** The one thread on which everything happens, as connections see it. */
-public interface Turns {
+public interface EventLoop {
     /**
      * Runs this on the thread's next turn, never inside the one going on; only for callers on the
      * thread.
@@ -27,7 +27,7 @@
     }
 
     /** Whether this guard is in its place; only a test that shows what it is for takes one out. */
-    default boolean has(Safeguard guard) {
+    default boolean has(RequestSafeguard guard) {
         return true;
     }
 }
--- a/src/main/java/gingerspool/wire/Frames.java
+++ b/src/main/java/gingerspool/wire/Frames.java
@@ -27,20 +27,20 @@
 
     private int held;
 
-    private Frames(Turns turns, AsynchronousSocketChannel channel, Owner owner) {
+    private Frames(EventLoop turns, AsynchronousSocketChannel channel, Owner owner) {
         super(turns, channel);
         this.owner = owner;
     }
 
     /** One that somebody else opened; it reads at once. */
-    public static Frames accepted(Turns turns, AsynchronousSocketChannel channel, Owner owner) {
+    public static Frames accepted(EventLoop turns, AsynchronousSocketChannel channel, Owner owner) {
         Frames made = new Frames(turns, channel, owner);
         made.readOn();
         return made;
     }
 
     /** Starts to connect; fails at once only where there is no descriptor left. */
-    public static Frames open(Turns turns, SocketAddress to, double within, Owner owner)
+    public static Frames open(EventLoop turns, SocketAddress to, double within, Owner owner)
             throws IOException {
         Frames made = new Frames(turns, turns.channel(), owner);
         made.connect(to, within, () -> owner.up(made));
--- a/src/main/java/gingerspool/wire/Inbound.java
+++ b/src/main/java/gingerspool/wire/Inbound.java
@@ -24,7 +24,7 @@
             "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
     /** Who takes the requests. */
-    public interface Door {
+    public interface Handler {
         /** A whole request; the connection is then owed one answer. */
         void asked(Inbound from, Message request);
 
@@ -45,7 +45,7 @@
         ENDING
     }
 
-    private final Door door;
+    private final Handler door;
     private double idle;
     private final double stalled;
 
@@ -62,15 +62,15 @@
     private double since;
     private boolean callBacks;
 
-    public Inbound(Turns turns, AsynchronousSocketChannel channel, Door door) {
+    public Inbound(EventLoop turns, AsynchronousSocketChannel channel, Handler door) {
         this(turns, channel, door, IDLE, STALLED);
     }
 
     /** With so long for it to be idle, and for one message, answer or end to take. */
     public Inbound(
-            Turns turns,
+            EventLoop turns,
             AsynchronousSocketChannel channel,
-            Door door,
+            Handler door,
             double idle,
             double stalled) {
         this(turns, channel, door, idle, stalled, HEAD_MOST, BODY_MOST);
@@ -81,9 +81,9 @@
      * and with so many bytes at the most for the head and the body of a request.
      */
     public Inbound(
-            Turns turns,
+            EventLoop turns,
             AsynchronousSocketChannel channel,
-            Door door,
+            Handler door,
             double idle,
             double stalled,
             int headMost,
--- a/src/main/java/gingerspool/wire/Tree.java
+++ b/src/main/java/gingerspool/wire/JsonTree.java
@@ -6,8 +6,8 @@
  * Looks into maps and lists that came as JSON; what is absent or of another sort gives the
  * fallback.
  */
-public final class Tree {
-    private Tree() {}
+public final class JsonTree {
+    private JsonTree() {}
 
     public static Object at(Object tree, String... path) {
         for (String step : path) {
--- a/src/main/java/gingerspool/wire/Listener.java
+++ b/src/main/java/gingerspool/wire/Listener.java
@@ -33,19 +33,20 @@
         void accepted(AsynchronousSocketChannel channel);
     }
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final Owner owner;
     private final AsynchronousServerSocketChannel channel;
     private boolean accepting;
     private boolean retiring;
 
     /** Listens at once, alone at its address. */
-    public Listener(Turns turns, SocketAddress at, Owner owner) throws IOException {
+    public Listener(EventLoop turns, SocketAddress at, Owner owner) throws IOException {
         this(turns, at, false, owner);
     }
 
     /** Listens at once; where shared, other processes may listen at the same address beside it. */
-    public Listener(Turns turns, SocketAddress at, boolean shared, Owner owner) throws IOException {
+    public Listener(EventLoop turns, SocketAddress at, boolean shared, Owner owner)
+            throws IOException {
         this.turns = turns;
         this.owner = owner;
         channel = AsynchronousServerSocketChannel.open(turns.group());
--- a/src/main/java/gingerspool/wire/ManagementDoor.java
+++ b/src/main/java/gingerspool/wire/ManagementEndpoint.java
@@ -17,8 +17,8 @@
  * answers; decides nothing. One call to a connection; only calls that the Office takes for itself
  * may keep theirs.
  */
-public final class ManagementDoor implements Inbound.Door, Listener.Owner {
-    private static final Logger LOG = LoggerFactory.getLogger(ManagementDoor.class);
+public final class ManagementEndpoint implements Inbound.Handler, Listener.Owner {
+    private static final Logger LOG = LoggerFactory.getLogger(ManagementEndpoint.class);
 
     /** How long a caller may take over one call, and over its end, in milliseconds. */
     private static final double PATIENCE = 2000;
@@ -61,7 +61,7 @@
         boolean takes(Inbound from, Message request);
     }
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final Office office;
     private final int most;
     private final Listener listener;
@@ -79,7 +79,7 @@
     private int stalled;
 
     /** Listens at once; holds so many connections at the most. */
-    public ManagementDoor(Turns turns, SocketAddress at, int most, Office office)
+    public ManagementEndpoint(EventLoop turns, SocketAddress at, int most, Office office)
             throws IOException {
         this.turns = turns;
         this.office = office;
@@ -194,11 +194,11 @@
         String path = query < 0 ? target : target.substring(0, query);
         switch (path) {
             case "/v1/readyz" -> {
-                Door.allow(request, "GET");
+                ClientEndpoint.allow(request, "GET");
                 reply(from, path).answer(office.takesClients() ? Answer.YES : Answer.NO);
             }
             case "/v1/scheduler/drain", "/v1/scheduler/activate" -> {
-                Door.allow(request, "POST");
+                ClientEndpoint.allow(request, "POST");
                 office.drain(path.endsWith("drain"), reply(from, path));
             }
             default -> ofWorker(from, request, path);
@@ -213,7 +213,7 @@
                 || path.length() < WORKERS.length() + last.length()) {
             throw new BadMessage(404, "no such path");
         }
-        Door.allow(request, "POST");
+        ClientEndpoint.allow(request, "POST");
         String id = plain(path.substring(WORKERS.length(), path.length() - last.length()));
         if (id.isEmpty() || id.length() > ID_MOST) {
             throw new BadMessage(404, "no such worker");
--- a/src/main/java/gingerspool/wire/Outbound.java
+++ b/src/main/java/gingerspool/wire/Outbound.java
@@ -75,21 +75,22 @@
     /** How long its peer keeps it at rest, as last told; without end if never. */
     private double keptFor = Double.POSITIVE_INFINITY;
 
-    private Outbound(Turns turns, AsynchronousSocketChannel channel, Owner owner, int bodyMost) {
+    private Outbound(
+            EventLoop turns, AsynchronousSocketChannel channel, Owner owner, int bodyMost) {
         super(turns, channel);
         this.owner = owner;
         this.bodyMost = bodyMost;
     }
 
     /** Starts to connect; fails at once only where there is no descriptor left. */
-    public static Outbound open(Turns turns, SocketAddress to, double within, Owner owner)
+    public static Outbound open(EventLoop turns, SocketAddress to, double within, Owner owner)
             throws IOException {
         return open(turns, to, within, owner, ANSWER_MOST);
     }
 
     /** The same, for answers whose body has no more bytes than this. */
     public static Outbound open(
-            Turns turns, SocketAddress to, double within, Owner owner, int bodyMost)
+            EventLoop turns, SocketAddress to, double within, Owner owner, int bodyMost)
             throws IOException {
         Outbound made = new Outbound(turns, turns.channel(), owner, bodyMost);
         made.connect(to, within, made::connected);
@@ -194,7 +195,7 @@
     int received(byte[] b, int from, int to) {
         if (answer == null) {
             // Nothing was asked, so nothing may come.
-            if (turns.has(Safeguard.UNASKED_BYTES_CLOSE)) {
+            if (turns.has(RequestSafeguard.UNASKED_BYTES_CLOSE)) {
                 close();
             }
             return to - from;
@@ -204,14 +205,14 @@
             if (answer.done() && answer.status() < 200) {
                 answer = Message.answer(sink, bodyMost);
             } else if (answer.done() && caller != null && !caller.isMine(answer)) {
-                surplus |= turns.has(Safeguard.SURPLUS_RESPONSE_CLOSES);
+                surplus |= turns.has(RequestSafeguard.SURPLUS_RESPONSE_CLOSES);
                 answer = Message.answer(sink, bodyMost);
             } else {
                 // Guards the next request: what is behind a whole answer belongs to none.
                 surplus |=
                         answer.done()
                                 && taken < to - from
-                                && turns.has(Safeguard.SURPLUS_BYTES_CLOSE);
+                                && turns.has(RequestSafeguard.SURPLUS_BYTES_CLOSE);
                 finish();
             }
             return taken;
@@ -233,7 +234,7 @@
         Caller to = caller;
         answer = null;
         caller = null;
-        boolean inTime = whole || !turns.has(Safeguard.EARLY_RESPONSE_CLOSES);
+        boolean inTime = whole || !turns.has(RequestSafeguard.EARLY_RESPONSE_CLOSES);
         boolean keep = inTime && !surplus && done.keepsAlive() && (to == null || to.mayKeep(done));
         if (keep) {
             freeSince = turns.now();
@@ -267,8 +268,8 @@
 
     /** Guards callers: an answer that ends with its connection may be another's, or cut. */
     private boolean isWholeAtClose(Caller to) {
-        boolean framed = !to.takesUnframed() && turns.has(Safeguard.LENGTH_TOLD);
+        boolean framed = !to.takesUnframed() && turns.has(RequestSafeguard.LENGTH_TOLD);
         boolean ends = !framed && answer.endsWithClose();
-        return to.isMine(answer) && (ends || !turns.has(Safeguard.WHOLE_RESPONSE));
+        return to.isMine(answer) && (ends || !turns.has(RequestSafeguard.WHOLE_RESPONSE));
     }
 }
--- a/src/main/java/gingerspool/wire/Safeguard.java
+++ b/src/main/java/gingerspool/wire/RequestSafeguard.java
@@ -4,7 +4,7 @@
  * What keeps answers with their requests, and unsafe requests from running twice. Each stands for
  * one check in the code; a model test takes them out one by one and shows what then goes wrong.
  */
-public enum Safeguard {
+public enum RequestSafeguard {
     /** An answer with the id of another request is passed over. */
     RESPONSE_ID,
 
--- a/src/main/java/gingerspool/daemon/Loop.java
+++ b/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
@@ -1,6 +1,5 @@
-package gingerspool.daemon;
+package gingerspool.wire;
 
-import gingerspool.wire.Turns;
 import java.io.IOException;
 import java.nio.channels.AsynchronousChannelGroup;
 import java.util.ArrayDeque;
@@ -15,8 +14,8 @@
  * The one thread that completion handlers and timers end on; what they start is done in turns of
  * its own.
  */
-public final class Loop implements Turns {
-    private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+public final class SingleThreadEventLoop implements EventLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(SingleThreadEventLoop.class);
 
     /** A timer that fires later than this, in milliseconds, is told in the log. */
     private static final double TOO_LATE = 50;
@@ -33,7 +32,7 @@
     private long warnedAt = baseNanos - WARN_EVERY;
     private double latest;
 
-    public Loop() throws IOException {
+    public SingleThreadEventLoop() throws IOException {
         thread = new ScheduledThreadPoolExecutor(1, r -> new Thread(r, "loop"));
         thread.setRemoveOnCancelPolicy(true);
         thread.setRejectedExecutionHandler(new ThreadPoolExecutor.DiscardPolicy());
@@ -89,7 +88,7 @@
     }
 
     /** The most that a timer was late by since this was last asked. */
-    double latestSince() {
+    public double latestSince() {
         double worst = latest;
         latest = 0;
         return worst;
--- a/src/main/java/gingerspool/wire/ToWorker.java
+++ b/src/main/java/gingerspool/wire/WorkerProtocol.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 
 /** What is said to a worker, and what its answers mean. */
-public final class ToWorker {
+public final class WorkerProtocol {
     private static final String[] PASSED_ON = {
         "X-Correlation-Id",
         "X-Service-Class",
@@ -17,7 +17,7 @@
         "Content-Type"
     };
 
-    private ToWorker() {}
+    private WorkerProtocol() {}
 
     /**
      * A client's request for a worker: target, id and body unchanged, with the time that we shall
--- a/src/test/java/gingerspool/autoscaler/AutoscalerTest.java
+++ b/src/test/java/gingerspool/autoscaler/AutoscalerTest.java
@@ -9,7 +9,7 @@
 import gingerspool.configuration.Service;
 import gingerspool.slots.Function;
 import gingerspool.slots.Instance;
-import gingerspool.slots.SlotKeeper;
+import gingerspool.slots.SlotAllocator;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -18,7 +18,7 @@
 import org.testng.annotations.Test;
 
 public class AutoscalerTest {
-    private SlotKeeper keeper;
+    private SlotAllocator keeper;
     private Autoscaler scaler;
     private final List<String> starts = new ArrayList<>();
     private final List<String> nonces = new ArrayList<>();
@@ -29,7 +29,7 @@
         starts.clear();
         nonces.clear();
         stops.clear();
-        keeper = new SlotKeeper(1000, 0, (front, word) -> {});
+        keeper = new SlotAllocator(1000, 0, (front, word) -> {});
         keeper.configured(
                 Configuration.newBuilder()
                         .addServices(
@@ -236,9 +236,9 @@
 
     @Test
     public void waitsFollowErlang() {
-        assertEquals(StartDelays.longer(1, 0.5, 0), 0.5, 1e-9);
-        assertEquals(StartDelays.longer(2, 1, 0), 1.0 / 3, 1e-9);
-        assertEquals(StartDelays.longer(2, 1, 2), Math.exp(-2) / 3, 1e-9);
-        assertEquals(StartDelays.longer(2, 2, 5), 1.0);
+        assertEquals(ErlangDelay.longer(1, 0.5, 0), 0.5, 1e-9);
+        assertEquals(ErlangDelay.longer(2, 1, 0), 1.0 / 3, 1e-9);
+        assertEquals(ErlangDelay.longer(2, 1, 2), Math.exp(-2) / 3, 1e-9);
+        assertEquals(ErlangDelay.longer(2, 2, 5), 1.0);
     }
 }
--- a/src/test/java/gingerspool/cli/PlatformTest.java
+++ b/src/test/java/gingerspool/cli/PlatformTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertTrue;
 
 import gingerspool.wire.Json;
-import gingerspool.wire.Tree;
+import gingerspool.wire.JsonTree;
 import java.net.http.HttpResponse;
 import java.nio.file.Files;
 import org.testng.annotations.Test;
@@ -27,7 +27,7 @@
             assertEquals(second.statusCode(), 200, second.body());
             for (int machine = 2; machine <= 3; machine++) {
                 Object read = Json.read(platform.read(machine).body());
-                assertEquals(Tree.number(0, read, "Version"), 1.0);
+                assertEquals(JsonTree.number(0, read, "Version"), 1.0);
                 assertEquals(
                         read,
                         Json.read(Platforms.Running.CONFIGURATION),
--- a/src/test/java/gingerspool/configuration/ConfigurationStateTest.java
+++ b/src/test/java/gingerspool/configuration/ConfigurationStateTest.java
@@ -7,7 +7,7 @@
 import static org.testng.Assert.assertTrue;
 
 import gingerspool.wire.Json;
-import gingerspool.wire.Tree;
+import gingerspool.wire.JsonTree;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.util.Arrays;
@@ -227,7 +227,7 @@
         b.restore(a.state());
         Object read = Json.read(b.text(), 0, b.text().length);
         assertEquals(
-                Tree.at(((java.util.List<?>) Tree.at(read, "Services")).get(0), "Odd", "x")
+                JsonTree.at(((java.util.List<?>) JsonTree.at(read, "Services")).get(0), "Odd", "x")
                         .toString(),
                 "[1.0]");
         assertEquals(b.take(false, 3, bytes(change)).status(), 200, "known again after a snapshot");
--- a/src/test/java/gingerspool/consensus/LinkFaultTest.java
+++ b/src/test/java/gingerspool/consensus/LinkFaultTest.java
@@ -72,7 +72,8 @@
         Node deaf = cluster.awaitLeader();
         double without = longestWithoutLeader(cluster, 10_000, e -> !to(e, deaf));
         assertTrue(without < 5 * LEASE, without + " ms");
-        TestCluster bare = new TestCluster(3, 1 << 20, 1000, 2, Safeguard.STEP_DOWN_WITHOUT_LEASE);
+        TestCluster bare =
+                new TestCluster(3, 1 << 20, 1000, 2, ConsensusSafeguard.STEP_DOWN_WITHOUT_LEASE);
         Node stays = bare.awaitLeader();
         assertTrue(longestWithoutLeader(bare, 10_000, e -> !to(e, stays)) > 9000);
     }
@@ -91,10 +92,10 @@
     @Test
     public void aFollowerThatHearsNobodyDisturbsNobody() {
         assertEquals(termsRaisedBy(), 0);
-        assertNotEquals(termsRaisedBy(Safeguard.PRE_VOTE), 0);
+        assertNotEquals(termsRaisedBy(ConsensusSafeguard.PRE_VOTE), 0);
     }
 
-    private static long termsRaisedBy(Safeguard... out) {
+    private static long termsRaisedBy(ConsensusSafeguard... out) {
         TestCluster cluster = new TestCluster(3, 1 << 20, 1000, 4, out);
         Node leader = cluster.awaitLeader();
         long term = leader.replica.term();
--- a/src/test/java/gingerspool/consensus/LogRepairTest.java
+++ b/src/test/java/gingerspool/consensus/LogRepairTest.java
@@ -93,10 +93,10 @@
     @Test
     public void aTruncationTakesBackWhatWasDurable() {
         assertEquals(acknowledgedBeforeSync(), 10);
-        assertEquals(acknowledgedBeforeSync(Safeguard.TRUNCATION_RESETS_DURABLE), 30);
+        assertEquals(acknowledgedBeforeSync(ConsensusSafeguard.TRUNCATION_RESETS_DURABLE), 30);
     }
 
-    private static long acknowledgedBeforeSync(Safeguard... out) {
+    private static long acknowledgedBeforeSync(ConsensusSafeguard... out) {
         TestCluster cluster = new TestCluster(0, 1 << 20, 1000, 1, out);
         Node node = with(cluster, 2, 2, log(1, 10, 2, 20));
         long[] acknowledged = {0};
@@ -119,10 +119,10 @@
     @Test
     public void lateEntriesRemoveNothingThatMatches() {
         assertEquals(lastAfterLateEntries(), 30);
-        assertEquals(lastAfterLateEntries(Safeguard.TRUNCATE_ONLY_ON_CONFLICT), 15);
+        assertEquals(lastAfterLateEntries(ConsensusSafeguard.TRUNCATE_ONLY_ON_CONFLICT), 15);
     }
 
-    private static long lastAfterLateEntries(Safeguard... out) {
+    private static long lastAfterLateEntries(ConsensusSafeguard... out) {
         TestCluster cluster = new TestCluster(0, 1 << 20, 1000, 1, out);
         Node node = with(cluster, 2, 2, log(1, 10, 2, 20));
         node.replica.receive(
--- a/src/test/java/gingerspool/consensus/SnapshotTransferTest.java
+++ b/src/test/java/gingerspool/consensus/SnapshotTransferTest.java
@@ -21,7 +21,7 @@
         final Node leader;
         final Node follower;
 
-        Away(long seed, int changes, int bytes, Safeguard... out) {
+        Away(long seed, int changes, int bytes, ConsensusSafeguard... out) {
             cluster = new TestCluster(3, FLOOR, PIECE, seed, out);
             leader = cluster.awaitLeader();
             cluster.change(5, 100);
@@ -145,10 +145,10 @@
     @Test
     public void aWrongDigestIsNotInstalled() {
         assertTrue(agreesAfterDamage());
-        assertFalse(agreesAfterDamage(Safeguard.SNAPSHOT_DIGEST_CHECKED));
+        assertFalse(agreesAfterDamage(ConsensusSafeguard.SNAPSHOT_DIGEST_CHECKED));
     }
 
-    private static boolean agreesAfterDamage(Safeguard... out) {
+    private static boolean agreesAfterDamage(ConsensusSafeguard... out) {
         Away away = new Away(4, 40, 4000, out);
         boolean[] damaged = {false};
         away.cluster.onItsWay =
@@ -186,10 +186,10 @@
     @Test
     public void aLateSnapshotDoesNotTakeTheStateBack() {
         assertTrue(stateAfterLateSnapshot() > 60);
-        assertTrue(stateAfterLateSnapshot(Safeguard.SNAPSHOT_ONLY_FORWARD) <= 60);
+        assertTrue(stateAfterLateSnapshot(ConsensusSafeguard.SNAPSHOT_ONLY_FORWARD) <= 60);
     }
 
-    private static int stateAfterLateSnapshot(Safeguard... out) {
+    private static int stateAfterLateSnapshot(ConsensusSafeguard... out) {
         Away away = new Away(5, 50, 300, out);
         List<ConsensusMessage.Envelope> pieces = new ArrayList<>();
         away.cluster.arrives =
@@ -235,10 +235,10 @@
     @Test
     public void entriesBeyondASnapshotStay() {
         assertEquals(lastAfterInstall(), 8);
-        assertEquals(lastAfterInstall(Safeguard.SNAPSHOT_KEEPS_MATCHING_LOG), 4);
+        assertEquals(lastAfterInstall(ConsensusSafeguard.SNAPSHOT_KEEPS_MATCHING_LOG), 4);
     }
 
-    private static long lastAfterInstall(Safeguard... out) {
+    private static long lastAfterInstall(ConsensusSafeguard... out) {
         TestCluster cluster = new TestCluster(0, FLOOR, PIECE, 1, out);
         Member self = new Member("n1", "0");
         Member leader = new Member("n0", "0");
--- a/src/test/java/gingerspool/consensus/TestCluster.java
+++ b/src/test/java/gingerspool/consensus/TestCluster.java
@@ -132,7 +132,7 @@
 
     private final int snapshotFloor;
     private final int pieceBytes;
-    private final Set<Safeguard> out;
+    private final Set<ConsensusSafeguard> out;
     final Map<String, Node> nodes = new LinkedHashMap<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
@@ -153,7 +153,8 @@
     double delaySpread;
     private final SplittableRandom chance;
 
-    TestCluster(int founders, int snapshotFloor, int pieceBytes, long seed, Safeguard... out) {
+    TestCluster(
+            int founders, int snapshotFloor, int pieceBytes, long seed, ConsensusSafeguard... out) {
         this.snapshotFloor = snapshotFloor;
         this.pieceBytes = pieceBytes;
         this.out = Set.of(out);
--- a/src/test/java/gingerspool/controlplane/CoreModel.java
+++ b/src/test/java/gingerspool/controlplane/CoreModel.java
@@ -37,7 +37,7 @@
         double at;
     }
 
-    final ModelTurns turns = new ModelTurns();
+    final ModelEventLoop turns = new ModelEventLoop();
     final List<Node> nodes = new ArrayList<>();
 
     /** Links that carry nothing, as "from>to". */
--- a/src/test/java/gingerspool/controlplane/OrderlyStopTest.java
+++ b/src/test/java/gingerspool/controlplane/GracefulShutdownTest.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-public class OrderlyStopTest {
+public class GracefulShutdownTest {
     private static final double GRACE = 6_000;
 
-    private final ModelTurns turns = new ModelTurns();
+    private final ModelEventLoop turns = new ModelEventLoop();
 
     /** A process whose answers a test sets, and what it was told, with the time. */
-    private final class Told implements OrderlyStop.Process {
+    private final class Told implements GracefulShutdown.Process {
         final List<String> told = new ArrayList<>();
         final double from = turns.now();
         boolean mayStop;
@@ -48,7 +48,7 @@
     public void endsAtOnceWhereNothingHoldsIt() {
         Told process = new Told();
         process.mayStop = true;
-        OrderlyStop stop = new OrderlyStop(turns, GRACE, process);
+        GracefulShutdown stop = new GracefulShutdown(turns, GRACE, process);
         stop.begin();
         stop.begin();
         turns.run(GRACE);
@@ -59,7 +59,7 @@
     public void staysForItsReplacementAndForThoseWhoWait() {
         Told process = new Told();
         process.owes = true;
-        new OrderlyStop(turns, GRACE, process).begin();
+        new GracefulShutdown(turns, GRACE, process).begin();
         turns.run(1_000);
         assertEquals(process.told, List.of());
         process.mayStop = true;
@@ -73,7 +73,7 @@
     public void endsWithinTheGracePeriodWhateverComes() {
         Told process = new Told();
         process.owes = true;
-        new OrderlyStop(turns, GRACE, process).begin();
+        new GracefulShutdown(turns, GRACE, process).begin();
         turns.run(GRACE);
         assertEquals(process.told, List.of("closed 36", "ended 51"));
     }
--- a/src/test/java/gingerspool/controlplane/LeaderDutiesTest.java
+++ b/src/test/java/gingerspool/controlplane/LeaderDutiesTest.java
@@ -7,7 +7,7 @@
 import gingerspool.codec.Messages;
 import gingerspool.configuration.ConfigurationState;
 import gingerspool.controlplane.CoreModel.Node;
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -30,10 +30,10 @@
                     + "\"MemoryMb\":128,\"BootMs\":200,\"MaxConcurrency\":2}]}";
 
     private CoreModel core;
-    private final Settings settings = settings();
+    private final NodeSettings settings = settings();
     private ModelPlatform platform;
 
-    private static Settings settings() {
+    private static NodeSettings settings() {
         try {
             Path file = Files.createTempFile("settings", ".toml");
             Files.writeString(
@@ -52,7 +52,7 @@
                     LagMs = 100
                     DutyPerS = 50.0
                     """);
-            return Settings.read(file);
+            return NodeSettings.read(file);
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/gingerspool/controlplane/ModelTurns.java
+++ b/src/test/java/gingerspool/controlplane/ModelEventLoop.java
@@ -1,13 +1,13 @@
 package gingerspool.controlplane;
 
-import gingerspool.wire.Turns;
+import gingerspool.wire.EventLoop;
 import java.nio.channels.AsynchronousChannelGroup;
 import java.util.PriorityQueue;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Future;
 
 /** A loop whose time passes only as a test says. */
-final class ModelTurns implements Turns {
+final class ModelEventLoop implements EventLoop {
     private record Timer(double at, long serial, Runnable what, CompletableFuture<Void> end)
             implements Comparable<Timer> {
         @Override
--- a/src/test/java/gingerspool/controlplane/PlatformCallsTest.java
+++ b/src/test/java/gingerspool/controlplane/PlatformCallsTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.daemon.Loop;
-import gingerspool.wire.Tree;
+import gingerspool.wire.JsonTree;
+import gingerspool.wire.SingleThreadEventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -29,7 +29,7 @@
 public class PlatformCallsTest {
     private static final double PATIENCE = 200;
     private static final String GOOD = page("{\"Identifier\":\"i-1234\"}");
-    private Loop loop;
+    private SingleThreadEventLoop loop;
     private ServerSocket server;
     private PlatformClient platform;
 
@@ -38,7 +38,7 @@
 
     @BeforeMethod
     public void open() throws IOException {
-        loop = new Loop();
+        loop = new SingleThreadEventLoop();
         answers.clear();
         server = new ServerSocket(0, 20, InetAddress.getLoopbackAddress());
         platform =
@@ -111,7 +111,7 @@
         answers.add(GOOD);
         Platform.Answer next = start();
         assertEquals(next.status(), 200);
-        assertEquals(Tree.text("", next.tree(), "Identifier"), "i-1234");
+        assertEquals(JsonTree.text("", next.tree(), "Identifier"), "i-1234");
     }
 
     /**
--- a/src/test/java/gingerspool/controlplane/StartWithoutDiskTest.java
+++ b/src/test/java/gingerspool/controlplane/StartWithoutDiskTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -51,7 +51,7 @@
                 Address = "127.0.8.9:1"
                 """
                         .formatted(IP, inner, inner, IP, port, data, IP, port));
-        return new ControlNode(Settings.read(file));
+        return new ControlNode(NodeSettings.read(file));
     }
 
     private int read(int port) throws IOException, InterruptedException {
--- a/src/test/java/gingerspool/daemon/ConfigurationTest.java
+++ b/src/test/java/gingerspool/daemon/ConfigurationTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
+import gingerspool.dispatch.DispatcherSettings;
 import gingerspool.dispatch.Profile;
-import gingerspool.dispatch.Settings;
 import gingerspool.wire.BadMessage;
 import gingerspool.wire.Json;
 import java.util.Map;
@@ -36,7 +36,7 @@
         assertEquals(p.kind, -1);
         assertEquals(c.mostTasks, 9);
         assertEquals(c.connectWithin, 250.0);
-        assertEquals(c.settings.order, Settings.Order.FIRST_COME);
+        assertEquals(c.settings.order, DispatcherSettings.Order.FIRST_COME);
     }
 
     /** An effect that is not known must be taken for the one that allows least. */
--- a/src/test/java/gingerspool/daemon/PolicyMeasure.java
+++ b/src/test/java/gingerspool/daemon/PolicyMeasure.java
@@ -1,10 +1,10 @@
 package gingerspool.daemon;
 
 import gingerspool.dispatch.Assignment;
+import gingerspool.dispatch.DispatchActions;
 import gingerspool.dispatch.Dispatcher;
-import gingerspool.dispatch.Outlet;
+import gingerspool.dispatch.DispatcherSettings;
 import gingerspool.dispatch.Profile;
-import gingerspool.dispatch.Settings;
 import gingerspool.dispatch.Task;
 import gingerspool.peers.Peers;
 import gingerspool.route.Match;
@@ -226,7 +226,7 @@
     }
 
     private static double whole(int inHand, int workers) {
-        Settings s = settings();
+        DispatcherSettings s = settings();
         List<Assignment> sent = new ArrayList<>();
         Dispatcher d = dispatcher(s, workers, 4.0 * inHand, sent);
         int tasks = inHand + 10_000;
@@ -246,8 +246,8 @@
         return (System.nanoTime() - from) / 1e3 / tasks;
     }
 
-    private static Settings settings() {
-        Settings s = new Settings();
+    private static DispatcherSettings settings() {
+        DispatcherSettings s = new DispatcherSettings();
         Profile p = new Profile();
         p.name = "p";
         p.effect = Profile.Effect.IDEMPOTENT;
@@ -259,7 +259,7 @@
     }
 
     private static Dispatcher dispatcher(
-            Settings s, int workers, double size, List<Assignment> sent) {
+            DispatcherSettings s, int workers, double size, List<Assignment> sent) {
         Dispatcher d = new Dispatcher(s, 7, new Sends(sent));
         d.listBegins(0, true);
         for (int w = 0; w < workers; w++) {
@@ -270,7 +270,7 @@
     }
 
     private static double toFirst(int routes) {
-        Settings s = settings();
+        DispatcherSettings s = settings();
         Profile p = s.profiles[0];
         List<Assignment> sent = new ArrayList<>();
         Dispatcher d = dispatcher(s, 10, 1000, sent);
@@ -306,7 +306,7 @@
         return spent / 1e3 / tasks;
     }
 
-    private record Sends(List<Assignment> sent) implements Outlet {
+    private record Sends(List<Assignment> sent) implements DispatchActions {
         @Override
         public void send(Assignment assignment, double timeout) {
             sent.add(assignment);
--- a/src/test/java/gingerspool/daemon/LifeTest.java
+++ b/src/test/java/gingerspool/daemon/ProcessLifecycleTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class LifeTest {
+public class ProcessLifecycleTest {
     private static final double WITHIN = 3400;
 
     /**
@@ -56,8 +56,8 @@
         };
     }
 
-    private static Life after(String inputs) {
-        Life life = new Life();
+    private static ProcessLifecycle after(String inputs) {
+        ProcessLifecycle life = new ProcessLifecycle();
         for (String input : inputs.split(" ")) {
             switch (input) {
                 case "started" -> life.started();
@@ -74,7 +74,7 @@
 
     @Test(dataProvider = "table")
     public void eachStateAnswersEachInput(String inputs, String seen, String byTime) {
-        Life life = after(inputs);
+        ProcessLifecycle life = after(inputs);
         assertEquals(
                 (life.takesClients() ? "yes " : "no ")
                         + (life.isReady() ? "yes " : "no ")
@@ -96,7 +96,7 @@
     /** Guards rule one: what is out is given up within the span told, and not before it. */
     @Test
     public void itIsOverWithinTheSpanToldAtTheFirstSignal() {
-        Life life = after("started term");
+        ProcessLifecycle life = after("started term");
         life.leave(2000, WITHIN);
         assertTrue(!life.isOver(3399) && life.isOver(3400));
         assertTrue(!life.isClosing(2549) && life.isClosing(2550));
@@ -112,7 +112,7 @@
      */
     @Test
     public void whoStandsBetweenTwoOthersStaysUntilItIsOver() {
-        Life life = after("started");
+        ProcessLifecycle life = after("started");
         life.succeeded(100);
         assertFalse(life.mayEnd(200, false));
         life.leave(1000, WITHIN);
--- a/src/test/java/gingerspool/dataplane/ControlLinksTest.java
+++ b/src/test/java/gingerspool/dataplane/ControlLinksTest.java
@@ -7,7 +7,7 @@
 import gingerspool.codec.KryoCodec;
 import gingerspool.codec.MessageTypes;
 import gingerspool.codec.Messages;
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.file.Files;
@@ -97,7 +97,7 @@
         links =
                 new ControlLinks(
                         network,
-                        Settings.read(file),
+                        NodeSettings.read(file),
                         () -> new Messages.Register("front-1", "a", 1, Map.of()),
                         received::add);
         network.turn(links::begin);
--- a/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
+++ b/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
@@ -6,14 +6,14 @@
 import gingerspool.configuration.Route;
 import gingerspool.configuration.Service;
 import gingerspool.peers.DecisionTrace;
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
 import gingerspool.slots.Instance;
-import gingerspool.slots.SlotKeeper;
-import gingerspool.store.Pool;
+import gingerspool.slots.SlotAllocator;
+import gingerspool.store.ConnectionPool;
 import gingerspool.wire.BadMessage;
 import gingerspool.wire.Inbound;
 import gingerspool.wire.Message;
-import gingerspool.wire.Safeguard;
+import gingerspool.wire.RequestSafeguard;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -41,12 +41,12 @@
 
     private final ModelNetwork network;
     private final ModelRecord record;
-    private final Settings settings;
+    private final NodeSettings settings;
     private final RequestRouter router;
     private final double trouble;
     private final Map<String, ModelWorker> workers = new LinkedHashMap<>();
     private final Map<Integer, ModelWorker> byPort = new LinkedHashMap<>();
-    private SlotKeeper keeper;
+    private SlotAllocator keeper;
     private long term;
     private boolean led;
     private double lostAt;
@@ -59,14 +59,14 @@
     /** Null unless traced. */
     private DecisionTrace trace;
 
-    DataPlaneSimulation(Settings settings, long seed, Set<Safeguard> without) {
+    DataPlaneSimulation(NodeSettings settings, long seed, Set<RequestSafeguard> without) {
         this.settings = settings;
         network = new ModelNetwork(seed, without);
         record =
                 new ModelRecord(
                         network, settings.retryRatio, settings.retrySlack, settings.retryWindow);
         trouble = network.chance.nextInt(4) * 0.3;
-        Pool pool = new Pool(network, settings.beat / 4, 5000, 40);
+        ConnectionPool pool = new ConnectionPool(network, settings.beat / 4, 5000, 40);
         router = new RequestRouter(network, settings, pool, this, () -> {});
         router.configure(configuration());
     }
@@ -184,7 +184,7 @@
     private void leads() {
         long of = ++term;
         keeper =
-                new SlotKeeper(
+                new SlotAllocator(
                         settings.beat,
                         network.now(),
                         (front, message) -> toScheduler(of, () -> receive(message)));
--- a/src/test/java/gingerspool/dataplane/DataPlaneSimulationTest.java
+++ b/src/test/java/gingerspool/dataplane/DataPlaneSimulationTest.java
@@ -3,8 +3,8 @@
 import static org.testng.Assert.assertEquals;
 
 import gingerspool.peers.DecisionTrace;
-import gingerspool.settings.Settings;
-import gingerspool.wire.Safeguard;
+import gingerspool.settings.NodeSettings;
+import gingerspool.wire.RequestSafeguard;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
  */
 public class DataPlaneSimulationTest {
     private static final int HISTORIES = Integer.getInteger("histories", 400);
-    private Settings settings;
+    private NodeSettings settings;
 
     @BeforeClass
     public void readSettings() throws Exception {
@@ -45,11 +45,11 @@
             RetryBudgetRatio = 0.2
             RetryBudgetSlack = 4
             """);
-        settings = Settings.read(file);
+        settings = NodeSettings.read(file);
     }
 
     /** Each sort of fault with its first seed and how many histories had it; empty if none had. */
-    private Map<String, String> found(int histories, Set<Safeguard> without) {
+    private Map<String, String> found(int histories, Set<RequestSafeguard> without) {
         Map<String, List<String>> all = new ConcurrentSkipListMap<>();
         LongStream.rangeClosed(1, histories)
                 .parallel()
@@ -82,7 +82,7 @@
         Map<String, String> found = new TreeMap<>();
         for (long seed = 1; seed <= 12; seed++) {
             DataPlaneSimulation history =
-                    new DataPlaneSimulation(settings, seed, EnumSet.noneOf(Safeguard.class));
+                    new DataPlaneSimulation(settings, seed, EnumSet.noneOf(RequestSafeguard.class));
             DecisionTrace trace = history.traced();
             history.play();
             found.put("seed " + seed, trace.end());
@@ -92,7 +92,7 @@
 
     @Test
     public void histories() {
-        Map<String, String> found = found(HISTORIES, EnumSet.noneOf(Safeguard.class));
+        Map<String, String> found = found(HISTORIES, EnumSet.noneOf(RequestSafeguard.class));
         assertEquals(found.toString(), "{}");
     }
 
@@ -100,7 +100,7 @@
     @Test
     public void eachGuardThatIsTakenOutIsMissed() {
         List<String> needless = new ArrayList<>();
-        for (Safeguard guard : Safeguard.values()) {
+        for (RequestSafeguard guard : RequestSafeguard.values()) {
             Map<String, String> found = found(Math.max(1, HISTORIES / 4), EnumSet.of(guard));
             Reporter.log(guard + " " + found, Boolean.getBoolean("guards"));
             if (found.isEmpty()) {
--- a/src/test/java/gingerspool/dataplane/DeposedLeaderTest.java
+++ b/src/test/java/gingerspool/dataplane/DeposedLeaderTest.java
@@ -6,8 +6,8 @@
 import gingerspool.codec.KryoCodec;
 import gingerspool.codec.MessageTypes;
 import gingerspool.codec.Messages;
-import gingerspool.daemon.Loop;
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
+import gingerspool.wire.SingleThreadEventLoop;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
@@ -56,7 +56,7 @@
         } while (!type.isInstance(message));
     }
 
-    private static Settings settings(int port) throws Exception {
+    private static NodeSettings settings(int port) throws Exception {
         Path file = Files.createTempFile("settings", ".toml");
         Files.writeString(
                 file,
@@ -73,10 +73,10 @@
                 FrontAddress = "127.0.11.9:1"
                 """
                         .formatted(port, port, OLD, FOLLOWER));
-        return Settings.read(file);
+        return NodeSettings.read(file);
     }
 
-    private static boolean isLed(Loop loop, ControlLinks links) throws Exception {
+    private static boolean isLed(SingleThreadEventLoop loop, ControlLinks links) throws Exception {
         CompletableFuture<Boolean> led = new CompletableFuture<>();
         loop.enter(() -> led.complete(links.isLed()));
         return led.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
@@ -88,7 +88,7 @@
      */
     @Test
     public void anOldLeaderThatStepsDownIsBelievedThoughANewTermWasHeardOf() throws Exception {
-        Loop loop = new Loop();
+        SingleThreadEventLoop loop = new SingleThreadEventLoop();
         try (ServerSocket old = listen(OLD, 0);
                 ServerSocket follower = listen(FOLLOWER, old.getLocalPort());
                 ServerSocket next = listen(NEXT, old.getLocalPort())) {
@@ -129,14 +129,16 @@
         }
     }
 
-    private static void awaitUnled(Loop loop, ControlLinks links) throws Exception {
+    private static void awaitUnled(SingleThreadEventLoop loop, ControlLinks links)
+            throws Exception {
         CompletableFuture<Void> unled = new CompletableFuture<>();
         loop.enter(() -> check(loop, links, unled));
         unled.get(PATIENCE_MS / 5, TimeUnit.MILLISECONDS);
         assertFalse(isLed(loop, links));
     }
 
-    private static void check(Loop loop, ControlLinks links, CompletableFuture<Void> unled) {
+    private static void check(
+            SingleThreadEventLoop loop, ControlLinks links, CompletableFuture<Void> unled) {
         if (!links.isLed()) {
             unled.complete(null);
         } else {
--- a/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
+++ b/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
@@ -7,15 +7,15 @@
 import gingerspool.codec.Messages;
 import gingerspool.configuration.Route;
 import gingerspool.configuration.Service;
-import gingerspool.daemon.Loop;
-import gingerspool.settings.Settings;
+import gingerspool.settings.NodeSettings;
 import gingerspool.standin.Cloud;
-import gingerspool.store.Pool;
+import gingerspool.store.ConnectionPool;
 import gingerspool.wire.Address;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Json;
+import gingerspool.wire.JsonTree;
 import gingerspool.wire.Message;
-import gingerspool.wire.Tree;
-import gingerspool.wire.Turns;
+import gingerspool.wire.SingleThreadEventLoop;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.URI;
@@ -39,10 +39,10 @@
 /** One function's desk against instances of the stand-in; what it tells the leader is kept. */
 public class FunctionQueueTest implements FunctionQueue.Environment {
     private static final double BEAT = 400;
-    private Loop loop;
+    private SingleThreadEventLoop loop;
     private Cloud cloud;
-    private Pool pool;
-    private Settings settings;
+    private ConnectionPool pool;
+    private NodeSettings settings;
     private FunctionQueue desk;
     private BlockingQueue<Object> said;
     private BlockingQueue<String> answers;
@@ -50,7 +50,7 @@
 
     @BeforeMethod
     public void open() throws Exception {
-        loop = new Loop();
+        loop = new SingleThreadEventLoop();
         said = new LinkedBlockingQueue<>();
         answers = new LinkedBlockingQueue<>();
         poolIndexes = 0;
@@ -70,8 +70,8 @@
             RetryBudgetSlack = 10
             """
                         .formatted((int) BEAT));
-        settings = Settings.read(file);
-        pool = new Pool(loop, 500, 5000, 20);
+        settings = NodeSettings.read(file);
+        pool = new ConnectionPool(loop, 500, 5000, 20);
         desk =
                 on(
                         () -> {
@@ -172,13 +172,13 @@
                                         .build(),
                                 HttpResponse.BodyHandlers.ofString());
         Object tree = Json.read(a.body());
-        String address = Tree.text("", tree, "Address");
+        String address = JsonTree.text("", tree, "Address");
         // It starts after a millisecond on the same loop; a knock would wait for it as well.
         on(() -> null);
         CompletableFuture<Void> later = new CompletableFuture<>();
         loop.enter(() -> loop.after(20, () -> later.complete(null)));
         later.get(5, TimeUnit.SECONDS);
-        grant(Tree.text("", tree, "Identifier"), address);
+        grant(JsonTree.text("", tree, "Identifier"), address);
     }
 
     private static String closedPort() throws Exception {
@@ -278,17 +278,17 @@
     // ---- The environment ----
 
     @Override
-    public Turns turns() {
+    public EventLoop turns() {
         return loop;
     }
 
     @Override
-    public Pool pool() {
+    public ConnectionPool pool() {
         return pool;
     }
 
     @Override
-    public Settings settings() {
+    public NodeSettings settings() {
         return settings;
     }
 
--- a/src/test/java/gingerspool/dataplane/ModelNetwork.java
+++ b/src/test/java/gingerspool/dataplane/ModelNetwork.java
@@ -1,7 +1,7 @@
 package gingerspool.dataplane;
 
-import gingerspool.wire.Safeguard;
-import gingerspool.wire.Turns;
+import gingerspool.wire.EventLoop;
+import gingerspool.wire.RequestSafeguard;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.SocketAddress;
@@ -28,7 +28,7 @@
  * A network and a clock in memory: the channels that connections of the real code are given, with
  * pieces of any size, resets and delays by seed. Time passes only from event to event.
  */
-final class ModelNetwork implements Turns {
+final class ModelNetwork implements EventLoop {
     /** The far end of a channel. */
     interface Remote {
         void received(byte[] bytes);
@@ -45,7 +45,7 @@
     private record Event(double at, long serial, Runnable what) {}
 
     final SplittableRandom chance;
-    private final Set<Safeguard> without;
+    private final Set<RequestSafeguard> without;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
                     Comparator.comparingDouble(Event::at).thenComparingLong(Event::serial));
@@ -56,9 +56,9 @@
     private double now = 1_000_000;
     private String fault;
 
-    ModelNetwork(long seed, Set<Safeguard> without) {
+    ModelNetwork(long seed, Set<RequestSafeguard> without) {
         chance = new SplittableRandom(seed);
-        this.without = without.isEmpty() ? EnumSet.noneOf(Safeguard.class) : without;
+        this.without = without.isEmpty() ? EnumSet.noneOf(RequestSafeguard.class) : without;
     }
 
     void listen(SocketAddress at, Acceptor who) {
@@ -144,7 +144,7 @@
     }
 
     @Override
-    public boolean has(Safeguard guard) {
+    public boolean has(RequestSafeguard guard) {
         return !without.contains(guard);
     }
 
--- a/src/test/java/gingerspool/dataplane/RequestRouterTest.java
+++ b/src/test/java/gingerspool/dataplane/RequestRouterTest.java
@@ -9,8 +9,8 @@
 import gingerspool.configuration.Limits;
 import gingerspool.configuration.Route;
 import gingerspool.configuration.Service;
-import gingerspool.settings.Settings;
-import gingerspool.store.Pool;
+import gingerspool.settings.NodeSettings;
+import gingerspool.store.ConnectionPool;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -86,10 +86,10 @@
             [Zones]
             a = "r"
             """);
-        Settings settings = Settings.read(file);
+        NodeSettings settings = NodeSettings.read(file);
         network = new ModelNetwork(1, Set.of());
         told = new ArrayList<>();
-        Pool pool = new Pool(network, 10 * BEAT, 5000, 40);
+        ConnectionPool pool = new ConnectionPool(network, 10 * BEAT, 5000, 40);
         router = new RequestRouter(network, settings, pool, this, () -> {});
         router.configure(configuration(1, 3000, 15_000));
     }
--- a/src/test/java/gingerspool/dispatch/Bench.java
+++ b/src/test/java/gingerspool/dispatch/Bench.java
@@ -13,11 +13,11 @@
  * Builds the states that tests need, writes down what a Dispatcher does, and talks HTTP as a peer
  * does.
  */
-public final class Bench implements Outlet {
+public final class Bench implements DispatchActions {
     final List<String> acts = new ArrayList<>();
     final List<Assignment> sent = new ArrayList<>();
     final List<byte[]> messages = new ArrayList<>();
-    final Settings settings = new Settings();
+    final DispatcherSettings settings = new DispatcherSettings();
     Dispatcher d;
 
     /**
--- a/src/test/java/gingerspool/dispatch/DecisionTraceTest.java
+++ b/src/test/java/gingerspool/dispatch/DecisionTraceTest.java
@@ -25,11 +25,11 @@
     private static final int WORKERS = 12;
 
     /** One dispatcher, driven by drawn inputs; what it calls is the trace. */
-    private static final class Drive implements Outlet {
+    private static final class Drive implements DispatchActions {
         private final SplittableRandom random;
         private final boolean platform;
         private final DecisionTrace trace = new DecisionTrace();
-        private final Settings settings = new Settings();
+        private final DispatcherSettings settings = new DispatcherSettings();
         private final Dispatcher dispatcher;
         private final List<Assignment> out = new ArrayList<>();
         private final List<Task> tasks = new ArrayList<>();
@@ -99,7 +99,7 @@
             settings.reportNames = new String[] {"queue", "free"};
             settings.reportsByProbe = seed % 3 != 0;
             settings.reportsInAnswers = seed % 3 != 1;
-            settings.order = Settings.Order.values()[(int) (seed % 3)];
+            settings.order = DispatcherSettings.Order.values()[(int) (seed % 3)];
             settings.mayProbe = settings.reportsByProbe;
             settings.mayCancel = seed % 2 == 1;
             settings.mayTell = seed % 2 == 0;
--- a/src/test/java/gingerspool/dispatch/ScoreTest.java
+++ b/src/test/java/gingerspool/dispatch/ScoreTest.java
@@ -61,7 +61,7 @@
     @Test
     public void onPriorityWorkersOnlyHigherPriorityCostsChance() {
         Bench b = Bench.of(SAFE, SAFE);
-        b.settings.order = Settings.Order.PRIORITY;
+        b.settings.order = DispatcherSettings.Order.PRIORITY;
         b.settings.profiles[1].prio = 1;
         b.start(1);
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/gingerspool/dispatch/TermsTest.java
+++ b/src/test/java/gingerspool/dispatch/TermsTest.java
@@ -141,7 +141,7 @@
         double[] told = new double[1];
         Bench b = Bench.of(SAFE);
         b.start(2);
-        Outlet out = b;
+        DispatchActions out = b;
         b.d =
                 new Dispatcher(
                         b.settings,
@@ -159,10 +159,10 @@
     }
 
     /** Passes everything on. */
-    private static class Relay implements Outlet {
-        private final Outlet to;
+    private static class Relay implements DispatchActions {
+        private final DispatchActions to;
 
-        Relay(Outlet to) {
+        Relay(DispatchActions to) {
             this.to = to;
         }
 
--- a/src/test/java/gingerspool/experiment/BrokenScheduler.java
+++ b/src/test/java/gingerspool/experiment/BrokenScheduler.java
@@ -2,14 +2,14 @@
 
 import gingerspool.dispatch.Dispatcher;
 import gingerspool.dispatch.Outcome;
-import gingerspool.wire.Door;
+import gingerspool.wire.ClientEndpoint;
+import gingerspool.wire.DiscoveryClient;
+import gingerspool.wire.EventLoop;
 import gingerspool.wire.Inbound;
 import gingerspool.wire.Message;
 import gingerspool.wire.Outbound;
 import gingerspool.wire.TaskRequest;
-import gingerspool.wire.ToWorker;
-import gingerspool.wire.Turns;
-import gingerspool.wire.Watch;
+import gingerspool.wire.WorkerProtocol;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -25,7 +25,7 @@
  * A simple scheduler that keeps the rules, or breaks one on purpose, so that the judge is seen to
  * find it.
  */
-final class BrokenScheduler implements Door.Desk, Watch.Follower {
+final class BrokenScheduler implements ClientEndpoint.Desk, DiscoveryClient.Follower {
     enum Way {
         SOUND,
         RESENDS,
@@ -53,7 +53,7 @@
         private boolean answered;
     }
 
-    private final Turns turns;
+    private final EventLoop turns;
     private final Way way;
     private final SplittableRandom chance;
     private final Map<String, InetSocketAddress> workers = new HashMap<>();
@@ -61,10 +61,10 @@
     private final Map<String, Double> born = new HashMap<>();
     private final Set<String> profiles;
     private final Map<String, Held> hand = new HashMap<>();
-    private Door door;
+    private ClientEndpoint door;
     private int count;
 
-    BrokenScheduler(Turns turns, Way way, long seed, Set<String> profiles) {
+    BrokenScheduler(EventLoop turns, Way way, long seed, Set<String> profiles) {
         this.turns = turns;
         this.way = way;
         this.profiles = profiles;
@@ -74,7 +74,7 @@
     /** Listens at a port of the system's choice. */
     InetSocketAddress listen() throws IOException {
         door =
-                new Door(
+                new ClientEndpoint(
                         turns,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         false,
@@ -86,7 +86,7 @@
     }
 
     void follow(InetSocketAddress discovery) {
-        Watch.open(turns, discovery, 0, 500, this);
+        DiscoveryClient.open(turns, discovery, 0, 500, this);
     }
 
     // ---- The list ----
@@ -165,7 +165,7 @@
         hand.put(id, t);
         client.whenGone(() -> t.answered = true);
         if (t.worker == null) {
-            Door.bounced(client, 0);
+            ClientEndpoint.bounced(client, 0);
             t.answered = true;
             return;
         }
@@ -176,9 +176,9 @@
             turns.after(way == Way.COPIES ? 1 : 20, () -> send(id, t, other, timeLeft));
         }
         if (way == Way.BOUNCES_WHAT_RUNS && count % 5 == 0) {
-            turns.after(5, () -> answer(id, t, () -> Door.bounced(client, 0)));
+            turns.after(5, () -> answer(id, t, () -> ClientEndpoint.bounced(client, 0)));
         }
-        turns.after(timeLeft - EARLY, () -> answer(id, t, () -> Door.abandoned(client)));
+        turns.after(timeLeft - EARLY, () -> answer(id, t, () -> ClientEndpoint.abandoned(client)));
     }
 
     private void answer(String id, Held t, Runnable how) {
@@ -208,12 +208,12 @@
                                 public void closed(Outbound connection) {}
                             });
             c.ask(
-                    ToWorker.request(t.request, workers.get(worker), timeLeft),
+                    WorkerProtocol.request(t.request, workers.get(worker), timeLeft),
                     timeLeft,
                     new Outbound.Caller() {
                         @Override
                         public void answered(Message answer) {
-                            Outcome how = ToWorker.outcome(answer);
+                            Outcome how = WorkerProtocol.outcome(answer);
                             if (how != null) {
                                 BrokenScheduler.this.answer(id, t, () -> end(t, how));
                             }
@@ -234,9 +234,9 @@
 
     private static void end(Held t, Outcome how) {
         if (how.neverRan()) {
-            Door.bounced(t.client, 0);
+            ClientEndpoint.bounced(t.client, 0);
         } else {
-            Door.abandoned(t.client);
+            ClientEndpoint.abandoned(t.client);
         }
     }
 
@@ -244,7 +244,7 @@
     public boolean told(
             String id, String from, String state, double share, String result, Object load) {
         Held t = hand.get(id);
-        Outcome how = ToWorker.outcome(state);
+        Outcome how = WorkerProtocol.outcome(state);
         if (t == null || how == null) {
             return true;
         }
@@ -258,9 +258,9 @@
             answer(id, t, t.client::close);
         } else if (way == Way.LATE && now) {
             t.answered = true;
-            turns.after(900, () -> Door.finished(t.client, result));
+            turns.after(900, () -> ClientEndpoint.finished(t.client, result));
         } else if (way == Way.MAKES_UP && now) {
-            answer(id, t, () -> Door.finished(t.client, result + "0"));
+            answer(id, t, () -> ClientEndpoint.finished(t.client, result + "0"));
         } else if (way == Way.ANSWERS_TWICE && now) {
             // A field that ends the head early smuggles a second answer behind the first.
             byte[] body = result.getBytes(StandardCharsets.UTF_8);
@@ -277,7 +277,7 @@
                                                     + body.length),
                                     result));
         } else {
-            answer(id, t, () -> Door.finished(t.client, result));
+            answer(id, t, () -> ClientEndpoint.finished(t.client, result));
         }
         return true;
     }
--- a/src/test/java/gingerspool/experiment/JudgeTest.java
+++ b/src/test/java/gingerspool/experiment/JudgeTest.java
@@ -3,7 +3,6 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.daemon.Loop;
 import gingerspool.judge.Judge;
 import gingerspool.judge.Judge.Rule;
 import gingerspool.judge.Verdict;
@@ -12,6 +11,7 @@
 import gingerspool.scenario.Scenario;
 import gingerspool.scenario.ScenarioFile;
 import gingerspool.standin.Fleet;
+import gingerspool.wire.SingleThreadEventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -57,7 +57,7 @@
         assertEquals(read.faults(), List.of());
         Scenario s = read.scenario();
         Plan plan = Plan.make(s, seed, folder);
-        Loop loop = new Loop();
+        SingleThreadEventLoop loop = new SingleThreadEventLoop();
         Path clients = folder.resolve("clients.tsv");
         Path executions = folder.resolve("executions.tsv");
         try {
--- a/src/test/java/gingerspool/handover/NoteTest.java
+++ b/src/test/java/gingerspool/handover/HandoverFileTest.java
@@ -11,17 +11,18 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-public class NoteTest {
-    private static final Note NOTE =
-            new Note("127.0.0.1:9", "0badcafe", List.of("s-1", "odd \"name\"\n\u00e9"), true);
+public class HandoverFileTest {
+    private static final HandoverFile NOTE =
+            new HandoverFile(
+                    "127.0.0.1:9", "0badcafe", List.of("s-1", "odd \"name\"\n\u00e9"), true);
 
     @Test
     public void whatIsWrittenIsReadAndIsTheOwnersAlone() throws Exception {
         Path folder = Files.createTempDirectory("note");
-        Path file = Note.path(folder, "n/1");
+        Path file = HandoverFile.path(folder, "n/1");
         NOTE.write(file);
         NOTE.write(file);
-        assertEquals(Note.read(file), NOTE);
+        assertEquals(HandoverFile.read(file), NOTE);
         assertEquals(
                 PosixFilePermissions.toString(Files.getPosixFilePermissions(file)), "rw-------");
         try (var all = Files.list(folder)) {
@@ -37,12 +38,12 @@
     @Test
     public void whatCannotBeUsedIsNoNote() throws Exception {
         Path folder = Files.createTempDirectory("note");
-        Path file = Note.path(folder, "n1");
-        assertNull(Note.read(file));
+        Path file = HandoverFile.path(folder, "n1");
+        assertNull(HandoverFile.read(file));
         byte[] whole = NOTE.text().getBytes(java.nio.charset.StandardCharsets.UTF_8);
         for (int i = 0; i < whole.length - 1; i++) {
             Files.write(file, java.util.Arrays.copyOf(whole, i));
-            assertNull(Note.read(file), "cut after " + i);
+            assertNull(HandoverFile.read(file), "cut after " + i);
         }
         for (String text :
                 List.of(
@@ -52,16 +53,16 @@
                         "{\"v\":1,\"suspended\":[7]}",
                         "{\"v\":1,\"suspended\":{}}")) {
             Files.writeString(file, text);
-            assertNull(Note.read(file), text);
+            assertNull(HandoverFile.read(file), text);
         }
         Files.delete(file);
         Files.createDirectory(file);
-        assertNull(Note.read(file), "a folder");
+        assertNull(HandoverFile.read(file), "a folder");
         Folders.remove(folder);
     }
 
     @Test(expectedExceptions = BadMessage.class)
     public void theVersionComesFirst() throws BadMessage {
-        Note.read("{\"v\":3}");
+        HandoverFile.read("{\"v\":3}");
     }
 }
--- a/src/test/java/gingerspool/handover/SuccessionTest.java
+++ b/src/test/java/gingerspool/handover/SuccessionTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.handover.Succession.Act;
+import gingerspool.handover.Succession.Action;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -16,53 +16,53 @@
     @DataProvider
     public Object[][] table() {
         return new Object[][] {
-            {"alone", Act.SERVE_ALONE},
-            {"named", Act.ASK},
-            {"named state", Act.TAKE},
-            {"named nostate", Act.SERVE_ALONE},
-            {"named state nostate", Act.NONE},
-            {"named state retired", Act.SERVE},
-            {"named state refused", Act.ASK},
-            {"named state refused state", Act.TAKE},
-            {"named retired", Act.NONE},
-            {"named refused", Act.NONE},
-            {"named gone", Act.SERVE_ALONE},
-            {"named state gone", Act.SERVE},
-            {"named state refused gone", Act.SERVE_ALONE},
-            {"named state retired gone", Act.NONE},
-            {"named state retired gone gone", Act.NONE},
-            {"named state gone retired", Act.NONE},
-            {"named nostate state", Act.NONE},
-            {"alone state", Act.NONE},
-            {"alone retired", Act.NONE},
-            {"alone gone", Act.NONE},
-            {"named ask:b", Act.REFUSE},
-            {"named state ask:b", Act.REFUSE},
-            {"named state retired ask:b", Act.TELL},
-            {"alone ask:b", Act.TELL},
-            {"alone ask:b ask:b", Act.TELL},
-            {"alone ask:b ask:c", Act.TELL},
-            {"alone take:b:0", Act.REFUSE},
-            {"alone ask:b take:b:0", Act.RETIRE},
-            {"alone ask:b take:c:0", Act.REFUSE},
-            {"alone ask:b take:b:1", Act.REFUSE},
-            {"alone ask:b word take:b:0", Act.REFUSE},
-            {"alone ask:b word take:b:1", Act.RETIRE},
-            {"alone ask:b word ask:b take:b:0", Act.RETIRE},
-            {"alone word ask:b take:b:0", Act.RETIRE},
-            {"alone ask:b ask:c take:b:0", Act.REFUSE},
-            {"alone ask:b take:b:0 take:b:0", Act.REFUSE},
-            {"alone ask:b take:b:0 ask:c", Act.REFUSE},
-            {"alone heirgone:b", Act.NONE},
-            {"alone ask:b heirgone:b", Act.NONE},
-            {"alone ask:b heirgone:b take:b:0", Act.REFUSE},
-            {"alone ask:b take:b:0 heirgone:c", Act.NONE},
-            {"alone ask:b take:b:0 heirgone:b", Act.TAKE_BACK},
-            {"alone ask:b take:b:0 heirgone:b ask:c", Act.TELL},
+            {"alone", Action.SERVE_ALONE},
+            {"named", Action.ASK},
+            {"named state", Action.TAKE},
+            {"named nostate", Action.SERVE_ALONE},
+            {"named state nostate", Action.NONE},
+            {"named state retired", Action.SERVE},
+            {"named state refused", Action.ASK},
+            {"named state refused state", Action.TAKE},
+            {"named retired", Action.NONE},
+            {"named refused", Action.NONE},
+            {"named gone", Action.SERVE_ALONE},
+            {"named state gone", Action.SERVE},
+            {"named state refused gone", Action.SERVE_ALONE},
+            {"named state retired gone", Action.NONE},
+            {"named state retired gone gone", Action.NONE},
+            {"named state gone retired", Action.NONE},
+            {"named nostate state", Action.NONE},
+            {"alone state", Action.NONE},
+            {"alone retired", Action.NONE},
+            {"alone gone", Action.NONE},
+            {"named ask:b", Action.REFUSE},
+            {"named state ask:b", Action.REFUSE},
+            {"named state retired ask:b", Action.TELL},
+            {"alone ask:b", Action.TELL},
+            {"alone ask:b ask:b", Action.TELL},
+            {"alone ask:b ask:c", Action.TELL},
+            {"alone take:b:0", Action.REFUSE},
+            {"alone ask:b take:b:0", Action.RETIRE},
+            {"alone ask:b take:c:0", Action.REFUSE},
+            {"alone ask:b take:b:1", Action.REFUSE},
+            {"alone ask:b word take:b:0", Action.REFUSE},
+            {"alone ask:b word take:b:1", Action.RETIRE},
+            {"alone ask:b word ask:b take:b:0", Action.RETIRE},
+            {"alone word ask:b take:b:0", Action.RETIRE},
+            {"alone ask:b ask:c take:b:0", Action.REFUSE},
+            {"alone ask:b take:b:0 take:b:0", Action.REFUSE},
+            {"alone ask:b take:b:0 ask:c", Action.REFUSE},
+            {"alone heirgone:b", Action.NONE},
+            {"alone ask:b heirgone:b", Action.NONE},
+            {"alone ask:b heirgone:b take:b:0", Action.REFUSE},
+            {"alone ask:b take:b:0 heirgone:c", Action.NONE},
+            {"alone ask:b take:b:0 heirgone:b", Action.TAKE_BACK},
+            {"alone ask:b take:b:0 heirgone:b ask:c", Action.TELL},
         };
     }
 
-    private static Act input(Succession s, String input) {
+    private static Action input(Succession s, String input) {
         String[] part = input.split(":");
         return switch (part[0]) {
             case "alone" -> s.begin(false);
@@ -77,16 +77,16 @@
             case "heirgone" -> s.heirGone(part[1]);
             case "word" -> {
                 s.word();
-                yield Act.NONE;
+                yield Action.NONE;
             }
             default -> throw new IllegalArgumentException(input);
         };
     }
 
     @Test(dataProvider = "table")
-    public void eachInputDoesInEachStateWhatTheRulesSay(String inputs, Act last) {
+    public void eachInputDoesInEachStateWhatTheRulesSay(String inputs, Action last) {
         Succession s = new Succession();
-        Act act = Act.NONE;
+        Action act = Action.NONE;
         for (String input : inputs.split(" ")) {
             act = input(s, input);
         }
@@ -128,7 +128,7 @@
         old.s.begin(false);
         old.listens = true;
         class Acts {
-            void act(Process p, Act act) {
+            void act(Process p, Action act) {
                 switch (act) {
                     case ASK -> {
                         int ask = ++heir.asks;
@@ -138,7 +138,7 @@
                                         old,
                                         false,
                                         () -> {
-                                            if (old.s.asked("b") == Act.TELL) {
+                                            if (old.s.asked("b") == Action.TELL) {
                                                 old.asks = ask;
                                                 List<Integer> state = List.copyOf(old.bans);
                                                 link.add(
@@ -149,7 +149,8 @@
                                                                     heir.bans.clear();
                                                                     heir.bans.addAll(state);
                                                                     heir.heard = 0;
-                                                                    Act then = heir.s.stateCame();
+                                                                    Action then =
+                                                                            heir.s.stateCame();
                                                                     List<Integer> early =
                                                                             List.copyOf(heir.early);
                                                                     heir.early.clear();
@@ -180,10 +181,10 @@
                                         old,
                                         false,
                                         () -> {
-                                            Act then =
+                                            Action then =
                                                     old.s.asksToTake(
                                                             "b", countsWords ? heard : told(old));
-                                            if (then == Act.RETIRE) {
+                                            if (then == Action.RETIRE) {
                                                 old.listens = false;
                                                 link.add(
                                                         new Sent(
--- a/src/test/java/gingerspool/load/LoadMeasure.java
+++ b/src/test/java/gingerspool/load/LoadMeasure.java
@@ -1,9 +1,9 @@
 package gingerspool.load;
 
-import gingerspool.daemon.Loop;
 import gingerspool.scenario.Plan;
 import gingerspool.scenario.ScenarioFile;
-import gingerspool.wire.Door;
+import gingerspool.wire.ClientEndpoint;
+import gingerspool.wire.SingleThreadEventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -28,14 +28,14 @@
                                     + rate
                                     + "\n");
             Plan plan = Plan.make(ScenarioFile.read(file).scenario(), 1, folder);
-            Loop ofDoor = new Loop();
-            Loop ofLoad = new Loop();
-            CompletableFuture<Door> opened = new CompletableFuture<>();
+            SingleThreadEventLoop ofDoor = new SingleThreadEventLoop();
+            SingleThreadEventLoop ofLoad = new SingleThreadEventLoop();
+            CompletableFuture<ClientEndpoint> opened = new CompletableFuture<>();
             ofDoor.enter(
                     () -> {
                         try {
-                            Door door =
-                                    new Door(
+                            ClientEndpoint door =
+                                    new ClientEndpoint(
                                             ofDoor,
                                             new InetSocketAddress(
                                                     InetAddress.getLoopbackAddress(), 0),
@@ -43,7 +43,7 @@
                                             2000,
                                             LoadTest.desk(
                                                     (client, id, repeat) ->
-                                                            Door.finished(client, "x")));
+                                                            ClientEndpoint.finished(client, "x")));
                             door.listen();
                             door.open();
                             opened.complete(door);
--- a/src/test/java/gingerspool/load/LoadTest.java
+++ b/src/test/java/gingerspool/load/LoadTest.java
@@ -3,12 +3,12 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.daemon.Loop;
 import gingerspool.peers.Folders;
 import gingerspool.scenario.Plan;
 import gingerspool.scenario.ScenarioFile;
-import gingerspool.wire.Door;
+import gingerspool.wire.ClientEndpoint;
 import gingerspool.wire.Inbound;
+import gingerspool.wire.SingleThreadEventLoop;
 import gingerspool.wire.TaskRequest;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -25,13 +25,13 @@
 
 /** The load tool against a door that answers as each test says. */
 public class LoadTest {
-    private Loop loop;
+    private SingleThreadEventLoop loop;
     private Path folder;
     private Load load;
 
     @BeforeMethod
     public void begin() throws IOException {
-        loop = new Loop();
+        loop = new SingleThreadEventLoop();
         folder = Files.createTempDirectory("load");
     }
 
@@ -56,8 +56,8 @@
         loop.enter(
                 () -> {
                     try {
-                        Door door =
-                                new Door(
+                        ClientEndpoint door =
+                                new ClientEndpoint(
                                         loop,
                                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                         false,
@@ -95,8 +95,8 @@
         return tries;
     }
 
-    static Door.Desk desk(Clerk clerk) {
-        return new Door.Desk() {
+    static ClientEndpoint.Desk desk(Clerk clerk) {
+        return new ClientEndpoint.Desk() {
             @Override
             public boolean knowsProfile(String name) {
                 return name.equals("p");
@@ -142,7 +142,7 @@
                 play(
                         KIND + "[load]\nrate_per_s = 100\n",
                         120,
-                        (client, id, repeat) -> Door.finished(client, "x"));
+                        (client, id, repeat) -> ClientEndpoint.finished(client, "x"));
         assertTrue(tries.size() > 60);
         assertTrue(load.lateness().getValueAtPercentile(50) > 30_000, "the tool was slowed");
         assertTrue(
@@ -162,9 +162,9 @@
                         (client, id, repeat) -> {
                             repeats.add(repeat);
                             if (repeat) {
-                                Door.finished(client, "x");
+                                ClientEndpoint.finished(client, "x");
                             } else {
-                                Door.bounced(client, 200);
+                                ClientEndpoint.bounced(client, 200);
                             }
                         });
         assertEquals(repeats.stream().filter(r -> r).count(), (long) tries.size() / 2);
--- a/src/test/java/gingerspool/settings/SettingsTest.java
+++ b/src/test/java/gingerspool/settings/SettingsTest.java
@@ -29,15 +29,15 @@
         GracePeriodS = 6
         """;
 
-    private static Settings read(String text) throws Exception {
+    private static NodeSettings read(String text) throws Exception {
         Path file = Files.createTempFile("settings", ".toml");
         Files.writeString(file, text);
-        return Settings.read(Map.of(Settings.VARIABLE, file.toString()));
+        return NodeSettings.read(Map.of(NodeSettings.VARIABLE, file.toString()));
     }
 
     @Test
     public void readsAndPassesNewKeysOver() throws Exception {
-        Settings s = read(SOUND);
+        NodeSettings s = read(SOUND);
         assertEquals(s.innerPort, 7400);
         assertEquals(s.zones.toString(), "[a, b]");
         assertEquals(s.grace, 6000.0);
@@ -66,7 +66,8 @@
 
     @Test
     public void saysWhichVariableIsMissing() {
-        SettingsException e = expectThrows(SettingsException.class, () -> Settings.read(Map.of()));
-        assertTrue(e.getMessage().contains(Settings.VARIABLE));
+        SettingsException e =
+                expectThrows(SettingsException.class, () -> NodeSettings.read(Map.of()));
+        assertTrue(e.getMessage().contains(NodeSettings.VARIABLE));
     }
 }
--- a/src/test/java/gingerspool/simulation/ConsensusSimulation.java
+++ b/src/test/java/gingerspool/simulation/ConsensusSimulation.java
@@ -1,6 +1,7 @@
 package gingerspool.simulation;
 
 import gingerspool.consensus.ConsensusMessage;
+import gingerspool.consensus.ConsensusSafeguard;
 import gingerspool.consensus.LogEntry;
 import gingerspool.consensus.LogWrite;
 import gingerspool.consensus.Member;
@@ -8,7 +9,6 @@
 import gingerspool.consensus.Replica;
 import gingerspool.consensus.ReplicaEnvironment;
 import gingerspool.consensus.ReplicaSettings;
-import gingerspool.consensus.Safeguard;
 import gingerspool.consensus.Snapshot;
 import gingerspool.consensus.SnapshotPiece;
 import gingerspool.peers.DecisionTrace;
@@ -100,7 +100,8 @@
                     founds
                             ? seeds.stream().map(s -> new Member(s, Member.FOUNDER)).toList()
                             : List.of();
-            boolean old = !setup.guarded(Safeguard.NEW_ID_AFTER_WIPE) && seeds.contains(ip);
+            boolean old =
+                    !setup.guarded(ConsensusSafeguard.NEW_ID_AFTER_WIPE) && seeds.contains(ip);
             String mark =
                     founds || old ? Member.FOUNDER : ip + "-" + ++marks + "-" + chance.nextInt();
             if (old && !founds) {
--- a/src/test/java/gingerspool/simulation/SafeguardTableTest.java
+++ b/src/test/java/gingerspool/simulation/SafeguardTableTest.java
@@ -15,7 +15,7 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertNull;
 
-import gingerspool.consensus.Safeguard;
+import gingerspool.consensus.ConsensusSafeguard;
 import gingerspool.simulation.SmallCluster.Scripted;
 import java.util.ArrayList;
 import java.util.EnumSet;
@@ -44,46 +44,50 @@
     private static final FaultKind[] SNAPSHOTS = {GARBLED_SNAPSHOTS, NODE_KILL, CORE_CUT, WIPE};
 
     /** Safeguards whose absence no history here has shown; docs/control.md says of each why. */
-    private static final Set<Safeguard> NOT_SHOWN =
+    private static final Set<ConsensusSafeguard> NOT_SHOWN =
             EnumSet.of(
-                    Safeguard.PRE_VOTE,
-                    Safeguard.VOTE_DURABLE_BEFORE_REPLY,
-                    Safeguard.VOTE_WITHHELD_DURING_LEASE,
-                    Safeguard.LEASE_COUNTS_DURABLE_VOTES,
-                    Safeguard.COMMIT_ONLY_OWN_TERM,
-                    Safeguard.MORE_COPIES_THAN_LOSSES,
-                    Safeguard.MEMBERSHIP_CHANGE_AFTER_OWN_TERM,
-                    Safeguard.LEARNER_CAUGHT_UP_BEFORE_VOTING,
-                    Safeguard.REMOVAL_ONLY_BY_COMMITTED_CHANGE,
-                    Safeguard.STEP_DOWN_WITHOUT_LEASE);
+                    ConsensusSafeguard.PRE_VOTE,
+                    ConsensusSafeguard.VOTE_DURABLE_BEFORE_REPLY,
+                    ConsensusSafeguard.VOTE_WITHHELD_DURING_LEASE,
+                    ConsensusSafeguard.LEASE_COUNTS_DURABLE_VOTES,
+                    ConsensusSafeguard.COMMIT_ONLY_OWN_TERM,
+                    ConsensusSafeguard.MORE_COPIES_THAN_LOSSES,
+                    ConsensusSafeguard.MEMBERSHIP_CHANGE_AFTER_OWN_TERM,
+                    ConsensusSafeguard.LEARNER_CAUGHT_UP_BEFORE_VOTING,
+                    ConsensusSafeguard.REMOVAL_ONLY_BY_COMMITTED_CHANGE,
+                    ConsensusSafeguard.STEP_DOWN_WITHOUT_LEASE);
 
     private final List<String> table = new ArrayList<>();
 
     @DataProvider
     Object[][] finders() {
         return new Object[][] {
-            {Safeguard.ONE_VOTE_PER_TERM, 3, 1, LINKS, SEEDS},
-            {Safeguard.LEASE_WAITED_OUT_AFTER_RESTART, 5, 2, RESTARTS, SEEDS},
-            {Safeguard.LEASE_TRUSTED_IN_PART, 3, 1, ANY, SEEDS},
-            {Safeguard.VOTE_ONLY_FOR_UP_TO_DATE_LOG, 3, 1, ANY, SEEDS},
-            {Safeguard.SERVE_AFTER_OWN_TERM_COMMITTED, 3, 1, ANY, SEEDS},
-            {Safeguard.OLD_TERMS_REFUSED, 3, 1, ANY, SEEDS},
-            {Safeguard.SYNC_BEFORE_ACKNOWLEDGE, 3, 1, ANY, SEEDS},
-            {Safeguard.ACKNOWLEDGE_MATCHED_PREFIX, 3, 1, ANY, SEEDS},
-            {Safeguard.TRUNCATION_RESETS_DURABLE, 3, 1, RESTARTS, SEEDS},
-            {Safeguard.TRUNCATE_ONLY_ON_CONFLICT, 3, 1, PARTITIONS, FEW_SEEDS},
-            {Safeguard.NEW_ID_AFTER_WIPE, 3, 1, ANY, SEEDS},
-            {Safeguard.ONE_MEMBERSHIP_CHANGE_AT_A_TIME, 3, 1, PARTITIONS, SEEDS},
-            {Safeguard.JOINT_QUORUM, 3, 1, PARTITIONS, SEEDS},
-            {Safeguard.SNAPSHOT_ONLY_FORWARD, 5, 2, ANY, SEEDS},
-            {Safeguard.SNAPSHOT_DIGEST_CHECKED, 3, 1, SNAPSHOTS, SEEDS},
-            {Safeguard.SNAPSHOT_KEEPS_MATCHING_LOG, 5, 2, RESTARTS, SEEDS},
+            {ConsensusSafeguard.ONE_VOTE_PER_TERM, 3, 1, LINKS, SEEDS},
+            {ConsensusSafeguard.LEASE_WAITED_OUT_AFTER_RESTART, 5, 2, RESTARTS, SEEDS},
+            {ConsensusSafeguard.LEASE_TRUSTED_IN_PART, 3, 1, ANY, SEEDS},
+            {ConsensusSafeguard.VOTE_ONLY_FOR_UP_TO_DATE_LOG, 3, 1, ANY, SEEDS},
+            {ConsensusSafeguard.SERVE_AFTER_OWN_TERM_COMMITTED, 3, 1, ANY, SEEDS},
+            {ConsensusSafeguard.OLD_TERMS_REFUSED, 3, 1, ANY, SEEDS},
+            {ConsensusSafeguard.SYNC_BEFORE_ACKNOWLEDGE, 3, 1, ANY, SEEDS},
+            {ConsensusSafeguard.ACKNOWLEDGE_MATCHED_PREFIX, 3, 1, ANY, SEEDS},
+            {ConsensusSafeguard.TRUNCATION_RESETS_DURABLE, 3, 1, RESTARTS, SEEDS},
+            {ConsensusSafeguard.TRUNCATE_ONLY_ON_CONFLICT, 3, 1, PARTITIONS, FEW_SEEDS},
+            {ConsensusSafeguard.NEW_ID_AFTER_WIPE, 3, 1, ANY, SEEDS},
+            {ConsensusSafeguard.ONE_MEMBERSHIP_CHANGE_AT_A_TIME, 3, 1, PARTITIONS, SEEDS},
+            {ConsensusSafeguard.JOINT_QUORUM, 3, 1, PARTITIONS, SEEDS},
+            {ConsensusSafeguard.SNAPSHOT_ONLY_FORWARD, 5, 2, ANY, SEEDS},
+            {ConsensusSafeguard.SNAPSHOT_DIGEST_CHECKED, 3, 1, SNAPSHOTS, SEEDS},
+            {ConsensusSafeguard.SNAPSHOT_KEEPS_MATCHING_LOG, 5, 2, RESTARTS, SEEDS},
         };
     }
 
     @Test(dataProvider = "finders")
     public void goesWrongWithout(
-            Safeguard safeguard, int machines, int tolerated, FaultKind[] focus, int seeds) {
+            ConsensusSafeguard safeguard,
+            int machines,
+            int tolerated,
+            FaultKind[] focus,
+            int seeds) {
         SimulationSetup setup = SimulationSetup.of(machines, tolerated).focusedOn(focus);
         String found = ConsensusSimulationTest.found(seeds, setup.without(safeguard));
         String faults = focus.length == 0 ? "all" : List.of(focus).toString();
@@ -97,7 +101,11 @@
     /** The same troubles do no harm with all safeguards. */
     @Test(dataProvider = "finders")
     public void nothingGoesWrongWithIt(
-            Safeguard safeguard, int machines, int tolerated, FaultKind[] focus, int seeds) {
+            ConsensusSafeguard safeguard,
+            int machines,
+            int tolerated,
+            FaultKind[] focus,
+            int seeds) {
         SimulationSetup setup = SimulationSetup.of(machines, tolerated).focusedOn(focus);
         assertNull(ConsensusSimulationTest.found(FEW_SEEDS * 25, setup));
     }
@@ -105,14 +113,14 @@
     /** Another voter is lost as soon as the one that left has stopped: two of three go on. */
     @Test
     public void leaverStaysUntilSwapped() {
-        Safeguard safeguard = Safeguard.LEAVER_STAYS_UNTIL_SWAPPED;
+        ConsensusSafeguard safeguard = ConsensusSafeguard.LEAVER_STAYS_UNTIL_SWAPPED;
         assertNull(lossAfterLeaver(Set.of()).wrong());
         SmallModelSearch.Result without = lossAfterLeaver(Set.of(safeguard));
         table.add(String.format("| %s | search 3/1 | %s |", safeguard, without.wrong()));
         assertNotNull(without.wrong());
     }
 
-    private static SmallModelSearch.Result lossAfterLeaver(Set<Safeguard> disabled) {
+    private static SmallModelSearch.Result lossAfterLeaver(Set<ConsensusSafeguard> disabled) {
         List<Scripted> script =
                 List.of(
                         Scripted.CHANGE,
@@ -126,12 +134,12 @@
     /** Each safeguard is in the table, or named as not shown. */
     @Test
     public void namesAllSafeguards() {
-        Set<Safeguard> named = EnumSet.copyOf(NOT_SHOWN);
+        Set<ConsensusSafeguard> named = EnumSet.copyOf(NOT_SHOWN);
         for (Object[] finder : finders()) {
-            named.add((Safeguard) finder[0]);
+            named.add((ConsensusSafeguard) finder[0]);
         }
-        named.add(Safeguard.LEAVER_STAYS_UNTIL_SWAPPED);
-        assertEquals(named, EnumSet.allOf(Safeguard.class));
+        named.add(ConsensusSafeguard.LEAVER_STAYS_UNTIL_SWAPPED);
+        assertEquals(named, EnumSet.allOf(ConsensusSafeguard.class));
     }
 
     @AfterClass
--- a/src/test/java/gingerspool/simulation/SimulatedOperators.java
+++ b/src/test/java/gingerspool/simulation/SimulatedOperators.java
@@ -28,13 +28,13 @@
     private static final int REDIRECT = 307;
 
     /** An order or a read (null) on its way to a clear answer. */
-    private final class Errand {
+    private final class WorkerAttempt {
         final Order order;
         int triesLeft;
         boolean settled;
         double pause = 20;
 
-        Errand(Order order, int triesLeft) {
+        WorkerAttempt(Order order, int triesLeft) {
             this.order = order;
             this.triesLeft = triesLeft;
         }
@@ -69,12 +69,12 @@
 
     /** One call over a connection. */
     final class Try {
-        private final Errand errand;
+        private final WorkerAttempt errand;
         private final OperatorHistory.Call call;
         private final int redirects;
         private boolean over;
 
-        Try(Errand errand, OperatorHistory.Call call, int redirects) {
+        Try(WorkerAttempt errand, OperatorHistory.Call call, int redirects) {
             this.errand = errand;
             this.call = call;
             this.redirects = redirects;
@@ -176,8 +176,8 @@
 
     private boolean calm;
     private boolean stopped;
-    private Errand lastOrder;
-    private Errand lastRead;
+    private WorkerAttempt lastOrder;
+    private WorkerAttempt lastRead;
 
     SimulatedOperators(ConsensusSimulation cluster, SplittableRandom chance) {
         this.cluster = cluster;
@@ -228,7 +228,7 @@
 
     /** An order that goes to this machine first. */
     void meet(ConsensusSimulation.Machine machine, boolean hard) {
-        Errand errand = new Errand(fresh(known), hard ? Integer.MAX_VALUE : TRIES);
+        WorkerAttempt errand = new WorkerAttempt(fresh(known), hard ? Integer.MAX_VALUE : TRIES);
         underWay++;
         errand.send(REDIRECTS, machine.ip);
     }
@@ -255,8 +255,8 @@
         submit(order, TRIES);
     }
 
-    private Errand submit(Order order, int tries) {
-        Errand errand = new Errand(order, tries);
+    private WorkerAttempt submit(Order order, int tries) {
+        WorkerAttempt errand = new WorkerAttempt(order, tries);
         if (underWay < ORDERS_UNDER_WAY || calm) {
             underWay++;
             errand.send(REDIRECTS, null);
@@ -266,12 +266,12 @@
 
     private void reads() {
         if (!calm) {
-            new Errand(null, 2).send(REDIRECTS, null);
+            new WorkerAttempt(null, 2).send(REDIRECTS, null);
             cluster.after(50 + chance.nextInt(500), this::reads);
         }
     }
 
-    private void seen(Errand errand, OperatorHistory.Call call) {
+    private void seen(WorkerAttempt errand, OperatorHistory.Call call) {
         if (call.answer.status() == ConfigurationReplica.TAKEN) {
             known = Math.max(known, call.answer.version());
             if (call.order != null && acknowledged.add(call.order) && chance.nextInt(5) == 0) {
@@ -299,7 +299,7 @@
         calm = true;
         usualAnswerLoss();
         lastOrder = submit(fresh(known), Integer.MAX_VALUE);
-        lastRead = new Errand(null, Integer.MAX_VALUE);
+        lastRead = new WorkerAttempt(null, Integer.MAX_VALUE);
         lastRead.send(REDIRECTS, null);
     }
 
--- a/src/test/java/gingerspool/simulation/SimulationSetup.java
+++ b/src/test/java/gingerspool/simulation/SimulationSetup.java
@@ -1,6 +1,6 @@
 package gingerspool.simulation;
 
-import gingerspool.consensus.Safeguard;
+import gingerspool.consensus.ConsensusSafeguard;
 import java.util.List;
 import java.util.Set;
 
@@ -13,7 +13,7 @@
 record SimulationSetup(
         int machines,
         int tolerated,
-        Set<Safeguard> disabled,
+        Set<ConsensusSafeguard> disabled,
         boolean steadyClock,
         boolean realConfiguration,
         double span,
@@ -26,7 +26,7 @@
                 machines, tolerated, Set.of(), true, false, USUAL_SPAN, List.of());
     }
 
-    SimulationSetup without(Safeguard safeguard) {
+    SimulationSetup without(ConsensusSafeguard safeguard) {
         return new SimulationSetup(
                 machines,
                 tolerated,
@@ -67,7 +67,7 @@
         return Math.min(machines, Math.max(LEAST_VOTERS, 2 * tolerated + 1));
     }
 
-    boolean guarded(Safeguard safeguard) {
+    boolean guarded(ConsensusSafeguard safeguard) {
         return !disabled.contains(safeguard);
     }
 }
--- a/src/test/java/gingerspool/simulation/SlotSimulation.java
+++ b/src/test/java/gingerspool/simulation/SlotSimulation.java
@@ -8,7 +8,7 @@
 import gingerspool.peers.DecisionTrace;
 import gingerspool.slots.Function;
 import gingerspool.slots.Instance;
-import gingerspool.slots.SlotKeeper;
+import gingerspool.slots.SlotAllocator;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -272,7 +272,7 @@
                     Comparator.comparingDouble(Event::at).thenComparingLong(Event::serial));
     private long serial;
     private double now;
-    private SlotKeeper keeper;
+    private SlotAllocator keeper;
     private Autoscaler scaler;
     private long view;
     private final Map<String, Front> fronts = new LinkedHashMap<>();
@@ -312,7 +312,7 @@
 
     private void lead() {
         long of = ++view;
-        keeper = new SlotKeeper(BEAT, now, (front, word) -> tell(of, front, word));
+        keeper = new SlotAllocator(BEAT, now, (front, word) -> tell(of, front, word));
         keeper.configured(configuration());
         scaler =
                 new Autoscaler(
--- a/src/test/java/gingerspool/simulation/SmallCluster.java
+++ b/src/test/java/gingerspool/simulation/SmallCluster.java
@@ -1,13 +1,13 @@
 package gingerspool.simulation;
 
 import gingerspool.consensus.ConsensusMessage;
+import gingerspool.consensus.ConsensusSafeguard;
 import gingerspool.consensus.LogWrite;
 import gingerspool.consensus.Member;
 import gingerspool.consensus.PersistedState;
 import gingerspool.consensus.Replica;
 import gingerspool.consensus.ReplicaEnvironment;
 import gingerspool.consensus.ReplicaSettings;
-import gingerspool.consensus.Safeguard;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -109,7 +109,7 @@
             waiting.clear();
             state = new ConfigurationReplica.Model();
             lagging = false;
-            boolean reused = !disabled.contains(Safeguard.NEW_ID_AFTER_WIPE);
+            boolean reused = !disabled.contains(ConsensusSafeguard.NEW_ID_AFTER_WIPE);
             boolean founds = first || disk == null && !reused && number < founders.size();
             String id = founds ? Member.FOUNDER : ip + "-" + wipes;
             replica =
@@ -178,7 +178,7 @@
         }
     }
 
-    private final Set<Safeguard> disabled;
+    private final Set<ConsensusSafeguard> disabled;
     private final int snapshotFloor;
     private final int tolerated;
     private final long seed;
--- a/src/test/java/gingerspool/simulation/SmallModelSearch.java
+++ b/src/test/java/gingerspool/simulation/SmallModelSearch.java
@@ -1,6 +1,6 @@
 package gingerspool.simulation;
 
-import gingerspool.consensus.Safeguard;
+import gingerspool.consensus.ConsensusSafeguard;
 import gingerspool.simulation.SmallCluster.Action;
 import gingerspool.simulation.SmallCluster.Scripted;
 import java.util.ArrayList;
@@ -30,7 +30,7 @@
             int snapshotFloor,
             int deviations,
             int mendings,
-            Set<Safeguard> disabled) {}
+            Set<ConsensusSafeguard> disabled) {}
 
     /** What was found, null if nothing, and how much was searched. */
     record Result(String wrong, String schedule, long schedules, long states, double seconds) {}
--- a/src/test/java/gingerspool/slots/SlotKeeperTest.java
+++ b/src/test/java/gingerspool/slots/SlotAllocatorTest.java
@@ -14,14 +14,14 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-public class SlotKeeperTest {
+public class SlotAllocatorTest {
     private static final double BEAT = 1000;
     private final List<Messages.SlotGrant> grants = new ArrayList<>();
     private final List<String> recalled = new ArrayList<>();
     private final Map<String, Integer> held = new HashMap<>();
     private final Map<String, Long> granted = new HashMap<>();
-    private final SlotKeeper keeper =
-            new SlotKeeper(
+    private final SlotAllocator keeper =
+            new SlotAllocator(
                     BEAT,
                     0,
                     (front, word) -> {
--- a/src/test/java/gingerspool/storage/DurableLogTest.java
+++ b/src/test/java/gingerspool/storage/DurableLogTest.java
@@ -283,7 +283,7 @@
     @Test
     public void form1IsReadAndWrittenAnew() throws Exception {
         Path at = folder();
-        KryoCodec codec = LogForm1.codec();
+        KryoCodec codec = LogFormat1.codec();
         try (MVStore old =
                 new MVStore.Builder().fileName(at.resolve("ledger-3.mv").toString()).open()) {
             old.openMap("meta").put("form", new byte[] {1});
@@ -291,12 +291,12 @@
             old.openMap("meta")
                     .put(
                             "base",
-                            codec.write(new LogForm1.State(5, 3, List.of(SELF), new byte[] {9})));
-            List<LogForm1.Entry> entries =
+                            codec.write(new LogFormat1.State(5, 3, List.of(SELF), new byte[] {9})));
+            List<LogFormat1.Entry> entries =
                     List.of(
-                            new LogForm1.Entry(4, null, null),
-                            new LogForm1.Entry(4, new byte[] {1}, null),
-                            new LogForm1.Entry(4, null, List.of(SELF)));
+                            new LogFormat1.Entry(4, null, null),
+                            new LogFormat1.Entry(4, new byte[] {1}, null),
+                            new LogFormat1.Entry(4, null, List.of(SELF)));
             for (int i = 0; i < entries.size(); i++) {
                 old.openMap("entries").put(6L + i, codec.write(entries.get(i)));
             }
--- a/src/test/java/gingerspool/storage/StoredDiskRecorder.java
+++ b/src/test/java/gingerspool/storage/StoredDiskRecorder.java
@@ -67,7 +67,7 @@
             state = log.open().state();
         }
         Files.createDirectories(to);
-        KryoCodec codec = LogForm1.codec();
+        KryoCodec codec = LogFormat1.codec();
         try (MVStore store =
                 new MVStore.Builder().fileName(to.resolve("ledger-1.mv").toString()).open()) {
             Map<String, byte[]> meta = store.openMap("meta");
@@ -78,7 +78,7 @@
             meta.put(
                     "base",
                     codec.write(
-                            new LogForm1.State(
+                            new LogFormat1.State(
                                     state.snapshot().index(),
                                     state.snapshot().term(),
                                     state.snapshot().voters().voters(),
@@ -89,7 +89,7 @@
                 entries.put(
                         ++index,
                         codec.write(
-                                new LogForm1.Entry(
+                                new LogFormat1.Entry(
                                         entry.term(),
                                         entry.command(),
                                         entry.voters() == null ? null : entry.voters().voters())));
--- a/src/test/java/gingerspool/store/StoreTest.java
+++ b/src/test/java/gingerspool/store/StoreTest.java
@@ -17,19 +17,21 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class StoreTest implements Errand.Home {
+public class StoreTest implements WorkerAttempt.Owner {
     private final List<String> heard = new ArrayList<>();
-    private Errand errand;
+    private WorkerAttempt errand;
 
     @BeforeMethod
     public void begin() throws BadMessage {
         heard.clear();
-        errand = new Errand(Bench.assignment(task("t1", ""), 0, 0), new LoadReport("", ""), this);
+        errand =
+                new WorkerAttempt(
+                        Bench.assignment(task("t1", ""), 0, 0), new LoadReport("", ""), this);
         errand.begin(null, null);
     }
 
-    private static HeldTask task(String id, String body) throws BadMessage {
-        return new HeldTask(
+    private static ClientTask task(String id, String body) throws BadMessage {
+        return new ClientTask(
                 id,
                 null,
                 read(
@@ -50,12 +52,12 @@
     }
 
     @Override
-    public void ended(Errand e, Outcome how, double[] report) {
+    public void ended(WorkerAttempt e, Outcome how, double[] report) {
         heard.add(how.toString());
     }
 
     @Override
-    public void giveUp(Errand e) {
+    public void giveUp(WorkerAttempt e) {
         heard.add("give up");
     }
 
@@ -104,7 +106,7 @@
 
     @Test
     public void aHandHasRoomForSoManyTasksAndBytes() throws BadMessage {
-        Hand hand = new Hand(2, 10);
+        TaskRegistry hand = new TaskRegistry(2, 10);
         hand.add(task("a", "12345678"));
         assertTrue(hand.hasRoomFor(2));
         assertFalse(hand.hasRoomFor(3));
@@ -114,8 +116,8 @@
 
     @Test
     public void aTaskIsLetGoOnlyOnceItHasItsAnswer() throws BadMessage {
-        Hand hand = new Hand(1, 10);
-        HeldTask t = task("a", "12345678");
+        TaskRegistry hand = new TaskRegistry(1, 10);
+        ClientTask t = task("a", "12345678");
         hand.add(t);
         hand.release(t);
         assertEquals(hand.find("a"), t);
@@ -131,7 +133,7 @@
      */
     @Test
     public void whatBreaksAfterARestShortensIt() {
-        Rest rest = new Rest(3000);
+        IdleTimeout rest = new IdleTimeout(3000);
         assertEquals(rest.span(9000), 3000.0);
         rest.broke(9000, 200);
         assertEquals(rest.span(9000), 100.0);
@@ -143,7 +145,7 @@
 
     @Test
     public void aWorkerKeepsItsIndexAndMayMove() throws BadMessage {
-        Roster roster = new Roster();
+        WorkerDirectory roster = new WorkerDirectory();
         assertEquals(roster.index("a"), 0);
         assertEquals(roster.index("b"), 1);
         assertEquals(roster.index("a"), 0);
--- a/src/test/java/gingerspool/wire/FramesTest.java
+++ b/src/test/java/gingerspool/wire/FramesTest.java
@@ -2,7 +2,6 @@
 
 import static org.testng.Assert.assertEquals;
 
-import gingerspool.daemon.Loop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -17,14 +16,14 @@
 
 /** Links between our own processes, on loopback. */
 public class FramesTest {
-    private Loop loop;
+    private SingleThreadEventLoop loop;
     private ServerSocket server;
     private CompletableFuture<byte[]> came;
     private CompletableFuture<Void> closed;
 
     @BeforeMethod
     public void open() throws IOException {
-        loop = new Loop();
+        loop = new SingleThreadEventLoop();
         server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         came = new CompletableFuture<>();
         closed = new CompletableFuture<>();
--- a/src/test/java/gingerspool/wire/WireTest.java
+++ b/src/test/java/gingerspool/wire/WireTest.java
@@ -129,8 +129,8 @@
         Object tree =
                 Json.read(
                         " {\"a\":[1,-2.5e1,true,null,{}],\"b\":\"x\\n\\u00e8\\\"\\ud83d\\ude00\"} ");
-        assertEquals(Tree.at(tree, "a"), Arrays.asList(1.0, -25.0, true, null, Map.of()));
-        assertEquals(Tree.text("", tree, "b"), "x\n\u00e8\"\ud83d\ude00");
+        assertEquals(JsonTree.at(tree, "a"), Arrays.asList(1.0, -25.0, true, null, Map.of()));
+        assertEquals(JsonTree.text("", tree, "b"), "x\n\u00e8\"\ud83d\ude00");
     }
 
     @DataProvider
@@ -193,11 +193,12 @@
         String text = "TEXT depth=2.056, err_ps=0, x0=3";
         String head = "Content-Length: " + text.length() + "\r\n\r\n";
         Message answer = read(Message.answer(null), "HTTP/1.1 200 OK\r\n" + head + text);
-        double[] r = reports.read(ToWorker.probed(answer));
+        double[] r = reports.read(WorkerProtocol.probed(answer));
         assertEquals(r[Report.QUEUE], 2.056);
         assertEquals(r[Report.FREE_SLOTS], 3.0);
         assertNull(
-                ToWorker.probed(read(Message.answer(null), "HTTP/1.1 503 No\r\n" + head + text)));
+                WorkerProtocol.probed(
+                        read(Message.answer(null), "HTTP/1.1 503 No\r\n" + head + text)));
     }
 
     @Test
@@ -234,19 +235,19 @@
                 read(
                         Message.answer(null),
                         "HTTP/1.1 " + status + "\r\n" + field + "Content-Length: 0\r\n\r\n");
-        assertEquals(ToWorker.outcome(m), how);
+        assertEquals(WorkerProtocol.outcome(m), how);
     }
 
     @Test
     public void whatACallBackSaysOfAnAssignment() {
         List<Outcome> told =
                 List.of(
-                        ToWorker.outcome("done"),
-                        ToWorker.outcome("failed"),
-                        ToWorker.outcome("returned"),
-                        ToWorker.outcome("lost"));
+                        WorkerProtocol.outcome("done"),
+                        WorkerProtocol.outcome("failed"),
+                        WorkerProtocol.outcome("returned"),
+                        WorkerProtocol.outcome("lost"));
         assertEquals(told, List.of(Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.RESET));
-        assertNull(ToWorker.outcome("started"));
+        assertNull(WorkerProtocol.outcome("started"));
     }
 
     @Test
@@ -257,7 +258,7 @@
                         POST
                                 + "X-Correlation-Id: i1\r\nX-Time-Left-Ms: 900\r\n"
                                 + "X-Odd: 1\r\nContent-Length: 2\r\n\r\nok");
-        byte[] request = ToWorker.request(m, Address.read("127.0.0.1:80"), 650.7);
+        byte[] request = WorkerProtocol.request(m, Address.read("127.0.0.1:80"), 650.7);
         String sent = new String(request, StandardCharsets.ISO_8859_1);
         assertTrue(sent.startsWith(POST) && sent.endsWith("\r\n\r\nok"), sent);
         assertTrue(sent.contains("X-Correlation-Id: i1\r\n"), sent);
