--- a/src/main/java/gingerspool/controlplane/ControlNode.java
+++ b/src/main/java/gingerspool/controlplane/ControlNode.java
@@ -190,7 +190,7 @@
                     if (stopping != null) {
                         return;
                     }
-                    LOG.info("stop.begins");
+                    LOG.info("stop.started");
                     stopping = new GracefulShutdown(loop, settings.grace, new Stopping(then));
                     if (replica != null) {
                         replica.leave(loop.now());
@@ -393,7 +393,10 @@
             ConfigurationState.Verdict verdict =
                     configurationState.take(c.whole(), c.on(), c.body());
             if (configurationState.version() != before) {
-                LOG.info("config.taken version={} index={}", configurationState.version(), index);
+                LOG.info(
+                        "config.committed version={} index={}",
+                        configurationState.version(),
+                        index);
                 configured();
             }
             calls.applied(c.id(), verdict);
--- a/src/main/java/gingerspool/controlplane/LeaderDuties.java
+++ b/src/main/java/gingerspool/controlplane/LeaderDuties.java
@@ -116,7 +116,7 @@
         } else if (message instanceof Messages.SlotReturn m) {
             keeper.returned(now, scheduler, m);
         } else if (message instanceof Messages.SlotHoldings m && !keeper.holds(now, scheduler, m)) {
-            LOG.warn("scheduler.slots_differed scheduler={}", scheduler);
+            LOG.warn("scheduler.slots_diverged scheduler={}", scheduler);
         }
     }
 
--- a/src/main/java/gingerspool/controlplane/Leadership.java
+++ b/src/main/java/gingerspool/controlplane/Leadership.java
@@ -38,14 +38,14 @@
     /** To be called after whatever the replica was told. */
     void update(double now) {
         if (duties != null && (!replica.isElected() || replica.term() != term)) {
-            LOG.info("duty.ends term={}", term);
+            LOG.info("duty.ended term={}", term);
             duties.end();
             duties = null;
             end.run();
         }
         if (duties == null && replica.leads(now)) {
             term = replica.term();
-            LOG.info("duty.begins term={} members={}", term, replica.members());
+            LOG.info("duty.started term={} members={}", term, replica.members());
             duties = begin.apply(term);
         }
     }
--- a/src/main/java/gingerspool/controlplane/RepairExchange.java
+++ b/src/main/java/gingerspool/controlplane/RepairExchange.java
@@ -112,13 +112,13 @@
             state.mend(RangeDigests.replaced(state.items(), message.ranges(), message.items()));
             replica.compact(turns.now());
             LOG.warn(
-                    "state.mended from={} index={} version={}",
+                    "state.repaired from={} index={} version={}",
                     message.ip(),
                     message.index(),
                     state.version());
             whenRepaired.run();
         } catch (InvalidConfigurationException e) {
-            LOG.warn("state.mend_refused from={} why=\"{}\"", message.ip(), e.getMessage());
+            LOG.warn("state.repair_refused from={} why=\"{}\"", message.ip(), e.getMessage());
         }
     }
 }
--- a/src/main/java/gingerspool/controlplane/SchedulerRegistry.java
+++ b/src/main/java/gingerspool/controlplane/SchedulerRegistry.java
@@ -163,7 +163,7 @@
         from.version = Math.max(from.version, ack.number());
         boolean differs = ack.number() == pushedVersion && ack.digest() != pushedDigest;
         if (ack.number() > 0 && differs && turns.now() > from.sentAt + settings.beat) {
-            LOG.warn("scheduler.copy_differs scheduler={} version={}", from.name, ack.number());
+            LOG.warn("scheduler.config_diverged scheduler={} version={}", from.name, ack.number());
             push(from, 0, true);
         } else if (ack.number() < pushedVersion && turns.now() > pushedAt + settings.beat) {
             push(from, ack.number(), false);
--- a/src/main/java/gingerspool/daemon/Daemon.java
+++ b/src/main/java/gingerspool/daemon/Daemon.java
@@ -265,7 +265,7 @@
     private void lookForEnd(double now) {
         int unanswered = scheduler.unanswered();
         if (unanswered > 0 && life.isOver(now)) {
-            LOG.atWarn().addKeyValue("tasks", unanswered).log("leaving.abandons");
+            LOG.atWarn().addKeyValue("tasks", unanswered).log("leaving.abandoned");
             scheduler.abandonAll();
             unanswered = 0;
         }
@@ -343,7 +343,7 @@
                 if (JsonTree.at(state, "learned") instanceof Map<?, ?> learned) {
                     scheduler.learn(learned);
                 } else {
-                    LOG.atWarn().log("learned.none");
+                    LOG.atWarn().log("estimates.none");
                 }
             }
             scheduler.suspendJust(suspended);
@@ -424,11 +424,12 @@
             LOG.atInfo()
                     .addKeyValue("call", what)
                     .addKeyValue("worker", worker)
-                    .log("handover.word");
+                    .log("handover.notification");
             switch (what) {
                 case "suspend", "resume" -> scheduler.suspend(worker, what.equals("suspend"));
                 case "drain", "activate" -> setDrained(what.equals("drain"));
-                default -> LOG.atWarn().addKeyValue("call", what).log("handover.word_unknown");
+                default ->
+                        LOG.atWarn().addKeyValue("call", what).log("handover.notification_unknown");
             }
         }
 
--- a/src/main/java/gingerspool/daemon/Scheduler.java
+++ b/src/main/java/gingerspool/daemon/Scheduler.java
@@ -222,7 +222,7 @@
     @Override
     public void watchEnded(String why) {
         watch = null;
-        LOG.atWarn().addKeyValue("why", why).log("list.watch_ended");
+        LOG.atWarn().addKeyValue("why", why).log("discovery.stream_ended");
         if (deployment.settings.listOnRequest) {
             dispatcher.listFailed(turns.now());
         } else {
@@ -346,7 +346,7 @@
         if (!dispatcher.afresh().isEmpty()) {
             LOG.atInfo()
                     .addKeyValue("parts", String.join(",", dispatcher.afresh()))
-                    .log("learned.afresh");
+                    .log("estimates.reset");
         }
     }
 
@@ -509,7 +509,7 @@
             LOG.atWarn()
                     .addKeyValue("worker", roster.name(w))
                     .addKeyValue("why", e.getMessage())
-                    .log("worker.give_up_untold");
+                    .log("worker.cancel_failed");
         }
     }
 
--- a/src/main/java/gingerspool/dataplane/ControlLinks.java
+++ b/src/main/java/gingerspool/dataplane/ControlLinks.java
@@ -194,7 +194,7 @@
                 words.accept(word);
             }
         } catch (MalformedMessageException e) {
-            LOG.warn("core.bad_word from={} why=\"{}\"", l.ip, e.getMessage());
+            LOG.warn("core.bad_message from={} why=\"{}\"", l.ip, e.getMessage());
             frames.close();
         }
     }
@@ -242,7 +242,7 @@
         asked = link;
         askedAt = turns.now();
         link.unanswered = true;
-        LOG.info("core.registers at={} term={}", link.ip, term);
+        LOG.info("core.registering at={} term={}", link.ip, term);
         link.frames.send(coder.write(enrol.get()));
     }
 
@@ -250,7 +250,7 @@
         link.unanswered = false;
         if (link == asked && answer.term() >= term) {
             leader = link;
-            LOG.info("core.led by={} term={}", link.ip, answer.term());
+            LOG.info("core.registered by={} term={}", link.ip, answer.term());
             words.accept(answer);
         }
     }
--- a/src/main/java/gingerspool/handover/Handover.java
+++ b/src/main/java/gingerspool/handover/Handover.java
@@ -165,7 +165,7 @@
             case TAKE_BACK -> {
                 after.close();
                 after = null;
-                LOG.atWarn().log("handover.heir_gone");
+                LOG.atWarn().log("handover.successor_gone");
                 house.takeBack();
                 announce();
             }
@@ -389,7 +389,7 @@
                         LOG.atWarn()
                                 .addKeyValue("word", what)
                                 .addKeyValue("status", status)
-                                .log("handover.word_untold");
+                                .log("handover.notification_failed");
                     }
                     // Guards against a no for want of a process that is gone: what it had, it takes
                     // with it.
@@ -409,7 +409,7 @@
                         LOG.atWarn()
                                 .addKeyValue("file", file)
                                 .addKeyValue("why", e.toString())
-                                .log("handover.note_unwritten");
+                                .log("handover.file_write_failed");
                     }
                     loop.execute(written);
                 });
@@ -470,7 +470,7 @@
                 || !MessageDigest.isEqual(
                         said.getBytes(StandardCharsets.ISO_8859_1),
                         token.getBytes(StandardCharsets.ISO_8859_1))) {
-            LOG.atWarn().addKeyValue("path", request.target()).log("handover.stranger");
+            LOG.atWarn().addKeyValue("path", request.target()).log("handover.unknown_caller");
             from.endAfterAnswer(true);
             from.answer(404, List.of(), "no such path\n");
             return true;
@@ -541,7 +541,7 @@
         state.put("suspended", house.suspended());
         state.put("drained", house.isDrained());
         state.putAll(house.state());
-        LOG.atInfo().addKeyValue("heir", who).log("handover.joined");
+        LOG.atInfo().addKeyValue("successor", who).log("handover.joined");
         from.answer(200, List.of(), body(state));
     }
 
@@ -550,7 +550,7 @@
             from.answer(409, List.of(), "not yet\n");
             return;
         }
-        LOG.atInfo().addKeyValue("heir", who).log("handover.retired");
+        LOG.atInfo().addKeyValue("successor", who).log("handover.retired");
         house.retire();
         from.answer(200, List.of(), body(Map.of("descriptors", house.descriptors())));
         Peer heir = after;
--- a/src/main/java/gingerspool/handover/HandoverFile.java
+++ b/src/main/java/gingerspool/handover/HandoverFile.java
@@ -48,7 +48,7 @@
             LOG.atWarn()
                     .addKeyValue("file", file)
                     .addKeyValue("why", e.getMessage())
-                    .log("handover.note_unusable");
+                    .log("handover.file_unusable");
             return null;
         }
     }
--- a/src/main/java/gingerspool/storage/DurableLog.java
+++ b/src/main/java/gingerspool/storage/DurableLog.java
@@ -240,7 +240,7 @@
                 folder.delete(folder.file(number));
             }
         } catch (IOException e) {
-            LOG.warn("log.not_removed file={} why=\"{}\"", folder.file(number), e.getMessage());
+            LOG.warn("log.delete_failed file={} why=\"{}\"", folder.file(number), e.getMessage());
         }
     }
 
--- a/src/main/java/gingerspool/storage/LogWriter.java
+++ b/src/main/java/gingerspool/storage/LogWriter.java
@@ -112,7 +112,7 @@
                 loop.execute(() -> owner.unusable(why));
             } else {
                 // Whatever could not be written was confirmed to nobody.
-                LOG.warn("log.ends_failing why=\"{}\"", e.getCause().getMessage());
+                LOG.warn("log.stopped_failing why=\"{}\"", e.getCause().getMessage());
             }
             return false;
         }
@@ -145,7 +145,7 @@
 
     private void worksAgain() {
         if (failing) {
-            LOG.info("log.works_again");
+            LOG.info("log.recovered");
         }
         failing = false;
     }
--- a/src/main/java/gingerspool/wire/ClientEndpoint.java
+++ b/src/main/java/gingerspool/wire/ClientEndpoint.java
@@ -127,7 +127,7 @@
     @Override
     public void outOfDescriptors() {
         most = Math.max(1, all.size() * 7 / 8);
-        LOG.atWarn().addKeyValue("most", most).log("door.out_of_descriptors");
+        LOG.atWarn().addKeyValue("most", most).log("client.out_of_descriptors");
     }
 
     @Override
@@ -226,7 +226,7 @@
         String target = request.target();
         int query = target.indexOf('?');
         String path = query < 0 ? target : target.substring(0, query);
-        LOG.atDebug().addKeyValue("request", request).log("door.request");
+        LOG.atDebug().addKeyValue("request", request).log("client.request");
         try {
             switch (path) {
                 case "/healthz" -> {
@@ -261,7 +261,7 @@
         LOG.atDebug()
                 .addKeyValue("status", fault.status)
                 .addKeyValue("why", fault.getMessage())
-                .log("door.turned_down");
+                .log("client.bad_request");
     }
 
     static void allow(Message request, String method) throws BadMessage {
@@ -286,7 +286,7 @@
                 .addKeyValue("task", id)
                 .addKeyValue("state", state)
                 .addKeyValue("worker", from)
-                .log("door.told");
+                .log("callback.received");
         return desk.told(
                 id,
                 from,
--- a/src/main/java/gingerspool/wire/DiscoveryClient.java
+++ b/src/main/java/gingerspool/wire/DiscoveryClient.java
@@ -111,7 +111,7 @@
         for (Object h : hosts) {
             String host = JsonTree.text("", h, "host");
             if (host.isEmpty()) {
-                LOG.atWarn().addKeyValue("entry", h).log("list.entry_without_host");
+                LOG.atWarn().addKeyValue("entry", h).log("discovery.entry_without_host");
                 continue;
             }
             int state =
@@ -138,7 +138,7 @@
         try {
             return Address.read(JsonTree.text("", entry, "dial"));
         } catch (BadMessage e) {
-            LOG.atWarn().addKeyValue("entry", entry).log("list.entry_without_address");
+            LOG.atWarn().addKeyValue("entry", entry).log("discovery.entry_without_address");
             return null;
         }
     }
--- a/src/main/java/gingerspool/wire/ManagementEndpoint.java
+++ b/src/main/java/gingerspool/wire/ManagementEndpoint.java
@@ -168,7 +168,7 @@
         LOG.atDebug()
                 .addKeyValue("status", fault.status)
                 .addKeyValue("why", fault.getMessage())
-                .log("management.turned_down");
+                .log("management.rejected");
     }
 
     // ---- Calls ----
--- a/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
+++ b/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
@@ -60,7 +60,7 @@
         try {
             next.run();
         } catch (RuntimeException e) {
-            LOG.atError().setCause(e).log("loop.turn_broke");
+            LOG.atError().setCause(e).log("loop.task_failed");
         }
     }
 
