--- a/src/main/java/gingerspool/autoscaler/ErlangDelay.java
+++ b/src/main/java/gingerspool/autoscaler/ErlangDelay.java
@@ -1,14 +1,20 @@
 package gingerspool.autoscaler;
 
-/** Erlang's delay formula: how long tasks wait for a slot. */
+/**
+ * How long requests wait for a slot, by Erlang's delay formula (Erlang C) for Poisson arrivals and
+ * exponential running times.
+ */
 final class ErlangDelay {
     private ErlangDelay() {}
 
     /**
-     * P(wait longer than a span) with so many slots, this load in slots, and spans in mean running
-     * times.
+     * The probability that a request waits for longer than a span.
+     *
+     * @param slots how many requests run at once
+     * @param load arrivals in one mean running time, that is slots in use on average
+     * @param span the span, in mean running times
      */
-    static double longer(int slots, double load, double span) {
+    static double probabilityBeyond(int slots, double load, double span) {
         if (load >= slots) {
             return 1;
         }
--- /dev/null
+++ b/src/main/java/gingerspool/autoscaler/Placement.java
@@ -0,0 +1,62 @@
+package gingerspool.autoscaler;
+
+import gingerspool.slots.Function;
+import gingerspool.slots.Instance;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * Chooses the host of a function's next instance: in the zone where most of its requests lack one,
+ * there the host with the fewest of it, then the emptiest.
+ */
+final class Placement {
+    /** What one more instance of the function on a host counts against it. */
+    private static final double SAME_HOST_PENALTY = 0.1;
+
+    /** What an empty host counts more than a full one. */
+    private static final double FREE_MEMORY_BONUS = 0.05;
+
+    private final Function function;
+    private final Map<String, Integer> inFlightByZone;
+    private final Map<String, Integer> instancesByZone = new HashMap<>();
+    private final Map<String, Integer> instancesByHost = new HashMap<>();
+
+    Placement(Function function, Map<String, Integer> inFlightByZone) {
+        this.function = function;
+        this.inFlightByZone = inFlightByZone;
+        for (Instance instance : function.instances.values()) {
+            count(instance.zone, instance.host);
+        }
+    }
+
+    /** One instance of the function is there, or is to be. */
+    void count(String zone, String host) {
+        instancesByZone.merge(zone, 1, Integer::sum);
+        instancesByHost.merge(host, 1, Integer::sum);
+    }
+
+    /** The best host with room, or null. */
+    WorkerHost choose(Collection<WorkerHost> hosts) {
+        WorkerHost best = null;
+        double bestValue = 0;
+        for (WorkerHost host : hosts) {
+            if (host.isReady && host.freeMemoryMb >= function.memoryMb) {
+                double value = value(host);
+                if (best == null || value > bestValue) {
+                    best = host;
+                    bestValue = value;
+                }
+            }
+        }
+        return best;
+    }
+
+    private double value(WorkerHost host) {
+        double demand = 1.0 + inFlightByZone.getOrDefault(host.zone, 0);
+        double supply = 1 + instancesByZone.getOrDefault(host.zone, 0);
+        return demand / supply
+                - SAME_HOST_PENALTY * instancesByHost.getOrDefault(host.name, 0)
+                + FREE_MEMORY_BONUS * host.freeMemoryMb / Math.max(1, host.memoryMb);
+    }
+}
--- a/src/main/java/gingerspool/autoscaler/WorkerHost.java
+++ b/src/main/java/gingerspool/autoscaler/WorkerHost.java
@@ -1,15 +1,15 @@
 package gingerspool.autoscaler;
 
-/** A machine of the platform that instances run on. */
-public final class WorkerHost {
+/** A machine of the platform that instances run on. Memory is megabytes. */
+final class WorkerHost {
     final String name;
     final String zone;
-    double memory;
+    double memoryMb;
 
-    /** As listed, less what was started there since. */
-    double free;
+    /** As the platform listed it, less what was started there since. */
+    double freeMemoryMb;
 
-    boolean ready;
+    boolean isReady;
 
     WorkerHost(String name, String zone) {
         this.name = name;
--- a/src/main/java/gingerspool/capacity/LoopbackCore.java
+++ b/src/main/java/gingerspool/capacity/LoopbackCore.java
@@ -125,7 +125,7 @@
         private void giveBack(String instance) {
             waits = false;
             held.remove(instance);
-            links.tell(new Messages.SlotReturn(instance, 1, Messages.SEEN_WELL));
+            links.tell(new Messages.SlotReturn(instance, 1, Messages.InstanceCondition.HEALTHY));
             links.tell(new Messages.SlotDemand(function, 0, granted, 0, came, RUN));
         }
     }
--- a/src/main/java/gingerspool/capacity/MessageTable.java
+++ b/src/main/java/gingerspool/capacity/MessageTable.java
@@ -42,7 +42,7 @@
                 new Messages.SlotDemand(function, 1, 100_000, 4, 100_000, 20.5),
                 new Messages.SlotGrant(
                         function, instance, "10.20.30.40:12345", "zone-a", 4, 1, 0, 2),
-                new Messages.SlotReturn(instance, 1, Messages.SEEN_WELL),
+                new Messages.SlotReturn(instance, 1, Messages.InstanceCondition.HEALTHY),
                 new Messages.SlotRecall(function, 1),
                 new Messages.InstanceWithdrawal(List.of(instance)),
                 new Messages.ChangeCommand(
--- a/src/main/java/gingerspool/capacity/SlotSeries.java
+++ b/src/main/java/gingerspool/capacity/SlotSeries.java
@@ -158,7 +158,7 @@
         double micros(int size) throws Exception;
     }
 
-    private SlotAllocator keeper() {
+    private SlotAllocator allocator() {
         return new SlotAllocator(
                 INTERVAL,
                 0,
@@ -173,38 +173,38 @@
         return "front-" + number;
     }
 
-    private static void register(SlotAllocator keeper, int number) {
-        keeper.registered(
+    private static void register(SlotAllocator allocator, int number) {
+        allocator.onRegister(
                 0, scheduler(number), new Messages.Register(scheduler(number), ZONE, 0, Map.of()));
     }
 
     private SlotAllocator registered(int schedulers) {
-        SlotAllocator keeper = keeper();
+        SlotAllocator allocator = allocator();
         for (int i = 0; i < schedulers; i++) {
-            register(keeper, i);
+            register(allocator, i);
         }
-        return keeper;
+        return allocator;
     }
 
     private SlotAllocator functions(int count) {
-        SlotAllocator keeper = keeper();
+        SlotAllocator allocator = allocator();
         for (int i = 0; i < count; i++) {
-            Function f = keeper.unrouted("fn-" + i);
-            f.boot = 500;
+            Function f = allocator.catalog().findOrAdd("fn-" + i);
+            f.startTime = 500;
             f.concurrency = SLOTS;
-            f.memory = 128;
-            f.aim = 400;
-            f.routed = true;
+            f.memoryMb = 128;
+            f.targetLatency = 400;
+            f.isRouted = true;
         }
-        return keeper;
+        return allocator;
     }
 
     /** Instances spread over the functions. */
     private SlotAllocator instances(int functions, int count) {
-        SlotAllocator keeper = functions(functions);
-        List<Function> all = List.copyOf(keeper.functions());
+        SlotAllocator allocator = functions(functions);
+        List<Function> all = List.copyOf(allocator.catalog().all());
         for (int i = 0; i < count; i++) {
-            keeper.add(
+            allocator.addInstance(
                     0,
                     "i-" + i,
                     all.get(i % functions),
@@ -214,7 +214,7 @@
                     SLOTS,
                     Instance.State.READY);
         }
-        return keeper;
+        return allocator;
     }
 
     private SlotAllocator instances(int count) {
@@ -223,97 +223,97 @@
 
     /** Each scheduler tells as it registers that it holds one slot of one instance. */
     private SlotAllocator held(int count) {
-        SlotAllocator keeper = instances(1, Math.max(1, count / SLOTS));
+        SlotAllocator allocator = instances(1, Math.max(1, count / SLOTS));
         for (int i = 0; i < count; i++) {
             Map<String, Integer> one = Map.of("i-" + i / SLOTS, 1);
-            keeper.registered(
+            allocator.onRegister(
                     0,
                     scheduler(i % 10),
                     new Messages.Register(scheduler(i % 10), ZONE, 0, Map.of()));
-            keeper.holds(0, scheduler(i % 10), new Messages.SlotHoldings(0, one));
+            allocator.onHoldings(0, scheduler(i % 10), new Messages.SlotHoldings(0, one));
         }
-        return keeper;
+        return allocator;
     }
 
     /** Ten schedulers that each have a request in hand of every function. */
     private SlotAllocator demands(int count) {
         int schedulers = 10;
         int functions = Math.max(1, count / schedulers);
-        SlotAllocator keeper = functions(functions);
+        SlotAllocator allocator = functions(functions);
         for (int i = 0; i < schedulers; i++) {
-            register(keeper, i);
+            register(allocator, i);
             for (int k = 0; k < functions; k++) {
-                keeper.demanded(
+                allocator.onDemand(
                         0, scheduler(i), new Messages.SlotDemand("fn-" + k, 0, 0, 1, 1, RUN));
             }
         }
-        return keeper;
+        return allocator;
     }
 
     /** A request: demand, grant, return, and the demand that says that nothing is lacked. */
     private double cycle(int functions, int instances, int schedulers) throws Exception {
-        SlotAllocator keeper = instances(functions, functions * instances);
+        SlotAllocator allocator = instances(functions, functions * instances);
         for (int i = 0; i < schedulers; i++) {
-            register(keeper, i);
-            keeper.demanded(
+            register(allocator, i);
+            allocator.onDemand(
                     SETTLED, scheduler(i), new Messages.SlotDemand("fn-0", 0, 0, 1, 1, RUN));
         }
         requests = 1;
-        return Meter.microsOf(() -> oneCycle(keeper));
+        return Meter.microsOf(() -> oneCycle(allocator));
     }
 
-    private void oneCycle(SlotAllocator keeper) {
+    private void oneCycle(SlotAllocator allocator) {
         granted = null;
         long before = requests - 1;
         requests++;
         double now = SETTLED + requests;
-        keeper.demanded(
+        allocator.onDemand(
                 now, scheduler(0), new Messages.SlotDemand("fn-0", 1, before, 1, requests, RUN));
         if (granted == null) {
             throw new IllegalStateException("no slot was given");
         }
-        keeper.returned(
+        allocator.onReturn(
                 now,
                 scheduler(0),
-                new Messages.SlotReturn(granted.instance(), 1, Messages.SEEN_WELL));
-        keeper.demanded(
+                new Messages.SlotReturn(granted.instance(), 1, Messages.InstanceCondition.HEALTHY));
+        allocator.onDemand(
                 now,
                 scheduler(0),
                 new Messages.SlotDemand("fn-0", 0, before + 1, 0, requests, RUN));
     }
 
     private double holdings(int instances) throws Exception {
-        SlotAllocator keeper = instances(instances);
-        register(keeper, 0);
+        SlotAllocator allocator = instances(instances);
+        register(allocator, 0);
         Messages.SlotHoldings none = new Messages.SlotHoldings(0, Map.of());
-        return Meter.microsOf(() -> keeper.holds(0, scheduler(0), none));
+        return Meter.microsOf(() -> allocator.onHoldings(0, scheduler(0), none));
     }
 
     private double register(int instances) throws Exception {
-        SlotAllocator keeper = instances(instances);
-        return Meter.microsOf(() -> register(keeper, 0));
+        SlotAllocator allocator = instances(instances);
+        return Meter.microsOf(() -> register(allocator, 0));
     }
 
     private double keeperTick(int functions) throws Exception {
-        SlotAllocator keeper = instances(functions, functions);
-        register(keeper, 0);
+        SlotAllocator allocator = instances(functions, functions);
+        register(allocator, 0);
         for (int i = 0; i < functions; i++) {
-            keeper.demanded(
+            allocator.onDemand(
                     SETTLED, scheduler(0), new Messages.SlotDemand("fn-" + i, 0, 0, 1, 1, RUN));
         }
-        return Meter.microsOf(() -> keeper.tick(SETTLED));
+        return Meter.microsOf(() -> allocator.tick(SETTLED));
     }
 
     private double scalerTick(int functions, int instances) throws Exception {
-        SlotAllocator keeper = instances(functions, instances);
-        Autoscaler scaler = new Autoscaler(keeper, 0, 1000, "p-", 0, new NoActions());
-        scaler.hostsBegin();
+        SlotAllocator allocator = instances(functions, instances);
+        Autoscaler autoscaler = new Autoscaler(allocator, 0, 1000, "p-", 0, new NoActions());
+        autoscaler.beginHosts();
         for (int i = 0; i < 100; i++) {
-            scaler.host("host-" + i, ZONE, 7000, 0, true);
+            autoscaler.addHost("host-" + i, ZONE, 7000, 0, true);
         }
-        scaler.hostsEnd();
-        scaler.listed();
-        return Meter.microsOf(() -> scaler.tick(SETTLED));
+        autoscaler.endHosts();
+        autoscaler.instancesListed();
+        return Meter.microsOf(() -> autoscaler.tick(SETTLED));
     }
 
     /** A platform that is never asked for anything. */
@@ -325,6 +325,6 @@
         public void stop(String instance) {}
 
         @Override
-        public void leaves(Instance instance) {}
+        public void drain(Instance instance) {}
     }
 }
--- a/src/main/java/gingerspool/capacity/Target.java
+++ b/src/main/java/gingerspool/capacity/Target.java
@@ -29,7 +29,7 @@
         scheduler();
         member();
         leader();
-        keeper();
+        allocator();
         relay();
         door();
         platform();
@@ -337,7 +337,7 @@
                 ", times 13,000");
     }
 
-    private void keeper() {
+    private void allocator() {
         out.sum(
                 KEEPER,
                 "heap",
--- a/src/main/java/gingerspool/codec/MessageTypes.java
+++ b/src/main/java/gingerspool/codec/MessageTypes.java
@@ -8,7 +8,10 @@
 import gingerspool.consensus.VoterSet;
 import java.util.List;
 
-/** All that is said between processes, in a fixed order, which is part of the form. */
+/**
+ * The types of all messages between processes and of the log's commands. A type is written as its
+ * number in this list: the order is part of the form on disk, new types go to the end.
+ */
 public final class MessageTypes {
     public static final List<Class<?>> ALL =
             List.of(
@@ -48,7 +51,8 @@
                     ConsensusMessage.SnapshotReply.class,
                     ConsensusMessage.Referral.class,
                     ConsensusMessage.LeaveRequest.class,
-                    ConsensusMessage.LeaveReply.class);
+                    ConsensusMessage.LeaveReply.class,
+                    Messages.InstanceCondition.class);
 
     private MessageTypes() {}
 }
--- a/src/main/java/gingerspool/codec/Messages.java
+++ b/src/main/java/gingerspool/codec/Messages.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * What schedulers and the core say to each other. Spans are milliseconds. A scheduler's messages
- * are one link's only: on a new link it tells anew what it holds.
+ * The messages between schedulers and control nodes. A scheduler's messages are one link's only: on
+ * a new link it reports anew what it holds.
  */
 public final class Messages {
     private Messages() {}
@@ -20,19 +20,19 @@
     public record LeaderAnnouncement(long term, String leader, List<String> members) {}
 
     /**
-     * A scheduler asks the leader to take it on: the newest version it has, and each slot that it
-     * holds.
+     * A scheduler registers with the leader: the newest version it has, and the slots that it
+     * holds, by instance.
      */
     public record Register(String name, String zone, long version, Map<String, Integer> held) {}
 
-    /** The leader took it on: both begin to count anew. */
+    /** The leader registered the scheduler: both begin to count anew. */
     public record Registered(long term) {}
 
-    /** So many schedulers share the budget of repeats. */
+    /** So many schedulers share the retry budget. */
     public record SchedulerCount(int count) {}
 
     /**
-     * The configuration of this number, in protobuf's form; a scheduler only goes up in numbers,
+     * The configuration of this version, in protobuf's form; a scheduler only goes up in versions,
      * and takes one again where its copy was found to differ.
      */
     public record ConfigurationPush(long number, byte[] configuration, boolean again) {}
@@ -53,14 +53,31 @@
     public record RangeRepair(String ip, long index, int ranges, Map<String, String> items) {}
 
     /**
-     * What a scheduler wants of a function: slots at started instances that it still lacks after
-     * all grants up to this count, the tasks that it has in hand and that have come in all, on this
-     * link, and the mean running time that it has seen (0: none).
+     * What a scheduler needs of a function.
+     *
+     * @param missing slots at started instances that it still lacks after the grants counted in
+     *     {@code granted}
+     * @param granted slots of started instances granted to it on this link
+     * @param inFlight requests that it holds, waiting or running
+     * @param arrivals requests that have arrived on this link
+     * @param serviceTime the mean running time that it has seen, in milliseconds; 0: none
      */
     public record SlotDemand(
-            String function, int lacks, long granted, int inHand, long came, double run) {}
+            String function,
+            int missing,
+            long granted,
+            int inFlight,
+            long arrivals,
+            double serviceTime) {}
 
-    /** Slots given: an instance, how many, and how long until it has started (0: it has). */
+    /**
+     * Slots granted to a scheduler.
+     *
+     * @param capacity the slots that the instance has
+     * @param slots how many of them are granted now
+     * @param startsIn milliseconds until the instance has started; 0: it has
+     * @param grantedSlots how many of its slots schedulers hold, these included
+     */
     public record SlotGrant(
             String function,
             String instance,
@@ -69,33 +86,37 @@
             int capacity,
             int slots,
             double startsIn,
-            int inFlight) {}
+            int grantedSlots) {}
 
     /** All slots that a scheduler holds after so many grants on this link, by instance. */
     public record SlotHoldings(long grants, Map<String, Integer> held) {}
 
-    /** Others lack slots: so many of this function's are to be given back as they fall free. */
+    /** Others lack slots: so many of this function's are to be returned as they fall free. */
     public record SlotRecall(String function, int slots) {}
 
     /**
-     * A command of the log: an operator's configuration, whole or as changes, made on a version.
+     * A command of the log: an operator's configuration, complete or as changes to a version. Kept
+     * on disk: the sorted order of the component names is part of its form.
      */
     public record ChangeCommand(long id, boolean whole, long on, byte[] body) {}
 
-    /** Slots given back; how the instance was: see the constants. */
-    public record SlotReturn(String instance, int slots, int seen) {}
+    /** How a scheduler found an instance of which it returns slots. */
+    public enum InstanceCondition {
+        HEALTHY,
 
-    /** Nothing new may go to these instances; they are draining or gone. */
-    public record InstanceWithdrawal(List<String> instances) {}
+        /** It accepted a first connection: it has started. */
+        STARTED,
 
-    public static final int SEEN_WELL = 0;
+        /** It can't be reached. */
+        UNREACHABLE,
 
-    /** It took a first connection: it has started. */
-    public static final int SEEN_UP = 1;
+        /** It rejected a request although a slot was granted. */
+        OVERLOADED
+    }
 
-    /** It can't be reached. */
-    public static final int SEEN_LOST = 2;
+    /** Slots returned, perhaps none, and how the instance was found. */
+    public record SlotReturn(String instance, int slots, InstanceCondition condition) {}
 
-    /** It turned a task away as too much. */
-    public static final int SEEN_FULL = 3;
+    /** Nothing new may go to these instances; they are draining or gone. */
+    public record InstanceWithdrawal(List<String> instances) {}
 }
--- a/src/main/java/gingerspool/controlplane/ControlNode.java
+++ b/src/main/java/gingerspool/controlplane/ControlNode.java
@@ -442,7 +442,7 @@
         lines.add("version " + configurationState.version() + " applied " + replica.appliedIndex());
         lines.addAll(schedulers.status());
         if (leadership.duties() != null) {
-            lines.addAll(leadership.duties().keeper.status());
+            lines.addAll(leadership.duties().allocator.status());
         }
         return String.join("\n", lines) + "\n";
     }
--- a/src/main/java/gingerspool/controlplane/LeaderDuties.java
+++ b/src/main/java/gingerspool/controlplane/LeaderDuties.java
@@ -44,7 +44,7 @@
     private final BiConsumer<String, Object> send;
     private final Consumer<Object> sendToAll;
     private final Platform platform;
-    final SlotAllocator keeper;
+    final SlotAllocator allocator;
     private final Autoscaler autoscaler;
     private boolean ended;
     private double hostsAt;
@@ -71,10 +71,10 @@
         this.send = send;
         this.sendToAll = sendToAll;
         this.platform = platform;
-        keeper = new SlotAllocator(settings.beat, turns.now(), this);
+        allocator = new SlotAllocator(settings.beat, turns.now(), this);
         autoscaler =
                 new Autoscaler(
-                        keeper,
+                        allocator,
                         settings.dutyRate,
                         settings.cloudLag,
                         term + "-" + settings.name + "-",
@@ -89,18 +89,18 @@
     }
 
     void configured(Configuration c) {
-        keeper.configured(c);
+        allocator.configure(c);
     }
 
     // ---- Schedulers ----
 
     @Override
     public void registered(String scheduler, Messages.Register message) {
-        keeper.registered(turns.now(), scheduler, message);
+        allocator.onRegister(turns.now(), scheduler, message);
         // Guards one that was with nobody, or another leader, as these were seen to leave.
         List<String> leaving =
-                keeper.instances().stream()
-                        .filter(i -> i.state == Instance.State.LEAVING)
+                allocator.instances().stream()
+                        .filter(i -> i.state == Instance.State.DRAINING)
                         .map(i -> i.id)
                         .toList();
         if (!leaving.isEmpty()) {
@@ -112,17 +112,18 @@
     public void received(String scheduler, Object message) {
         double now = turns.now();
         if (message instanceof Messages.SlotDemand m) {
-            keeper.demanded(now, scheduler, m);
+            allocator.onDemand(now, scheduler, m);
         } else if (message instanceof Messages.SlotReturn m) {
-            keeper.returned(now, scheduler, m);
-        } else if (message instanceof Messages.SlotHoldings m && !keeper.holds(now, scheduler, m)) {
+            allocator.onReturn(now, scheduler, m);
+        } else if (message instanceof Messages.SlotHoldings m
+                && !allocator.onHoldings(now, scheduler, m)) {
             LOG.warn("scheduler.slots_diverged scheduler={}", scheduler);
         }
     }
 
     @Override
     public void lost(String scheduler) {
-        keeper.lost(turns.now(), scheduler);
+        allocator.onDisconnect(turns.now(), scheduler);
     }
 
     private boolean mayAct() {
@@ -134,7 +135,7 @@
             return;
         }
         if (mayAct()) {
-            keeper.tick(turns.now());
+            allocator.tick(turns.now());
             autoscaler.tick(turns.now());
         }
         turns.after(TICK, this::tick);
@@ -178,16 +179,16 @@
     }
 
     private void hosts(List<?> all) {
-        autoscaler.hostsBegin();
+        autoscaler.beginHosts();
         for (Object h : all) {
-            autoscaler.host(
+            autoscaler.addHost(
                     JsonTree.text("", h, "Name"),
                     JsonTree.text("", h, "Zone"),
                     JsonTree.number(0, h, "MemoryMb"),
                     JsonTree.number(0, h, "FreeMemoryMb"),
                     JsonTree.text("", h, "State").equals("ready"));
         }
-        autoscaler.hostsEnd();
+        autoscaler.endHosts();
     }
 
     private void listed(List<Object> all, double asked) {
@@ -196,13 +197,13 @@
         for (Object e : all) {
             String id = JsonTree.text("", e, "Identifier");
             boolean ready = JsonTree.text("", e, "State").equals("ready");
-            Instance i = keeper.instance(id);
+            Instance i = allocator.instance(id);
             if (i == null && !id.isEmpty()) {
                 i =
-                        keeper.add(
+                        allocator.addInstance(
                                 now,
                                 id,
-                                keeper.unrouted(JsonTree.text("", e, "Service")),
+                                allocator.catalog().findOrAdd(JsonTree.text("", e, "Service")),
                                 JsonTree.text("", e, "Address"),
                                 JsonTree.text("", e, "Zone"),
                                 JsonTree.text("", e, "Worker"),
@@ -211,28 +212,29 @@
             }
             if (i != null) {
                 i.listedAt = asked;
-                if (!ready && i.state != Instance.State.LEAVING) {
+                if (!ready && i.state != Instance.State.DRAINING) {
                     leave.add(id);
-                    keeper.leaves(now, i);
+                    allocator.markDraining(now, i);
                 } else if (ready) {
-                    keeper.ready(now, i);
+                    allocator.markReady(now, i);
                 }
             }
         }
-        for (Instance i : keeper.instances()) {
+        for (Instance i : allocator.instances()) {
             // Guards against pages that shift while they are read: it must be missing twice.
             boolean wasListed = i.listedAt < listedBefore;
-            boolean left = Double.isNaN(i.listedAt) && now > i.leavingAt + 2 * settings.cloudLag;
+            boolean left =
+                    Double.isNaN(i.listedAt) && now > i.drainingSince + 2 * settings.cloudLag;
             if (wasListed || left) {
                 leave.add(i.id);
-                keeper.gone(now, i);
+                allocator.removeInstance(now, i);
             }
         }
         if (!leave.isEmpty()) {
             sendToAll.accept(new Messages.InstanceWithdrawal(List.copyOf(leave)));
         }
         listedBefore = asked;
-        autoscaler.listed();
+        autoscaler.instancesListed();
     }
 
     // ---- Starts, stops ----
@@ -294,8 +296,8 @@
     }
 
     @Override
-    public void leaves(Instance i) {
-        keeper.leaves(turns.now(), i);
+    public void drain(Instance i) {
+        allocator.markDraining(turns.now(), i);
         sendToAll.accept(new Messages.InstanceWithdrawal(List.of(i.id)));
     }
 
@@ -314,11 +316,11 @@
         LOG.info(
                 "duty term={} functions={} schedulers={} starts={} stops={} refused={} {}",
                 term,
-                keeper.functions().size(),
-                keeper.schedulers(),
+                allocator.catalog().all().size(),
+                allocator.connectedSchedulers(),
                 starts,
                 stops,
                 refusals,
-                keeper.load());
+                allocator.usage());
     }
 }
--- a/src/main/java/gingerspool/dataplane/FunctionQueue.java
+++ b/src/main/java/gingerspool/dataplane/FunctionQueue.java
@@ -479,7 +479,7 @@
             boolean isKept = now < s.idleSince + idleKeep() && near && !s.leaving;
             if (n > 0 && !starting && (!isKept || recalled > 0)) {
                 int some = isKept ? Math.min(n, recalled) : n;
-                back(s, some, Messages.SEEN_WELL);
+                back(s, some, Messages.InstanceCondition.HEALTHY);
             } else if (s.held == 0
                     && s.used == 0
                     && s.doubtful == 0
@@ -495,7 +495,7 @@
         return IDLE_KEEP * environment.settings().beat;
     }
 
-    private void back(InstanceSlot s, int slots, int seen) {
+    private void back(InstanceSlot s, int slots, Messages.InstanceCondition seen) {
         if (environment.say(new Messages.SlotReturn(s.instance, slots, seen))) {
             s.held -= slots;
             recalled = Math.max(0, recalled - slots);
@@ -519,7 +519,8 @@
             s = slot(g);
             if (s == null) {
                 environment.say(
-                        new Messages.SlotReturn(g.instance(), g.slots(), Messages.SEEN_LOST));
+                        new Messages.SlotReturn(
+                                g.instance(), g.slots(), Messages.InstanceCondition.UNREACHABLE));
                 return;
             }
         }
@@ -539,7 +540,7 @@
             double[] report = new double[Report.SIZE];
             Arrays.fill(report, Double.NaN);
             // Slots that others hold are taken, ours are free but for those in use.
-            int others = Math.max(0, g.inFlight() - s.held);
+            int others = Math.max(0, g.grantedSlots() - s.held);
             report[Report.FREE_SLOTS] = Math.max(0, s.capacity - others - s.used);
             dispatcher.probed(now, s.worker, report);
         }
@@ -619,7 +620,7 @@
             return;
         }
         if (turns.now() > s.startsAt + CONNECT_MOST * service.getBoot()) {
-            back(s, s.held, Messages.SEEN_LOST);
+            back(s, s.held, Messages.InstanceCondition.UNREACHABLE);
             return;
         }
         try {
@@ -635,7 +636,9 @@
                                     up(s);
                                     environment.say(
                                             new Messages.SlotReturn(
-                                                    s.instance, 0, Messages.SEEN_UP));
+                                                    s.instance,
+                                                    0,
+                                                    Messages.InstanceCondition.STARTED));
                                     serve();
                                 } else {
                                     connectLater(s, CONNECT_PAUSE * service.getBoot());
@@ -811,7 +814,7 @@
                     });
         } else if (how == Outcome.UNREACHABLE || answer != null && answer.status() == 421) {
             environment.pool().empty(s.poolIndex);
-            back(s, s.idle(), Messages.SEEN_LOST);
+            back(s, s.idle(), Messages.InstanceCondition.UNREACHABLE);
             if (how == Outcome.UNREACHABLE && v.unreached < UNREACHED_MOST) {
                 // It was sent to nobody, so it is none of the attempts that its route allows.
                 v.unreached++;
@@ -826,7 +829,7 @@
                 unassigned.refused(now, environment.schedulers());
                 told(s);
             }
-            back(s, Math.min(1, s.idle()), Messages.SEEN_FULL);
+            back(s, Math.min(1, s.idle()), Messages.InstanceCondition.OVERLOADED);
         }
     }
 }
--- a/src/main/java/gingerspool/dataplane/SchedulerNode.java
+++ b/src/main/java/gingerspool/dataplane/SchedulerNode.java
@@ -215,7 +215,9 @@
         if (queue != null) {
             queue.granted(grant);
         } else {
-            core.say(new Messages.SlotReturn(grant.instance(), grant.slots(), Messages.SEEN_WELL));
+            core.say(
+                    new Messages.SlotReturn(
+                            grant.instance(), grant.slots(), Messages.InstanceCondition.HEALTHY));
         }
     }
 
--- a/src/main/java/gingerspool/slots/ArrivalRate.java
+++ b/src/main/java/gingerspool/slots/ArrivalRate.java
@@ -1,92 +1,94 @@
 package gingerspool.slots;
 
 /**
- * How often the tasks of one function come, over all schedulers: three decayed counts, each with
- * the time that it speaks for. Rates are tasks a millisecond.
+ * How often the requests of one function arrive, over all schedulers: three decayed counts, each
+ * with the time that it speaks for. Rates are requests a millisecond, spans milliseconds.
  */
 public final class ArrivalRate {
-    /** The longer counts look back over so many short spans. */
-    private static final double SLOW = 5;
+    /** The window of the medium count, in windows of the short one. */
+    private static final double MEDIUM_WINDOWS = 5;
 
-    private static final double LONG = 12;
+    /** The window of the long count, in windows of the short one. */
+    private static final double LONG_WINDOWS = 12;
 
-    /** A burst is told by a newest rate so many standard deviations above the slower one. */
-    private static final double SURE = 2;
+    /** A short rate so many standard deviations above the medium one is a burst. */
+    private static final double BURST_DEVIATIONS = 2;
 
-    /** So many mean gaps without a task hardly come by chance. */
-    private static final double SILENT = 3;
+    /** So many mean gaps without a request hardly come by chance. */
+    private static final double SILENT_GAPS = 3;
 
-    /** What was provided for falls back over so many short spans. */
-    private static final double HOLD = 5;
+    /** The provisioned rate falls back over so many windows of the short count. */
+    private static final double DECAY_WINDOWS = 5;
 
-    private final Count fast;
-    private final Count slow;
-    private final Count rare;
-    private final double span;
-    private double held;
-    private double at = Double.NaN;
-    private double cameAt = Double.NEGATIVE_INFINITY;
+    private final DecayedCount shortTerm;
+    private final DecayedCount mediumTerm;
+    private final DecayedCount longTerm;
+    private final double window;
+    private double provisioned;
+    private double updatedAt = Double.NaN;
+    private double arrivedAt = Double.NEGATIVE_INFINITY;
 
-    /** Tasks seen and the time they were seen in, both forgotten at the same pace. */
-    private static final class Count {
-        final double span;
-        double tasks;
+    /** Requests seen and the time they were seen in, both forgotten at the same pace. */
+    private static final class DecayedCount {
+        final double window;
+        double requests;
         double time;
 
-        Count(double span) {
-            this.span = span;
+        DecayedCount(double window) {
+            this.window = window;
         }
 
-        void pass(double past, long more) {
-            double keep = Math.exp(-past / span);
-            tasks = tasks * keep + more;
-            time = time * keep + span * (1 - keep);
+        void add(double elapsed, long more) {
+            double kept = Math.exp(-elapsed / window);
+            requests = requests * kept + more;
+            time = time * kept + window * (1 - kept);
         }
 
-        double rate(double least) {
-            return tasks / Math.max(time, least);
+        double rate(double leastTime) {
+            return requests / Math.max(time, leastTime);
         }
     }
 
-    ArrivalRate(double span) {
-        this.span = span;
-        fast = new Count(span);
-        slow = new Count(SLOW * span);
-        rare = new Count(LONG * span);
+    ArrivalRate(double window) {
+        this.window = window;
+        shortTerm = new DecayedCount(window);
+        mediumTerm = new DecayedCount(MEDIUM_WINDOWS * window);
+        longTerm = new DecayedCount(LONG_WINDOWS * window);
     }
 
-    void came(double now, long more) {
-        double past = Double.isNaN(at) ? 0 : now - at;
-        at = now;
-        cameAt = more > 0 ? now : cameAt;
-        fast.pass(past, more);
-        slow.pass(past, more);
-        rare.pass(past, more);
-        double newest = now();
-        held = Math.max(newest, newest + (held - newest) * Math.exp(-past / (HOLD * span)));
+    /** So many requests have arrived since the last call, perhaps none. */
+    void add(double now, long more) {
+        double elapsed = Double.isNaN(updatedAt) ? 0 : now - updatedAt;
+        updatedAt = now;
+        arrivedAt = more > 0 ? now : arrivedAt;
+        shortTerm.add(elapsed, more);
+        mediumTerm.add(elapsed, more);
+        longTerm.add(elapsed, more);
+        double current = current();
+        double decay = Math.exp(-elapsed / (DECAY_WINDOWS * window));
+        provisioned = Math.max(current, current + (provisioned - current) * decay);
     }
 
-    /** The rate at present: over the longer span, unless the newest is surely above that. */
-    private double now() {
-        double usual = slow.rate(span);
-        double newest = fast.rate(span);
-        return newest > usual + SURE * Math.sqrt(usual / (2 * span)) ? newest : usual;
+    /** The rate over the medium window, unless the newest is surely above that. */
+    private double current() {
+        double usual = mediumTerm.rate(window);
+        double newest = shortTerm.rate(window);
+        double deviation = Math.sqrt(usual / (2 * window));
+        return newest > usual + BURST_DEVIATIONS * deviation ? newest : usual;
     }
 
-    /** The rate to provide for: up at once, down slowly. */
-    public double wanted() {
-        return held;
+    /** The rate to provide instances for: up at once, down slowly. */
+    public double provisioned() {
+        return provisioned;
     }
 
-    /**
-     * The rate over the longest span, by which the next task is awaited; silence speaks against it.
-     */
-    public double usual() {
-        return Math.min(rare.rate(span), SILENT / (at - cameAt));
+    /** The rate by which the next request is awaited; silence speaks against it. */
+    public double expected() {
+        return Math.min(longTerm.rate(window), SILENT_GAPS / (updatedAt - arrivedAt));
     }
 
-    /** Whether it was watched for long enough that its usual rate says something. */
-    public boolean known() {
-        return rare.time > rare.span / 2;
+    /** Whether it was watched for long enough that its expected rate says something. */
+    public boolean isKnown() {
+        return longTerm.time > longTerm.window / 2;
     }
 }
--- a/src/main/java/gingerspool/slots/Function.java
+++ b/src/main/java/gingerspool/slots/Function.java
@@ -4,64 +4,56 @@
 import java.util.Map;
 
 /**
- * One service of the configuration that the system starts instances for. Times are milliseconds.
+ * One service of the configuration, for which the system starts instances: its settings, its
+ * instances and its load. Times are milliseconds.
  */
 public final class Function {
     public final String name;
-    public double boot;
+
+    /** How long an instance takes to start, on average. */
+    public double startTime;
+
+    /** Requests that one instance runs at once. */
     public int concurrency;
-    public int memory;
 
-    /** The shortest aim of its routes. */
-    public double aim;
+    public int memoryMb;
+
+    /** The shortest latency target of its routes; infinite where none has one. */
+    public double targetLatency;
 
     /** Whether any route leads to it. */
-    public boolean routed;
+    public boolean isRouted;
 
     public final Map<String, Instance> instances = new LinkedHashMap<>();
 
     /** By scheduler. */
-    final Map<String, Demand> demands = new LinkedHashMap<>();
+    final Map<String, SchedulerDemand> demands = new LinkedHashMap<>();
 
     public final ArrivalRate arrivals;
 
-    /** Mean running time as schedulers have seen it, 0 if none has. */
-    public double run;
-
-    /** What one scheduler wants of it. */
-    static final class Demand {
-        int lacks;
-        int inHand;
-        long came;
-
-        /** Slots given to it in all, on this link. */
-        long granted;
-
-        double since;
-
-        /** Slots that it was asked back and has not given yet. */
-        int recalled;
-    }
+    /** Mean running time of a request as schedulers have seen it, 0 if none has. */
+    public double serviceTime;
 
-    /** Its newest rate looks back over this span. */
-    Function(String name, double span) {
+    /** Its newest arrival rate looks back over this span. */
+    Function(String name, double rateWindow) {
         this.name = name;
-        arrivals = new ArrivalRate(span);
+        arrivals = new ArrivalRate(rateWindow);
     }
 
-    /** Tasks in hand, at all schedulers. */
-    public int inHand() {
+    /** Requests that schedulers hold, waiting or running. */
+    public int inFlight() {
         int sum = 0;
-        for (Demand d : demands.values()) {
-            sum += d.inHand;
+        for (SchedulerDemand demand : demands.values()) {
+            sum += demand.inFlight;
         }
         return sum;
     }
 
-    public int lacks() {
+    /** Slots that requests at all schedulers wait for. */
+    public int missingSlots() {
         int sum = 0;
-        for (Demand d : demands.values()) {
-            sum += d.lacks;
+        for (SchedulerDemand demand : demands.values()) {
+            sum += demand.missingSlots;
         }
         return sum;
     }
--- a/src/main/java/gingerspool/slots/Instance.java
+++ b/src/main/java/gingerspool/slots/Instance.java
@@ -3,13 +3,15 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** One running copy of a function, as the platform knows it. Facts only. Times are milliseconds. */
+/** One instance of a function, as the platform knows it. Facts only. Times are milliseconds. */
 public final class Instance {
     /** Its life, as the platform lists it. */
     public enum State {
         STARTING,
         READY,
-        LEAVING
+
+        /** It gets nothing new; what runs there may end. */
+        DRAINING
     }
 
     public final String id;
@@ -18,22 +20,26 @@
     public final String zone;
     public final String host;
     public final int slots;
-    public final double begunAt;
+
+    /** When it became known here. */
+    public final double createdAt;
+
     public State state;
 
-    /** Slots in schedulers' hands, by scheduler. */
-    final Map<String, Integer> held = new LinkedHashMap<>();
+    /** Granted slots by scheduler. */
+    final Map<String, Integer> grantedByScheduler = new LinkedHashMap<>();
 
-    public double usedAt;
+    /** When a slot of it was last granted or returned. */
+    public double lastUsedAt;
 
-    /** Nobody could reach it lately. */
+    /** Until then it is taken for unreachable. */
     double suspectUntil;
 
-    /** When the platform's list last named it; NaN: never. */
+    /** When the platform's list that last named it was asked for; NaN: never. */
     public double listedAt = Double.NaN;
 
-    /** Since when nothing new goes there. */
-    public double leavingAt = Double.NaN;
+    /** Since when nothing new goes there; NaN: it may. */
+    public double drainingSince = Double.NaN;
 
     Instance(
             String id,
@@ -51,14 +57,15 @@
         this.host = host;
         this.slots = slots;
         this.state = state;
-        begunAt = now;
-        usedAt = now;
+        createdAt = now;
+        lastUsedAt = now;
     }
 
-    public int inHands() {
+    /** Slots that schedulers hold. */
+    public int grantedSlots() {
         int sum = 0;
-        for (int n : held.values()) {
-            sum += n;
+        for (int granted : grantedByScheduler.values()) {
+            sum += granted;
         }
         return sum;
     }
@@ -68,12 +75,12 @@
         return now < suspectUntil;
     }
 
-    int free(double now) {
-        return state == State.LEAVING || isSuspect(now) ? 0 : Math.max(0, slots - inHands());
+    int freeSlots(double now) {
+        return state == State.DRAINING || isSuspect(now) ? 0 : Math.max(0, slots - grantedSlots());
     }
 
-    /** How long until it has started, as far as starts take on average. */
-    double startsIn(double now) {
-        return state == State.STARTING ? Math.max(1, begunAt + function.boot - now) : 0;
+    /** How long until it has started, as starts take on average; 0 where it has. */
+    double remainingStartTime(double now) {
+        return state == State.STARTING ? Math.max(1, createdAt + function.startTime - now) : 0;
     }
 }
--- a/src/main/java/gingerspool/slots/SlotAllocator.java
+++ b/src/main/java/gingerspool/slots/SlotAllocator.java
@@ -1,9 +1,8 @@
 package gingerspool.slots;
 
 import gingerspool.codec.Messages;
+import gingerspool.codec.Messages.InstanceCondition;
 import gingerspool.configuration.Configuration;
-import gingerspool.configuration.Route;
-import gingerspool.configuration.Service;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -12,82 +11,80 @@
 import java.util.Objects;
 
 /**
- * Keeps the slots of all instances: gives each to one scheduler at a time, so that all together
- * never send an instance more than it may hold. A scheduler keeps what it was given until it gives
- * it back; one that can't be reached keeps it for a while more. A new keeper knows of slots what
- * schedulers tell as they enrol, and gives nothing until they had the time to. Times are
- * milliseconds of a steady clock.
+ * Grants each slot of an instance to one scheduler at a time, so that all together never send an
+ * instance more than it may run.
+ *
+ * <p>Invariant: the slots granted of an instance are never more than it has, as far as its
+ * schedulers have registered. A scheduler keeps a slot until it returns it. One whose link broke
+ * keeps all for {@link #RECLAIM_HEARTBEATS}; if it has not registered by then they are free again.
+ * A new allocator knows only what schedulers report as they register, and grants nothing for {@link
+ * #REPORT_HEARTBEATS}.
  */
 public final class SlotAllocator {
-    /**
-     * Schedulers' slots are theirs for so many beats after their link broke: who lives is back by
-     * then.
-     */
-    private static final double KEPT = 0.5;
+    /** How long a scheduler's slots stay its own after its link broke, in heartbeat intervals. */
+    private static final double RECLAIM_HEARTBEATS = 0.5;
+
+    /** How long an instance that was not reached gets no requests, in heartbeat intervals. */
+    private static final double SUSPECT_HEARTBEATS = 1;
 
-    /** An instance that nobody reached is left alone for so many beats. */
-    private static final double SUSPECT = 1;
+    /** How long schedulers have to report to a new allocator, in heartbeat intervals. */
+    private static final double REPORT_HEARTBEATS = 0.15;
 
-    /** Schedulers have this part of a heartbeat to tell a new keeper what they hold. */
-    private static final double SETTLE = 0.15;
+    /** What the newest arrival rates look back over, in heartbeat intervals. */
+    private static final double RATE_WINDOW_HEARTBEATS = 0.8;
 
-    /** The newest rates look back over so many beats. */
-    private static final double SPAN = 0.8;
+    /** The weight of a reported service time in the mean is one in so many. */
+    private static final double SERVICE_TIME_SAMPLES = 8;
 
-    /** Where a keeper sends its messages. */
+    /** Where an allocator sends its messages. */
     public interface Messenger {
         void send(String scheduler, Object message);
 
-        /** Whether slots may be granted and recalled now: nobody else may be their keeper. */
+        /** Whether slots may be granted and recalled now: nobody else may be their allocator. */
         default boolean mayGrant() {
             return true;
         }
     }
 
-    private static final class Scheduler {
+    /** A scheduler that has registered, until its slots are reclaimed. */
+    private static final class Session {
         String zone = "";
 
         /** NaN while its link stands. */
-        double lostAt = Double.NaN;
+        double disconnectedAt = Double.NaN;
 
-        /** Grants sent to it on this link. */
+        /** Grants sent on this link. */
         long grants;
     }
 
     private final double heartbeat;
     private final Messenger messenger;
-    private final Map<String, Function> functions = new LinkedHashMap<>();
+    private final FunctionCatalog catalog;
     private final Map<String, Instance> instances = new LinkedHashMap<>();
-    private final Map<String, Scheduler> schedulers = new LinkedHashMap<>();
+    private final Map<String, Session> sessions = new LinkedHashMap<>();
 
-    /** Held slots of instances that were not known when a scheduler told of them. */
-    private final Map<String, Map<String, Integer>> heldBeforeListed = new HashMap<>();
+    /** By instance, then scheduler: slots reported of instances that no list has named yet. */
+    private final Map<String, Map<String, Integer>> reportedBeforeListed = new HashMap<>();
 
-    /** Nothing is given before that. */
-    private double grantsFrom;
+    /** Nothing is granted before that. */
+    private final double grantsFrom;
 
     private double now;
 
+    /** The heartbeat interval is in milliseconds. */
     public SlotAllocator(double heartbeat, double now, Messenger messenger) {
         this.heartbeat = heartbeat;
         this.messenger = messenger;
         this.now = now;
-        grantsFrom = now + SETTLE * heartbeat;
-    }
-
-    public Collection<Function> functions() {
-        return functions.values();
+        catalog = new FunctionCatalog(RATE_WINDOW_HEARTBEATS * heartbeat);
+        grantsFrom = now + REPORT_HEARTBEATS * heartbeat;
     }
 
-    public Function function(String name) {
-        return functions.get(name);
-    }
-
-    /** The same, also where no configuration names it (any more). */
-    public Function unrouted(String name) {
-        return functions.computeIfAbsent(name, n -> new Function(n, SPAN * heartbeat));
+    public FunctionCatalog catalog() {
+        return catalog;
     }
 
+    /** The instance with this id, or null. */
     public Instance instance(String id) {
         return instances.get(id);
     }
@@ -96,369 +93,297 @@
         return List.copyOf(instances.values());
     }
 
-    /** Schedulers that are registered now. */
-    public int schedulers() {
-        return (int) schedulers.values().stream().filter(f -> Double.isNaN(f.lostAt)).count();
+    /** How many schedulers are connected. */
+    public int connectedSchedulers() {
+        return (int) sessions.values().stream().filter(s -> Double.isNaN(s.disconnectedAt)).count();
     }
 
-    /** Tasks in hand by zone of the schedulers. */
-    public Map<String, Integer> demandByZone(Function f) {
-        Map<String, Integer> by = new HashMap<>();
-        f.demands.forEach(
-                (scheduler, d) -> by.merge(schedulers.get(scheduler).zone, d.inHand, Integer::sum));
-        return by;
+    /** Requests in flight by the schedulers' zone. */
+    public Map<String, Integer> inFlightByZone(Function function) {
+        Map<String, Integer> byZone = new HashMap<>();
+        function.demands.forEach(
+                (scheduler, demand) ->
+                        byZone.merge(sessions.get(scheduler).zone, demand.inFlight, Integer::sum));
+        return byZone;
     }
 
-    // ---- Configuration ----
-
-    public void configured(Configuration c) {
-        functions.values().forEach(f -> f.routed = false);
-        for (Service s : c.getServicesList()) {
-            Function f = unrouted(s.getName());
-            f.boot = s.getBoot();
-            f.concurrency = Math.max(1, s.getConcurrency());
-            f.memory = s.getMemory();
-            f.aim = Double.POSITIVE_INFINITY;
-        }
-        for (Route r : c.getRoutesList()) {
-            Function f = functions.get(r.getService());
-            f.routed = true;
-            f.aim = Math.min(f.aim, r.getAim() > 0 ? r.getAim() : Double.POSITIVE_INFINITY);
-        }
+    public void configure(Configuration configuration) {
+        catalog.configure(configuration);
     }
 
-    // ---- Schedulers ----
+    // ---- Messages of schedulers ----
 
-    /** A scheduler came, or came back: what it holds it says itself. */
-    public void registered(double at, String scheduler, Messages.Register message) {
+    /** A scheduler registered, perhaps again: what it holds is what it reports. */
+    public void onRegister(double at, String scheduler, Messages.Register message) {
         now = at;
-        drop(scheduler);
-        Scheduler f = schedulers.computeIfAbsent(scheduler, k -> new Scheduler());
-        f.zone = message.zone();
-        f.lostAt = Double.NaN;
-        f.grants = 0;
-        message.held()
-                .forEach(
-                        (id, n) -> {
-                            Instance i = instances.get(id);
-                            if (i != null) {
-                                i.held.put(scheduler, n);
-                            } else {
-                                heldBeforeListed
-                                        .computeIfAbsent(id, k -> new HashMap<>())
-                                        .put(scheduler, n);
-                            }
-                        });
+        reclaim(scheduler);
+        Session session = sessions.computeIfAbsent(scheduler, name -> new Session());
+        session.zone = message.zone();
+        session.disconnectedAt = Double.NaN;
+        session.grants = 0;
+        message.held().forEach((id, slots) -> heldSlots(id).put(scheduler, slots));
+    }
+
+    /** Granted slots of an instance by scheduler, also before a list has named it. */
+    private Map<String, Integer> heldSlots(String id) {
+        Instance instance = instances.get(id);
+        return instance != null
+                ? instance.grantedByScheduler
+                : reportedBeforeListed.computeIfAbsent(id, k -> new HashMap<>());
     }
 
     /**
-     * All that a scheduler holds once so many grants had come to it. Where none is on its way this
-     * is what we must have noted; what differs is mended from it, since it knows best.
+     * All that a scheduler holds once so many grants had come to it. Where no grant is on its way
+     * this is what is noted here; what differs is repaired from it, since the scheduler knows best.
+     * False where something differed.
      */
-    public boolean holds(double at, String scheduler, Messages.SlotHoldings message) {
+    public boolean onHoldings(double at, String scheduler, Messages.SlotHoldings message) {
         now = at;
-        Scheduler f = schedulers.get(scheduler);
-        if (f == null || f.grants != message.grants()) {
+        Session session = sessions.get(scheduler);
+        if (session == null || session.grants != message.grants()) {
             return true;
         }
-        boolean same = true;
-        for (Instance i : instances.values()) {
-            Integer told = message.held().get(i.id);
-            if (!Objects.equals(i.held.get(scheduler), told)) {
-                same = false;
-                i.held.put(scheduler, told);
-                i.held.values().removeIf(Objects::isNull);
+        boolean matches = true;
+        for (Instance instance : instances.values()) {
+            Map<String, Integer> granted = instance.grantedByScheduler;
+            Integer reported = message.held().get(instance.id);
+            if (!Objects.equals(granted.get(scheduler), reported)) {
+                matches = false;
+                granted.put(scheduler, reported);
+                granted.values().removeIf(Objects::isNull);
             }
         }
-        return same;
+        return matches;
     }
 
-    /** Its link broke. */
-    public void lost(double at, String scheduler) {
+    /** A scheduler's link broke. */
+    public void onDisconnect(double at, String scheduler) {
         now = at;
-        if (schedulers.containsKey(scheduler)) {
-            schedulers.get(scheduler).lostAt = now;
-            functions.values().forEach(f -> f.demands.remove(scheduler));
+        Session session = sessions.get(scheduler);
+        if (session != null) {
+            session.disconnectedAt = now;
+            catalog.all().forEach(function -> function.demands.remove(scheduler));
         }
     }
 
-    private void drop(String scheduler) {
-        instances.values().forEach(i -> i.held.remove(scheduler));
-        heldBeforeListed.values().forEach(held -> held.remove(scheduler));
-        functions.values().forEach(f -> f.demands.remove(scheduler));
+    private void reclaim(String scheduler) {
+        instances.values().forEach(instance -> instance.grantedByScheduler.remove(scheduler));
+        reportedBeforeListed.values().forEach(held -> held.remove(scheduler));
+        catalog.all().forEach(function -> function.demands.remove(scheduler));
     }
 
-    public void demanded(double at, String scheduler, Messages.SlotDemand message) {
+    /** What a scheduler needs of a function now. */
+    public void onDemand(double at, String scheduler, Messages.SlotDemand message) {
         now = at;
-        Function f = functions.get(message.function());
-        if (f == null || !schedulers.containsKey(scheduler)) {
+        Function function = catalog.find(message.function());
+        if (function == null || !sessions.containsKey(scheduler)) {
             return;
         }
-        Function.Demand d = f.demands.computeIfAbsent(scheduler, k -> new Function.Demand());
-        int before = d.lacks;
-        // Guards against giving twice: what is on its way to the scheduler was not known to it yet.
-        d.lacks = (int) Math.max(0, message.lacks() - Math.max(0, d.granted - message.granted()));
-        d.since = before == 0 ? now : d.since;
-        d.inHand = message.inHand();
-        f.arrivals.came(now, Math.max(0, message.came() - d.came));
-        d.came = message.came();
-        f.run =
-                message.run() > 0
-                        ? f.run == 0 ? message.run() : f.run + (message.run() - f.run) / 8
-                        : f.run;
-        give(f);
-        if (d.lacks > 0 && now >= grantsFrom && messenger.mayGrant()) {
-            recall(f);
+        SchedulerDemand demand =
+                function.demands.computeIfAbsent(scheduler, name -> new SchedulerDemand());
+        update(function, demand, message);
+        grant(function);
+        if (demand.missingSlots > 0 && mayGrant()) {
+            recall(function);
         }
     }
 
-    public void returned(double at, String scheduler, Messages.SlotReturn message) {
+    private void update(Function function, SchedulerDemand demand, Messages.SlotDemand message) {
+        // Guards against granting twice: what is on its way was not known to the scheduler yet.
+        long onItsWay = Math.max(0, demand.granted - message.granted());
+        boolean missedBefore = demand.missingSlots > 0;
+        demand.missingSlots = (int) Math.max(0, message.missing() - onItsWay);
+        demand.missingSince = missedBefore ? demand.missingSince : now;
+        demand.inFlight = message.inFlight();
+        function.arrivals.add(now, Math.max(0, message.arrivals() - demand.arrivals));
+        demand.arrivals = message.arrivals();
+        if (message.serviceTime() > 0) {
+            function.serviceTime =
+                    function.serviceTime == 0
+                            ? message.serviceTime()
+                            : function.serviceTime
+                                    + (message.serviceTime() - function.serviceTime)
+                                            / SERVICE_TIME_SAMPLES;
+        }
+    }
+
+    /** A scheduler returns slots, perhaps none, and tells how the instance was. */
+    public void onReturn(double at, String scheduler, Messages.SlotReturn message) {
         now = at;
-        Instance i = instances.get(message.instance());
-        // Guards slots of instances that the lists have not named yet: else they would be held for
-        // ever.
+        int slots = message.slots();
+        Instance instance = instances.get(message.instance());
+        // Guards slots of instances that no list has named yet: else they would be held for ever.
         Map<String, Integer> held =
-                i != null
-                        ? i.held
-                        : heldBeforeListed.getOrDefault(message.instance(), new HashMap<>());
-        held.computeIfPresent(
-                scheduler, (k, n) -> n > message.slots() ? n - message.slots() : null);
-        if (i == null) {
+                instance != null
+                        ? instance.grantedByScheduler
+                        : reportedBeforeListed.getOrDefault(message.instance(), new HashMap<>());
+        held.computeIfPresent(scheduler, (name, n) -> n > slots ? n - slots : null);
+        if (instance == null) {
             return;
         }
-        Function.Demand d = i.function.demands.get(scheduler);
-        if (d != null) {
-            d.recalled = Math.max(0, d.recalled - message.slots());
+        SchedulerDemand demand = instance.function.demands.get(scheduler);
+        if (demand != null) {
+            demand.recalled = Math.max(0, demand.recalled - slots);
         }
-        i.usedAt = now;
-        if (message.seen() == Messages.SEEN_UP && i.state == Instance.State.STARTING) {
-            i.state = Instance.State.READY;
-        } else if (message.seen() == Messages.SEEN_LOST) {
-            i.suspectUntil = now + SUSPECT * heartbeat;
+        instance.lastUsedAt = now;
+        if (message.condition() == InstanceCondition.STARTED
+                && instance.state == Instance.State.STARTING) {
+            instance.state = Instance.State.READY;
+        } else if (message.condition() == InstanceCondition.UNREACHABLE) {
+            instance.suspectUntil = now + SUSPECT_HEARTBEATS * heartbeat;
         }
-        give(i.function);
+        grant(instance.function);
     }
 
     // ---- Instances ----
 
-    public Instance add(
+    /** An instance became known, by its start or by the platform's list. */
+    public Instance addInstance(
             double at,
             String id,
-            Function f,
+            Function function,
             String address,
             String zone,
             String host,
             int slots,
             Instance.State state) {
         now = at;
-        Instance i = new Instance(id, f, address, zone, host, slots, state, now);
-        instances.put(id, i);
-        f.instances.put(id, i);
-        Map<String, Integer> told = heldBeforeListed.remove(id);
-        if (told != null) {
-            i.held.putAll(told);
+        Instance instance = new Instance(id, function, address, zone, host, slots, state, now);
+        instances.put(id, instance);
+        function.instances.put(id, instance);
+        Map<String, Integer> reported = reportedBeforeListed.remove(id);
+        if (reported != null) {
+            instance.grantedByScheduler.putAll(reported);
         }
-        give(f);
-        return i;
+        grant(function);
+        return instance;
     }
 
-    public void ready(double at, Instance i) {
+    /** The platform lists it as ready. */
+    public void markReady(double at, Instance instance) {
         now = at;
-        if (i.state == Instance.State.STARTING) {
-            i.state = Instance.State.READY;
-            give(i.function);
+        if (instance.state == Instance.State.STARTING) {
+            instance.state = Instance.State.READY;
+            grant(instance.function);
         }
     }
 
-    /** It takes nothing new; what is under way there goes on. */
-    public void leaves(double at, Instance i) {
+    /** It gets nothing new; what runs there goes on. */
+    public void markDraining(double at, Instance instance) {
         now = at;
-        i.leavingAt = i.state == Instance.State.LEAVING ? i.leavingAt : now;
-        i.state = Instance.State.LEAVING;
+        if (instance.state != Instance.State.DRAINING) {
+            instance.drainingSince = now;
+        }
+        instance.state = Instance.State.DRAINING;
     }
 
-    public void gone(double at, Instance i) {
+    /** It has ended. */
+    public void removeInstance(double at, Instance instance) {
         now = at;
-        i.state = Instance.State.LEAVING;
-        instances.remove(i.id);
-        i.function.instances.remove(i.id);
+        instance.state = Instance.State.DRAINING;
+        instances.remove(instance.id);
+        instance.function.instances.remove(instance.id);
     }
 
     // ---- Time ----
 
+    /** Reclaims the slots of schedulers that stay away, and grants and recalls what is due. */
     public void tick(double at) {
         now = at;
-        for (Map.Entry<String, Scheduler> e : List.copyOf(schedulers.entrySet())) {
-            if (now > e.getValue().lostAt + KEPT * heartbeat) {
-                drop(e.getKey());
-                schedulers.remove(e.getKey());
+        for (Map.Entry<String, Session> entry : List.copyOf(sessions.entrySet())) {
+            if (now > entry.getValue().disconnectedAt + RECLAIM_HEARTBEATS * heartbeat) {
+                reclaim(entry.getKey());
+                sessions.remove(entry.getKey());
             }
         }
-        for (Function f : functions.values()) {
-            f.arrivals.came(now, 0);
-            if (!f.demands.isEmpty()) {
-                give(f);
-                recall(f);
+        for (Function function : catalog.all()) {
+            function.arrivals.add(now, 0);
+            if (!function.demands.isEmpty()) {
+                grant(function);
+                recall(function);
             }
         }
     }
 
-    // ---- Giving ----
+    // ---- Granting ----
+
+    private boolean mayGrant() {
+        return now >= grantsFrom && messenger.mayGrant();
+    }
 
-    private void give(Function f) {
-        while (now >= grantsFrom && messenger.mayGrant() && giveOne(f)) {
+    private void grant(Function function) {
+        while (mayGrant() && grantOne(function)) {
             continue;
         }
     }
 
-    /** One slot to the scheduler that has lacked for longest. */
-    private boolean giveOne(Function f) {
-        String who = null;
-        for (Map.Entry<String, Function.Demand> e : f.demands.entrySet()) {
-            Function.Demand d = e.getValue();
-            boolean before = who == null || d.since < f.demands.get(who).since;
-            who = d.lacks > 0 && before && pick(f, e.getKey()) != null ? e.getKey() : who;
-        }
-        if (who == null) {
+    /** One slot to the scheduler that has missed one for longest; false where there is none. */
+    private boolean grantOne(Function function) {
+        String scheduler = longestMissing(function);
+        if (scheduler == null) {
             return false;
         }
-        Instance i = pick(f, who);
-        Function.Demand d = f.demands.get(who);
-        i.held.merge(who, 1, Integer::sum);
-        i.usedAt = now;
-        schedulers.get(who).grants++;
-        if (i.state == Instance.State.READY) {
-            d.lacks--;
-            d.granted++;
+        Instance instance = select(function, scheduler);
+        SchedulerDemand demand = function.demands.get(scheduler);
+        instance.grantedByScheduler.merge(scheduler, 1, Integer::sum);
+        instance.lastUsedAt = now;
+        sessions.get(scheduler).grants++;
+        if (instance.state == Instance.State.READY) {
+            demand.missingSlots--;
+            demand.granted++;
         }
-        d.since = now;
+        demand.missingSince = now;
         messenger.send(
-                who,
+                scheduler,
                 new Messages.SlotGrant(
-                        f.name, i.id, i.address, i.zone, i.slots, 1, i.startsIn(now), i.inHands()));
+                        function.name,
+                        instance.id,
+                        instance.address,
+                        instance.zone,
+                        instance.slots,
+                        1,
+                        instance.remainingStartTime(now),
+                        instance.grantedSlots()));
         return true;
     }
 
-    /**
-     * A started instance with a free slot, near ones and empty ones first; else one that starts
-     * soonest.
-     */
-    private Instance pick(Function f, String who) {
-        Instance best = null;
-        double bestValue = 0;
-        int starting = 0;
-        for (Instance i : f.instances.values()) {
-            starting += i.state == Instance.State.STARTING ? i.held.getOrDefault(who, 0) : 0;
-        }
-        for (Instance i : f.instances.values()) {
-            boolean early = i.state == Instance.State.STARTING;
-            if (i.free(now) > 0 && (!early || starting < f.demands.get(who).lacks)) {
-                double value =
-                        early
-                                ? -1 - i.startsIn(now)
-                                : (double) i.free(now) / i.slots
-                                        + (i.zone.equals(schedulers.get(who).zone) ? 1 : 0);
-                if (best == null || value > bestValue) {
-                    best = i;
-                    bestValue = value;
-                }
+    /** The scheduler that has missed a slot for longest, of those that one can be granted to. */
+    private String longestMissing(Function function) {
+        String longest = null;
+        double since = 0;
+        for (Map.Entry<String, SchedulerDemand> entry : function.demands.entrySet()) {
+            SchedulerDemand demand = entry.getValue();
+            boolean isLonger = longest == null || demand.missingSince < since;
+            if (demand.missingSlots > 0 && isLonger && select(function, entry.getKey()) != null) {
+                longest = entry.getKey();
+                since = demand.missingSince;
             }
         }
-        return best;
+        return longest;
     }
 
-    /**
-     * Guards against schedulers that starve: who holds more than its share of what is wanted gives
-     * back.
-     */
-    private void recall(Function f) {
-        int slots = 0;
-        Map<String, Integer> held = new HashMap<>();
-        for (Instance i : f.instances.values()) {
-            if (i.state == Instance.State.READY) {
-                slots += i.slots;
-                i.held.forEach((scheduler, n) -> held.merge(scheduler, n, Integer::sum));
-            }
-        }
-        int wanted = Math.max(1, f.inHand());
-        for (Function.Demand poor : List.copyOf(f.demands.values())) {
-            if (poor.lacks == 0) {
-                continue;
-            }
-            String rich = null;
-            double most = 0;
-            for (Map.Entry<String, Integer> e : held.entrySet()) {
-                Function.Demand d = f.demands.get(e.getKey());
-                double share = d == null ? 0 : (double) slots * d.inHand / wanted;
-                double over = e.getValue() - share - (d == null ? 0 : d.recalled);
-                if (d != null && d != poor && over > most && over >= 1) {
-                    rich = e.getKey();
-                    most = over;
-                }
-            }
-            if (rich != null) {
-                f.demands.get(rich).recalled++;
-                messenger.send(rich, new Messages.SlotRecall(f.name, 1));
-            }
-        }
+    private Instance select(Function function, String scheduler) {
+        return InstanceSelector.select(function, scheduler, sessions.get(scheduler).zone, now);
     }
 
-    /** What all functions have and lack, or one alone; memory is megabytes. */
-    public record Load(int instances, int memory, int slots, int held, int inHand, int lacks) {
-        Load and(Load o) {
-            return new Load(
-                    instances + o.instances,
-                    memory + o.memory,
-                    slots + o.slots,
-                    held + o.held,
-                    inHand + o.inHand,
-                    lacks + o.lacks);
-        }
-
-        @Override
-        public String toString() {
-            return "instances="
-                    + instances
-                    + " memory_mb="
-                    + memory
-                    + " slots="
-                    + slots
-                    + " held="
-                    + held
-                    + " in_hand="
-                    + inHand
-                    + " lacks="
-                    + lacks;
-        }
+    private void recall(Function function) {
+        RecallPolicy.recall(
+                function,
+                scheduler -> messenger.send(scheduler, new Messages.SlotRecall(function.name, 1)));
     }
 
-    public Load load() {
-        return functions.values().stream()
-                .map(SlotAllocator::load)
-                .reduce(new Load(0, 0, 0, 0, 0, 0), Load::and);
-    }
+    // ---- For operators ----
 
-    private static Load load(Function f) {
-        int slots = 0;
-        int held = 0;
-        for (Instance i : f.instances.values()) {
-            slots += i.slots;
-            held += i.inHands();
-        }
-        return new Load(
-                f.instances.size(),
-                f.memory * f.instances.size(),
-                slots,
-                held,
-                f.inHand(),
-                f.lacks());
+    /** What all functions have, hold and miss. */
+    public SlotUsage usage() {
+        return SlotUsage.of(catalog.all());
     }
 
-    /** Lines for operators: each function that has instances or tasks. */
+    /** Lines of the status page: each function that has instances or requests. */
     public List<String> status() {
-        return functions.values().stream()
-                .filter(f -> !f.instances.isEmpty() || f.inHand() > 0)
-                .map(f -> f.name + " " + load(f))
+        return catalog.all().stream()
+                .filter(f -> !f.instances.isEmpty() || f.inFlight() > 0)
+                .map(f -> f.name + " " + SlotUsage.of(f))
                 .toList();
     }
 }
--- a/src/test/java/gingerspool/autoscaler/AutoscalerTest.java
+++ b/src/test/java/gingerspool/autoscaler/AutoscalerTest.java
@@ -18,8 +18,8 @@
 import org.testng.annotations.Test;
 
 public class AutoscalerTest {
-    private SlotAllocator keeper;
-    private Autoscaler scaler;
+    private SlotAllocator allocator;
+    private Autoscaler autoscaler;
     private final List<String> starts = new ArrayList<>();
     private final List<String> nonces = new ArrayList<>();
     private final List<String> stops = new ArrayList<>();
@@ -29,8 +29,8 @@
         starts.clear();
         nonces.clear();
         stops.clear();
-        keeper = new SlotAllocator(1000, 0, (front, word) -> {});
-        keeper.configured(
+        allocator = new SlotAllocator(1000, 0, (front, word) -> {});
+        allocator.configure(
                 Configuration.newBuilder()
                         .addServices(
                                 Service.newBuilder()
@@ -47,9 +47,9 @@
                         .addRoutes(Route.newBuilder().setService("busy").setAim(300))
                         .addRoutes(Route.newBuilder().setService("rare").setAim(1500))
                         .build());
-        scaler =
+        autoscaler =
                 new Autoscaler(
-                        keeper,
+                        allocator,
                         100,
                         800,
                         "n-",
@@ -67,33 +67,34 @@
                             }
 
                             @Override
-                            public void leaves(Instance i) {
-                                keeper.leaves(0, i);
+                            public void drain(Instance i) {
+                                allocator.markDraining(0, i);
                             }
                         });
     }
 
     private void hosts(double free) {
-        scaler.hostsBegin();
-        scaler.host("h1", "za", 4096, free, true);
-        scaler.host("h2", "zb", 4096, free, true);
-        scaler.host("h3", "zb", 4096, free, false);
-        scaler.hostsEnd();
-        scaler.listed();
+        autoscaler.beginHosts();
+        autoscaler.addHost("h1", "za", 4096, free, true);
+        autoscaler.addHost("h2", "zb", 4096, free, true);
+        autoscaler.addHost("h3", "zb", 4096, free, false);
+        autoscaler.endHosts();
+        autoscaler.instancesListed();
     }
 
     private void want(String function, int lacks, int inHand, double at) {
-        keeper.registered(at, "a", new Messages.Register("a", "zb", 0, Map.of()));
-        keeper.demanded(at, "a", new Messages.SlotDemand(function, lacks, 0, inHand, inHand, 60));
+        allocator.onRegister(at, "a", new Messages.Register("a", "zb", 0, Map.of()));
+        allocator.onDemand(
+                at, "a", new Messages.SlotDemand(function, lacks, 0, inHand, inHand, 60));
     }
 
     @Test
     public void startsNothingBeforeTheListsAreKnown() {
         want("rare", 1, 1, 600);
-        scaler.tick(600);
+        autoscaler.tick(600);
         assertEquals(starts.size(), 0, "instances may be running already");
         hosts(4096);
-        scaler.tick(650);
+        autoscaler.tick(650);
         assertTrue(
                 starts.contains("rare on h2"),
                 starts + ": the zone of those who lack, a host that is ready");
@@ -107,17 +108,17 @@
         hosts(4096);
         want("rare", 1, 1, 600);
         for (int i = 0; i < 10; i++) {
-            scaler.tick(650 + 50 * i);
+            autoscaler.tick(650 + 50 * i);
         }
         assertEquals(starts.stream().filter(s -> s.startsWith("rare")).count(), 1);
         int rare = starts.indexOf("rare on h2");
-        scaler.started(1200, nonces.get(rare), "i1", "10.0.0.1:1");
-        keeper.ready(1700, keeper.instance("i1"));
+        autoscaler.started(1200, nonces.get(rare), "i1", "10.0.0.1:1");
+        allocator.markReady(1700, allocator.instance("i1"));
         want("rare", 0, 0, 1710);
-        scaler.tick(1750);
+        autoscaler.tick(1750);
         assertEquals(stops.size(), 0, "one task in a second: another may well come soon");
-        keeper.tick(2500);
-        scaler.tick(2500);
+        allocator.tick(2500);
+        autoscaler.tick(2500);
         assertEquals(stops, List.of("i1"));
     }
 
@@ -129,11 +130,11 @@
     public void theLastInstanceStaysWhereTheNextTaskIsNear(double gap, boolean stays) {
         hosts(4096);
         double now = 600;
-        keeper.registered(now, "a", new Messages.Register("a", "zb", 0, Map.of()));
-        keeper.add(
+        allocator.onRegister(now, "a", new Messages.Register("a", "zb", 0, Map.of()));
+        allocator.addInstance(
                 now,
                 "i1",
-                keeper.function("rare"),
+                allocator.catalog().find("rare"),
                 "10.0.0.1:1",
                 "zb",
                 "h2",
@@ -144,10 +145,10 @@
             boolean comes = now >= next;
             came += comes ? 1 : 0;
             next += comes ? gap : 0;
-            keeper.demanded(
+            allocator.onDemand(
                     now, "a", new Messages.SlotDemand("rare", 0, came, comes ? 1 : 0, came, 60));
-            keeper.tick(now);
-            scaler.tick(now);
+            allocator.tick(now);
+            autoscaler.tick(now);
         }
         assertEquals(stops.isEmpty(), stays, "a gap of " + gap);
     }
@@ -161,13 +162,13 @@
     @Test
     public void aSurplusIsRetiredWhereNoneIsIdle() {
         hosts(4096);
-        keeper.registered(
+        allocator.onRegister(
                 600, "a", new Messages.Register("a", "zb", 0, Map.of("b0", 1, "b1", 1, "b2", 1)));
         for (int i = 0; i < 3; i++) {
-            keeper.add(
+            allocator.addInstance(
                     600,
                     "b" + i,
-                    keeper.function("busy"),
+                    allocator.catalog().find("busy"),
                     "10.0.0.1:1",
                     "zb",
                     "h2",
@@ -175,16 +176,21 @@
                     Instance.State.READY);
         }
         for (double now = 650; now < 650 + 4 * 1400; now += 50) {
-            keeper.tick(now);
-            scaler.tick(now);
+            allocator.tick(now);
+            autoscaler.tick(now);
         }
         List<Instance> leaving =
-                keeper.instances().stream().filter(i -> i.state == Instance.State.LEAVING).toList();
+                allocator.instances().stream()
+                        .filter(i -> i.state == Instance.State.DRAINING)
+                        .toList();
         assertEquals(leaving.size(), 2, "one is wanted, for its aim is shorter than a start");
         assertEquals(stops.size(), 0, "they have work");
         Instance first = leaving.get(0);
-        keeper.returned(7000, "a", new Messages.SlotReturn(first.id, 1, Messages.SEEN_WELL));
-        scaler.tick(7000);
+        allocator.onReturn(
+                7000,
+                "a",
+                new Messages.SlotReturn(first.id, 1, Messages.InstanceCondition.HEALTHY));
+        autoscaler.tick(7000);
         assertEquals(stops, List.of(first.id));
     }
 
@@ -194,7 +200,7 @@
     @Test
     public void aFirstTaskOfAFunctionStartsOneInstance() {
         hosts(4096);
-        keeper.configured(
+        allocator.configure(
                 Configuration.newBuilder()
                         .addServices(
                                 Service.newBuilder()
@@ -212,8 +218,8 @@
                         .addRoutes(Route.newBuilder().setService("new").setAim(1000))
                         .build());
         want("rare", 0, 0, 600);
-        keeper.demanded(700, "a", new Messages.SlotDemand("new", 1, 0, 1, 1, 0));
-        scaler.tick(700);
+        allocator.onDemand(700, "a", new Messages.SlotDemand("new", 1, 0, 1, 1, 0));
+        autoscaler.tick(700);
         assertEquals(starts.stream().filter(s -> s.startsWith("new")).count(), 1);
     }
 
@@ -221,24 +227,24 @@
     public void aHostWithoutRoomIsPassedOverAndTheRateIsKept() {
         hosts(200);
         want("rare", 30, 30, 600);
-        scaler.tick(650);
+        autoscaler.tick(650);
         assertEquals(
                 starts.stream().filter(s -> s.startsWith("rare")).count(),
                 2,
                 "one fits on each host");
-        scaler.startFailed(700, nonces.get(0), true);
-        scaler.tick(750);
+        autoscaler.startFailed(700, nonces.get(0), true);
+        autoscaler.tick(750);
         assertEquals(starts.size(), 2, "no room was the answer");
         hosts(4096);
-        scaler.tick(760);
+        autoscaler.tick(760);
         assertTrue(starts.size() <= 2 + 8 + 2, starts.size() + " starts in 110 ms at 80 a second");
     }
 
     @Test
     public void waitsFollowErlang() {
-        assertEquals(ErlangDelay.longer(1, 0.5, 0), 0.5, 1e-9);
-        assertEquals(ErlangDelay.longer(2, 1, 0), 1.0 / 3, 1e-9);
-        assertEquals(ErlangDelay.longer(2, 1, 2), Math.exp(-2) / 3, 1e-9);
-        assertEquals(ErlangDelay.longer(2, 2, 5), 1.0);
+        assertEquals(ErlangDelay.probabilityBeyond(1, 0.5, 0), 0.5, 1e-9);
+        assertEquals(ErlangDelay.probabilityBeyond(2, 1, 0), 1.0 / 3, 1e-9);
+        assertEquals(ErlangDelay.probabilityBeyond(2, 1, 2), Math.exp(-2) / 3, 1e-9);
+        assertEquals(ErlangDelay.probabilityBeyond(2, 2, 5), 1.0);
     }
 }
--- a/src/test/java/gingerspool/controlplane/LeaderDutiesTest.java
+++ b/src/test/java/gingerspool/controlplane/LeaderDutiesTest.java
@@ -222,7 +222,8 @@
         link.received.clear();
         for (int i = 0; i < 40; i++) {
             leading.schedulers.received(link, demand(5, 0));
-            leading.schedulers.received(link, new Messages.SlotReturn("i-1", 1, 0));
+            leading.schedulers.received(
+                    link, new Messages.SlotReturn("i-1", 1, Messages.InstanceCondition.HEALTHY));
             core.turns.run(100);
         }
         assertEquals(link.grants(), 0);
@@ -262,9 +263,10 @@
                         .orElseThrow();
         Link next = new Link();
         leading.schedulers.register(next, register(Map.of(held, 2)), 1);
-        leading.schedulers.received(link, new Messages.SlotReturn(held, 2, 0));
+        leading.schedulers.received(
+                link, new Messages.SlotReturn(held, 2, Messages.InstanceCondition.HEALTHY));
         leading.schedulers.closed(link);
-        assertEquals(leading.leadership.duties().keeper.instance(held).inHands(), 2);
+        assertEquals(leading.leadership.duties().allocator.instance(held).grantedSlots(), 2);
         assertEquals(leading.schedulers.size(), 1);
     }
 
--- a/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
+++ b/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
@@ -46,7 +46,7 @@
     private final double trouble;
     private final Map<String, ModelWorker> workers = new LinkedHashMap<>();
     private final Map<Integer, ModelWorker> byPort = new LinkedHashMap<>();
-    private SlotAllocator keeper;
+    private SlotAllocator allocator;
     private long term;
     private boolean led;
     private double lostAt;
@@ -117,7 +117,7 @@
         workers.put(id, worker);
         byPort.put(port, worker);
         network.listen(address(port), worker);
-        if (keeper != null) {
+        if (allocator != null) {
             add(port, worker);
         }
     }
@@ -127,10 +127,10 @@
     }
 
     private void add(int port, ModelWorker worker) {
-        keeper.add(
+        allocator.addInstance(
                 network.now(),
                 worker.id,
-                keeper.unrouted(worker.function),
+                allocator.catalog().findOrAdd(worker.function),
                 "127.0.0.1:" + port,
                 ZONE,
                 "host",
@@ -144,9 +144,9 @@
         if (network.chance.nextBoolean()) {
             old.die();
         }
-        Instance known = keeper == null ? null : keeper.instance(old.id);
+        Instance known = allocator == null ? null : allocator.instance(old.id);
         if (known != null && network.chance.nextBoolean()) {
-            keeper.gone(network.now(), known);
+            allocator.removeInstance(network.now(), known);
             toScheduler(term, () -> withdrawn(old.id));
         }
         network.deafen(address(port));
@@ -175,7 +175,7 @@
         network.at(
                 lastTold,
                 () -> {
-                    if (of == term && keeper != null) {
+                    if (of == term && allocator != null) {
                         what.run();
                     }
                 });
@@ -183,15 +183,15 @@
 
     private void leads() {
         long of = ++term;
-        keeper =
+        allocator =
                 new SlotAllocator(
                         settings.beat,
                         network.now(),
                         (front, message) -> toScheduler(of, () -> receive(message)));
-        keeper.configured(configuration());
+        allocator.configure(configuration());
         byPort.forEach(this::add);
         Map<String, Integer> held = router.heldSlots();
-        keeper.registered(
+        allocator.onRegister(
                 network.now(), "front", new Messages.Register("front", ZONE, 1, Map.copyOf(held)));
         toScheduler(
                 of,
@@ -203,8 +203,8 @@
     }
 
     private void ticks(long of) {
-        if (of == term && keeper != null) {
-            keeper.tick(network.now());
+        if (of == term && allocator != null) {
+            allocator.tick(network.now());
             network.at(network.now() + 20, () -> ticks(of));
         }
     }
@@ -244,9 +244,9 @@
         toLeader(
                 () -> {
                     if (message instanceof Messages.SlotDemand demand) {
-                        keeper.demanded(network.now(), "front", demand);
+                        allocator.onDemand(network.now(), "front", demand);
                     } else if (message instanceof Messages.SlotReturn back) {
-                        keeper.returned(network.now(), "front", back);
+                        allocator.onReturn(network.now(), "front", back);
                     }
                 });
         return true;
@@ -264,7 +264,7 @@
         switch (network.chance.nextInt(5)) {
             case 0 -> {
                 term++;
-                keeper = null;
+                allocator = null;
                 led = false;
                 lostAt = network.now();
                 network.at(network.now() + network.chance.nextInt(1500), this::leads);
--- a/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
+++ b/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
@@ -208,12 +208,14 @@
         for (String kind : List.of("safe", "unsafe")) {
             request(kind, route(kind, 1));
             grant("gone-" + kind, closedPort());
-            assertEquals(next(Messages.SlotReturn.class).seen(), Messages.SEEN_LOST);
+            assertEquals(
+                    next(Messages.SlotReturn.class).condition(),
+                    Messages.InstanceCondition.UNREACHABLE);
             begin(kind);
             assertEquals(answer(), "200 " + kind, "its one attempt was still to come");
             assertEquals(
-                    next(Messages.SlotReturn.class).seen(),
-                    Messages.SEEN_WELL,
+                    next(Messages.SlotReturn.class).condition(),
+                    Messages.InstanceCondition.HEALTHY,
                     "before the next comes");
         }
     }
--- a/src/test/java/gingerspool/simulation/SlotSimulation.java
+++ b/src/test/java/gingerspool/simulation/SlotSimulation.java
@@ -97,7 +97,7 @@
             granted.clear();
             came.clear();
             Messages.Register word = new Messages.Register(name, "z", 0, Map.copyOf(held));
-            say(() -> keeper.registered(now, name, word));
+            say(() -> allocator.onRegister(now, name, word));
             FUNCTIONS.forEach(this::want);
             held.keySet().stream().toList().forEach(this::idle);
         }
@@ -106,7 +106,7 @@
             link++;
             if (enrolled) {
                 enrolled = false;
-                keeper.lost(now, name);
+                allocator.onDisconnect(now, name);
             }
             after(
                     20 + chance.nextInt(280),
@@ -139,7 +139,7 @@
                             inHand,
                             came.getOrDefault(f, 0L),
                             60);
-            say(() -> keeper.demanded(now, name, w));
+            say(() -> allocator.onDemand(now, name, w));
         }
 
         void request(String f) {
@@ -166,10 +166,11 @@
             if (of == link && now >= c.startsAt && now < c.endedAt) {
                 say(
                         () ->
-                                keeper.returned(
+                                allocator.onReturn(
                                         now,
                                         name,
-                                        new Messages.SlotReturn(id, 0, Messages.SEEN_UP)));
+                                        new Messages.SlotReturn(
+                                                id, 0, Messages.InstanceCondition.STARTED)));
                 serve(c.function);
                 idle(id);
             } else if (of == link) {
@@ -192,7 +193,10 @@
 
         void use(Copy c) {
             if (now >= c.endedAt) {
-                back(c.id, held.get(c.id) - used.getOrDefault(c.id, 0), Messages.SEEN_LOST);
+                back(
+                        c.id,
+                        held.get(c.id) - used.getOrDefault(c.id, 0),
+                        Messages.InstanceCondition.UNREACHABLE);
                 waits.get(c.function).add(now);
                 after(1, () -> want(c.function));
                 return;
@@ -226,14 +230,14 @@
                         Copy c = copies.get(id);
                         boolean starting = now < c.startsAt && !waits.get(c.function).isEmpty();
                         if (n > 0 && enrolled && !starting) {
-                            back(id, n, Messages.SEEN_WELL);
+                            back(id, n, Messages.InstanceCondition.HEALTHY);
                         } else if (n > 0) {
                             after(BOOT, () -> idle(id));
                         }
                     });
         }
 
-        void back(String id, int n, int seen) {
+        void back(String id, int n, Messages.InstanceCondition seen) {
             if (enrolled && n > 0) {
                 held.computeIfPresent(id, (k, h) -> h > n ? h - n : null);
                 say(
@@ -241,9 +245,9 @@
                             // As it was before it was mended: what comes back before the list names
                             // it was dropped.
                             boolean dropped =
-                                    without != Without.NOTHING && keeper.instance(id) == null;
+                                    without != Without.NOTHING && allocator.instance(id) == null;
                             if (!dropped) {
-                                keeper.returned(now, name, new Messages.SlotReturn(id, n, seen));
+                                allocator.onReturn(now, name, new Messages.SlotReturn(id, n, seen));
                             }
                         });
             }
@@ -252,7 +256,7 @@
         void holds() {
             if (enrolled && without != Without.EARLY_BACKS_AND_HOLDS) {
                 Messages.SlotHoldings word = new Messages.SlotHoldings(grants, Map.copyOf(held));
-                say(() -> differed += keeper.holds(now, name, word) ? 0 : 1);
+                say(() -> differed += allocator.onHoldings(now, name, word) ? 0 : 1);
             }
             after(4 * BEAT, this::holds);
         }
@@ -272,8 +276,8 @@
                     Comparator.comparingDouble(Event::at).thenComparingLong(Event::serial));
     private long serial;
     private double now;
-    private SlotAllocator keeper;
-    private Autoscaler scaler;
+    private SlotAllocator allocator;
+    private Autoscaler autoscaler;
     private long view;
     private final Map<String, Front> fronts = new LinkedHashMap<>();
     private final Map<String, Copy> copies = new LinkedHashMap<>();
@@ -312,11 +316,11 @@
 
     private void lead() {
         long of = ++view;
-        keeper = new SlotAllocator(BEAT, now, (front, word) -> tell(of, front, word));
-        keeper.configured(configuration());
-        scaler =
+        allocator = new SlotAllocator(BEAT, now, (front, word) -> tell(of, front, word));
+        allocator.configure(configuration());
+        autoscaler =
                 new Autoscaler(
-                        keeper,
+                        allocator,
                         100,
                         LAG,
                         of + "-",
@@ -335,9 +339,9 @@
                             }
 
                             @Override
-                            public void leaves(Instance i) {
+                            public void drain(Instance i) {
                                 decided("leaves", i.id);
-                                keeper.leaves(now, i);
+                                allocator.markDraining(now, i);
                                 fronts.values().forEach(f -> f.idle(i.id));
                             }
                         });
@@ -393,8 +397,8 @@
 
     private void look(long of) {
         if (of == view) {
-            keeper.tick(now);
-            scaler.tick(now);
+            allocator.tick(now);
+            autoscaler.tick(now);
             after(50, () -> look(of));
         }
     }
@@ -424,9 +428,9 @@
                     if (lost && tries < 4) {
                         after(50, () -> begin(of, function, host, nonce, tries + 1));
                     } else if (id == null || lost) {
-                        scaler.startFailed(now, nonce, chance.nextBoolean());
+                        autoscaler.startFailed(now, nonce, chance.nextBoolean());
                     } else {
-                        scaler.started(now, nonce, id, "10.0.0.1:1");
+                        autoscaler.started(now, nonce, id, "10.0.0.1:1");
                     }
                 });
     }
@@ -447,22 +451,22 @@
         if (of != view) {
             return;
         }
-        scaler.hostsBegin();
+        autoscaler.beginHosts();
         for (String h : List.of("h1", "h2")) {
             long here =
                     copies.values().stream()
                             .filter(c -> c.host.equals(h) && now < c.endedAt)
                             .count();
-            scaler.host(h, "z", 16_384, 16_384 - 128 * here, true);
+            autoscaler.addHost(h, "z", 16_384, 16_384 - 128 * here, true);
         }
-        scaler.hostsEnd();
+        autoscaler.endHosts();
         for (Copy c : copies.values()) {
-            Instance i = keeper.instance(c.id);
+            Instance i = allocator.instance(c.id);
             if (listed(c) && i == null) {
-                keeper.add(
+                allocator.addInstance(
                         now,
                         c.id,
-                        keeper.unrouted(c.function),
+                        allocator.catalog().findOrAdd(c.function),
                         "10.0.0.1:1",
                         "z",
                         c.host,
@@ -470,12 +474,12 @@
                         Instance.State.READY);
             } else if (listed(c)) {
                 missingSince.remove(c.id);
-                keeper.ready(now, i);
+                allocator.markReady(now, i);
             } else if (i != null && now > c.startsAt + LAG) {
-                keeper.gone(now, i);
+                allocator.removeInstance(now, i);
             }
         }
-        scaler.listed();
+        autoscaler.instancesListed();
         after(400, () -> list(of));
     }
 
@@ -530,8 +534,10 @@
                                                                 + name
                                                                 + " at "
                                                                 + f.name)));
-        for (Instance i : keeper.instances()) {
-            wrong(i.inHands() > 0, i.id + " has " + i.inHands() + " slots in nobody's hands");
+        for (Instance i : allocator.instances()) {
+            wrong(
+                    i.grantedSlots() > 0,
+                    i.id + " has " + i.grantedSlots() + " slots in nobody's hands");
         }
         wrong(
                 without == Without.NOTHING && differed > 0,
--- a/src/test/java/gingerspool/slots/ArrivalRateTest.java
+++ b/src/test/java/gingerspool/slots/ArrivalRateTest.java
@@ -25,8 +25,8 @@
                 more++;
                 next -= Math.log(1 - chance.nextDouble()) * 1000 / perSecond;
             }
-            a.came(now, more);
-            sum += 1000 * a.wanted();
+            a.add(now, more);
+            sum += 1000 * a.provisioned();
             n++;
         }
         return sum / n;
@@ -49,26 +49,26 @@
         ArrivalRate a = new ArrivalRate(SPAN);
         play(a, 0, 10_000, 10, 1);
         play(a, 10_000, 11_000, 40, 2);
-        assertTrue(1000 * a.wanted() > 22, "provided for " + 1000 * a.wanted());
+        assertTrue(1000 * a.provisioned() > 22, "provided for " + 1000 * a.provisioned());
         play(a, 11_000, 12_000, 10, 3);
-        assertTrue(1000 * a.wanted() > 18, "held for a while");
+        assertTrue(1000 * a.provisioned() > 18, "held for a while");
         play(a, 12_000, 30_000, 10, 4);
-        assertTrue(1000 * a.wanted() < 17, "and let go");
+        assertTrue(1000 * a.provisioned() < 17, "and let go");
     }
 
     @Test
     public void theUsualRateCountsOnlyTheTimeThatWasWatched() {
         ArrivalRate a = new ArrivalRate(SPAN);
-        a.came(0, 0);
+        a.add(0, 0);
         for (int i = 1; i <= 20; i++) {
-            a.came(100 * i, 1);
+            a.add(100 * i, 1);
         }
-        assertEquals(1000 * a.usual(), 10, 1);
-        assertTrue(!a.known());
+        assertEquals(1000 * a.expected(), 10, 1);
+        assertTrue(!a.isKnown());
         for (int i = 0; i < 200; i++) {
-            a.came(2000 + 100 * i, 0);
+            a.add(2000 + 100 * i, 0);
         }
-        assertTrue(a.known());
-        assertTrue(1000 * a.usual() < 1, "forgotten at a stated pace");
+        assertTrue(a.isKnown());
+        assertTrue(1000 * a.expected() < 1, "forgotten at a stated pace");
     }
 }
--- a/src/test/java/gingerspool/slots/SlotAllocatorTest.java
+++ b/src/test/java/gingerspool/slots/SlotAllocatorTest.java
@@ -20,7 +20,7 @@
     private final List<String> recalled = new ArrayList<>();
     private final Map<String, Integer> held = new HashMap<>();
     private final Map<String, Long> granted = new HashMap<>();
-    private final SlotAllocator keeper =
+    private final SlotAllocator allocator =
             new SlotAllocator(
                     BEAT,
                     0,
@@ -39,7 +39,7 @@
         recalled.clear();
         held.clear();
         granted.clear();
-        keeper.configured(
+        allocator.configure(
                 Configuration.newBuilder()
                         .addServices(
                                 Service.newBuilder()
@@ -50,7 +50,7 @@
                         .addRoutes(Route.newBuilder().setService("f").setAim(1000))
                         .build());
         for (String front : List.of("a", "b", "c")) {
-            keeper.registered(0, front, new Messages.Register(front, "z" + front, 0, Map.of()));
+            allocator.onRegister(0, front, new Messages.Register(front, "z" + front, 0, Map.of()));
         }
     }
 
@@ -64,10 +64,10 @@
         prepare();
         SplittableRandom chance = new SplittableRandom(7);
         for (int i = 0; i < 3; i++) {
-            keeper.add(
+            allocator.addInstance(
                     600,
                     "i" + i,
-                    keeper.function("f"),
+                    allocator.catalog().find("f"),
                     "10.0.0.1:1",
                     "za",
                     "h",
@@ -81,13 +81,16 @@
             if (chance.nextBoolean()) {
                 // What it says of grants may be old: some were still on their way to it.
                 long knows = Math.max(0, granted.getOrDefault(front, 0L) - chance.nextInt(2));
-                keeper.demanded(now, front, want(chance.nextInt(4), knows, 3));
+                allocator.onDemand(now, front, want(chance.nextInt(4), knows, 3));
             } else {
                 String id = "i" + chance.nextInt(3);
                 int has = held.getOrDefault(front + " " + id, 0);
                 int some = Math.min(has, 1 + chance.nextInt(2));
                 held.put(front + " " + id, has - some);
-                keeper.returned(now, front, new Messages.SlotReturn(id, some, Messages.SEEN_WELL));
+                allocator.onReturn(
+                        now,
+                        front,
+                        new Messages.SlotReturn(id, some, Messages.InstanceCondition.HEALTHY));
             }
             for (Messages.SlotGrant g : grants.subList(before, grants.size())) {
                 assertEquals(g.slots(), 1);
@@ -108,16 +111,25 @@
     @Test
     public void aNewKeeperWaitsForWhatIsHeldAndRecallsForThoseWhoLack() {
         prepare();
-        keeper.registered(1, "a", new Messages.Register("a", "za", 0, Map.of("i0", 2)));
-        keeper.add(2, "i0", keeper.function("f"), "10.0.0.1:1", "za", "h", 2, Instance.State.READY);
-        keeper.demanded(3, "b", want(1, 0, 1));
+        allocator.onRegister(1, "a", new Messages.Register("a", "za", 0, Map.of("i0", 2)));
+        allocator.addInstance(
+                2,
+                "i0",
+                allocator.catalog().find("f"),
+                "10.0.0.1:1",
+                "za",
+                "h",
+                2,
+                Instance.State.READY);
+        allocator.onDemand(3, "b", want(1, 0, 1));
         assertEquals(grants.size(), 0, "nothing before schedulers had the time to enrol");
-        keeper.tick(600);
+        allocator.tick(600);
         assertEquals(grants.size(), 0, "both slots are a's");
-        keeper.demanded(601, "a", want(0, 0, 0));
-        keeper.tick(650);
+        allocator.onDemand(601, "a", want(0, 0, 0));
+        allocator.tick(650);
         assertEquals(recalled, List.of("a"));
-        keeper.returned(660, "a", new Messages.SlotReturn("i0", 1, Messages.SEEN_WELL));
+        allocator.onReturn(
+                660, "a", new Messages.SlotReturn("i0", 1, Messages.InstanceCondition.HEALTHY));
         assertEquals(grants.size(), 1);
     }
 
@@ -127,47 +139,67 @@
     @Test
     public void whatComesBackBeforeItsInstanceIsKnownIsNotHeldForEver() {
         prepare();
-        keeper.registered(1, "a", new Messages.Register("a", "za", 0, Map.of("i0", 2)));
-        keeper.returned(2, "a", new Messages.SlotReturn("i0", 1, Messages.SEEN_WELL));
-        keeper.returned(3, "a", new Messages.SlotReturn("i0", 1, Messages.SEEN_WELL));
-        keeper.add(
-                600, "i0", keeper.function("f"), "10.0.0.1:1", "za", "h", 2, Instance.State.READY);
-        keeper.demanded(601, "b", want(2, 0, 2));
+        allocator.onRegister(1, "a", new Messages.Register("a", "za", 0, Map.of("i0", 2)));
+        allocator.onReturn(
+                2, "a", new Messages.SlotReturn("i0", 1, Messages.InstanceCondition.HEALTHY));
+        allocator.onReturn(
+                3, "a", new Messages.SlotReturn("i0", 1, Messages.InstanceCondition.HEALTHY));
+        allocator.addInstance(
+                600,
+                "i0",
+                allocator.catalog().find("f"),
+                "10.0.0.1:1",
+                "za",
+                "h",
+                2,
+                Instance.State.READY);
+        allocator.onDemand(601, "b", want(2, 0, 2));
         assertEquals(grants.size(), 2);
     }
 
     @Test
     public void wantsThatCrossGrantsAreNotServedTwice() {
         prepare();
-        keeper.add(
-                600, "i0", keeper.function("f"), "10.0.0.1:1", "za", "h", 2, Instance.State.READY);
-        keeper.demanded(601, "a", want(1, 0, 1));
-        keeper.demanded(602, "a", want(1, 0, 1));
+        allocator.addInstance(
+                600,
+                "i0",
+                allocator.catalog().find("f"),
+                "10.0.0.1:1",
+                "za",
+                "h",
+                2,
+                Instance.State.READY);
+        allocator.onDemand(601, "a", want(1, 0, 1));
+        allocator.onDemand(602, "a", want(1, 0, 1));
         assertEquals(grants.size(), 1, "said before the grant had come");
-        keeper.demanded(603, "a", want(1, 1, 2));
+        allocator.onDemand(603, "a", want(1, 1, 2));
         assertEquals(grants.size(), 2);
     }
 
     @Test
     public void aStartingInstanceIsKnockedAtByWhoLacksAndThenOpenToAll() {
         prepare();
-        keeper.add(
+        allocator.addInstance(
                 600,
                 "i0",
-                keeper.function("f"),
+                allocator.catalog().find("f"),
                 "10.0.0.1:1",
                 "za",
                 "h",
                 2,
                 Instance.State.STARTING);
-        keeper.demanded(601, "a", want(1, 0, 1));
+        allocator.onDemand(601, "a", want(1, 0, 1));
         assertEquals(grants.size(), 1);
         assertTrue(grants.get(0).startsIn() > 400);
-        keeper.returned(1100, "a", new Messages.SlotReturn("i0", 0, Messages.SEEN_UP));
-        keeper.demanded(1101, "b", want(1, 0, 1));
+        allocator.onReturn(
+                1100, "a", new Messages.SlotReturn("i0", 0, Messages.InstanceCondition.STARTED));
+        allocator.onDemand(1101, "b", want(1, 0, 1));
         assertEquals(grants.get(1).startsIn(), 0.0);
-        keeper.returned(1200, "b", new Messages.SlotReturn("i0", 1, Messages.SEEN_LOST));
-        keeper.demanded(1201, "c", want(1, 0, 1));
+        allocator.onReturn(
+                1200,
+                "b",
+                new Messages.SlotReturn("i0", 1, Messages.InstanceCondition.UNREACHABLE));
+        allocator.onDemand(1201, "c", want(1, 0, 1));
         assertEquals(grants.size(), 2, "nobody is sent to one that was not reached just now");
     }
 }
