--- a/src/main/java/gingerspool/capacity/CountingRelay.java
+++ b/src/main/java/gingerspool/capacity/CountingRelay.java
@@ -37,18 +37,18 @@
         final List<byte[]> early = new ArrayList<>();
     }
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final InetSocketAddress control;
     private final Listener listener;
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
     private final Map<Frames, Pair> pairs = new HashMap<>();
     private Map<String, Count> counts = new TreeMap<>();
 
-    CountingRelay(EventLoop turns, InetSocketAddress at, InetSocketAddress control)
+    CountingRelay(EventLoop loop, InetSocketAddress at, InetSocketAddress control)
             throws IOException {
-        this.turns = turns;
+        this.loop = loop;
         this.control = control;
-        listener = new Listener(turns, at, this);
+        listener = new Listener(loop, at, this);
     }
 
     void begin() {
@@ -83,10 +83,10 @@
     @Override
     public void accepted(AsynchronousSocketChannel channel) {
         Pair pair = new Pair();
-        pair.scheduler = Frames.accepted(turns, channel, this);
+        pair.scheduler = Frames.accepted(loop, channel, this);
         pairs.put(pair.scheduler, pair);
         try {
-            pair.control = Frames.open(turns, control, CONNECT, this);
+            pair.control = Frames.open(loop, control, CONNECT, this);
             pairs.put(pair.control, pair);
         } catch (IOException e) {
             pair.scheduler.close();
--- a/src/main/java/gingerspool/capacity/HollowPlatform.java
+++ b/src/main/java/gingerspool/capacity/HollowPlatform.java
@@ -22,17 +22,17 @@
     static final int PAGE = 100;
     private static final String TOKEN = "PageToken=";
     static final int SLOTS = 4;
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final Listener listener;
     private final SampleConfiguration sample;
     private final int instances;
 
-    HollowPlatform(EventLoop turns, InetSocketAddress at, SampleConfiguration sample, int instances)
+    HollowPlatform(EventLoop loop, InetSocketAddress at, SampleConfiguration sample, int instances)
             throws IOException {
-        this.turns = turns;
+        this.loop = loop;
         this.sample = sample;
         this.instances = instances;
-        listener = new Listener(turns, at, this);
+        listener = new Listener(loop, at, this);
     }
 
     void begin() {
@@ -99,7 +99,7 @@
 
     @Override
     public void accepted(AsynchronousSocketChannel channel) {
-        new Inbound(turns, channel, this).start();
+        new Inbound(loop, channel, this).start();
     }
 
     @Override
--- a/src/main/java/gingerspool/capacity/LoopbackCore.java
+++ b/src/main/java/gingerspool/capacity/LoopbackCore.java
@@ -98,7 +98,7 @@
             } else if (message instanceof Messages.SlotGrant grant) {
                 granted++;
                 held.merge(grant.instance(), 1, Integer::sum);
-                schedulers.after(RUN, () -> giveBack(grant.instance()));
+                schedulers.schedule(RUN, () -> giveBack(grant.instance()));
             }
         }
 
@@ -111,7 +111,7 @@
         void reportOn() {
             report();
             links.tell(new Messages.SlotHoldings(granted, Map.copyOf(held)));
-            schedulers.after(REPORTED * interval, this::reportOn);
+            schedulers.schedule(REPORTED * interval, this::reportOn);
         }
 
         void call() {
@@ -180,7 +180,7 @@
     /** A loop whose thread belongs to the group of the caller's. */
     private static SingleThreadEventLoop loop() throws IOException {
         SingleThreadEventLoop loop = new SingleThreadEventLoop();
-        loop.enter(() -> {});
+        loop.submit(() -> {});
         return loop;
     }
 
@@ -241,7 +241,7 @@
 
     private static <T> T on(SingleThreadEventLoop loop, Supplier<T> what) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
-        loop.enter(() -> done.complete(what.get()));
+        loop.submit(() -> done.complete(what.get()));
         return done.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -258,7 +258,7 @@
     /** Lets so much time pass, by a timer of the relay's loop. */
     private void pass(double span) throws Exception {
         CompletableFuture<Void> over = new CompletableFuture<>();
-        relays.enter(() -> relays.after(span, () -> over.complete(null)));
+        relays.submit(() -> relays.schedule(span, () -> over.complete(null)));
         over.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -308,7 +308,7 @@
                         c.links.begin();
                         // Reports are spread over their interval.
                         double phase = REPORTED * interval * number / count;
-                        schedulers.after(phase, c::reportOn);
+                        schedulers.schedule(phase, c::reportOn);
                     }
                     return null;
                 });
@@ -357,7 +357,7 @@
         double gap = 1000 / callsPerSecond;
         for (int i = 0; i < callers.size(); i++) {
             Caller c = callers.get(i);
-            schedulers.after(gap * i / callers.size(), () -> callOn(c, gap, goesOn));
+            schedulers.schedule(gap * i / callers.size(), () -> callOn(c, gap, goesOn));
         }
         return null;
     }
@@ -365,7 +365,7 @@
     private void callOn(Caller c, double gap, boolean[] goesOn) {
         if (goesOn[0]) {
             c.call();
-            schedulers.after(gap, () -> callOn(c, gap, goesOn));
+            schedulers.schedule(gap, () -> callOn(c, gap, goesOn));
         }
     }
 
@@ -397,8 +397,8 @@
     public void close() {
         control.close();
         // In a turn, so that no timer of theirs comes between.
-        schedulers.enter(schedulers::stop);
-        relays.enter(
+        schedulers.submit(schedulers::stop);
+        relays.submit(
                 () -> {
                     relay.close();
                     platform.close();
--- a/src/main/java/gingerspool/cli/Platforms.java
+++ b/src/main/java/gingerspool/cli/Platforms.java
@@ -310,7 +310,7 @@
         public void close() {
             front.forEach(SchedulerNode::close);
             core.forEach(ControlNode::close);
-            loop.enter(
+            loop.submit(
                     () -> {
                         cloud.close();
                         loop.stop();
--- a/src/main/java/gingerspool/cli/Rigs.java
+++ b/src/main/java/gingerspool/cli/Rigs.java
@@ -112,7 +112,7 @@
             SingleThreadEventLoop loop = new SingleThreadEventLoop();
             Fleet fleet = new Fleet(loop, plan, to, log);
             CountDownLatch done = new CountDownLatch(1);
-            loop.enter(
+            loop.submit(
                     () -> {
                         try {
                             fleet.start();
@@ -136,7 +136,7 @@
                             new Thread(
                                     () -> {
                                         CountDownLatch flushed = new CountDownLatch(1);
-                                        loop.enter(
+                                        loop.submit(
                                                 () -> {
                                                     fleet.flush();
                                                     flushed.countDown();
@@ -171,19 +171,19 @@
             SingleThreadEventLoop loop = new SingleThreadEventLoop();
             Load load = new Load(loop, plan, to, record);
             CompletableFuture<Void> done = new CompletableFuture<>();
-            loop.enter(() -> load.play(() -> done.complete(null)));
+            loop.submit(() -> load.play(() -> done.complete(null)));
             while (!done.isDone()) {
                 try {
                     done.get(1, TimeUnit.SECONDS);
                 } catch (TimeoutException e) {
-                    loop.enter(() -> out.println(load.progress()));
+                    loop.submit(() -> out.println(load.progress()));
                 } catch (java.util.concurrent.ExecutionException e) {
                     throw new IOException(e.getCause());
                 }
             }
-            loop.enter(() -> out.println(load.progress()));
+            loop.submit(() -> out.println(load.progress()));
             CountDownLatch closed = new CountDownLatch(1);
-            loop.enter(
+            loop.submit(
                     () -> {
                         try {
                             load.close();
--- a/src/main/java/gingerspool/controlplane/GracefulShutdown.java
+++ b/src/main/java/gingerspool/controlplane/GracefulShutdown.java
@@ -3,19 +3,21 @@
 import gingerspool.wire.EventLoop;
 
 /**
- * The end of a control process after SIGTERM. It stays a voter until its replacement is agreed on,
- * or none is to be had, or a part of the grace period is over; then operators are taken no more,
- * those that wait are answered, and it ends. No I/O of its own.
+ * The end of a control process after SIGTERM. No I/O of its own.
+ *
+ * <p>States: waiting for its replacement to be agreed on, as it is a voter until then; closed to
+ * operators once that is so, none is to be had, or a part of the grace period is over; ended once
+ * those that wait are answered, or a later part of it is over.
  */
 final class GracefulShutdown {
     /** The part of the grace period in which a replacement is waited for. */
-    private static final double WAIT = 0.6;
+    private static final double REPLACEMENT_WAIT_PART = 0.6;
 
     /** The part of the grace period after which it ends, whoever waits for an answer. */
-    private static final double END = 0.85;
+    private static final double ANSWERS_WAIT_PART = 0.85;
 
-    /** How often it looks, in parts of the grace period. */
-    private static final double LOOK = 0.005;
+    /** How often it checks, in parts of the grace period. */
+    private static final double CHECK_INTERVAL_PART = 0.005;
 
     /** What it asks of the process, and tells it. */
     interface Process {
@@ -23,7 +25,7 @@
         boolean mayStop();
 
         /** Whether an operator still waits for an answer. */
-        boolean isOwingAnswers();
+        boolean hasPendingCalls();
 
         /** From now on no operator's call is taken. */
         void closeToOperators();
@@ -31,41 +33,48 @@
         void end();
     }
 
-    private final EventLoop turns;
-    private final double grace;
+    private enum State {
+        RUNNING,
+        WAITING_FOR_REPLACEMENT,
+        CLOSED_TO_OPERATORS,
+        ENDED
+    }
+
+    private final EventLoop loop;
+    private final double gracePeriod;
     private final Process process;
-    private double beganAt = Double.NaN;
-    private boolean isClosed;
+    private State state = State.RUNNING;
+    private double beganAt;
 
     /** The grace period is in milliseconds. */
-    GracefulShutdown(EventLoop turns, double grace, Process process) {
-        this.turns = turns;
-        this.grace = grace;
+    GracefulShutdown(EventLoop loop, double gracePeriod, Process process) {
+        this.loop = loop;
+        this.gracePeriod = gracePeriod;
         this.process = process;
     }
 
-    boolean hasBegun() {
-        return !Double.isNaN(beganAt);
-    }
-
     /** SIGTERM came; another one changes nothing. */
     void begin() {
-        if (!hasBegun()) {
-            beganAt = turns.now();
-            look();
+        if (state == State.RUNNING) {
+            state = State.WAITING_FOR_REPLACEMENT;
+            beganAt = loop.now();
+            check();
         }
     }
 
-    private void look() {
-        double since = turns.now() - beganAt;
-        if (!isClosed && (process.mayStop() || since >= WAIT * grace)) {
-            isClosed = true;
+    private void check() {
+        double elapsed = loop.now() - beganAt;
+        if (state == State.WAITING_FOR_REPLACEMENT
+                && (process.mayStop() || elapsed >= REPLACEMENT_WAIT_PART * gracePeriod)) {
+            state = State.CLOSED_TO_OPERATORS;
             process.closeToOperators();
         }
-        if (isClosed && (!process.isOwingAnswers() || since >= END * grace)) {
+        if (state == State.CLOSED_TO_OPERATORS
+                && (!process.hasPendingCalls() || elapsed >= ANSWERS_WAIT_PART * gracePeriod)) {
+            state = State.ENDED;
             process.end();
         } else {
-            turns.after(LOOK * grace, this::look);
+            loop.schedule(CHECK_INTERVAL_PART * gracePeriod, this::check);
         }
     }
 }
--- a/src/main/java/gingerspool/controlplane/InternalEndpoint.java
+++ b/src/main/java/gingerspool/controlplane/InternalEndpoint.java
@@ -34,7 +34,7 @@
 
     private final class Accepted implements Link {
         private final Frames frames;
-        private double heardAt = turns.now();
+        private double heardAt = loop.now();
 
         Accepted(Frames frames) {
             this.frames = frames;
@@ -46,21 +46,21 @@
         }
     }
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final NodeSettings settings;
     private final KryoCodec codec;
     private final Owner owner;
     private final Listener listener;
     private final Map<Frames, Accepted> links = new LinkedHashMap<>();
 
-    InternalEndpoint(EventLoop turns, NodeSettings settings, KryoCodec codec, Owner owner)
+    InternalEndpoint(EventLoop loop, NodeSettings settings, KryoCodec codec, Owner owner)
             throws IOException {
-        this.turns = turns;
+        this.loop = loop;
         this.settings = settings;
         this.codec = codec;
         this.owner = owner;
         listener =
-                new Listener(turns, new InetSocketAddress(settings.ip, settings.innerPort), this);
+                new Listener(loop, new InetSocketAddress(settings.ip, settings.internalPort), this);
     }
 
     void begin() {
@@ -69,7 +69,8 @@
 
     void closeSilent() {
         for (Map.Entry<Frames, Accepted> e : List.copyOf(links.entrySet())) {
-            if (turns.now() > e.getValue().heardAt + PeerLinks.SILENCE * settings.beat) {
+            if (loop.now()
+                    > e.getValue().heardAt + PeerLinks.SILENCE * settings.heartbeatInterval) {
                 e.getKey().close();
             }
         }
@@ -90,7 +91,7 @@
 
     @Override
     public void accepted(AsynchronousSocketChannel channel) {
-        Frames frames = Frames.accepted(turns, channel, this);
+        Frames frames = Frames.accepted(loop, channel, this);
         links.put(frames, new Accepted(frames));
     }
 
@@ -102,7 +103,7 @@
         }
         try {
             Object message = codec.read(frame);
-            link.heardAt = turns.now();
+            link.heardAt = loop.now();
             owner.received(link, message);
         } catch (MalformedMessageException e) {
             LOG.warn("link.bad_message why=\"{}\"", e.getMessage());
--- a/src/main/java/gingerspool/controlplane/LeaderDuties.java
+++ b/src/main/java/gingerspool/controlplane/LeaderDuties.java
@@ -19,98 +19,111 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * What the leader of a term does alone: reads the platform's lists, keeps the slots, starts and
- * stops instances. The term's number is the fence. Every call asks first whether the lease still
- * holds. Ends with the term.
+ * What the leader of a term does alone: grants slots, and joins the platform's lists with the
+ * allocator and the autoscaler. The term's number is the fencing token. Every action asks first
+ * whether the lease still holds. Ends with the term. Runs on the loop.
  */
 final class LeaderDuties
-        implements Autoscaler.Actions, SlotAllocator.Messenger, SchedulerRegistry.Slots {
+        implements Autoscaler.Actions,
+                SlotAllocator.Messenger,
+                SchedulerRegistry.Slots,
+                PlatformListReader.Listener {
     private static final Logger LOG = LogManager.getLogger(LeaderDuties.class);
-    private static final double TICK = 50;
 
-    /**
-     * Lists are read so often, in parts of how late they are, within a part of the platform's rate.
-     */
-    private static final double POLL = 0.5;
+    private static final double TICK_MS = 50;
 
-    private static final double RATE = 0.5;
+    /** An instance that was never listed is gone so many list delays after it began to drain. */
+    private static final double UNLISTED_LIST_DELAYS = 2;
 
-    private static final int TRIES = 4;
-
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final NodeSettings settings;
     private final long term;
-    private final BooleanSupplier holds;
+    private final BooleanSupplier holdsLease;
     private final BiConsumer<String, Object> send;
     private final Consumer<Object> sendToAll;
-    private final Platform platform;
+    private final PlatformListReader lists;
+    private final InstanceCalls calls;
     final SlotAllocator allocator;
     private final Autoscaler autoscaler;
-    private boolean ended;
-    private double hostsAt;
+    private boolean isEnded;
 
     /** When the list before this one was asked for. */
     private double listedBefore = Double.NEGATIVE_INFINITY;
 
-    long starts;
-    long stops;
-    long refusals;
-
+    /** The two consumers send to one registered scheduler, by its name, and to all of them. */
     LeaderDuties(
-            EventLoop turns,
+            EventLoop loop,
             NodeSettings settings,
             Platform platform,
             long term,
-            BooleanSupplier holds,
+            BooleanSupplier holdsLease,
             BiConsumer<String, Object> send,
             Consumer<Object> sendToAll) {
-        this.turns = turns;
+        this.loop = loop;
         this.settings = settings;
         this.term = term;
-        this.holds = holds;
+        this.holdsLease = holdsLease;
         this.send = send;
         this.sendToAll = sendToAll;
-        this.platform = platform;
-        allocator = new SlotAllocator(settings.beat, turns.now(), this);
+        lists = new PlatformListReader(loop, settings, platform, this::mayAct, this);
+        calls = new InstanceCalls(loop, settings, platform, term, this::mayAct);
+        allocator = new SlotAllocator(settings.heartbeatInterval, loop.now(), this);
         autoscaler =
                 new Autoscaler(
                         allocator,
-                        settings.dutyRate,
-                        settings.cloudLag,
+                        settings.startStopRate,
+                        settings.platformListDelay,
                         term + "-" + settings.name + "-",
-                        turns.now(),
+                        loop.now(),
                         this);
-        list();
+        lists.read();
         tick();
     }
 
     void end() {
-        ended = true;
+        isEnded = true;
+        lists.end();
+        calls.end();
     }
 
-    void configured(Configuration c) {
-        allocator.configure(c);
+    void configured(Configuration configuration) {
+        allocator.configure(configuration);
+    }
+
+    private boolean mayAct() {
+        return !isEnded && holdsLease.getAsBoolean();
+    }
+
+    private void tick() {
+        if (isEnded) {
+            return;
+        }
+        if (mayAct()) {
+            allocator.tick(loop.now());
+            autoscaler.tick(loop.now());
+        }
+        loop.schedule(TICK_MS, this::tick);
     }
 
     // ---- Schedulers ----
 
     @Override
     public void registered(String scheduler, Messages.Register message) {
-        allocator.onRegister(turns.now(), scheduler, message);
-        // Guards one that was with nobody, or another leader, as these were seen to leave.
-        List<String> leaving =
+        allocator.onRegister(loop.now(), scheduler, message);
+        // Guards one that was with nobody, or another leader, as these were seen to drain.
+        List<String> draining =
                 allocator.instances().stream()
-                        .filter(i -> i.state == Instance.State.DRAINING)
-                        .map(i -> i.id)
+                        .filter(instance -> instance.state == Instance.State.DRAINING)
+                        .map(instance -> instance.id)
                         .toList();
-        if (!leaving.isEmpty()) {
-            send(scheduler, new Messages.InstanceWithdrawal(leaving));
+        if (!draining.isEmpty()) {
+            send(scheduler, new Messages.InstanceWithdrawal(draining));
         }
     }
 
     @Override
     public void received(String scheduler, Object message) {
-        double now = turns.now();
+        double now = loop.now();
         if (message instanceof Messages.SlotDemand m) {
             allocator.onDemand(now, scheduler, m);
         } else if (message instanceof Messages.SlotReturn m) {
@@ -123,182 +136,114 @@
 
     @Override
     public void lost(String scheduler) {
-        allocator.onDisconnect(turns.now(), scheduler);
-    }
-
-    private boolean mayAct() {
-        return !ended && holds.getAsBoolean();
-    }
-
-    private void tick() {
-        if (ended) {
-            return;
-        }
-        if (mayAct()) {
-            allocator.tick(turns.now());
-            autoscaler.tick(turns.now());
-        }
-        turns.after(TICK, this::tick);
+        allocator.onDisconnect(loop.now(), scheduler);
     }
 
     // ---- The platform's lists ----
 
-    private void list() {
-        if (ended) {
-            return;
-        }
-        if (!mayAct()) {
-            turns.after(TICK, this::list);
-            return;
-        }
-        double asked = turns.now();
-        platform.instances(
-                all -> {
-                    int calls = 1;
-                    if (all != null && !ended) {
-                        listed(all, asked);
-                        calls = 1 + all.size() / 100;
-                    }
-                    double pause =
-                            Math.max(
-                                    POLL * settings.cloudLag,
-                                    1000 * calls / (RATE * settings.cloudRate));
-                    turns.after(pause, this::list);
-                });
-        if (asked >= hostsAt) {
-            hostsAt = asked + settings.cloudLag;
-            platform.hosts(
-                    a -> {
-                        if (a.status() == 200
-                                && JsonTree.at(a.tree(), "Workers") instanceof List<?> l
-                                && !ended) {
-                            hosts(l);
-                        }
-                    });
-        }
-    }
-
-    private void hosts(List<?> all) {
+    @Override
+    public void hostsListed(List<?> hosts) {
         autoscaler.beginHosts();
-        for (Object h : all) {
+        for (Object host : hosts) {
             autoscaler.addHost(
-                    JsonTree.text("", h, "Name"),
-                    JsonTree.text("", h, "Zone"),
-                    JsonTree.number(0, h, "MemoryMb"),
-                    JsonTree.number(0, h, "FreeMemoryMb"),
-                    JsonTree.text("", h, "State").equals("ready"));
+                    JsonTree.text("", host, "Name"),
+                    JsonTree.text("", host, "Zone"),
+                    JsonTree.number(0, host, "MemoryMb"),
+                    JsonTree.number(0, host, "FreeMemoryMb"),
+                    JsonTree.text("", host, "State").equals("ready"));
         }
         autoscaler.endHosts();
     }
 
-    private void listed(List<Object> all, double asked) {
-        double now = turns.now();
-        Set<String> leave = new HashSet<>();
-        for (Object e : all) {
-            String id = JsonTree.text("", e, "Identifier");
-            boolean ready = JsonTree.text("", e, "State").equals("ready");
-            Instance i = allocator.instance(id);
-            if (i == null && !id.isEmpty()) {
-                i =
-                        allocator.addInstance(
-                                now,
-                                id,
-                                allocator.catalog().findOrAdd(JsonTree.text("", e, "Service")),
-                                JsonTree.text("", e, "Address"),
-                                JsonTree.text("", e, "Zone"),
-                                JsonTree.text("", e, "Worker"),
-                                (int) JsonTree.number(1, e, "ConcurrencySlots"),
-                                Instance.State.STARTING);
-            }
-            if (i != null) {
-                i.listedAt = asked;
-                if (!ready && i.state != Instance.State.DRAINING) {
-                    leave.add(id);
-                    allocator.markDraining(now, i);
-                } else if (ready) {
-                    allocator.markReady(now, i);
-                }
+    @Override
+    public void instancesListed(List<Object> entries, double askedAt) {
+        Set<String> withdrawn = new HashSet<>();
+        for (Object entry : entries) {
+            String id = JsonTree.text("", entry, "Identifier");
+            if (!id.isEmpty() && isWithdrawnBy(entry, id, askedAt)) {
+                withdrawn.add(id);
             }
         }
-        for (Instance i : allocator.instances()) {
-            // Guards against pages that shift while they are read: it must be missing twice.
-            boolean wasListed = i.listedAt < listedBefore;
-            boolean left =
-                    Double.isNaN(i.listedAt) && now > i.drainingSince + 2 * settings.cloudLag;
-            if (wasListed || left) {
-                leave.add(i.id);
-                allocator.removeInstance(now, i);
+        for (Instance instance : allocator.instances()) {
+            if (isGone(instance)) {
+                withdrawn.add(instance.id);
+                allocator.removeInstance(loop.now(), instance);
             }
         }
-        if (!leave.isEmpty()) {
-            sendToAll.accept(new Messages.InstanceWithdrawal(List.copyOf(leave)));
+        if (!withdrawn.isEmpty()) {
+            sendToAll.accept(new Messages.InstanceWithdrawal(List.copyOf(withdrawn)));
         }
-        listedBefore = asked;
+        listedBefore = askedAt;
         autoscaler.instancesListed();
     }
 
-    // ---- Starts, stops ----
+    /** Notes what an entry says; whether it is the first that shows the instance draining. */
+    private boolean isWithdrawnBy(Object entry, String id, double askedAt) {
+        double now = loop.now();
+        Instance known = allocator.instance(id);
+        Instance instance = known != null ? known : addListed(entry, id);
+        instance.listedAt = askedAt;
+        if (JsonTree.text("", entry, "State").equals("ready")) {
+            allocator.markReady(now, instance);
+            return false;
+        }
+        if (instance.state == Instance.State.DRAINING) {
+            return false;
+        }
+        allocator.markDraining(now, instance);
+        return true;
+    }
 
-    @Override
-    public void start(Function f, String host, String nonce) {
-        starts++;
-        start(f, host, nonce, 1);
+    private Instance addListed(Object entry, String id) {
+        return allocator.addInstance(
+                loop.now(),
+                id,
+                allocator.catalog().findOrAdd(JsonTree.text("", entry, "Service")),
+                JsonTree.text("", entry, "Address"),
+                JsonTree.text("", entry, "Zone"),
+                JsonTree.text("", entry, "Worker"),
+                (int) JsonTree.number(1, entry, "ConcurrencySlots"),
+                Instance.State.STARTING);
     }
 
-    private void start(Function f, String host, String nonce, int tries) {
-        platform.start(
-                settings.name,
-                term,
-                f.name,
+    /** Guards against pages that shift while they are read: it must be missing twice. */
+    private boolean isGone(Instance instance) {
+        boolean isMissingTwice = instance.listedAt < listedBefore;
+        double unlistedUntil =
+                instance.drainingSince + UNLISTED_LIST_DELAYS * settings.platformListDelay;
+        return isMissingTwice || Double.isNaN(instance.listedAt) && loop.now() > unlistedUntil;
+    }
+
+    // ---- What the allocator and the autoscaler act by ----
+
+    @Override
+    public void start(Function function, String host, String nonce) {
+        calls.start(
+                function.name,
                 host,
                 nonce,
-                a -> {
-                    double now = turns.now();
-                    String id = JsonTree.text("", a.tree(), "Identifier");
-                    if (ended) {
-                        return;
+                new InstanceCalls.StartListener() {
+                    @Override
+                    public void started(String instance, String address) {
+                        autoscaler.started(loop.now(), nonce, instance, address);
                     }
-                    if (a.status() == 200 && !id.isEmpty()) {
-                        autoscaler.started(now, nonce, id, JsonTree.text("", a.tree(), "Address"));
-                    } else if ((a.status() == 0 || a.status() >= 500) && tries < TRIES) {
-                        // It may have been carried out: the same nonce gives the same instance.
-                        again(
-                                () -> start(f, host, nonce, tries + 1),
-                                () -> autoscaler.startFailed(turns.now(), nonce, false));
-                    } else {
-                        refusals++;
-                        autoscaler.startFailed(now, nonce, a.status() == 409);
+
+                    @Override
+                    public void failed(boolean hasNoRoom) {
+                        autoscaler.startFailed(loop.now(), nonce, hasNoRoom);
                     }
                 });
     }
 
     @Override
     public void stop(String instance) {
-        stops++;
-        stop(instance, 1);
-    }
-
-    private void stop(String instance, int tries) {
-        platform.stop(
-                settings.name,
-                term,
-                instance,
-                a -> {
-                    if (a.status() != 200 && a.status() != 404 && tries < TRIES && !ended) {
-                        again(() -> stop(instance, tries + 1), () -> {});
-                    }
-                });
-    }
-
-    /** Tries it once more after a pause, if the lease still holds then. */
-    private void again(Runnable call, Runnable orElse) {
-        turns.after(TICK, () -> (mayAct() ? call : orElse).run());
+        calls.stop(instance);
     }
 
     @Override
-    public void drain(Instance i) {
-        allocator.markDraining(turns.now(), i);
-        sendToAll.accept(new Messages.InstanceWithdrawal(List.of(i.id)));
+    public void drain(Instance instance) {
+        allocator.markDraining(loop.now(), instance);
+        sendToAll.accept(new Messages.InstanceWithdrawal(List.of(instance.id)));
     }
 
     @Override
@@ -312,15 +257,15 @@
         return mayAct();
     }
 
+    // ---- For operators ----
+
     void log() {
         LOG.info(
-                "duty term={} functions={} schedulers={} starts={} stops={} refused={} {}",
+                "duty term={} functions={} schedulers={} {} {}",
                 term,
                 allocator.catalog().all().size(),
                 allocator.connectedSchedulers(),
-                starts,
-                stops,
-                refusals,
+                calls.counters(),
                 allocator.usage());
     }
 }
--- a/src/main/java/gingerspool/controlplane/OperatorCalls.java
+++ b/src/main/java/gingerspool/controlplane/OperatorCalls.java
@@ -26,7 +26,7 @@
     /** Seconds until a member that knows no leader may be worth another call. */
     private static final int RETRY_AFTER_S = 1;
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final int controlPort;
     private final KryoCodec codec;
     private final ConfigurationState state;
@@ -43,13 +43,13 @@
 
     /** The replica is null until the disk was read. */
     OperatorCalls(
-            EventLoop turns,
+            EventLoop loop,
             int controlPort,
             KryoCodec codec,
             ConfigurationState state,
             Supplier<Replica> replica,
             Supplier<String> status) {
-        this.turns = turns;
+        this.loop = loop;
         this.controlPort = controlPort;
         this.codec = codec;
         this.state = state;
@@ -62,7 +62,7 @@
     }
 
     /** Whether a caller waits for the log. */
-    boolean isOwingAnswers() {
+    boolean hasPendingCalls() {
         return !pending.isEmpty();
     }
 
@@ -75,7 +75,7 @@
         } else if (call instanceof OperatorCall.Status) {
             byte[] text = status.get().getBytes(StandardCharsets.UTF_8);
             call.reply().answer(200, List.of("Content-Type: text/plain"), text);
-        } else if (!replica.get().leads(turns.now())) {
+        } else if (!replica.get().leads(loop.now())) {
             redirect(call);
         } else if (call instanceof OperatorCall.Read) {
             read(call);
@@ -85,7 +85,7 @@
     }
 
     private void redirect(OperatorCall call) {
-        Member leader = replica.get().leader(turns.now());
+        Member leader = replica.get().leader(loop.now());
         if (leader == null || leader.equals(replica.get().self())) {
             answerNothingRan(call, "no leader is known here just now");
         } else {
@@ -108,7 +108,7 @@
         changes++;
         long id = replica.get().term() << 32 | ++commands;
         pending.put(id, call);
-        turns.after(
+        loop.schedule(
                 ANSWER_WITHIN,
                 () -> {
                     if (pending.remove(id) != null) {
@@ -117,7 +117,7 @@
                 });
         byte[] command =
                 codec.write(new Messages.ChangeCommand(id, call.whole(), call.on(), call.body()));
-        if (!replica.get().propose(turns.now(), command)) {
+        if (!replica.get().propose(loop.now(), command)) {
             pending.remove(id);
             answerNothingRan(call, "the lease has just ended here");
         }
--- a/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
+++ b/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
@@ -19,16 +19,16 @@
     private static final int BODY_MOST = 2 << 20;
     private static final int MOST = 256;
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final Consumer<OperatorCall> run;
     private final Set<Inbound> open = new HashSet<>();
     private final Listener listener;
 
-    OperatorEndpoint(EventLoop turns, SocketAddress at, Consumer<OperatorCall> run)
+    OperatorEndpoint(EventLoop loop, SocketAddress at, Consumer<OperatorCall> run)
             throws IOException {
-        this.turns = turns;
+        this.loop = loop;
         this.run = run;
-        listener = new Listener(turns, at, this);
+        listener = new Listener(loop, at, this);
     }
 
     void begin() {
@@ -50,7 +50,7 @@
 
     @Override
     public void accepted(AsynchronousSocketChannel channel) {
-        Inbound c = new Inbound(turns, channel, this, PATIENCE, PATIENCE, HEAD_MOST, BODY_MOST);
+        Inbound c = new Inbound(loop, channel, this, PATIENCE, PATIENCE, HEAD_MOST, BODY_MOST);
         open.add(c);
         c.start();
     }
--- a/src/main/java/gingerspool/controlplane/PeerLinks.java
+++ b/src/main/java/gingerspool/controlplane/PeerLinks.java
@@ -33,7 +33,7 @@
     /** In heartbeat intervals: how long a link is kept to one that is wanted no more. */
     private static final double UNWANTED = 4;
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final NodeSettings settings;
     private final KryoCodec codec;
     private final Map<String, Peer> peers = new HashMap<>();
@@ -45,24 +45,28 @@
         double heardAt;
     }
 
-    PeerLinks(EventLoop turns, NodeSettings settings, KryoCodec codec) {
-        this.turns = turns;
+    PeerLinks(EventLoop loop, NodeSettings settings, KryoCodec codec) {
+        this.loop = loop;
         this.settings = settings;
         this.codec = codec;
     }
 
     /** Opens links that lack, and closes those that are silent or not wanted. */
     void maintain(Set<String> wanted) {
-        double now = turns.now();
+        double now = loop.now();
         wanted.forEach(this::connect);
         for (Map.Entry<String, Peer> e : List.copyOf(peers.entrySet())) {
             Peer p = e.getValue();
             // Guards against links that a cut has left half dead: a new one works as soon as the
             // cut ends.
             boolean isSilent =
-                    p.isUp && now > Math.max(p.heardAt, p.triedAt) + SILENCE * settings.beat;
+                    p.isUp
+                            && now
+                                    > Math.max(p.heardAt, p.triedAt)
+                                            + SILENCE * settings.heartbeatInterval;
             boolean isUnwanted =
-                    !wanted.contains(e.getKey()) && now > p.heardAt + UNWANTED * settings.beat;
+                    !wanted.contains(e.getKey())
+                            && now > p.heardAt + UNWANTED * settings.heartbeatInterval;
             if (p.link != null && (isSilent || isUnwanted)) {
                 p.link.close();
             }
@@ -70,16 +74,16 @@
     }
 
     private void connect(String ip) {
-        double now = turns.now();
+        double now = loop.now();
         Peer p = peers.computeIfAbsent(ip, k -> new Peer());
-        if (p.link == null && now >= p.triedAt + RETRY * settings.beat) {
+        if (p.link == null && now >= p.triedAt + RETRY * settings.heartbeatInterval) {
             p.triedAt = now;
             try {
                 p.link =
                         Frames.open(
-                                turns,
-                                new InetSocketAddress(ip, settings.innerPort),
-                                CONNECT * settings.beat,
+                                loop,
+                                new InetSocketAddress(ip, settings.internalPort),
+                                CONNECT * settings.heartbeatInterval,
                                 this);
             } catch (IOException e) {
                 LOG.warn("link.failed to={} why=\"{}\"", ip, e.getMessage());
@@ -89,7 +93,7 @@
 
     /** A member's message came; an answer to it needs a link. */
     void heardMember(String ip) {
-        peers.computeIfAbsent(ip, k -> new Peer()).heardAt = turns.now();
+        peers.computeIfAbsent(ip, k -> new Peer()).heardAt = loop.now();
     }
 
     void connectBack(String ip) {
@@ -100,7 +104,7 @@
     boolean heardHeartbeat(String ip) {
         Peer p = peers.get(ip);
         if (p != null) {
-            p.heardAt = turns.now();
+            p.heardAt = loop.now();
         }
         return p != null;
     }
--- a/src/main/java/gingerspool/controlplane/PlatformClient.java
+++ b/src/main/java/gingerspool/controlplane/PlatformClient.java
@@ -25,16 +25,16 @@
     private static final int MOST = 32;
     private static final double KEPT = 5000;
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final InetSocketAddress address;
     private final double patience;
     private final ConnectionPool pool;
 
-    PlatformClient(EventLoop turns, InetSocketAddress address, double patience) {
-        this.turns = turns;
+    PlatformClient(EventLoop loop, InetSocketAddress address, double patience) {
+        this.loop = loop;
         this.address = address;
         this.patience = patience;
-        pool = new ConnectionPool(turns, patience, KEPT, MOST);
+        pool = new ConnectionPool(loop, patience, KEPT, MOST);
     }
 
     @Override
@@ -136,7 +136,7 @@
                                 }
                             });
         } catch (IOException e) {
-            turns.turn(() -> then.accept(new Answer(0, null)));
+            loop.execute(() -> then.accept(new Answer(0, null)));
         }
     }
 
--- a/src/main/java/gingerspool/controlplane/RepairExchange.java
+++ b/src/main/java/gingerspool/controlplane/RepairExchange.java
@@ -20,7 +20,7 @@
 final class RepairExchange {
     private static final Logger LOG = LogManager.getLogger(RepairExchange.class);
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final String ip;
     private final ConfigurationState state;
     private final Replica replica;
@@ -45,13 +45,13 @@
     private String askedFrom = "";
 
     RepairExchange(
-            EventLoop turns,
+            EventLoop loop,
             String ip,
             ConfigurationState state,
             Replica replica,
             BiConsumer<String, Object> send,
             Runnable whenRepaired) {
-        this.turns = turns;
+        this.loop = loop;
         this.ip = ip;
         this.state = state;
         this.replica = replica;
@@ -69,9 +69,9 @@
 
     /** Tells the leader what our copy of the state comes to; the leader compares all copies. */
     void compare() {
-        Member leader = replica.leader(turns.now());
+        Member leader = replica.leader(loop.now());
         List<Long> own = RangeDigests.digests(state.items());
-        if (replica.leads(turns.now())) {
+        if (replica.leads(loop.now())) {
             repair.compare(
                     ip,
                     replica.members().stream().map(Member::ip).toList(),
@@ -101,7 +101,7 @@
 
     /** A member says that it has these items where we have others: most hold them. */
     void received(Messages.RangeRepair message) {
-        Member leader = replica.leader(turns.now());
+        Member leader = replica.leader(loop.now());
         boolean isAsked = message.ip().equals(askedFrom);
         askedFrom = "";
         boolean isFromLeader = leader != null && leader.ip().equals(message.ip());
@@ -110,7 +110,7 @@
         }
         try {
             state.mend(RangeDigests.replaced(state.items(), message.ranges(), message.items()));
-            replica.compact(turns.now());
+            replica.compact(loop.now());
             LOG.warn(
                     "state.repaired from={} index={} version={}",
                     message.ip(),
--- a/src/main/java/gingerspool/controlplane/SchedulerRegistry.java
+++ b/src/main/java/gingerspool/controlplane/SchedulerRegistry.java
@@ -43,7 +43,7 @@
         }
     }
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final NodeSettings settings;
     private final ConfigurationState state;
     private final Map<InternalEndpoint.Link, Scheduler> byLink = new HashMap<>();
@@ -58,8 +58,8 @@
     private long pushedDigest;
     private double pushedAt;
 
-    SchedulerRegistry(EventLoop turns, NodeSettings settings, ConfigurationState state) {
-        this.turns = turns;
+    SchedulerRegistry(EventLoop loop, NodeSettings settings, ConfigurationState state) {
+        this.loop = loop;
         this.settings = settings;
         this.state = state;
     }
@@ -142,7 +142,7 @@
         byte[] form = state.configuration().toByteArray();
         pushedDigest = RangeDigests.digest(form);
         pushedVersion = state.version();
-        pushedAt = turns.now();
+        pushedAt = loop.now();
         if (slots != null) {
             tellAll(new Messages.ConfigurationPush(pushedVersion, form, false));
         }
@@ -153,7 +153,7 @@
         // Guards schedulers, which never go back: a copy that is not what was taken is told to
         // nobody.
         if (pushedVersion > has && RangeDigests.digest(form) == pushedDigest) {
-            to.sentAt = turns.now();
+            to.sentAt = loop.now();
             to.link.send(new Messages.ConfigurationPush(pushedVersion, form, again));
         }
     }
@@ -162,10 +162,11 @@
     private void acknowledged(Scheduler from, Messages.ConfigurationAck ack) {
         from.version = Math.max(from.version, ack.number());
         boolean differs = ack.number() == pushedVersion && ack.digest() != pushedDigest;
-        if (ack.number() > 0 && differs && turns.now() > from.sentAt + settings.beat) {
+        if (ack.number() > 0 && differs && loop.now() > from.sentAt + settings.heartbeatInterval) {
             LOG.warn("scheduler.config_diverged scheduler={} version={}", from.name, ack.number());
             push(from, 0, true);
-        } else if (ack.number() < pushedVersion && turns.now() > pushedAt + settings.beat) {
+        } else if (ack.number() < pushedVersion
+                && loop.now() > pushedAt + settings.heartbeatInterval) {
             push(from, ack.number(), false);
         }
     }
--- a/src/main/java/gingerspool/daemon/Daemon.java
+++ b/src/main/java/gingerspool/daemon/Daemon.java
@@ -121,7 +121,7 @@
         return serve(
                 () -> NodeConfiguration.read(environment),
                 d -> {},
-                d -> d.loop.enter(() -> d.reload(environment)));
+                d -> d.loop.submit(() -> d.reload(environment)));
     }
 
     /**
@@ -135,7 +135,7 @@
             before.accept(daemon);
             made.complete(daemon);
             Runtime.getRuntime().addShutdownHook(new Thread(daemon::stop, "stop"));
-            daemon.loop.enter(daemon::begin);
+            daemon.loop.submit(daemon::begin);
             daemon.ended.await();
             return daemon.exitCode;
         } catch (ConfigurationException e) {
@@ -210,13 +210,13 @@
         if (management != null) {
             management.summary(line);
         }
-        line.addKeyValue("latest_timer_ms", Math.round(loop.latestSince())).log("summary");
-        loop.after(SUMMARY_EVERY, this::summarise);
+        line.addKeyValue("latest_timer_ms", Math.round(loop.takeLatestTimerMs())).log("summary");
+        loop.schedule(SUMMARY_EVERY, this::summarise);
     }
 
     /** On SIGTERM, from the virtual machine's own thread: it ends when this returns. */
     private void stop() {
-        loop.enter(() -> leave(loop.now()));
+        loop.submit(() -> leave(loop.now()));
         try {
             ended.await();
         } catch (InterruptedException e) {
@@ -240,7 +240,7 @@
         act();
         if (!looking && life.isChanging()) {
             looking = true;
-            loop.after(
+            loop.schedule(
                     LOOK_EVERY,
                     () -> {
                         looking = false;
@@ -302,7 +302,7 @@
         return new Handover(
                 loop,
                 files,
-                loop::enter,
+                loop::submit,
                 node.scratch,
                 node.name,
                 (InetSocketAddress) management.address(),
--- a/src/main/java/gingerspool/daemon/FileDaemon.java
+++ b/src/main/java/gingerspool/daemon/FileDaemon.java
@@ -154,7 +154,7 @@
             return;
         }
         NodeConfiguration taken = node;
-        daemon.loop.enter(() -> apply(daemon, read, taken));
+        daemon.loop.submit(() -> apply(daemon, read, taken));
     }
 
     private static void refuse(int count, String why) {
--- a/src/main/java/gingerspool/daemon/Scheduler.java
+++ b/src/main/java/gingerspool/daemon/Scheduler.java
@@ -70,7 +70,7 @@
 
     private static final double WATCH_PAUSE_MOST = 1600;
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final Configuration deployment;
     private InetSocketAddress discovery;
     private final Dispatcher dispatcher;
@@ -94,8 +94,8 @@
     private int abandoned;
     private int left;
 
-    Scheduler(EventLoop turns, NodeConfiguration node, int mostTasks, int mostToWorkers) {
-        this.turns = turns;
+    Scheduler(EventLoop loop, NodeConfiguration node, int mostTasks, int mostToWorkers) {
+        this.loop = loop;
         deployment = node.deployment;
         discovery = node.discovery;
         long mostBytes = Runtime.getRuntime().maxMemory() / BODY_SHARE;
@@ -107,7 +107,7 @@
                                 : mostBytes);
         pool =
                 new ConnectionPool(
-                        turns, deployment.connectWithin, deployment.connectionIdle, mostToWorkers);
+                        loop, deployment.connectWithin, deployment.connectionIdle, mostToWorkers);
         ahead = AHEAD * Math.max(deployment.settings.tick, deployment.answerGrace);
         dispatcher = new Dispatcher(deployment.settings, node.seed, this);
     }
@@ -123,7 +123,7 @@
             remembered = false;
             version = ofThisDiscovery ? version : 0;
         }
-        dispatcher.wake(turns.now());
+        dispatcher.wake(loop.now());
         if (!deployment.settings.listOnRequest) {
             watchList();
         }
@@ -170,7 +170,7 @@
     @Override
     public void listBegins(long newVersion, boolean whole) {
         version = newVersion;
-        dispatcher.listBegins(turns.now(), whole);
+        dispatcher.listBegins(loop.now(), whole);
     }
 
     @Override
@@ -188,12 +188,12 @@
         if (w == known) {
             dispatcher.called(w, host);
         }
-        if (roster.moves(w, dial)) {
+        if (roster.setAddress(w, dial)) {
             pool.empty(w);
         }
         pool.keep(w, state == Dispatcher.RUNNING && !suspended.contains(host));
-        roster.says(w, new WorkerDirectory.Entry(zone, kind, cell, size, started));
-        if (roster.turns(w, state)) {
+        roster.setEntry(w, new WorkerDirectory.Entry(zone, kind, cell, size, started));
+        if (roster.setState(w, state)) {
             LOG.atInfo()
                     .addKeyValue("worker", host)
                     .addKeyValue("zone", zone)
@@ -209,13 +209,13 @@
                 size,
                 started);
         if (suspended.contains(host)) {
-            dispatcher.suspended(turns.now(), w);
+            dispatcher.suspended(loop.now(), w);
         }
     }
 
     @Override
     public void listEnds(boolean whole) {
-        dispatcher.listEnds(turns.now(), whole, remembered);
+        dispatcher.listEnds(loop.now(), whole, remembered);
         watchPause = WATCH_PAUSE;
     }
 
@@ -224,11 +224,11 @@
         watch = null;
         LOG.atWarn().addKeyValue("why", why).log("discovery.stream_ended");
         if (deployment.settings.listOnRequest) {
-            dispatcher.listFailed(turns.now());
+            dispatcher.listFailed(loop.now());
         } else {
             // Guards the drain rule where the list is pushed: the module does not ask there, the
             // host must.
-            turns.after(watchPause, this::watchList);
+            loop.schedule(watchPause, this::watchList);
             watchPause = Math.min(2 * watchPause, WATCH_PAUSE_MOST);
         }
     }
@@ -239,7 +239,7 @@
     @Override
     public void watchList() {
         if (watch == null && discovery != null) {
-            watch = DiscoveryClient.open(turns, discovery, version, deployment.connectWithin, this);
+            watch = DiscoveryClient.open(loop, discovery, version, deployment.connectWithin, this);
         }
     }
 
@@ -273,7 +273,7 @@
         }
         if (suspended) {
             this.suspended.add(name);
-            dispatcher.suspended(turns.now(), w);
+            dispatcher.suspended(loop.now(), w);
             pool.keep(w, false);
             // Guards the ban against what was decided before it and waits for a connection to come
             // up.
@@ -286,7 +286,7 @@
         } else {
             this.suspended.remove(name);
             pool.keep(w, roster.state(w) == Dispatcher.RUNNING);
-            dispatcher.resumed(turns.now(), w);
+            dispatcher.resumed(loop.now(), w);
         }
         return true;
     }
@@ -342,7 +342,7 @@
     }
 
     void learn(Map<?, ?> told) {
-        dispatcher.learn(turns.now(), told);
+        dispatcher.learn(loop.now(), told);
         if (!dispatcher.afresh().isEmpty()) {
             LOG.atInfo()
                     .addKeyValue("parts", String.join(",", dispatcher.afresh()))
@@ -394,7 +394,7 @@
         double most = t.profile.expiry > 0 ? t.profile.expiry : LONGEST_WAIT;
         double told = request.timeLeft();
         double wait = Double.isNaN(told) ? most : Math.min(told, most);
-        double at = turns.now();
+        double at = loop.now();
         t.expiry = at + wait - Math.min(ahead, wait / 2);
         t.hint = request.hint();
         t.width = (int) Math.max(1, request.width());
@@ -421,8 +421,8 @@
     private void gone(ClientTask t) {
         clear(t, false);
         left++;
-        Trace.answered(turns.now(), t, "left");
-        dispatcher.left(turns.now(), t);
+        Trace.answered(loop.now(), t, "left");
+        dispatcher.left(loop.now(), t);
         hand.release(t);
     }
 
@@ -433,7 +433,7 @@
     private void clear(ClientTask t, boolean finished) {
         t.client = null;
         if (t.stay != null) {
-            Routes.done(turns.now(), t.stay, finished);
+            Routes.done(loop.now(), t.stay, finished);
         }
     }
 
@@ -441,7 +441,7 @@
     public void bounce(Task task, double pause) {
         ClientTask t = (ClientTask) task;
         bounced++;
-        Trace.answered(turns.now(), t, "bounced");
+        Trace.answered(loop.now(), t, "bounced");
         ClientEndpoint.bounced(t.client, pause);
         answered(t);
     }
@@ -450,7 +450,7 @@
     public void abandon(Task task) {
         ClientTask t = (ClientTask) task;
         abandoned++;
-        Trace.answered(turns.now(), t, "abandoned");
+        Trace.answered(loop.now(), t, "abandoned");
         ClientEndpoint.abandoned(t.client);
         answered(t);
     }
@@ -467,10 +467,10 @@
         ClientTask t = (ClientTask) a.task;
         WorkerAttempt errand = new WorkerAttempt(a, deployment.reports, this);
         t.errands.add(errand);
-        double now = turns.now();
+        double now = loop.now();
         double wait = timeout > 0 ? Math.min(timeout, t.expiry - now) : t.expiry - now;
         if (wait <= 0 || t.ended()) {
-            turns.turn(() -> errand.fail(Outcome.MOOT));
+            loop.execute(() -> errand.fail(Outcome.MOOT));
             return;
         }
         InetSocketAddress address = roster.address(a.worker);
@@ -478,7 +478,7 @@
             int before = pool.size();
             Outbound connection = pool.take(a.worker, address);
             Trace.sent(a, roster.name(a.worker), pool.size() > before);
-            Future<?> alarm = turns.after(wait, () -> errand.giveUp(Outcome.TIMEOUT));
+            Future<?> alarm = loop.schedule(wait, () -> errand.giveUp(Outcome.TIMEOUT));
             errand.begin(connection, alarm);
             connection.ask(
                     WorkerProtocol.request(t.request, address, wait),
@@ -489,14 +489,14 @@
                     .addKeyValue("worker", roster.name(a.worker))
                     .addKeyValue("why", e.getMessage())
                     .log("worker.no_connection");
-            turns.turn(() -> errand.fail(Outcome.UNREACHABLE));
+            loop.execute(() -> errand.fail(Outcome.UNREACHABLE));
         }
     }
 
     @Override
     public void cancel(Assignment a) {
         WorkerAttempt errand = ((ClientTask) a.task).errands.get(a.number);
-        turns.turn(() -> errand.giveUp(Outcome.CANCELLED));
+        loop.execute(() -> errand.giveUp(Outcome.CANCELLED));
     }
 
     @Override
@@ -526,9 +526,9 @@
         if (how != null) {
             end(errand, how, result, load);
         } else if (state.equals("started")) {
-            dispatcher.started(turns.now(), errand.assignment);
+            dispatcher.started(loop.now(), errand.assignment);
         } else if (state.equals("running")) {
-            dispatcher.progressed(turns.now(), errand.assignment, share);
+            dispatcher.progressed(loop.now(), errand.assignment, share);
         }
         return true;
     }
@@ -546,7 +546,7 @@
         ClientTask t = errand.task;
         if (how == Outcome.OK && t.client != null) {
             finished++;
-            Trace.answered(turns.now(), t, "finished");
+            Trace.answered(loop.now(), t, "finished");
             ClientEndpoint.finished(t.client, result);
             clear(t, true);
         }
@@ -587,7 +587,7 @@
         outcomes[how.ordinal()]++;
         Trace.ended(errand.assignment, roster.name(errand.assignment.worker), how, report);
         boolean over = t.ended() || how == Outcome.OK;
-        dispatcher.ended(turns.now(), errand.assignment, how, over, report);
+        dispatcher.ended(loop.now(), errand.assignment, how, over, report);
         hand.release(t);
     }
 
@@ -609,24 +609,24 @@
 
                                 @Override
                                 public void broke(boolean allWritten) {
-                                    dispatcher.reportMissing(turns.now(), worker);
+                                    dispatcher.reportMissing(loop.now(), worker);
                                 }
                             });
         } catch (IOException e) {
-            turns.turn(() -> probed(worker, null));
+            loop.execute(() -> probed(worker, null));
         }
     }
 
     private void probed(int worker, double[] report) {
-        dispatcher.probed(turns.now(), worker, report);
+        dispatcher.probed(loop.now(), worker, report);
     }
 
     @Override
     public void wakeAfter(double span) {
-        double due = turns.now() + Math.max(span, 0.01);
+        double due = loop.now() + Math.max(span, 0.01);
         // Guards against a timer that fires a hair early: the module would wait for it once more,
         // in vain.
-        turns.after(due - turns.now(), () -> dispatcher.wake(Math.max(due, turns.now())));
+        loop.schedule(due - loop.now(), () -> dispatcher.wake(Math.max(due, loop.now())));
     }
 
     // ---- The end ----
@@ -639,7 +639,7 @@
                 clear(t, false);
                 abandoned++;
                 ClientEndpoint.abandoned(client);
-                dispatcher.left(turns.now(), t);
+                dispatcher.left(loop.now(), t);
             }
         }
     }
--- a/src/main/java/gingerspool/dataplane/Attempt.java
+++ b/src/main/java/gingerspool/dataplane/Attempt.java
@@ -19,17 +19,17 @@
     final PendingRequest pending;
     final InstanceSlot slot;
     final double sentAt;
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final Owner owner;
     private Outbound connection;
     private Future<?> alarm;
     private Outcome how;
 
-    Attempt(Assignment assignment, InstanceSlot slot, EventLoop turns, Owner owner) {
+    Attempt(Assignment assignment, InstanceSlot slot, EventLoop loop, Owner owner) {
         this.assignment = assignment;
         this.slot = slot;
-        this.turns = turns;
-        sentAt = turns.now();
+        this.loop = loop;
+        sentAt = loop.now();
         this.owner = owner;
         pending = (PendingRequest) assignment.task;
     }
@@ -57,7 +57,7 @@
     @Override
     public boolean isMine(Message answer) {
         String id = answer.field("request-id");
-        return id == null || id.equals(pending.id) || !turns.has(RequestSafeguard.RESPONSE_ID);
+        return id == null || id.equals(pending.id) || !loop.has(RequestSafeguard.RESPONSE_ID);
     }
 
     /** Guards against answers that are cut: only a length that was told shows that one is whole. */
@@ -70,13 +70,13 @@
     @Override
     public boolean mayKeep(Message answer) {
         return !InstanceResponse.isDoubtful(answer, pending.id)
-                || !turns.has(RequestSafeguard.DOUBTFUL_RESPONSE_CLOSES);
+                || !loop.has(RequestSafeguard.DOUBTFUL_RESPONSE_CLOSES);
     }
 
     @Override
     public void answered(Message answer) {
         connection = null;
-        end(InstanceResponse.outcome(answer, pending.id, turns::has), answer);
+        end(InstanceResponse.outcome(answer, pending.id, loop::has), answer);
     }
 
     @Override
@@ -85,7 +85,7 @@
         boolean begun = hasBegun();
         connection = null;
         end(
-                begun && turns.has(RequestSafeguard.BYTE_WRITTEN)
+                begun && loop.has(RequestSafeguard.BYTE_WRITTEN)
                         ? Outcome.RESET
                         : Outcome.UNREACHABLE,
                 null);
--- a/src/main/java/gingerspool/dataplane/ControlLinks.java
+++ b/src/main/java/gingerspool/dataplane/ControlLinks.java
@@ -33,7 +33,7 @@
     private static final double CONNECT = 0.25;
     private static final double AGAIN = 0.1;
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final NodeSettings settings;
     private final Supplier<Messages.Register> enrol;
     private final Consumer<Object> words;
@@ -67,16 +67,16 @@
 
     /** The enrolment is made anew for each leader; words are those of the leader. */
     ControlLinks(
-            EventLoop turns,
+            EventLoop loop,
             NodeSettings settings,
             Supplier<Messages.Register> enrol,
             Consumer<Object> words) {
-        this.turns = turns;
+        this.loop = loop;
         this.settings = settings;
         this.enrol = enrol;
         this.words = words;
         seeds = settings.seeds;
-        lastLed = turns.now();
+        lastLed = loop.now();
     }
 
     void begin() {
@@ -95,9 +95,10 @@
 
     /** How long no leader has been known. */
     double leaderless() {
-        return leader != null && turns.now() < leader.heardAt + settings.beat * SILENT / 2
+        return leader != null
+                        && loop.now() < leader.heardAt + settings.heartbeatInterval * SILENT / 2
                 ? 0
-                : turns.now() - lastLed;
+                : loop.now() - lastLed;
     }
 
     /** Tells the leader; false where there is none. */
@@ -110,7 +111,7 @@
     }
 
     private void look() {
-        double now = turns.now();
+        double now = loop.now();
         if (leader != null) {
             lastLed = Math.max(lastLed, leader.heardAt);
         }
@@ -120,12 +121,12 @@
         }
         for (String ip : wanted) {
             Link l = links.computeIfAbsent(ip, Link::new);
-            if (l.frames == null && now >= l.triedAt + AGAIN * settings.beat) {
+            if (l.frames == null && now >= l.triedAt + AGAIN * settings.heartbeatInterval) {
                 open(l, now);
             }
         }
         for (Link l : List.copyOf(links.values())) {
-            if (l.up && now > l.heardAt + SILENT * settings.beat) {
+            if (l.up && now > l.heardAt + SILENT * settings.heartbeatInterval) {
                 l.frames.close();
             } else if (!wanted.contains(l.ip) && leader != null && l != leader) {
                 if (l.frames != null) {
@@ -134,7 +135,7 @@
                 links.remove(l.ip);
             }
         }
-        turns.after(AGAIN * settings.beat, this::look);
+        loop.schedule(AGAIN * settings.heartbeatInterval, this::look);
     }
 
     private void open(Link l, double now) {
@@ -142,9 +143,9 @@
         try {
             l.frames =
                     Frames.open(
-                            turns,
-                            new InetSocketAddress(l.ip, settings.innerPort),
-                            CONNECT * settings.beat,
+                            loop,
+                            new InetSocketAddress(l.ip, settings.internalPort),
+                            CONNECT * settings.heartbeatInterval,
                             this);
         } catch (IOException e) {
             LOG.warn("core.link_failed to={} why=\"{}\"", l.ip, e.getMessage());
@@ -154,7 +155,7 @@
     private void beat() {
         byte[] hello = coder.write(new Messages.Heartbeat(settings.ip));
         links.values().stream().filter(l -> l.up).forEach(l -> l.frames.send(hello));
-        turns.after(BEAT * settings.beat, this::beat);
+        loop.schedule(BEAT * settings.heartbeatInterval, this::beat);
     }
 
     private Link of(Frames frames) {
@@ -172,7 +173,7 @@
         if (l != null) {
             l.up = true;
             LOG.info("core.link_up to={}", l.ip);
-            l.heardAt = turns.now();
+            l.heardAt = loop.now();
             frames.send(coder.write(new Messages.Heartbeat(settings.ip)));
         }
     }
@@ -183,7 +184,7 @@
         if (l == null) {
             return;
         }
-        l.heardAt = turns.now();
+        l.heardAt = loop.now();
         try {
             Object word = coder.read(frame);
             if (word instanceof Messages.LeaderAnnouncement s) {
@@ -231,7 +232,7 @@
         if (!link.unanswered) {
             forgetLeader();
             register(link);
-        } else if (newer || turns.now() > askedAt + AGAIN * settings.beat) {
+        } else if (newer || loop.now() > askedAt + AGAIN * settings.heartbeatInterval) {
             // Guards the counts of slots: an answer to the first registration would be taken for
             // one to the second, with grants between them that only one side counts.
             link.frames.close();
@@ -240,7 +241,7 @@
 
     private void register(Link link) {
         asked = link;
-        askedAt = turns.now();
+        askedAt = loop.now();
         link.unanswered = true;
         LOG.info("core.registering at={} term={}", link.ip, term);
         link.frames.send(coder.write(enrol.get()));
--- a/src/main/java/gingerspool/dataplane/FunctionQueue.java
+++ b/src/main/java/gingerspool/dataplane/FunctionQueue.java
@@ -96,7 +96,7 @@
 
     /** What a desk needs of the program round it. */
     interface Environment {
-        EventLoop turns();
+        EventLoop loop();
 
         ConnectionPool pool();
 
@@ -120,7 +120,7 @@
     }
 
     private final Environment environment;
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final String name;
     private Service service;
     private Dispatcher dispatcher;
@@ -165,10 +165,10 @@
     FunctionQueue(Environment environment, String name) {
         this.environment = environment;
         this.name = name;
-        turns = environment.turns();
+        loop = environment.loop();
         unassigned =
                 new UnassignedSlots(
-                        environment.settings().limitSlack,
+                        environment.settings().rejectionAllowance,
                         (environment.settings().name + name).hashCode());
         retryBudget = new FunctionRetryBudget(environment.settings(), environment.schedulers());
     }
@@ -220,7 +220,7 @@
      */
     private Terms terms(PendingRequest v) {
         retryBudget.share(environment.schedulers());
-        return !v.safe() && turns.has(RequestSafeguard.UNSAFE_ONCE)
+        return !v.safe() && loop.has(RequestSafeguard.UNSAFE_ONCE)
                 ? CAREFUL
                 : safeTerms.computeIfAbsent(
                         mostAttempts(v),
@@ -228,14 +228,12 @@
     }
 
     private RetryBudget budget() {
-        return turns.has(RequestSafeguard.RETRY_BUDGET) ? retryBudget : null;
+        return loop.has(RequestSafeguard.RETRY_BUDGET) ? retryBudget : null;
     }
 
     private int mostAttempts(PendingRequest v) {
         int most =
-                turns.has(RequestSafeguard.MOST_ATTEMPTS)
-                        ? v.route.getAttempts()
-                        : ASSIGNMENTS_MOST;
+                loop.has(RequestSafeguard.MOST_ATTEMPTS) ? v.route.getAttempts() : ASSIGNMENTS_MOST;
         return Math.max(1, most) + v.unreached;
     }
 
@@ -252,7 +250,7 @@
                 p.work = RUN * Math.max(1, r.getAim());
                 p.prio = -r.getPriority();
                 p.effect =
-                        r.getKind().equals("safe") || !turns.has(RequestSafeguard.UNSAFE_ONCE)
+                        r.getKind().equals("safe") || !loop.has(RequestSafeguard.UNSAFE_ONCE)
                                 ? Profile.Effect.IDEMPOTENT
                                 : Profile.Effect.SIDE_EFFECTING;
                 all.putIfAbsent(p.name, p);
@@ -295,12 +293,12 @@
             renew();
         }
         gap +=
-                (Math.min(turns.now() - cameAt, GAP_MOST * idleKeep()) - gap)
+                (Math.min(loop.now() - cameAt, GAP_MOST * idleKeep()) - gap)
                         / Math.min(++gaps, GAPS);
-        cameAt = turns.now();
+        cameAt = loop.now();
         inHand++;
         came++;
-        unassigned.arrived(turns.now());
+        unassigned.arrived(loop.now());
         queue.add(v);
         serve();
     }
@@ -308,7 +306,7 @@
     /** The client has gone, or its time is over. */
     void leave(PendingRequest v) {
         if (v.placed) {
-            dispatcher.left(turns.now(), v);
+            dispatcher.left(loop.now(), v);
             takeBack(v);
         } else {
             queue.remove(v);
@@ -331,7 +329,7 @@
         while (!queue.isEmpty() && free() > 0) {
             PendingRequest v = queue.poll();
             v.placed = true;
-            double now = turns.now();
+            double now = loop.now();
             v.profile = profile(v.route, now + run > v.dueAt);
             v.terms = terms(v);
             dispatcher.arrived(now, v);
@@ -381,8 +379,8 @@
     private void lookOn() {
         if (!looking) {
             looking = true;
-            turns.after(
-                    LOOK * environment.settings().beat,
+            loop.schedule(
+                    LOOK * environment.settings().heartbeatInterval,
                     () -> {
                         looking = false;
                         look();
@@ -391,7 +389,7 @@
     }
 
     private void look() {
-        double now = turns.now();
+        double now = loop.now();
         for (PendingRequest v : List.copyOf(queue)) {
             patience(v, now);
         }
@@ -412,7 +410,8 @@
         double wait = Double.NaN;
         for (InstanceSlot s : instances.values()) {
             if (!s.up && s.held > 0) {
-                double w = Math.max(LOOK * environment.settings().beat, s.startsAt - now);
+                double w =
+                        Math.max(LOOK * environment.settings().heartbeatInterval, s.startsAt - now);
                 wait = Double.isNaN(wait) ? w : Math.min(wait, w);
             }
         }
@@ -452,8 +451,8 @@
             unassigned.led();
         }
         if (queue.isEmpty()
-                || environment.leaderless() < environment.settings().beat / 2
-                || !unassigned.allows(turns.now(), environment.schedulers())
+                || environment.leaderless() < environment.settings().heartbeatInterval / 2
+                || !unassigned.allows(loop.now(), environment.schedulers())
                 || instances.values().stream().anyMatch(s -> s.up && !s.leaving && s.held > 0)) {
             return;
         }
@@ -461,7 +460,7 @@
             if (s.up && !s.leaving && s.doubtful == 0) {
                 s.held = 1;
                 s.unassigned = true;
-                s.idleSince = turns.now();
+                s.idleSince = loop.now();
                 told(s);
                 serve();
                 return;
@@ -484,7 +483,11 @@
                     && s.used == 0
                     && s.doubtful == 0
                     && !s.connecting
-                    && (s.leaving || now > s.idleSince + FORGOTTEN * environment.settings().beat)) {
+                    && (s.leaving
+                            || now
+                                    > s.idleSince
+                                            + FORGOTTEN
+                                                    * environment.settings().heartbeatInterval)) {
                 // Guards against instances that pile up: what is gone may never be told of again.
                 remove(s);
             }
@@ -492,7 +495,7 @@
     }
 
     private double idleKeep() {
-        return IDLE_KEEP * environment.settings().beat;
+        return IDLE_KEEP * environment.settings().heartbeatInterval;
     }
 
     private void back(InstanceSlot s, int slots, Messages.InstanceCondition seen) {
@@ -513,7 +516,7 @@
     // ---- What the leader says ----
 
     void granted(Messages.SlotGrant g) {
-        double now = turns.now();
+        double now = loop.now();
         InstanceSlot s = instances.get(g.instance());
         if (s == null) {
             s = slot(g);
@@ -576,11 +579,11 @@
     /** Tells the Dispatcher what it may use. */
     private void told(InstanceSlot s) {
         dispatcher.granted(
-                turns.now(), s.worker, s.up && !s.leaving ? Math.max(0, s.held - s.doubtful) : 0);
+                loop.now(), s.worker, s.up && !s.leaving ? Math.max(0, s.held - s.doubtful) : 0);
     }
 
     private void list(InstanceSlot s) {
-        double now = turns.now();
+        double now = loop.now();
         dispatcher.listBegins(now, false);
         dispatcher.called(s.worker, s.instance);
         dispatcher.listed(
@@ -598,7 +601,7 @@
     private void up(InstanceSlot s) {
         if (!s.up) {
             s.up = true;
-            s.idleSince = turns.now();
+            s.idleSince = loop.now();
             told(s);
         }
     }
@@ -606,7 +609,7 @@
     private void connectLater(InstanceSlot s, double span) {
         if (!s.connecting && !s.up) {
             s.connecting = true;
-            turns.after(
+            loop.schedule(
                     span,
                     () -> {
                         s.connecting = false;
@@ -619,7 +622,7 @@
         if (s.up || s.leaving || s.held == 0) {
             return;
         }
-        if (turns.now() > s.startsAt + CONNECT_MOST * service.getBoot()) {
+        if (loop.now() > s.startsAt + CONNECT_MOST * service.getBoot()) {
             back(s, s.held, Messages.InstanceCondition.UNREACHABLE);
             return;
         }
@@ -652,7 +655,7 @@
 
     void recalled(int slots) {
         recalled += slots;
-        giveBack(turns.now());
+        giveBack(loop.now());
     }
 
     /** Nothing new may go there. */
@@ -664,7 +667,7 @@
         s.leaving = true;
         environment.pool().keep(s.poolIndex, false);
         list(s);
-        giveBack(turns.now());
+        giveBack(loop.now());
         return true;
     }
 
@@ -697,22 +700,22 @@
     public void send(Assignment a, double timeout) {
         InstanceSlot s = byWorker.get(a.worker);
         PendingRequest v = (PendingRequest) a.task;
-        Attempt attempt = new Attempt(a, s, turns, this);
+        Attempt attempt = new Attempt(a, s, loop, this);
         v.attempts.add(attempt);
         s.used++;
         underWay += v.outstanding() == 1 ? 1 : 0;
         try {
             attempt.begin(
                     environment.pool().take(s.poolIndex, s.address),
-                    InstanceResponse.request(v.request, named(s), v.expiry - turns.now()),
+                    InstanceResponse.request(v.request, named(s), v.expiry - loop.now()),
                     null);
         } catch (IOException e) {
-            turns.turn(attempt::fail);
+            loop.execute(attempt::fail);
         }
     }
 
     private String named(InstanceSlot s) {
-        return turns.has(RequestSafeguard.EXPECTED_INSTANCE) ? s.instance : null;
+        return loop.has(RequestSafeguard.EXPECTED_INSTANCE) ? s.instance : null;
     }
 
     @Override
@@ -735,7 +738,7 @@
                     503,
                     retryAfter(pause > 0 ? pause : service.getBoot()),
                     InstanceResponse.text("no instance in time"));
-        } else if (InstanceResponse.mayPass(v.failure, v.id, turns::has)) {
+        } else if (InstanceResponse.mayPass(v.failure, v.id, loop::has)) {
             environment.answer(
                     v, v.failure.status(), InstanceResponse.fields(v.failure), v.failure.body());
         } else {
@@ -746,7 +749,7 @@
     @Override
     public void cancel(Assignment a) {
         // Not at once: the Dispatcher is in the middle of its rules.
-        turns.turn(
+        loop.execute(
                 () -> ((PendingRequest) a.task).attempts.get(a.number).giveUp(Outcome.CANCELLED));
     }
 
@@ -763,11 +766,11 @@
     @Override
     public void wakeAfter(double span) {
         Dispatcher whose = dispatcher;
-        turns.after(
+        loop.schedule(
                 span,
                 () -> {
                     if (whose == dispatcher) {
-                        whose.wake(turns.now());
+                        whose.wake(loop.now());
                     }
                 });
     }
@@ -776,7 +779,7 @@
 
     @Override
     public void ended(Attempt attempt, Outcome how, Message answer) {
-        double now = turns.now();
+        double now = loop.now();
         InstanceSlot s = attempt.slot;
         PendingRequest v = attempt.pending;
         s.used--;
@@ -804,11 +807,11 @@
         if (how == Outcome.RESET || how == Outcome.CANCELLED) {
             // Guards the limit of slots: what was given up may run on for a while.
             s.doubtful++;
-            turns.after(
+            loop.schedule(
                     Math.max(1, Math.min(v.expiry - now, DOUBT * Math.max(run, 1))),
                     () -> {
                         s.doubtful--;
-                        s.idleSince = turns.now();
+                        s.idleSince = loop.now();
                         told(s);
                         serve();
                     });
--- a/src/main/java/gingerspool/dataplane/FunctionRetryBudget.java
+++ b/src/main/java/gingerspool/dataplane/FunctionRetryBudget.java
@@ -33,10 +33,11 @@
             return;
         }
         schedulers = among;
-        double floorPerS = FLOOR_USED * settings.retrySlack * 1000 / settings.retryWindow;
+        double floorPerS =
+                FLOOR_USED * settings.retryBudgetSlack * 1000 / settings.retryBudgetWindow;
         Policy.Repeats policy =
                 new Policy.Repeats(
-                        RATIO_USED * settings.retryRatio, floorPerS / Math.max(1, among));
+                        RATIO_USED * settings.retryBudgetRatio, floorPerS / Math.max(1, among));
         budget = new Budget(policy, budget);
     }
 
--- a/src/main/java/gingerspool/dataplane/HollowScheduler.java
+++ b/src/main/java/gingerspool/dataplane/HollowScheduler.java
@@ -16,7 +16,7 @@
  * queues of functions that nobody calls. Thousands share a process and one thread.
  */
 public final class HollowScheduler {
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final NodeSettings settings;
     private final ControlLinks links;
     private int identities;
@@ -26,13 +26,13 @@
      * consumer.
      */
     public HollowScheduler(
-            EventLoop turns,
+            EventLoop loop,
             NodeSettings settings,
             Supplier<Messages.Register> registration,
             Consumer<Object> messages) {
-        this.turns = turns;
+        this.loop = loop;
         this.settings = settings;
-        links = new ControlLinks(turns, settings, registration, messages);
+        links = new ControlLinks(loop, settings, registration, messages);
     }
 
     /** Begins to connect; to be called in a turn. */
@@ -59,8 +59,8 @@
     /** What a queue needs; nothing is ever sent to an instance or answered to a client. */
     private final class Surroundings implements FunctionQueue.Environment {
         @Override
-        public EventLoop turns() {
-            return turns;
+        public EventLoop loop() {
+            return loop;
         }
 
         @Override
--- a/src/main/java/gingerspool/dataplane/ReadinessEndpoint.java
+++ b/src/main/java/gingerspool/dataplane/ReadinessEndpoint.java
@@ -16,15 +16,15 @@
     private static final double PATIENCE = 10_000;
     private static final int MOST = 64;
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final BooleanSupplier ready;
     private final Listener listener;
     private int open;
 
-    ReadinessEndpoint(EventLoop turns, SocketAddress at, BooleanSupplier ready) throws IOException {
-        this.turns = turns;
+    ReadinessEndpoint(EventLoop loop, SocketAddress at, BooleanSupplier ready) throws IOException {
+        this.loop = loop;
         this.ready = ready;
-        listener = new Listener(turns, at, this);
+        listener = new Listener(loop, at, this);
     }
 
     void begin() {
@@ -42,7 +42,7 @@
     @Override
     public void accepted(AsynchronousSocketChannel channel) {
         open++;
-        new Inbound(turns, channel, this, PATIENCE, PATIENCE).start();
+        new Inbound(loop, channel, this, PATIENCE, PATIENCE).start();
     }
 
     @Override
--- a/src/main/java/gingerspool/dataplane/RequestRouter.java
+++ b/src/main/java/gingerspool/dataplane/RequestRouter.java
@@ -58,7 +58,7 @@
     /** Counts of requests since the start, for the log. */
     record Counts(int taken, int served, int refused, int failed, int overfull) {}
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final NodeSettings settings;
     private final ConnectionPool pool;
     private final ControlPlane control;
@@ -82,17 +82,17 @@
     private int failed;
 
     RequestRouter(
-            EventLoop turns,
+            EventLoop loop,
             NodeSettings settings,
             ConnectionPool pool,
             ControlPlane control,
             Runnable whenClosed) {
-        this.turns = turns;
+        this.loop = loop;
         this.settings = settings;
         this.pool = pool;
         this.control = control;
         this.whenClosed = whenClosed;
-        schedulers = new SchedulerCount(settings.retryWindow);
+        schedulers = new SchedulerCount(settings.retryBudgetWindow);
     }
 
     // ---- Configuration ----
@@ -129,7 +129,7 @@
 
     /** So many schedulers share the budget of repeats, this one included. */
     void schedulers(int count) {
-        schedulers.told(turns.now(), count);
+        schedulers.told(loop.now(), count);
     }
 
     // ---- Queues ----
@@ -168,7 +168,7 @@
 
     void accept(AsynchronousSocketChannel channel) {
         Inbound connection =
-                new Inbound(turns, channel, this, DEFAULT_IDLE_TIMEOUT, DEFAULT_READ_TIMEOUT);
+                new Inbound(loop, channel, this, DEFAULT_IDLE_TIMEOUT, DEFAULT_READ_TIMEOUT);
         limit(connection);
         connections.add(connection);
         connection.endAfterAnswer(leaving);
@@ -258,7 +258,7 @@
     }
 
     private void take(Inbound from, Message request, Route route, String id) {
-        double now = turns.now();
+        double now = loop.now();
         double deadline = number(request.field("remaining-milliseconds"));
         // Who comes with less than the route allows was turned away before, or is called by a
         // worker.
@@ -276,7 +276,7 @@
                     end(taken);
                     queueOf(route).leave(taken);
                 });
-        taken.alarm = turns.after(taken.expiry - now, () -> expired(taken));
+        taken.alarm = loop.schedule(taken.expiry - now, () -> expired(taken));
         queueOf(route).take(taken);
     }
 
@@ -328,8 +328,8 @@
     // ---- What queues need ----
 
     @Override
-    public EventLoop turns() {
-        return turns;
+    public EventLoop loop() {
+        return loop;
     }
 
     @Override
@@ -344,7 +344,7 @@
 
     @Override
     public int schedulers() {
-        return schedulers.most(turns.now());
+        return schedulers.most(loop.now());
     }
 
     @Override
--- a/src/main/java/gingerspool/dataplane/SchedulerNode.java
+++ b/src/main/java/gingerspool/dataplane/SchedulerNode.java
@@ -68,18 +68,18 @@
         ConnectionPool pool =
                 new ConnectionPool(
                         loop,
-                        CONNECT_TIMEOUT * settings.beat,
+                        CONNECT_TIMEOUT * settings.heartbeatInterval,
                         POOL_IDLE_TIMEOUT,
                         (int) (INSTANCE_SHARE * settings.descriptors));
         clientsMost = (int) (CLIENT_SHARE * settings.descriptors);
         core = new ControlLinks(loop, settings, this::registration, this::receive);
-        readiness = new ReadinessEndpoint(loop, settings.readiness, this::isReady);
-        listener = new Listener(loop, settings.front, this);
+        readiness = new ReadinessEndpoint(loop, settings.readinessAddress, this::isReady);
+        listener = new Listener(loop, settings.frontAddress, this);
         router = new RequestRouter(loop, settings, pool, this, listener::acceptOn);
     }
 
     public void begin() {
-        loop.enter(
+        loop.submit(
                 () -> {
                     core.begin();
                     readiness.begin();
@@ -107,14 +107,14 @@
                 counts.refused(),
                 counts.failed(),
                 counts.overfull());
-        loop.after(SUMMARY_INTERVAL, this::summary);
+        loop.schedule(SUMMARY_INTERVAL, this::summary);
     }
 
     // ---- Leaving, settings ----
 
     /** Takes no new clients, answers all that it has, then runs this. */
     public void stop(Runnable then) {
-        loop.enter(
+        loop.submit(
                 () -> {
                     LOG.info("leave in_hand={}", router.inHand());
                     leavingAt = loop.now();
@@ -131,25 +131,25 @@
 
     private void leave() {
         double gone = loop.now() - leavingAt;
-        boolean quiet = gone > STILL_COMING * settings.beat;
+        boolean quiet = gone > STILL_COMING * settings.heartbeatInterval;
         if (quiet) {
             router.closeIdle();
         }
         boolean allEnded = router.inHand() == 0 && router.connections() == 0;
-        if (gone > GIVE_UP_PART_OF_GRACE * settings.grace) {
+        if (gone > GIVE_UP_PART_OF_GRACE * settings.gracePeriod) {
             router.giveUpAll();
         }
-        if (quiet && allEnded || gone > LAST_PART_OF_GRACE * settings.grace) {
+        if (quiet && allEnded || gone > LAST_PART_OF_GRACE * settings.gracePeriod) {
             listener.close();
             whenLeft.run();
         } else {
-            loop.after(LEAVE_CHECK * settings.beat, this::leave);
+            loop.schedule(LEAVE_CHECK * settings.heartbeatInterval, this::leave);
         }
     }
 
     /** The settings file has changed. */
     public void settings(NodeSettings now) {
-        loop.enter(() -> core.seeds(now.seeds));
+        loop.submit(() -> core.seeds(now.seeds));
     }
 
     // ---- Clients ----
@@ -261,6 +261,6 @@
     private void acknowledgeAgain() {
         acknowledge();
         core.say(new Messages.SlotHoldings(grants, router.heldSlots()));
-        loop.after(COMPARE_INTERVAL * settings.beat, this::acknowledgeAgain);
+        loop.schedule(COMPARE_INTERVAL * settings.heartbeatInterval, this::acknowledgeAgain);
     }
 }
--- a/src/main/java/gingerspool/experiment/Run.java
+++ b/src/main/java/gingerspool/experiment/Run.java
@@ -105,8 +105,8 @@
             processes.forEach(p -> cpu -= cpuOf(p));
             load = new Load(loadLoop, plan, addresses, clients);
             CompletableFuture<Void> done = new CompletableFuture<>();
-            fleetLoop.enter(fleet::play);
-            loadLoop.enter(() -> load.play(() -> done.complete(null)));
+            fleetLoop.submit(fleet::play);
+            loadLoop.submit(() -> load.play(() -> done.complete(null)));
             Thread faults = new Thread(() -> schedulersFaults(loadLoop), "faults");
             faults.setDaemon(true);
             faults.start();
@@ -140,7 +140,7 @@
     private static void on(SingleThreadEventLoop loop, Step step)
             throws IOException, InterruptedException {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        loop.enter(
+        loop.submit(
                 () -> {
                     try {
                         step.go();
@@ -163,7 +163,7 @@
             try {
                 done.get(1, TimeUnit.SECONDS);
             } catch (TimeoutException e) {
-                loop.enter(() -> out.println("  " + load.progress()));
+                loop.submit(() -> out.println("  " + load.progress()));
             } catch (ExecutionException e) {
                 throw new IOException(e.getCause());
             }
--- a/src/main/java/gingerspool/handover/Handover.java
+++ b/src/main/java/gingerspool/handover/Handover.java
@@ -86,9 +86,9 @@
         void fail(String why);
     }
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final Executor files;
-    private final Executor loop;
+    private final Executor anyThread;
     private final Path file;
     private final InetSocketAddress own;
     private final double connectWithin;
@@ -109,20 +109,20 @@
 
     /**
      * Reads the note in the folder at once. Files are written by `files`, whose ends are told by
-     * `loop`; own is where this process is called.
+     * `anyThread`; own is where this process is called.
      */
     public Handover(
-            EventLoop turns,
+            EventLoop loop,
             Executor files,
-            Executor loop,
+            Executor anyThread,
             Path folder,
             String name,
             InetSocketAddress own,
             double connectWithin,
             House house) {
-        this.turns = turns;
-        this.files = files;
         this.loop = loop;
+        this.files = files;
+        this.anyThread = anyThread;
         this.own = own;
         this.connectWithin = connectWithin;
         this.house = house;
@@ -182,7 +182,7 @@
             before =
                     before == null
                             ? new Peer(
-                                    turns,
+                                    loop,
                                     Address.read(found.at()),
                                     found.token(),
                                     own,
@@ -411,7 +411,7 @@
                                 .addKeyValue("why", e.toString())
                                 .log("handover.file_write_failed");
                     }
-                    loop.execute(written);
+                    anyThread.execute(written);
                 });
     }
 
@@ -522,7 +522,7 @@
         }
         Peer heir =
                 new Peer(
-                        turns,
+                        loop,
                         Address.read(who),
                         JsonTree.text("", call, "token"),
                         own,
@@ -554,7 +554,7 @@
         house.retire();
         from.answer(200, List.of(), body(Map.of("descriptors", house.descriptors())));
         Peer heir = after;
-        turns.after(
+        loop.schedule(
                 HELD_WITHIN,
                 () -> {
                     if (heir == after && !heir.holds) {
--- a/src/main/java/gingerspool/handover/Peer.java
+++ b/src/main/java/gingerspool/handover/Peer.java
@@ -44,7 +44,7 @@
     /** It keeps a call open, whose end tells its own. */
     boolean holds;
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final double connectWithin;
     private boolean closed;
 
@@ -57,12 +57,12 @@
 
     /** Own is where this process itself is called. */
     Peer(
-            EventLoop turns,
+            EventLoop loop,
             InetSocketAddress at,
             String token,
             InetSocketAddress own,
             double connectWithin) {
-        this.turns = turns;
+        this.loop = loop;
         this.at = at;
         this.token = token;
         this.own = Address.text(own);
@@ -105,7 +105,7 @@
         /** Patience 0: the answer may take for ever, which only its connection's end ends. */
         void call(String path, byte[] body, double patience, Reply reply) {
             if (closed || waiting.size() >= MOST_WAITING) {
-                turns.turn(() -> reply.came(0, new byte[0]));
+                loop.execute(() -> reply.came(0, new byte[0]));
                 return;
             }
             waiting.add(new Call(request(path, body), patience, reply));
@@ -130,7 +130,7 @@
             try {
                 connection = rested ? connection : open(this);
             } catch (IOException e) {
-                turns.turn(() -> ended(call, 0, new byte[0]));
+                loop.execute(() -> ended(call, 0, new byte[0]));
                 return;
             }
             ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -171,7 +171,7 @@
     private Outbound open(Line line) throws IOException {
         Outbound made =
                 Outbound.open(
-                        turns,
+                        loop,
                         at,
                         connectWithin,
                         new Outbound.Owner() {
--- a/src/main/java/gingerspool/load/Client.java
+++ b/src/main/java/gingerspool/load/Client.java
@@ -33,7 +33,7 @@
     }
 
     final int scheduler;
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final AsynchronousSocketChannel channel;
     private final Owner owner;
     private final ByteBuffer buffer = ByteBuffer.allocate(16 * 1024);
@@ -51,11 +51,11 @@
 
     int requests;
 
-    Client(EventLoop turns, int scheduler, InetSocketAddress to, Owner owner) throws IOException {
-        this.turns = turns;
+    Client(EventLoop loop, int scheduler, InetSocketAddress to, Owner owner) throws IOException {
+        this.loop = loop;
         this.scheduler = scheduler;
         this.owner = owner;
-        channel = AsynchronousSocketChannel.open(turns.group());
+        channel = AsynchronousSocketChannel.open(loop.group());
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         channel.connect(
                 to,
@@ -63,12 +63,12 @@
                 new CompletionHandler<Void, Void>() {
                     @Override
                     public void completed(Void nothing, Void none) {
-                        turns.turn(Client.this::connected);
+                        loop.execute(Client.this::connected);
                     }
 
                     @Override
                     public void failed(Throwable why, Void none) {
-                        turns.turn(Client.this::end);
+                        loop.execute(Client.this::end);
                     }
                 });
     }
@@ -79,9 +79,9 @@
         }
         up = true;
         if (unsent != null) {
-            channel.write(unsent, null, Completions.onTurn(turns, this::written));
+            channel.write(unsent, null, Completions.onTurn(loop, this::written));
         }
-        channel.read(buffer, null, Completions.onTurn(turns, this::read));
+        channel.read(buffer, null, Completions.onTurn(loop, this::read));
     }
 
     boolean isOpen() {
@@ -100,7 +100,7 @@
     void send(byte[] bytes) {
         unsent = ByteBuffer.wrap(bytes);
         if (up) {
-            channel.write(unsent, null, Completions.onTurn(turns, this::written));
+            channel.write(unsent, null, Completions.onTurn(loop, this::written));
         }
     }
 
@@ -108,14 +108,14 @@
         if (alarm != null) {
             alarm.cancel(false);
         }
-        alarm = open && span > 0 ? turns.after(span, then) : null;
+        alarm = open && span > 0 ? loop.schedule(span, then) : null;
     }
 
     private void written(int bytes) {
         if (bytes < 0) {
             end();
         } else if (open && unsent.hasRemaining()) {
-            channel.write(unsent, null, Completions.onTurn(turns, this::written));
+            channel.write(unsent, null, Completions.onTurn(loop, this::written));
         }
     }
 
@@ -166,7 +166,7 @@
         int left = buffer.position() - at;
         System.arraycopy(buffer.array(), at, buffer.array(), 0, left);
         buffer.position(left);
-        channel.read(buffer, null, Completions.onTurn(turns, this::read));
+        channel.read(buffer, null, Completions.onTurn(loop, this::read));
     }
 
     /** The one place where it is given back. */
--- a/src/main/java/gingerspool/load/HostileClients.java
+++ b/src/main/java/gingerspool/load/HostileClients.java
@@ -13,7 +13,7 @@
 
 /** Clients that misbehave: slow heads, half requests, floods of connections and nonsense. */
 final class HostileClients {
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final SplittableRandom chance;
     private final List<InetSocketAddress> schedulers;
     private final IntSupplier choose;
@@ -22,13 +22,13 @@
 
     /** None comes after `until`, in milliseconds of Unix time; `choose` gives a scheduler or -1. */
     HostileClients(
-            EventLoop turns,
+            EventLoop loop,
             SplittableRandom chance,
             List<InetSocketAddress> schedulers,
             IntSupplier choose,
             BooleanSupplier over,
             double until) {
-        this.turns = turns;
+        this.loop = loop;
         this.chance = chance;
         this.schedulers = schedulers;
         this.choose = choose;
@@ -46,10 +46,10 @@
 
     private void hostile(double rate, Runnable what) {
         if (rate > 0 && !over.getAsBoolean()) {
-            turns.after(
+            loop.schedule(
                     -1000 * Math.log(1 - chance.nextDouble()) / rate,
                     () -> {
-                        if (!over.getAsBoolean() && turns.now() < until) {
+                        if (!over.getAsBoolean() && loop.now() < until) {
                             what.run();
                             hostile(rate, what);
                         }
@@ -63,7 +63,7 @@
             return s < 0
                     ? null
                     : new Client(
-                            turns,
+                            loop,
                             s,
                             schedulers.get(s),
                             new Client.Owner() {
@@ -84,7 +84,7 @@
     private void drip(Client c, byte[] bytes, int at) {
         if (c.isOpen() && at < bytes.length && !over.getAsBoolean()) {
             c.send(new byte[] {bytes[at]});
-            turns.after(200, () -> drip(c, bytes, at + 1));
+            loop.schedule(200, () -> drip(c, bytes, at + 1));
         } else {
             c.end();
         }
@@ -107,7 +107,7 @@
             c.send(
                     "POST /x HTTP/1.1\r\nX-Correlation-Id: half\r\nContent-Length: 500\r\n\r\nonly this"
                             .getBytes(StandardCharsets.ISO_8859_1));
-            turns.after(500 + chance.nextInt(1000), c::end);
+            loop.schedule(500 + chance.nextInt(1000), c::end);
         }
     }
 
@@ -116,7 +116,7 @@
             Client c = bare();
             if (c != null) {
                 c.send("GET /healthz HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
-                turns.after(1000, c::end);
+                loop.schedule(1000, c::end);
             }
         }
     }
@@ -129,7 +129,7 @@
                 bytes[i] = (byte) chance.nextInt(256);
             }
             c.send(bytes);
-            turns.after(1000, c::end);
+            loop.schedule(1000, c::end);
         }
     }
 }
--- a/src/main/java/gingerspool/load/Load.java
+++ b/src/main/java/gingerspool/load/Load.java
@@ -51,7 +51,7 @@
         }
     }
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final Plan plan;
     private final Scenario scenario;
     private final List<InetSocketAddress> schedulers;
@@ -78,9 +78,9 @@
      */
     double slowedBy;
 
-    public Load(EventLoop turns, Plan plan, List<InetSocketAddress> schedulers, Path file)
+    public Load(EventLoop loop, Plan plan, List<InetSocketAddress> schedulers, Path file)
             throws IOException {
-        this.turns = turns;
+        this.loop = loop;
         this.plan = plan;
         this.schedulers = schedulers;
         scenario = plan.scenario;
@@ -116,11 +116,11 @@
     /** Begins now; `then` runs once, after the last answer. */
     public void play(Runnable then) {
         whenDone = then;
-        begun = turns.now();
+        begun = loop.now();
         line(String.format(Locale.ROOT, "begin\t%.3f\t%.3f", begun, scenario.length));
         sendDue();
         double until = begun + scenario.length;
-        new HostileClients(turns, chance, schedulers, this::choose, () -> over, until)
+        new HostileClients(loop, chance, schedulers, this::choose, () -> over, until)
                 .play(scenario.load);
     }
 
@@ -131,21 +131,21 @@
     public void note(int scheduler, String what) {
         boolean down = what.equals("killed") || what.equals("terminated") || what.equals("drained");
         closed[scheduler] = down || closed[scheduler] && !what.equals("up");
-        line(String.format(Locale.ROOT, "scheduler\t%d\t%s\t%.3f", scheduler, what, turns.now()));
+        line(String.format(Locale.ROOT, "scheduler\t%d\t%s\t%.3f", scheduler, what, loop.now()));
     }
 
     private void sendDue() {
-        double now = turns.now() - begun;
+        double now = loop.now() - begun;
         while (next < plan.requests.size() && plan.requests.get(next).due() <= now) {
             Plan.Request r = plan.requests.get(next++);
             open++;
             asked++;
-            lateness.recordValue((long) Math.max(0, 1000 * (turns.now() - begun - r.due())));
+            lateness.recordValue((long) Math.max(0, 1000 * (loop.now() - begun - r.due())));
             send(r, 0, scenario.kinds.get(r.profile()).expiry);
         }
         if (next < plan.requests.size()) {
-            turns.after(
-                    Math.max(0, plan.requests.get(next).due() - (turns.now() - begun)) + slowedBy,
+            loop.schedule(
+                    Math.max(0, plan.requests.get(next).due() - (loop.now() - begun)) + slowedBy,
                     this::sendDue);
         } else {
             endIfDone();
@@ -159,13 +159,13 @@
     }
 
     private void send(Plan.Request r, int number, double left) {
-        double now = turns.now();
+        double now = loop.now();
         Try t = new Try(r, number, id(r, number), now, now + left);
         int scheduler = choose();
         Client c = scheduler < 0 ? null : free.get(scheduler).poll();
         try {
             if (c == null && scheduler >= 0 && connections < scenario.load.connections) {
-                c = new Client(turns, scheduler, schedulers.get(scheduler), this);
+                c = new Client(loop, scheduler, schedulers.get(scheduler), this);
                 connections++;
             }
         } catch (IOException e) {
@@ -173,7 +173,7 @@
         }
         if (c == null) {
             waiting.add(t);
-            turns.after(Math.max(1, left), () -> giveUpWaiting(t));
+            loop.schedule(Math.max(1, left), () -> giveUpWaiting(t));
             return;
         }
         carry(c, t);
@@ -206,10 +206,10 @@
     private void carry(Client c, Try t) {
         c.carries = t;
         c.carried = t;
-        double left = t.expiry - turns.now();
+        double left = t.expiry - loop.now();
         c.ask(request(t, left), left + LISTENS_ON);
         if (t.number == 0 && t.request.leaves()) {
-            turns.after(
+            loop.schedule(
                     t.request.leavesAfter(),
                     () -> {
                         if (c.carries == t) {
@@ -326,7 +326,7 @@
                         ? "left"
                         : !up
                                 ? "unreachable"
-                                : turns.now() >= t.expiry + LISTENS_ON - 1
+                                : loop.now() >= t.expiry + LISTENS_ON - 1
                                         ? "none"
                                         : written ? "broke" : "unwritten";
         told(t, c.scheduler, how, Double.NaN, "", c.requests > 1);
@@ -343,12 +343,12 @@
                         "extra\t%s\t%d\t%.3f",
                         t == null ? "-" : t.id,
                         c.scheduler,
-                        turns.now()));
+                        loop.now()));
     }
 
     private void told(
             Try t, int scheduler, String status, double advice, String result, boolean reused) {
-        double now = turns.now();
+        double now = loop.now();
         latency.recordValue((long) Math.max(0, 1000 * (now - begun - t.request.due())));
         line(
                 String.format(
@@ -371,9 +371,9 @@
     }
 
     private void retry(Try t, boolean allowed, double pause, boolean done) {
-        double left = t.expiry - turns.now() - pause;
+        double left = t.expiry - loop.now() - pause;
         if (!done && allowed && t.number < scenario.load.retries && left > LEAST_LEFT) {
-            turns.after(pause, () -> send(t.request, t.number + 1, t.expiry - turns.now()));
+            loop.schedule(pause, () -> send(t.request, t.number + 1, t.expiry - loop.now()));
         } else {
             ended(t, done);
         }
@@ -404,7 +404,7 @@
         return String.format(
                 Locale.ROOT,
                 "%4.0f s: %d asked, %d finished, %d bounced, %d failed, %d open, 99th %.0f ms",
-                (turns.now() - begun) / 1000,
+                (loop.now() - begun) / 1000,
                 asked,
                 finished,
                 bounced,
--- a/src/main/java/gingerspool/settings/NodeSettings.java
+++ b/src/main/java/gingerspool/settings/NodeSettings.java
@@ -30,7 +30,7 @@
     public final List<String> zones;
 
     /** The port on which our own processes reach each other. */
-    public final int innerPort;
+    public final int internalPort;
 
     /** Where machines serve control, by their outer addresses. */
     public final List<InetSocketAddress> seeds;
@@ -38,38 +38,38 @@
     public final boolean firstStart;
 
     /** Each null where it isn't served here. */
-    public final InetSocketAddress front;
+    public final InetSocketAddress frontAddress;
 
-    public final InetSocketAddress readiness;
-    public final InetSocketAddress control;
+    public final InetSocketAddress readinessAddress;
+    public final InetSocketAddress controlAddress;
     public final int descriptors;
 
     /** Null where there is no disk. */
-    public final Path data;
+    public final Path dataDirectory;
 
     public final double diskMb;
 
     /** How many of the machines that count may be lost at once. */
-    public final int tolerated;
+    public final int toleratedLosses;
 
-    public final double beat;
-    public final double contact;
-    public final double drain;
-    public final double grace;
+    public final double heartbeatInterval;
+    public final double contactTimeout;
+    public final double drainTimeout;
+    public final double gracePeriod;
 
     /** Requests that instances of one function may turn away as too many within five seconds. */
-    public final double limitSlack;
+    public final double rejectionAllowance;
 
-    public final double retryRatio;
-    public final double retryWindow;
-    public final double retrySlack;
+    public final double retryBudgetRatio;
+    public final double retryBudgetWindow;
+    public final double retryBudgetSlack;
 
     /** Null where the platform has no interface. */
-    public final InetSocketAddress cloud;
+    public final InetSocketAddress platformAddress;
 
-    public final double cloudRate;
-    public final double cloudLag;
-    public final double dutyRate;
+    public final double platformRate;
+    public final double platformListDelay;
+    public final double startStopRate;
 
     private NodeSettings(Section s) {
         name = s.text("NodeName", null).value();
@@ -80,33 +80,33 @@
         if (ports.isEmpty()) {
             s.fault("InternalPortRange", "is missing or empty, wanted the first and the last port");
         }
-        innerPort = ports.isEmpty() ? 0 : ports.get(0);
+        internalPort = ports.isEmpty() ? 0 : ports.get(0);
         seeds = addresses(s, "SeedNodes", s.texts("SeedNodes", List.of()));
         firstStart = s.mark("FirstStart", false).value();
         Section listen = s.section("ListenAddresses");
-        front = address(listen, "FrontAddress");
-        readiness = address(listen, "ReadinessAddress");
-        control = address(listen, "ControlAddress");
+        frontAddress = address(listen, "FrontAddress");
+        readinessAddress = address(listen, "ReadinessAddress");
+        controlAddress = address(listen, "ControlAddress");
         descriptors =
                 s.section("Limits").whole("FileDescriptors", 1024, 64, Integer.MAX_VALUE).value();
         diskMb = s.section("Limits").number("DiskMb", 0.0, 0, 1e9).value();
         var dir = s.text("DataDirectory", null);
-        data = dir == null ? null : Path.of(dir.value());
-        tolerated = s.section("ToleratedLosses").whole("Machines", 0, 0, 1000).value();
-        beat = s.number("HeartbeatIntervalMs", 1000.0, 10, 60_000).value();
+        dataDirectory = dir == null ? null : Path.of(dir.value());
+        toleratedLosses = s.section("ToleratedLosses").whole("Machines", 0, 0, 1000).value();
+        heartbeatInterval = s.number("HeartbeatIntervalMs", 1000.0, 10, 60_000).value();
         Section bounds = s.section("Bounds");
-        contact = figure(bounds, "ContactMs", 4000);
-        drain = figure(bounds, "DrainMs", 3000);
-        grace = 1000 * figure(bounds, "GracePeriodS", 6);
-        limitSlack = figure(bounds, "LimitSlack", 10);
-        retryRatio = figure(bounds, "RetryBudgetRatio", 0.2);
-        retryWindow = 1000 * figure(bounds, "BudgetWindowS", 10);
-        retrySlack = figure(bounds, "RetryBudgetSlack", 0);
+        contactTimeout = figure(bounds, "ContactMs", 4000);
+        drainTimeout = figure(bounds, "DrainMs", 3000);
+        gracePeriod = 1000 * figure(bounds, "GracePeriodS", 6);
+        rejectionAllowance = figure(bounds, "LimitSlack", 10);
+        retryBudgetRatio = figure(bounds, "RetryBudgetRatio", 0.2);
+        retryBudgetWindow = 1000 * figure(bounds, "BudgetWindowS", 10);
+        retryBudgetSlack = figure(bounds, "RetryBudgetSlack", 0);
         Section platform = s.section("Cloud");
-        cloud = address(platform, "Address");
-        cloudRate = figure(platform, "RatePerS", 5);
-        cloudLag = figure(platform, "LagMs", 1000);
-        dutyRate = figure(platform, "DutyPerS", 10);
+        platformAddress = address(platform, "Address");
+        platformRate = figure(platform, "RatePerS", 5);
+        platformListDelay = figure(platform, "LagMs", 1000);
+        startStopRate = figure(platform, "DutyPerS", 10);
     }
 
     private static double figure(Section s, String key, double other) {
--- a/src/main/java/gingerspool/standin/Acceptor.java
+++ b/src/main/java/gingerspool/standin/Acceptor.java
@@ -14,13 +14,13 @@
         implements Listener.Owner {
     /** Listens at this port, 0 for one that the system chooses. */
     static Listener at(
-            EventLoop turns,
+            EventLoop loop,
             int port,
             BooleanSupplier room,
             Consumer<AsynchronousSocketChannel> take)
             throws IOException {
         return new Listener(
-                turns,
+                loop,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 new Acceptor(room, take));
     }
--- a/src/main/java/gingerspool/standin/CallBacks.java
+++ b/src/main/java/gingerspool/standin/CallBacks.java
@@ -19,22 +19,22 @@
     private static final double PATIENCE = 2000;
     private static final double CONNECT = 500;
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final InetSocketAddress to;
     private final Deque<Outbound> free = new ArrayDeque<>();
     private final Set<Outbound> all = new HashSet<>();
     private boolean shut;
     private boolean silent;
 
-    CallBacks(EventLoop turns, InetSocketAddress to) {
-        this.turns = turns;
+    CallBacks(EventLoop loop, InetSocketAddress to) {
+        this.loop = loop;
         this.to = to;
     }
 
     /** Says this, after so long a delay. */
     void say(String json, double delay) {
         if (delay > 0) {
-            turns.after(delay, () -> attempt(json, 1));
+            loop.schedule(delay, () -> attempt(json, 1));
         } else {
             attempt(json, 1);
         }
@@ -62,7 +62,7 @@
         Outbound c = free.poll();
         try {
             if (c == null) {
-                c = Outbound.open(turns, to, CONNECT, this);
+                c = Outbound.open(loop, to, CONNECT, this);
                 all.add(c);
             }
         } catch (IOException e) {
@@ -89,7 +89,8 @@
 
     private void again(String json, int number) {
         if (number < TRIES && !shut) {
-            turns.after(FIRST_PAUSE * (1 << Math.min(number, 6)), () -> attempt(json, number + 1));
+            loop.schedule(
+                    FIRST_PAUSE * (1 << Math.min(number, 6)), () -> attempt(json, number + 1));
         }
     }
 
--- a/src/main/java/gingerspool/standin/Cloud.java
+++ b/src/main/java/gingerspool/standin/Cloud.java
@@ -25,7 +25,7 @@
  * for tests and for trying out.
  */
 public final class Cloud implements Listener.Owner, Inbound.Handler {
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final double boot;
     private final double work;
     private final double lag;
@@ -67,9 +67,9 @@
                 return;
             }
             try {
-                door = new Listener(turns, address, this);
+                door = new Listener(loop, address, this);
                 door.acceptOn();
-                startedAt = turns.now();
+                startedAt = loop.now();
             } catch (IOException e) {
                 stopped = true;
             }
@@ -84,7 +84,7 @@
 
         @Override
         public void accepted(AsynchronousSocketChannel channel) {
-            new Inbound(turns, channel, this).start();
+            new Inbound(loop, channel, this).start();
         }
 
         @Override
@@ -100,7 +100,7 @@
             } else {
                 busy++;
                 ran++;
-                turns.after(
+                loop.schedule(
                         work,
                         () -> {
                             busy--;
@@ -126,7 +126,7 @@
      * system's choice.
      */
     public Cloud(
-            EventLoop turns,
+            EventLoop loop,
             String ip,
             Map<String, String> hosts,
             double boot,
@@ -134,14 +134,14 @@
             double lag,
             int slots)
             throws IOException {
-        this.turns = turns;
+        this.loop = loop;
         this.ip = InetAddress.getByName(ip);
         this.boot = boot;
         this.work = work;
         this.lag = lag;
         this.slots = slots;
         this.hosts.putAll(hosts);
-        listener = new Listener(turns, new InetSocketAddress(this.ip, 0), this);
+        listener = new Listener(loop, new InetSocketAddress(this.ip, 0), this);
         listener.acceptOn();
     }
 
@@ -156,7 +156,7 @@
 
     @Override
     public void accepted(AsynchronousSocketChannel channel) {
-        new Inbound(turns, channel, this).start();
+        new Inbound(loop, channel, this).start();
     }
 
     @Override
@@ -210,7 +210,7 @@
             }
             byNonce.put(service + " " + nonce, i);
             instances.put(i.id, i);
-            turns.after(boot, i::start);
+            loop.schedule(boot, i::start);
         }
         from.answer(
                 200,
@@ -221,7 +221,7 @@
     private Map<String, Object> list() {
         List<Object> all = new ArrayList<>();
         for (Instance i : instances.values()) {
-            if (turns.now() > i.startedAt + lag) {
+            if (loop.now() > i.startedAt + lag) {
                 all.add(
                         Map.of(
                                 "Identifier",
--- a/src/main/java/gingerspool/standin/Discovery.java
+++ b/src/main/java/gingerspool/standin/Discovery.java
@@ -23,7 +23,7 @@
 final class Discovery {
     private static final double EMPTY_LINE_EVERY = 2000;
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final ExecutionLog log;
     private final List<Listener> listeners = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
@@ -35,12 +35,12 @@
     private boolean down;
     private double slow;
 
-    Discovery(EventLoop turns, int schedulers, ExecutionLog log) throws IOException {
-        this.turns = turns;
+    Discovery(EventLoop loop, int schedulers, ExecutionLog log) throws IOException {
+        this.loop = loop;
         this.log = log;
         for (int s = 0; s < schedulers; s++) {
             int from = s;
-            Listener l = Acceptor.at(turns, 0, () -> true, channel -> accept(channel, from));
+            Listener l = Acceptor.at(loop, 0, () -> true, channel -> accept(channel, from));
             listeners.add(l);
             addresses.add((InetSocketAddress) l.address());
         }
@@ -59,7 +59,7 @@
         for (Link l : watches.keySet()) {
             chunk(l, "\n");
         }
-        turns.after(EMPTY_LINE_EVERY, this::beat);
+        loop.schedule(EMPTY_LINE_EVERY, this::beat);
     }
 
     private static void chunk(Link l, String line) {
@@ -71,13 +71,13 @@
     private void accept(AsynchronousSocketChannel channel, int scheduler) {
         Link link =
                 new Link(
-                        turns,
+                        loop,
                         channel,
                         new Link.Server() {
                             @Override
                             public void asked(Link l, Message request, double firstByteAt) {
                                 if (slow > 0) {
-                                    turns.after(slow, () -> call(l, request, scheduler));
+                                    loop.schedule(slow, () -> call(l, request, scheduler));
                                 } else {
                                     call(l, request, scheduler);
                                 }
@@ -146,13 +146,13 @@
             boolean gone = e.getValue().equals("DELETED");
             if (changed.get(w) <= since || gone && since == 0) {
                 if (gone && since == 0) {
-                    log.write(turns.now(), w.name, "told", "-", scheduler, "DELETED");
+                    log.write(loop.now(), w.name, "told", "-", scheduler, "DELETED");
                 }
                 continue;
             }
             text.append(first ? "" : ",").append(entry(w, e.getValue(), scheduler));
             first = false;
-            log.write(turns.now(), w.name, "told", "-", scheduler, e.getValue());
+            log.write(loop.now(), w.name, "told", "-", scheduler, e.getValue());
         }
         return text.append("]}").toString();
     }
@@ -178,7 +178,7 @@
         version++;
         health.put(w, state);
         changed.put(w, version);
-        log.write(turns.now(), w.name, "listed", "-", -1, state);
+        log.write(loop.now(), w.name, "listed", "-", -1, state);
         if (!down) {
             watches.forEach((l, s) -> chunk(l, list(version, version - 1, s) + "\n"));
         }
@@ -187,7 +187,7 @@
     /** Down or up again: watches end, calls are answered 503. */
     void down(boolean is) {
         down = is;
-        log.write(turns.now(), "discovery", is ? "down" : "up", "-", -1, "");
+        log.write(loop.now(), "discovery", is ? "down" : "up", "-", -1, "");
         if (is) {
             for (Link l : new ArrayList<>(links)) {
                 l.close();
--- a/src/main/java/gingerspool/standin/Fleet.java
+++ b/src/main/java/gingerspool/standin/Fleet.java
@@ -24,7 +24,7 @@
     private static final double LOOK_EVERY = 20;
     private static final double FLUSH_EVERY = 500;
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final Plan plan;
     private final ExecutionLog log;
     private final Discovery discovery;
@@ -32,14 +32,14 @@
     private boolean over;
 
     /** The schedulers' addresses, where call-backs go, are known beforehand. */
-    public Fleet(EventLoop turns, Plan plan, List<InetSocketAddress> schedulers, Path record)
+    public Fleet(EventLoop loop, Plan plan, List<InetSocketAddress> schedulers, Path record)
             throws IOException {
-        this.turns = turns;
+        this.loop = loop;
         this.plan = plan;
         log = new ExecutionLog(record);
-        discovery = new Discovery(turns, schedulers.size(), log);
+        discovery = new Discovery(loop, schedulers.size(), log);
         for (int w = 0; w < plan.scenario.fleet.workers; w++) {
-            workers.add(new Worker(turns, plan, w, schedulers, log));
+            workers.add(new Worker(loop, plan, w, schedulers, log));
         }
     }
 
@@ -52,7 +52,7 @@
     public void start() throws IOException {
         Scenario.Fleet f = plan.scenario.fleet;
         log.write(
-                turns.now(),
+                loop.now(),
                 "fleet",
                 "rules",
                 "-",
@@ -69,7 +69,7 @@
         for (Worker w : workers) {
             w.start(true);
             log.write(
-                    turns.now(), w.name, "in", "-", -1, "zone=" + w.zone + " cell=" + w.number / 4);
+                    loop.now(), w.name, "in", "-", -1, "zone=" + w.zone + " cell=" + w.number / 4);
             discovery.set(w, "SERVING");
         }
         discovery.begin();
@@ -79,7 +79,7 @@
     private void flushOn() {
         if (!over) {
             flush();
-            turns.after(FLUSH_EVERY, this::flushOn);
+            loop.schedule(FLUSH_EVERY, this::flushOn);
         }
     }
 
@@ -97,7 +97,7 @@
     /** Plays the faults, of which each is due so long after now. */
     public void play() {
         for (Plan.Blow b : plan.blows) {
-            turns.after(b.fault().at, () -> begin(b));
+            loop.schedule(b.fault().at, () -> begin(b));
         }
     }
 
@@ -107,7 +107,7 @@
 
     private void begin(Plan.Blow b) {
         Scenario.Fault f = b.fault();
-        double at = turns.now();
+        double at = loop.now();
         note(at, b, "begins");
         switch (f.what) {
             case "discovery-down" -> discovery.down(true);
@@ -120,7 +120,7 @@
                 }
             }
         }
-        turns.after(f.length, () -> end(b));
+        loop.schedule(f.length, () -> end(b));
     }
 
     private void end(Plan.Blow b) {
@@ -128,7 +128,7 @@
         if (over) {
             return;
         }
-        double at = turns.now();
+        double at = loop.now();
         note(at, b, "ends");
         switch (f.what) {
             case "discovery-down" -> discovery.down(false);
@@ -193,7 +193,7 @@
     }
 
     private void noticed(Worker w) {
-        turns.after(
+        loop.schedule(
                 NOTICED,
                 () -> {
                     if (!w.isUp() && !over) {
@@ -211,8 +211,8 @@
             }
         } catch (IOException e) {
             // Somebody may just hold its port; it comes up as soon as that is free.
-            log.write(turns.now(), w.name, "stays-down", "-", -1, String.valueOf(e.getMessage()));
-            turns.after(
+            log.write(loop.now(), w.name, "stays-down", "-", -1, String.valueOf(e.getMessage()));
+            loop.schedule(
                     LOOK_EVERY,
                     () -> {
                         if (!over) {
@@ -230,7 +230,7 @@
         Worker w = workers.get(b.workers()[i]);
         discovery.set(w, "DRAINING");
         w.drain();
-        double by = turns.now() + plan.scenario.longestExpiry();
+        double by = loop.now() + plan.scenario.longestExpiry();
         whenIdle(
                 w,
                 by,
@@ -238,14 +238,14 @@
                     w.kill();
                     again(w);
                 });
-        turns.after(b.fault().every, () -> roll(b, i + 1));
+        loop.schedule(b.fault().every, () -> roll(b, i + 1));
     }
 
     private void whenIdle(Worker w, double by, Runnable then) {
-        turns.after(
+        loop.schedule(
                 LOOK_EVERY,
                 () -> {
-                    if (w.isIdle() || turns.now() >= by) {
+                    if (w.isIdle() || loop.now() >= by) {
                         then.run();
                     } else {
                         whenIdle(w, by, then);
--- a/src/main/java/gingerspool/standin/Link.java
+++ b/src/main/java/gingerspool/standin/Link.java
@@ -32,7 +32,7 @@
 
     private static final int ROOM = 16 * 1024;
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final AsynchronousSocketChannel channel;
     private final Server server;
     private ByteBuffer buffer = ByteBuffer.allocate(ROOM);
@@ -53,8 +53,8 @@
     /** How many requests came on it. */
     int requests;
 
-    Link(EventLoop turns, AsynchronousSocketChannel channel, Server server) {
-        this.turns = turns;
+    Link(EventLoop loop, AsynchronousSocketChannel channel, Server server) {
+        this.loop = loop;
         this.channel = channel;
         this.server = server;
         try {
@@ -77,7 +77,7 @@
             // does.
             int most = resetAfter < 0 ? buffer.capacity() : Math.max(1, resetAfter - received);
             buffer.limit(Math.min(buffer.capacity(), buffer.position() + most));
-            channel.read(buffer, null, Completions.onTurn(turns, this::read));
+            channel.read(buffer, null, Completions.onTurn(loop, this::read));
         }
     }
 
@@ -92,7 +92,7 @@
             return;
         }
         if (Double.isNaN(firstByteAt)) {
-            firstByteAt = turns.now();
+            firstByteAt = loop.now();
         }
         received += bytes;
         if (resetAfter >= 0 && received >= resetAfter) {
@@ -143,7 +143,7 @@
         if (cutAfter >= 0 && cutAfter < whole.length) {
             send(java.util.Arrays.copyOf(whole, cutAfter));
             // The bytes must be on their way before the end.
-            turns.after(5, this::close);
+            loop.schedule(5, this::close);
             return;
         }
         busy = false;
@@ -165,7 +165,7 @@
     private void writeOn() {
         if (open && !silent && !writing && !unsent.isEmpty()) {
             writing = true;
-            channel.write(unsent.peek(), null, Completions.onTurn(turns, this::written));
+            channel.write(unsent.peek(), null, Completions.onTurn(loop, this::written));
         }
     }
 
@@ -192,7 +192,7 @@
             idle = null;
         }
         if (open && span > 0) {
-            idle = turns.after(span, this::close);
+            idle = loop.schedule(span, this::close);
         }
     }
 
--- a/src/main/java/gingerspool/standin/Worker.java
+++ b/src/main/java/gingerspool/standin/Worker.java
@@ -35,7 +35,7 @@
     final String name;
     final String zone;
     final int number;
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final Scenario scenario;
     private final Machine.Spec spec;
     private final ExecutionLog log;
@@ -70,12 +70,12 @@
     double faultShare = 1;
 
     Worker(
-            EventLoop turns,
+            EventLoop loop,
             Plan plan,
             int number,
             List<InetSocketAddress> schedulers,
             ExecutionLog log) {
-        this.turns = turns;
+        this.loop = loop;
         this.number = number;
         this.schedulers = schedulers;
         this.log = log;
@@ -105,7 +105,7 @@
 
     /** Starts; warm if it began long ago. Its ports stay the same from then on. */
     void start(boolean warm) throws IOException {
-        double now = turns.now();
+        double now = loop.now();
         born = warm ? 0 : now;
         machine = new Machine(spec, warm ? now - 10 * spec.warmWithin() - 1 : now, this);
         machine.advance(now);
@@ -114,13 +114,13 @@
                 int from = s;
                 Listener l =
                         Acceptor.at(
-                                turns,
+                                loop,
                                 ports[s],
                                 () -> links.size() < scenario.fleet.connections,
                                 channel -> accept(channel, from));
                 listeners.add(l);
                 ports[s] = ((InetSocketAddress) l.address()).getPort();
-                callBacks.add(new CallBacks(turns, schedulers.get(s)));
+                callBacks.add(new CallBacks(loop, schedulers.get(s)));
             }
         } catch (IOException e) {
             listeners.forEach(Listener::close);
@@ -165,7 +165,7 @@
         }
         advance();
         up = false;
-        double now = turns.now();
+        double now = loop.now();
         for (Job j : machine.jobs()) {
             log.write(now, name, "lost", j.id, askedBy.getOrDefault(j.id, -1), started(j));
         }
@@ -204,7 +204,7 @@
     /** Cut off from everybody, or back: then what was open is reset. */
     void cut(boolean is) {
         cut = is;
-        log.write(turns.now(), name, is ? "cut" : "back", "-", -1, "");
+        log.write(loop.now(), name, is ? "cut" : "back", "-", -1, "");
         callBacks.forEach(c -> c.silence(is));
         for (Link l : new ArrayList<>(links)) {
             if (is) {
@@ -230,7 +230,7 @@
     // ---- Time ----
 
     private void advance() {
-        machine.advance(turns.now());
+        machine.advance(loop.now());
     }
 
     private void plan() {
@@ -241,8 +241,8 @@
         double next = machine.next();
         if (up && next < Double.POSITIVE_INFINITY) {
             alarm =
-                    turns.after(
-                            Math.max(0, next - turns.now()),
+                    loop.schedule(
+                            Math.max(0, next - loop.now()),
                             () -> {
                                 if (up) {
                                     advance();
@@ -257,14 +257,14 @@
     private void accept(AsynchronousSocketChannel channel, int scheduler) {
         Link link =
                 new Link(
-                        turns,
+                        loop,
                         channel,
                         new Link.Server() {
                             @Override
                             public void asked(Link l, Message request, double firstByteAt) {
                                 double wait = l.requests == 1 ? scenario.fleet.handshake : 0;
                                 if (wait > 0) {
-                                    turns.after(
+                                    loop.schedule(
                                             wait, () -> serve(l, request, firstByteAt, scheduler));
                                 } else {
                                     serve(l, request, firstByteAt, scheduler);
@@ -281,7 +281,7 @@
                             @Override
                             public void reset() {
                                 log.write(
-                                        turns.now(),
+                                        loop.now(),
                                         name,
                                         "reset",
                                         "-",
@@ -313,7 +313,7 @@
             String id = target.substring(6);
             Boolean was = scenario.fleet.cancels ? machine.drop(id) : null;
             log.write(
-                    turns.now(),
+                    loop.now(),
                     name,
                     "dropped",
                     id,
@@ -334,7 +334,7 @@
     }
 
     private void task(Link link, Message request, double firstByteAt, int scheduler) {
-        double now = turns.now();
+        double now = loop.now();
         String id = request.field("x-correlation-id");
         String body = new String(request.body(), StandardCharsets.UTF_8);
         Scenario.Kind kind = scenario.kinds.get(request.field("x-service-class"));
@@ -373,7 +373,7 @@
             link.answer(Link.message(202, "", ""));
             diesOnTaking = false;
             log.write(now, name, "lost", id, scheduler, "waiting");
-            turns.after(
+            loop.schedule(
                     2,
                     () -> {
                         kill();
@@ -410,7 +410,7 @@
     private void answer(Link link, String id, byte[] whole) {
         if (cutAfter >= 0 && chance.nextDouble() < faultShare) {
             link.cutAnswerAfter(cutAfter);
-            log.write(turns.now(), name, "broke", id, -1, "answer cut after " + cutAfter);
+            log.write(loop.now(), name, "broke", id, -1, "answer cut after " + cutAfter);
         }
         link.closeIdle(scenario.fleet.idleClose);
         link.answer(whole);
@@ -459,7 +459,7 @@
             return;
         }
         if (callBacksLost > 0 && chance.nextDouble() < callBacksLost) {
-            log.write(turns.now(), name, "untold", job.id, scheduler, state);
+            log.write(loop.now(), name, "untold", job.id, scheduler, state);
             return;
         }
         String json =
@@ -475,7 +475,7 @@
                         + "}";
         if (callBacksRepeated > 1 || callBacksLate > 0) {
             log.write(
-                    turns.now(),
+                    loop.now(),
                     name,
                     "told-oddly",
                     job.id,
@@ -507,7 +507,7 @@
     }
 
     private String report(String comma, String quote) {
-        double now = turns.now();
+        double now = loop.now();
         reports.addLast(
                 new Snapshot(
                         now,
--- a/src/main/java/gingerspool/store/ConnectionPool.java
+++ b/src/main/java/gingerspool/store/ConnectionPool.java
@@ -22,7 +22,7 @@
     /** A resting connection is closed after this part of the time that workers allow. */
     private static final double KEPT = 0.6;
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final double connectWithin;
     private final IdleTimeout rest;
     private int most;
@@ -34,8 +34,8 @@
     private final Map<Outbound, Consumer<Boolean>> knocks = new HashMap<>();
     private int count;
 
-    public ConnectionPool(EventLoop turns, double connectWithin, double idleMost, int most) {
-        this.turns = turns;
+    public ConnectionPool(EventLoop loop, double connectWithin, double idleMost, int most) {
+        this.loop = loop;
         this.connectWithin = connectWithin;
         rest = new IdleTimeout(KEPT * idleMost);
         this.most = most;
@@ -48,7 +48,7 @@
 
         @Override
         public void free(Outbound connection) {
-            double span = Math.min(rest.span(turns.now()), KEPT * connection.keptFor());
+            double span = Math.min(rest.span(loop.now()), KEPT * connection.keptFor());
             if (kept && span > 0) {
                 free.push(connection);
                 resting.add(connection);
@@ -60,7 +60,7 @@
 
         @Override
         public void brokeAfterRest(double rested) {
-            rest.broke(turns.now(), rested);
+            rest.broke(loop.now(), rested);
         }
 
         @Override
@@ -101,7 +101,7 @@
             throw new IOException("all " + most + " connections to workers are in use");
         }
         WorkerConnections berth = berth(worker);
-        knocks.put(Outbound.open(turns, address, connectWithin, berth), then);
+        knocks.put(Outbound.open(loop, address, connectWithin, berth), then);
         count++;
     }
 
@@ -109,7 +109,7 @@
     public Outbound take(int worker, InetSocketAddress address) throws IOException {
         WorkerConnections berth = berth(worker);
         // The latest one is on top: if it has rested too long, so have the others.
-        double span = rest.span(turns.now());
+        double span = rest.span(loop.now());
         while (!berth.free.isEmpty() && berth.free.peek().restedFor() > span) {
             // Taken out first: one that still writes is told closed only later.
             Outbound old = berth.free.poll();
@@ -127,7 +127,7 @@
         if (count >= most) {
             throw new IOException("all " + most + " connections to workers are busy");
         }
-        connection = Outbound.open(turns, address, connectWithin, berth);
+        connection = Outbound.open(loop, address, connectWithin, berth);
         count++;
         return connection;
     }
--- a/src/main/java/gingerspool/store/WorkerDirectory.java
+++ b/src/main/java/gingerspool/store/WorkerDirectory.java
@@ -45,7 +45,7 @@
     }
 
     /** Notes the state that it is listed in; tells whether that has changed. */
-    public boolean turns(int worker, int state) {
+    public boolean setState(int worker, int state) {
         return states.set(worker, state) != state;
     }
 
@@ -55,7 +55,7 @@
     }
 
     /** Notes what the list says of it besides. */
-    public void says(int worker, Entry entry) {
+    public void setEntry(int worker, Entry entry) {
         entries.set(worker, entry);
     }
 
@@ -68,7 +68,7 @@
     }
 
     /** Notes where it listens; tells whether that has changed. */
-    public boolean moves(int worker, InetSocketAddress address) {
+    public boolean setAddress(int worker, InetSocketAddress address) {
         return address != null && !address.equals(addresses.set(worker, address));
     }
 }
--- a/src/main/java/gingerspool/wire/ClientEndpoint.java
+++ b/src/main/java/gingerspool/wire/ClientEndpoint.java
@@ -43,7 +43,7 @@
         }
     }
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final Desk desk;
     private int most;
     private SocketAddress at;
@@ -69,8 +69,8 @@
     /**
      * Holds so many connections at the most; others may listen at the same address if it is shared.
      */
-    public ClientEndpoint(EventLoop turns, SocketAddress at, boolean shared, int most, Desk desk) {
-        this.turns = turns;
+    public ClientEndpoint(EventLoop loop, SocketAddress at, boolean shared, int most, Desk desk) {
+        this.loop = loop;
         this.desk = desk;
         this.most = most;
         this.at = at;
@@ -79,7 +79,7 @@
 
     /** Listens from now on, and takes who comes from open() on. */
     public void listen() throws IOException {
-        listener = new Listener(turns, at, shared, this);
+        listener = new Listener(loop, at, shared, this);
         // Guards a port that the system chose: who listens again does so where clients know it.
         at = listener.address();
     }
@@ -132,7 +132,7 @@
 
     @Override
     public void accepted(AsynchronousSocketChannel channel) {
-        Inbound connection = new Inbound(turns, channel, this);
+        Inbound connection = new Inbound(loop, channel, this);
         all.add(connection);
         connection.endAfterAnswer(lastAnswers);
         connection.start();
--- a/src/main/java/gingerspool/wire/Completions.java
+++ b/src/main/java/gingerspool/wire/Completions.java
@@ -8,16 +8,16 @@
     private Completions() {}
 
     /** The end of a read or write becomes a turn; a failure counts as -1 bytes. */
-    public static CompletionHandler<Integer, Void> onTurn(EventLoop turns, IntConsumer then) {
+    public static CompletionHandler<Integer, Void> onTurn(EventLoop loop, IntConsumer then) {
         return new CompletionHandler<>() {
             @Override
             public void completed(Integer bytes, Void none) {
-                turns.turn(() -> then.accept(bytes));
+                loop.execute(() -> then.accept(bytes));
             }
 
             @Override
             public void failed(Throwable why, Void none) {
-                turns.turn(() -> then.accept(-1));
+                loop.execute(() -> then.accept(-1));
             }
         };
     }
--- a/src/main/java/gingerspool/wire/Connection.java
+++ b/src/main/java/gingerspool/wire/Connection.java
@@ -24,7 +24,7 @@
     /** The largest buffer of this connection: what is taken only whole must fit. */
     private int most;
 
-    final EventLoop turns;
+    final EventLoop loop;
     private final AsynchronousSocketChannel channel;
 
     /** What was read: from start to its position. */
@@ -42,12 +42,12 @@
     private final CompletionHandler<Integer, Void> reads;
     private final CompletionHandler<Integer, Void> writes;
 
-    Connection(EventLoop turns, AsynchronousSocketChannel channel) {
-        this(turns, channel, MOST);
+    Connection(EventLoop loop, AsynchronousSocketChannel channel) {
+        this(loop, channel, MOST);
     }
 
-    Connection(EventLoop turns, AsynchronousSocketChannel channel, int most) {
-        this.turns = turns;
+    Connection(EventLoop loop, AsynchronousSocketChannel channel, int most) {
+        this.loop = loop;
         this.most = most;
         this.channel = channel;
         reads = handler(this::read);
@@ -66,7 +66,7 @@
 
     /** An operation's end becomes a turn; a failure counts as -1 bytes. */
     private CompletionHandler<Integer, Void> handler(IntConsumer then) {
-        return Completions.onTurn(turns, bytes -> guarded(() -> then.accept(bytes)));
+        return Completions.onTurn(loop, bytes -> guarded(() -> then.accept(bytes)));
     }
 
     /** Guards the loop: what breaks in here costs this connection only. */
@@ -101,7 +101,7 @@
         return new CompletionHandler<>() {
             @Override
             public void completed(Void nothing, Void none) {
-                turns.turn(
+                loop.execute(
                         () ->
                                 guarded(
                                         () -> {
@@ -115,7 +115,7 @@
 
             @Override
             public void failed(Throwable why, Void none) {
-                turns.turn(Connection.this::close);
+                loop.execute(Connection.this::close);
             }
         };
     }
@@ -216,7 +216,7 @@
             alarm = null;
         }
         if (open && span > 0) {
-            alarm = turns.after(span, then);
+            alarm = loop.schedule(span, then);
         }
     }
 
--- a/src/main/java/gingerspool/wire/DiscoveryClient.java
+++ b/src/main/java/gingerspool/wire/DiscoveryClient.java
@@ -51,14 +51,14 @@
 
     /** Calls for what changed after this version, and for all changes from then on. */
     public static DiscoveryClient open(
-            EventLoop turns,
+            EventLoop loop,
             InetSocketAddress discovery,
             long since,
             double within,
             Follower follower) {
         DiscoveryClient watch = new DiscoveryClient(follower);
         try {
-            watch.connection = Outbound.open(turns, discovery, within, watch);
+            watch.connection = Outbound.open(loop, discovery, within, watch);
             String call =
                     "GET /v1/servers?follow=1&since="
                             + since
@@ -68,7 +68,7 @@
             watch.connection.ask(
                     call.getBytes(StandardCharsets.ISO_8859_1), SILENCE, watch, watch::body);
         } catch (IOException e) {
-            turns.turn(() -> watch.end("no connection: " + e.getMessage()));
+            loop.execute(() -> watch.end("no connection: " + e.getMessage()));
         }
         return watch;
     }
--- a/src/main/java/gingerspool/wire/EventLoop.java
+++ b/src/main/java/gingerspool/wire/EventLoop.java
@@ -5,20 +5,23 @@
 import java.nio.channels.AsynchronousSocketChannel;
 import java.util.concurrent.Future;
 
-/** The one thread on which everything happens, as connections see it. */
+/**
+ * The one thread that owns a process's state, as connections and timers see it. Times are
+ * milliseconds.
+ */
 public interface EventLoop {
     /**
-     * Runs this on the thread's next turn, never inside the one going on; only for callers on the
-     * thread.
+     * Runs a task after the one going on, never inside it; only for callers on the loop's thread.
      */
-    void turn(Runnable what);
+    void execute(Runnable task);
 
-    /** Runs this after so many milliseconds, unless cancelled. */
-    Future<?> after(double span, Runnable what);
+    /** Runs a task after a delay, unless cancelled; only for callers on the loop's thread. */
+    Future<?> schedule(double delay, Runnable task);
 
     /** Milliseconds of Unix time, never running backwards. */
     double now();
 
+    /** The group whose completion handlers run on the loop's thread. */
     AsynchronousChannelGroup group();
 
     /** A channel that is not connected yet. A test may hand out modelled ones. */
@@ -26,8 +29,11 @@
         return AsynchronousSocketChannel.open(group());
     }
 
-    /** Whether this guard is in its place; only a test that shows what it is for takes one out. */
-    default boolean has(RequestSafeguard guard) {
+    /**
+     * Whether a safeguard is in place. No class of src/main overrides this (see ArchitectureTest):
+     * only a test's loop takes one out, to show what it is for.
+     */
+    default boolean has(RequestSafeguard safeguard) {
         return true;
     }
 }
--- a/src/main/java/gingerspool/wire/Frames.java
+++ b/src/main/java/gingerspool/wire/Frames.java
@@ -27,22 +27,22 @@
 
     private int held;
 
-    private Frames(EventLoop turns, AsynchronousSocketChannel channel, Owner owner) {
-        super(turns, channel);
+    private Frames(EventLoop loop, AsynchronousSocketChannel channel, Owner owner) {
+        super(loop, channel);
         this.owner = owner;
     }
 
     /** One that somebody else opened; it reads at once. */
-    public static Frames accepted(EventLoop turns, AsynchronousSocketChannel channel, Owner owner) {
-        Frames made = new Frames(turns, channel, owner);
+    public static Frames accepted(EventLoop loop, AsynchronousSocketChannel channel, Owner owner) {
+        Frames made = new Frames(loop, channel, owner);
         made.readOn();
         return made;
     }
 
     /** Starts to connect; fails at once only where there is no descriptor left. */
-    public static Frames open(EventLoop turns, SocketAddress to, double within, Owner owner)
+    public static Frames open(EventLoop loop, SocketAddress to, double within, Owner owner)
             throws IOException {
-        Frames made = new Frames(turns, turns.channel(), owner);
+        Frames made = new Frames(loop, loop.channel(), owner);
         made.connect(to, within, () -> owner.up(made));
         return made;
     }
--- a/src/main/java/gingerspool/wire/Inbound.java
+++ b/src/main/java/gingerspool/wire/Inbound.java
@@ -62,18 +62,18 @@
     private double since;
     private boolean callBacks;
 
-    public Inbound(EventLoop turns, AsynchronousSocketChannel channel, Handler door) {
-        this(turns, channel, door, IDLE, STALLED);
+    public Inbound(EventLoop loop, AsynchronousSocketChannel channel, Handler door) {
+        this(loop, channel, door, IDLE, STALLED);
     }
 
     /** With so long for it to be idle, and for one message, answer or end to take. */
     public Inbound(
-            EventLoop turns,
+            EventLoop loop,
             AsynchronousSocketChannel channel,
             Handler door,
             double idle,
             double stalled) {
-        this(turns, channel, door, idle, stalled, HEAD_MOST, BODY_MOST);
+        this(loop, channel, door, idle, stalled, HEAD_MOST, BODY_MOST);
     }
 
     /**
@@ -81,14 +81,14 @@
      * and with so many bytes at the most for the head and the body of a request.
      */
     public Inbound(
-            EventLoop turns,
+            EventLoop loop,
             AsynchronousSocketChannel channel,
             Handler door,
             double idle,
             double stalled,
             int headMost,
             int bodyMost) {
-        super(turns, channel, headMost + LINE);
+        super(loop, channel, headMost + LINE);
         this.door = door;
         this.idle = idle;
         this.stalled = stalled;
@@ -126,7 +126,7 @@
     private void rest() {
         state = State.IDLE;
         message = Message.request(headMost, bodyMost);
-        since = turns.now();
+        since = loop.now();
         alarm(idle, this::close);
         door.idle(this, true);
     }
@@ -278,7 +278,7 @@
 
     /** How long it has been idle, in milliseconds. */
     public double idleFor() {
-        return turns.now() - since;
+        return loop.now() - since;
     }
 
     @Override
--- a/src/main/java/gingerspool/wire/Listener.java
+++ b/src/main/java/gingerspool/wire/Listener.java
@@ -33,23 +33,23 @@
         void accepted(AsynchronousSocketChannel channel);
     }
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final Owner owner;
     private final AsynchronousServerSocketChannel channel;
     private boolean accepting;
     private boolean retiring;
 
     /** Listens at once, alone at its address. */
-    public Listener(EventLoop turns, SocketAddress at, Owner owner) throws IOException {
-        this(turns, at, false, owner);
+    public Listener(EventLoop loop, SocketAddress at, Owner owner) throws IOException {
+        this(loop, at, false, owner);
     }
 
     /** Listens at once; where shared, other processes may listen at the same address beside it. */
-    public Listener(EventLoop turns, SocketAddress at, boolean shared, Owner owner)
+    public Listener(EventLoop loop, SocketAddress at, boolean shared, Owner owner)
             throws IOException {
-        this.turns = turns;
+        this.loop = loop;
         this.owner = owner;
-        channel = AsynchronousServerSocketChannel.open(turns.group());
+        channel = AsynchronousServerSocketChannel.open(loop.group());
         try {
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             if (shared) {
@@ -82,7 +82,7 @@
 
     @Override
     public void completed(AsynchronousSocketChannel accepted, Void none) {
-        turns.turn(
+        loop.execute(
                 () -> {
                     accepting = false;
                     owner.accepted(accepted);
@@ -95,7 +95,7 @@
 
     @Override
     public void failed(Throwable why, Void none) {
-        turns.turn(
+        loop.execute(
                 () -> {
                     if (channel.isOpen()) {
                         LOG.atWarn()
@@ -104,7 +104,7 @@
                         if (OUT_OF_DESCRIPTORS.equals(why.getMessage())) {
                             owner.outOfDescriptors();
                         }
-                        turns.after(
+                        loop.schedule(
                                 PAUSE,
                                 () -> {
                                     accepting = false;
@@ -124,7 +124,7 @@
             emptyAndClose();
         }
         // An accept that is under way ends with the next client; none may come.
-        turns.after(PAUSE, this::close);
+        loop.schedule(PAUSE, this::close);
     }
 
     private void emptyAndClose() {
--- a/src/main/java/gingerspool/wire/ManagementEndpoint.java
+++ b/src/main/java/gingerspool/wire/ManagementEndpoint.java
@@ -61,7 +61,7 @@
         boolean takes(Inbound from, Message request);
     }
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final Office office;
     private final int most;
     private final Listener listener;
@@ -79,12 +79,12 @@
     private int stalled;
 
     /** Listens at once; holds so many connections at the most. */
-    public ManagementEndpoint(EventLoop turns, SocketAddress at, int most, Office office)
+    public ManagementEndpoint(EventLoop loop, SocketAddress at, int most, Office office)
             throws IOException {
-        this.turns = turns;
+        this.loop = loop;
         this.office = office;
         this.most = most;
-        listener = new Listener(turns, at, this);
+        listener = new Listener(loop, at, this);
     }
 
     public SocketAddress address() throws IOException {
@@ -140,7 +140,7 @@
 
     @Override
     public void accepted(AsynchronousSocketChannel channel) {
-        Inbound connection = new Inbound(turns, channel, this, PATIENCE, PATIENCE);
+        Inbound connection = new Inbound(loop, channel, this, PATIENCE, PATIENCE);
         all.add(connection);
         waiting.add(connection);
         connection.start();
--- a/src/main/java/gingerspool/wire/Outbound.java
+++ b/src/main/java/gingerspool/wire/Outbound.java
@@ -75,24 +75,23 @@
     /** How long its peer keeps it at rest, as last told; without end if never. */
     private double keptFor = Double.POSITIVE_INFINITY;
 
-    private Outbound(
-            EventLoop turns, AsynchronousSocketChannel channel, Owner owner, int bodyMost) {
-        super(turns, channel);
+    private Outbound(EventLoop loop, AsynchronousSocketChannel channel, Owner owner, int bodyMost) {
+        super(loop, channel);
         this.owner = owner;
         this.bodyMost = bodyMost;
     }
 
     /** Starts to connect; fails at once only where there is no descriptor left. */
-    public static Outbound open(EventLoop turns, SocketAddress to, double within, Owner owner)
+    public static Outbound open(EventLoop loop, SocketAddress to, double within, Owner owner)
             throws IOException {
-        return open(turns, to, within, owner, ANSWER_MOST);
+        return open(loop, to, within, owner, ANSWER_MOST);
     }
 
     /** The same, for answers whose body has no more bytes than this. */
     public static Outbound open(
-            EventLoop turns, SocketAddress to, double within, Owner owner, int bodyMost)
+            EventLoop loop, SocketAddress to, double within, Owner owner, int bodyMost)
             throws IOException {
-        Outbound made = new Outbound(turns, turns.channel(), owner, bodyMost);
+        Outbound made = new Outbound(loop, loop.channel(), owner, bodyMost);
         made.connect(to, within, made::connected);
         return made;
     }
@@ -165,7 +164,7 @@
 
     /** How long it has carried nothing, or NaN if it never has carried anything. */
     public double restedFor() {
-        return turns.now() - freeSince;
+        return loop.now() - freeSince;
     }
 
     /** The answer takes too long: the connection is ours to end, whatever it had rested. */
@@ -195,7 +194,7 @@
     int received(byte[] b, int from, int to) {
         if (answer == null) {
             // Nothing was asked, so nothing may come.
-            if (turns.has(RequestSafeguard.UNASKED_BYTES_CLOSE)) {
+            if (loop.has(RequestSafeguard.UNASKED_BYTES_CLOSE)) {
                 close();
             }
             return to - from;
@@ -205,14 +204,14 @@
             if (answer.done() && answer.status() < 200) {
                 answer = Message.answer(sink, bodyMost);
             } else if (answer.done() && caller != null && !caller.isMine(answer)) {
-                surplus |= turns.has(RequestSafeguard.SURPLUS_RESPONSE_CLOSES);
+                surplus |= loop.has(RequestSafeguard.SURPLUS_RESPONSE_CLOSES);
                 answer = Message.answer(sink, bodyMost);
             } else {
                 // Guards the next request: what is behind a whole answer belongs to none.
                 surplus |=
                         answer.done()
                                 && taken < to - from
-                                && turns.has(RequestSafeguard.SURPLUS_BYTES_CLOSE);
+                                && loop.has(RequestSafeguard.SURPLUS_BYTES_CLOSE);
                 finish();
             }
             return taken;
@@ -234,10 +233,10 @@
         Caller to = caller;
         answer = null;
         caller = null;
-        boolean inTime = whole || !turns.has(RequestSafeguard.EARLY_RESPONSE_CLOSES);
+        boolean inTime = whole || !loop.has(RequestSafeguard.EARLY_RESPONSE_CLOSES);
         boolean keep = inTime && !surplus && done.keepsAlive() && (to == null || to.mayKeep(done));
         if (keep) {
-            freeSince = turns.now();
+            freeSince = loop.now();
             keptFor = keptFor(done.field("keep-alive"), keptFor);
             owner.free(this);
         } else {
@@ -268,8 +267,8 @@
 
     /** Guards callers: an answer that ends with its connection may be another's, or cut. */
     private boolean isWholeAtClose(Caller to) {
-        boolean framed = !to.takesUnframed() && turns.has(RequestSafeguard.LENGTH_TOLD);
+        boolean framed = !to.takesUnframed() && loop.has(RequestSafeguard.LENGTH_TOLD);
         boolean ends = !framed && answer.endsWithClose();
-        return to.isMine(answer) && (ends || !turns.has(RequestSafeguard.WHOLE_RESPONSE));
+        return to.isMine(answer) && (ends || !loop.has(RequestSafeguard.WHOLE_RESPONSE));
     }
 }
--- a/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
+++ b/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
@@ -11,26 +11,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread that completion handlers and timers end on; what they start is done in turns of
- * its own.
+ * The event loop of a process: one thread on which completion handlers and timers end. It owns
+ * whatever state its tasks touch; a task that is handed over on the thread runs after the one going
+ * on, never inside it.
  */
 public final class SingleThreadEventLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(SingleThreadEventLoop.class);
 
-    /** A timer that fires later than this, in milliseconds, is told in the log. */
-    private static final double TOO_LATE = 50;
+    /** A timer that fires later than this is logged. */
+    private static final double LATE_TIMER_MS = 50;
 
-    /** At most once in so many nanoseconds. */
-    private static final long WARN_EVERY = 1_000_000_000;
+    /** Late timers are logged once in this time at the most. */
+    private static final long WARNING_INTERVAL_NANOS = 1_000_000_000;
+
+    private static final double NANOS_PER_MS = 1e6;
 
     private final ScheduledThreadPoolExecutor thread;
     private final AsynchronousChannelGroup group;
-    private final ArrayDeque<Runnable> turns = new ArrayDeque<>();
-    private final double base = System.currentTimeMillis();
-    private final long baseNanos = System.nanoTime();
-    private boolean inTurn;
-    private long warnedAt = baseNanos - WARN_EVERY;
-    private double latest;
+
+    /** Tasks that wait for the one going on. */
+    private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
+
+    private final double startedAt = System.currentTimeMillis();
+    private final long startedAtNanos = System.nanoTime();
+    private boolean isRunning;
+    private long warnedAtNanos = startedAtNanos - WARNING_INTERVAL_NANOS;
+    private double latestTimerMs;
 
     public SingleThreadEventLoop() throws IOException {
         thread = new ScheduledThreadPoolExecutor(1, r -> new Thread(r, "loop"));
@@ -40,63 +46,66 @@
     }
 
     @Override
-    public void turn(Runnable what) {
-        turns.add(what);
-        if (inTurn) {
+    public void execute(Runnable task) {
+        tasks.add(task);
+        if (isRunning) {
             return;
         }
-        inTurn = true;
+        isRunning = true;
         try {
-            for (Runnable next = turns.poll(); next != null; next = turns.poll()) {
+            for (Runnable next = tasks.poll(); next != null; next = tasks.poll()) {
                 run(next);
             }
         } finally {
-            inTurn = false;
+            isRunning = false;
         }
     }
 
     /** Guards the loop: whatever breaks, the other tasks go on. */
-    private static void run(Runnable next) {
+    private static void run(Runnable task) {
         try {
-            next.run();
+            task.run();
         } catch (RuntimeException e) {
             LOG.atError().setCause(e).log("loop.task_failed");
         }
     }
 
-    /** The same from any thread. */
-    public void enter(Runnable what) {
-        thread.execute(() -> turn(what));
+    /** Runs a task on the loop; from any thread. After stop() it is dropped. */
+    public void submit(Runnable task) {
+        thread.execute(() -> execute(task));
     }
 
     @Override
-    public Future<?> after(double span, Runnable what) {
-        long nanos = (long) (span * 1e6);
-        long due = System.nanoTime() + nanos;
+    public Future<?> schedule(double delay, Runnable task) {
+        long delayNanos = (long) (delay * NANOS_PER_MS);
+        long dueNanos = System.nanoTime() + delayNanos;
         return thread.schedule(
                 () -> {
-                    double late = (System.nanoTime() - due) / 1e6;
-                    latest = Math.max(latest, late);
-                    if (late > TOO_LATE && System.nanoTime() - warnedAt > WARN_EVERY) {
-                        warnedAt = System.nanoTime();
-                        LOG.atWarn().addKeyValue("ms", Math.round(late)).log("loop.timer_late");
-                    }
-                    turn(what);
+                    noteLateness((System.nanoTime() - dueNanos) / NANOS_PER_MS);
+                    execute(task);
                 },
-                nanos,
+                delayNanos,
                 TimeUnit.NANOSECONDS);
     }
 
-    /** The most that a timer was late by since this was last asked. */
-    public double latestSince() {
-        double worst = latest;
-        latest = 0;
-        return worst;
+    private void noteLateness(double lateMs) {
+        latestTimerMs = Math.max(latestTimerMs, lateMs);
+        if (lateMs > LATE_TIMER_MS && System.nanoTime() - warnedAtNanos > WARNING_INTERVAL_NANOS) {
+            warnedAtNanos = System.nanoTime();
+            LOG.atWarn().addKeyValue("ms", Math.round(lateMs)).log("loop.timer_late");
+        }
+    }
+
+    /** The most that a timer was late by, in milliseconds, since this was last called. */
+    public double takeLatestTimerMs() {
+        double latest = latestTimerMs;
+        latestTimerMs = 0;
+        return latest;
     }
 
     @Override
     public double now() {
-        return base + (System.nanoTime() - baseNanos) / 1e6;
+        return startedAt + (System.nanoTime() - startedAtNanos) / NANOS_PER_MS;
     }
 
     @Override
@@ -104,6 +113,7 @@
         return group;
     }
 
+    /** Ends the thread and closes all channels of the group. */
     public void stop() {
         try {
             group.shutdownNow();
--- a/src/test/java/gingerspool/ArchitectureTest.java
+++ b/src/test/java/gingerspool/ArchitectureTest.java
@@ -1,20 +1,61 @@
 package gingerspool;
 
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noMethods;
 import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
 
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
+import gingerspool.consensus.ReplicaSettings;
+import gingerspool.wire.EventLoop;
+import java.util.List;
+import java.util.Set;
 import org.testng.annotations.Test;
 
-/** Holds the order of the packages: each uses only those below it. */
+/** Holds the order of the packages, and that no program can take a safeguard out. */
 public class ArchitectureTest {
+    private final JavaClasses all =
+            new ClassFileImporter()
+                    .withImportOption(new ImportOption.DoNotIncludeTests())
+                    .importPackages("gingerspool");
+
+    /** A test's event loop may answer that a safeguard is out; none of src/main does. */
+    @Test
+    public void noEventLoopOfTheProgramsTakesARequestSafeguardOut() {
+        noMethods()
+                .that()
+                .areDeclaredInClassesThat()
+                .areAssignableTo(EventLoop.class)
+                .and()
+                .areDeclaredInClassesThat()
+                .areNotInterfaces()
+                .should()
+                .haveName("has")
+                .check(all);
+    }
+
+    /** Only tests pass a set of disabled safeguards. */
+    @Test
+    public void noProgramDisablesAConsensusSafeguard() {
+        noClasses()
+                .that()
+                .doNotBelongToAnyOf(ReplicaSettings.class)
+                .should()
+                .callConstructor(
+                        ReplicaSettings.class,
+                        int.class,
+                        double.class,
+                        List.class,
+                        long.class,
+                        int.class,
+                        int.class,
+                        Set.class)
+                .check(all);
+    }
+
     @Test
     public void eachPackageUsesOnlyThoseBelowIt() {
-        JavaClasses all =
-                new ClassFileImporter()
-                        .withImportOption(new ImportOption.DoNotIncludeTests())
-                        .importPackages("gingerspool");
         layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .layer("main")
--- a/src/test/java/gingerspool/controlplane/CoreModel.java
+++ b/src/test/java/gingerspool/controlplane/CoreModel.java
@@ -37,7 +37,7 @@
         double at;
     }
 
-    final ModelEventLoop turns = new ModelEventLoop();
+    final ModelEventLoop loop = new ModelEventLoop();
     final List<Node> nodes = new ArrayList<>();
 
     /** Links that carry nothing, as "from>to". */
@@ -88,11 +88,11 @@
                                     SNAPSHOT_FLOOR,
                                     1 << 16,
                                     Set.of()),
-                            turns.now(),
+                            loop.now(),
                             this);
             calls =
                     new OperatorCalls(
-                            turns, CONTROL_PORT, codec, state, () -> replica, () -> "status");
+                            loop, CONTROL_PORT, codec, state, () -> replica, () -> "status");
             tick(life);
         }
 
@@ -106,13 +106,13 @@
         }
 
         boolean leads() {
-            return isUp() && replica.leads(turns.now());
+            return isUp() && replica.leads(loop.now());
         }
 
         private void tick(int of) {
             if (of == life) {
-                replica.tick(turns.now());
-                turns.after(5, () -> tick(of));
+                replica.tick(loop.now());
+                loop.schedule(5, () -> tick(of));
             }
         }
 
@@ -140,14 +140,14 @@
                 }
                 answer.status = status;
                 answer.body = new String(body, StandardCharsets.UTF_8);
-                answer.at = turns.now();
+                answer.at = loop.now();
             };
         }
 
         @Override
         public void send(Member to, ConsensusMessage message) {
             Member from = replica.self();
-            turns.after(
+            loop.schedule(
                     LINK_MS,
                     () -> {
                         for (Node node : nodes) {
@@ -161,19 +161,19 @@
         private void receive(String sender, Member from, Member to, ConsensusMessage message) {
             boolean isFor = to.id().isEmpty() || isUp() && to.equals(replica.self());
             if (isUp() && isFor && !cuts.contains(sender + ">" + ip)) {
-                replica.receive(turns.now(), from, message);
+                replica.receive(loop.now(), from, message);
             }
         }
 
         @Override
         public void persist(LogWrite write) {
             int of = life;
-            turns.after(
+            loop.schedule(
                     DISK_MS,
                     () -> {
                         if (of == life) {
                             disk = merged(disk, write);
-                            replica.persisted(turns.now(), write.ticket());
+                            replica.persisted(loop.now(), write.ticket());
                         }
                     });
         }
@@ -223,7 +223,7 @@
                     return node;
                 }
             }
-            turns.run(5);
+            loop.run(5);
         }
         throw new IllegalStateException("nobody leads");
     }
@@ -247,7 +247,7 @@
     Answer until(boolean whole, long on, String body) {
         for (int i = 0; i < 20; i++) {
             Answer answer = awaitLeader().change(whole, on, body);
-            turns.run(900);
+            loop.run(900);
             if (answer.status != 503 && answer.status != 307) {
                 return answer;
             }
--- a/src/test/java/gingerspool/controlplane/CutOffLeaderTest.java
+++ b/src/test/java/gingerspool/controlplane/CutOffLeaderTest.java
@@ -44,17 +44,17 @@
             }
             reads.add(read);
             changes.add(old.change(true, 1, whole(100 + (long) at, "cut off")));
-            double sentAt = core.turns.now();
-            core.turns.run(100);
+            double sentAt = core.loop.now();
+            core.loop.run(100);
             assertTrue(read.at <= sentAt, "silence");
         }
         assertTrue(otherLed);
-        core.turns.run(1_000);
+        core.loop.run(1_000);
         for (Answer change : changes) {
             assertTrue(change.status == 503 || change.status == 307, "" + change.status);
         }
         core.cuts.clear();
-        core.turns.run(3_000);
+        core.loop.run(3_000);
         assertEquals(old.state.version(), version);
         assertEquals(old.state.items(), core.awaitLeader().state.items());
     }
@@ -68,14 +68,14 @@
         for (Node other : core.others(old)) {
             core.cuts.add(seed % 2 == 0 ? old.ip + ">" + other.ip : other.ip + ">" + old.ip);
         }
-        core.turns.run(4 * CoreModel.LEASE);
+        core.loop.run(4 * CoreModel.LEASE);
         int read = old.read().status;
         assertTrue(read == 503 || read == 307, "" + read);
         Node next = core.awaitLeader(core.others(old));
         Answer change = next.change(true, 1, whole(2, "after"));
-        core.turns.run(200);
+        core.loop.run(200);
         assertEquals(change.status, 200);
-        core.turns.run(CUT);
+        core.loop.run(CUT);
         assertTrue(core.others(old).stream().anyMatch(Node::leads), "it disturbs the others");
     }
 
@@ -85,9 +85,9 @@
         CoreModel core = new CoreModel(seed);
         Node old = core.awaitLeader();
         core.cut(old);
-        double sentAt = core.turns.now();
+        double sentAt = core.loop.now();
         Answer change = old.change(true, 0, whole(1, "a"));
-        core.turns.run(CUT);
+        core.loop.run(CUT);
         assertEquals(change.status, 503);
         assertTrue(change.at - sentAt < 1_000, "after " + (change.at - sentAt));
     }
--- a/src/test/java/gingerspool/controlplane/GracefulShutdownTest.java
+++ b/src/test/java/gingerspool/controlplane/GracefulShutdownTest.java
@@ -14,12 +14,12 @@
 public class GracefulShutdownTest {
     private static final double GRACE = 6_000;
 
-    private final ModelEventLoop turns = new ModelEventLoop();
+    private final ModelEventLoop loop = new ModelEventLoop();
 
     /** A process whose answers a test sets, and what it was told, with the time. */
     private final class Told implements GracefulShutdown.Process {
         final List<String> told = new ArrayList<>();
-        final double from = turns.now();
+        final double from = loop.now();
         boolean mayStop;
         boolean owes;
 
@@ -29,18 +29,18 @@
         }
 
         @Override
-        public boolean isOwingAnswers() {
+        public boolean hasPendingCalls() {
             return owes;
         }
 
         @Override
         public void closeToOperators() {
-            told.add("closed " + Math.round((turns.now() - from) / 100));
+            told.add("closed " + Math.round((loop.now() - from) / 100));
         }
 
         @Override
         public void end() {
-            told.add("ended " + Math.round((turns.now() - from) / 100));
+            told.add("ended " + Math.round((loop.now() - from) / 100));
         }
     }
 
@@ -48,10 +48,10 @@
     public void endsAtOnceWhereNothingHoldsIt() {
         Told process = new Told();
         process.mayStop = true;
-        GracefulShutdown stop = new GracefulShutdown(turns, GRACE, process);
+        GracefulShutdown stop = new GracefulShutdown(loop, GRACE, process);
         stop.begin();
         stop.begin();
-        turns.run(GRACE);
+        loop.run(GRACE);
         assertEquals(process.told, List.of("closed 0", "ended 0"));
     }
 
@@ -59,13 +59,13 @@
     public void staysForItsReplacementAndForThoseWhoWait() {
         Told process = new Told();
         process.owes = true;
-        new GracefulShutdown(turns, GRACE, process).begin();
-        turns.run(1_000);
+        new GracefulShutdown(loop, GRACE, process).begin();
+        loop.run(1_000);
         assertEquals(process.told, List.of());
         process.mayStop = true;
-        turns.run(500);
+        loop.run(500);
         process.owes = false;
-        turns.run(500);
+        loop.run(500);
         assertEquals(process.told, List.of("closed 10", "ended 15"));
     }
 
@@ -73,8 +73,8 @@
     public void endsWithinTheGracePeriodWhateverComes() {
         Told process = new Told();
         process.owes = true;
-        new GracefulShutdown(turns, GRACE, process).begin();
-        turns.run(GRACE);
+        new GracefulShutdown(loop, GRACE, process).begin();
+        loop.run(GRACE);
         assertEquals(process.told, List.of("closed 36", "ended 51"));
     }
 
@@ -85,12 +85,12 @@
             CoreModel core = new CoreModel(seed);
             Node leader = core.awaitLeader();
             Answer answer = leader.change(true, 0, whole(1, "a"));
-            leader.replica.leave(core.turns.now());
+            leader.replica.leave(core.loop.now());
             assertFalse(leader.leads());
-            core.turns.run(3 * CoreModel.LEASE);
+            core.loop.run(3 * CoreModel.LEASE);
             assertEquals(answer.status, 200, answer.body);
             assertTrue(core.others(leader).stream().anyMatch(Node::leads));
-            assertTrue(leader.replica.mayStop(core.turns.now()), "nobody waits to replace it");
+            assertTrue(leader.replica.mayStop(core.loop.now()), "nobody waits to replace it");
         }
     }
 }
--- a/src/test/java/gingerspool/controlplane/LeaderDutiesTest.java
+++ b/src/test/java/gingerspool/controlplane/LeaderDutiesTest.java
@@ -87,7 +87,7 @@
                                             2,
                                             "State",
                                             draining.contains(id) ? "draining" : "ready")));
-            core.turns.after(10, () -> then.accept(all));
+            core.loop.schedule(10, () -> then.accept(all));
         }
 
         @Override
@@ -100,7 +100,7 @@
                             "FreeMemoryMb", 1024,
                             "State", "ready");
             Answer answer = new Answer(200, Map.of("Workers", List.of(host)));
-            core.turns.after(10, () -> then.accept(answer));
+            core.loop.schedule(10, () -> then.accept(answer));
         }
 
         @Override
@@ -115,7 +115,7 @@
             assertTrue(nonces.add(nonce), "the same nonce for another start: " + nonce);
             String id = "i-" + nonces.size();
             instances.put(id, host);
-            core.turns.after(
+            core.loop.schedule(
                     10,
                     () ->
                             then.accept(
@@ -127,7 +127,7 @@
         @Override
         public void stop(String holder, long fence, String instance, Consumer<Answer> then) {
             calls.add("stop");
-            core.turns.after(10, () -> then.accept(new Answer(200, null)));
+            core.loop.schedule(10, () -> then.accept(new Answer(200, null)));
         }
     }
 
@@ -156,7 +156,7 @@
             this.node = node;
             ConfigurationState state = new ConfigurationState();
             state.take(true, 0, CONFIGURATION.getBytes(StandardCharsets.UTF_8));
-            schedulers = new SchedulerRegistry(core.turns, settings, state);
+            schedulers = new SchedulerRegistry(core.loop, settings, state);
             schedulers.configured();
             leadership =
                     new Leadership(
@@ -164,7 +164,7 @@
                             term -> {
                                 LeaderDuties duties =
                                         new LeaderDuties(
-                                                core.turns,
+                                                core.loop,
                                                 settings,
                                                 platform,
                                                 term,
@@ -183,8 +183,8 @@
         }
 
         private void update() {
-            leadership.update(core.turns.now());
-            core.turns.after(5, this::update);
+            leadership.update(core.loop.now());
+            core.loop.schedule(5, this::update);
         }
     }
 
@@ -204,11 +204,11 @@
         core = new CoreModel(3);
         platform = new ModelPlatform();
         leading = new Leading(core.awaitLeader());
-        core.turns.run(BEAT / 2);
+        core.loop.run(BEAT / 2);
         link = new Link();
         leading.schedulers.register(link, register(Map.of()), 1);
         leading.schedulers.received(link, demand(1, 0));
-        core.turns.run(BEAT);
+        core.loop.run(BEAT);
         assertTrue(link.grants() >= 1, "nothing was granted under the lease");
     }
 
@@ -216,7 +216,7 @@
     public void withoutTheLeaseNothingIsGrantedRecalledStartedOrListed() {
         core.cut(leading.node);
         while (leading.node.leads()) {
-            core.turns.run(5);
+            core.loop.run(5);
         }
         platform.calls.clear();
         link.received.clear();
@@ -224,7 +224,7 @@
             leading.schedulers.received(link, demand(5, 0));
             leading.schedulers.received(
                     link, new Messages.SlotReturn("i-1", 1, Messages.InstanceCondition.HEALTHY));
-            core.turns.run(100);
+            core.loop.run(100);
         }
         assertEquals(link.grants(), 0);
         assertTrue(link.received.stream().noneMatch(Messages.SlotRecall.class::isInstance));
@@ -239,16 +239,16 @@
         long term = leading.node.replica.term();
         core.cut(leading.node);
         while (leading.node.leads()) {
-            core.turns.run(5);
+            core.loop.run(5);
         }
         core.cuts.clear();
-        core.turns.run(CoreModel.LEASE);
+        core.loop.run(CoreModel.LEASE);
         assertTrue(leading.node.leads());
         assertEquals(leading.node.replica.term(), term);
         assertEquals(leading.ended, 0);
         int before = link.grants();
         leading.schedulers.received(link, demand(1, before));
-        core.turns.run(BEAT);
+        core.loop.run(BEAT);
         assertTrue(link.grants() > before);
     }
 
@@ -278,13 +278,13 @@
         platform.draining.addAll(platform.instances.keySet());
         Set<String> leaving = Set.copyOf(platform.draining);
         Leading next = new Leading(core.awaitLeader(core.others(old)));
-        core.turns.run(2 * BEAT);
+        core.loop.run(2 * BEAT);
         Link moved = new Link();
         Map<String, Integer> held = new HashMap<>();
         leaving.forEach(id -> held.put(id, 1));
         next.schedulers.register(moved, register(held), 2);
         next.schedulers.received(moved, demand(2, 0));
-        core.turns.run(2 * BEAT);
+        core.loop.run(2 * BEAT);
         Set<String> told = new HashSet<>();
         for (Object message : moved.received) {
             if (message instanceof Messages.InstanceWithdrawal w) {
--- a/src/test/java/gingerspool/controlplane/ModelEventLoop.java
+++ b/src/test/java/gingerspool/controlplane/ModelEventLoop.java
@@ -22,12 +22,12 @@
     private long serial;
 
     @Override
-    public void turn(Runnable what) {
-        after(0, what);
+    public void execute(Runnable what) {
+        schedule(0, what);
     }
 
     @Override
-    public Future<?> after(double span, Runnable what) {
+    public Future<?> schedule(double span, Runnable what) {
         CompletableFuture<Void> end = new CompletableFuture<>();
         timers.add(new Timer(now + Math.max(0, span), ++serial, what, end));
         return end;
--- a/src/test/java/gingerspool/controlplane/PlatformCallsTest.java
+++ b/src/test/java/gingerspool/controlplane/PlatformCallsTest.java
@@ -75,7 +75,7 @@
 
     private <T> T call(Consumer<Consumer<T>> what) throws Exception {
         CompletableFuture<T> end = new CompletableFuture<>();
-        loop.enter(
+        loop.submit(
                 () ->
                         what.accept(
                                 a -> {
--- a/src/test/java/gingerspool/controlplane/RepairTest.java
+++ b/src/test/java/gingerspool/controlplane/RepairTest.java
@@ -19,7 +19,7 @@
         if (of.configurationState.items().equals(right)) {
             done.complete(null);
         } else {
-            of.loop.after(20, () -> await(of, right, done));
+            of.loop.schedule(20, () -> await(of, right, done));
         }
     }
 
@@ -34,12 +34,12 @@
             for (ControlNode member : platform.core) {
                 // All have delivered it once they answer to it.
                 CompletableFuture<Void> has = new CompletableFuture<>();
-                member.loop.enter(() -> await(member, right, has));
+                member.loop.submit(() -> await(member, right, has));
                 has.get(10, TimeUnit.SECONDS);
             }
             for (ControlNode member : platform.core) {
                 CompletableFuture<Void> mended = new CompletableFuture<>();
-                member.loop.enter(
+                member.loop.submit(
                         () -> {
                             Map<String, String> damaged =
                                     new HashMap<>(member.configurationState.items());
--- a/src/test/java/gingerspool/controlplane/RepeatedOrderTest.java
+++ b/src/test/java/gingerspool/controlplane/RepeatedOrderTest.java
@@ -38,7 +38,7 @@
         Answer again = leader.change(true, 0, whole(5, "a"));
         Answer next = leader.change(true, 5, whole(9, "b"));
         Answer late = leader.change(true, 0, whole(5, "a"));
-        core.turns.run(100);
+        core.loop.run(100);
         assertTaken(first, 5);
         assertTaken(again, 5);
         assertTaken(next, 9);
@@ -54,7 +54,7 @@
             Node node = core.nodes.get((int) (i + seed) % 3);
             answers.add(node.change(true, 0, whole(5, "operator " + i)));
         }
-        core.turns.run(900);
+        core.loop.run(900);
         answers.forEach(a -> assertNotEquals(a.status, 0));
         assertEquals(answers.stream().filter(a -> a.status == 200).count(), 1);
         assertTrue(answers.stream().allMatch(a -> List.of(200, 307, 412).contains(a.status)));
@@ -71,11 +71,11 @@
         Node next = core.awaitLeader(core.others(old));
         Answer again = next.change(true, 2, whole(5, "a"));
         Answer rival = next.change(true, 2, whole(5, "rival"));
-        core.turns.run(100);
+        core.loop.run(100);
         assertTaken(again, 5);
         assertEquals(rival.status, 412);
         core.cuts.clear();
-        core.turns.run(3_000);
+        core.loop.run(3_000);
         assertEquals(first.status, 503, "it can't know");
         assertEquals(old.state.items(), next.state.items());
         assertTaken(core.until(true, 2, whole(5, "a")), 5);
@@ -92,19 +92,19 @@
         core.cuts.add(old.ip + ">" + lacking.ip);
         core.cuts.add(holder.ip + ">" + old.ip);
         Answer first = old.change(true, 2, whole(5, "a"));
-        core.turns.run(20);
+        core.loop.run(20);
         old.kill();
         core.cuts.clear();
         Node next = core.awaitLeader(core.others(old));
         assertEquals(next.ip, holder.ip, "only the one with the longer log can be elected");
         Answer again = next.change(true, 2, whole(5, "a"));
         Answer rival = next.change(true, 2, whole(7, "rival"));
-        core.turns.run(200);
+        core.loop.run(200);
         assertEquals(first.status, 0, "it was not answered");
         assertTaken(again, 5);
         assertEquals(rival.status, 412);
         old.start();
-        core.turns.run(3_000);
+        core.loop.run(3_000);
         assertEquals(old.state.items(), next.state.items());
     }
 
@@ -117,7 +117,7 @@
             assertTaken(core.until(true, version - 1, whole(version, "v")), version);
         }
         away.start();
-        core.turns.run(2_000);
+        core.loop.run(2_000);
         assertTrue(away.restored > 0, "no snapshot was installed");
         core.others(away).get(0).kill();
         core.awaitLeader();
@@ -126,7 +126,7 @@
             assertTaken(core.until(true, version - 1, whole(version, "v")), version);
         }
         core.nodes.forEach(Node::kill);
-        core.turns.run(50);
+        core.loop.run(50);
         core.nodes.forEach(Node::start);
         for (int version = 1; version <= 150; version += 29) {
             assertTaken(core.until(true, version - 1, whole(version, "v")), version);
--- a/src/test/java/gingerspool/controlplane/StartWithoutDiskTest.java
+++ b/src/test/java/gingerspool/controlplane/StartWithoutDiskTest.java
@@ -71,12 +71,12 @@
         try {
             CompletableFuture<Void> listens = new CompletableFuture<>();
             node.begin(listens::completeExceptionally);
-            node.loop.enter(() -> listens.complete(null));
+            node.loop.submit(() -> listens.complete(null));
             listens.get(10, TimeUnit.SECONDS);
             assertEquals(read(port), 503);
             Files.delete(inTheWay);
             CompletableFuture<Void> leads = new CompletableFuture<>();
-            node.loop.enter(() -> awaitLead(node, leads));
+            node.loop.submit(() -> awaitLead(node, leads));
             leads.get(10, TimeUnit.SECONDS);
             assertEquals(read(port), 404, "it leads, alone, and has no configuration");
         } finally {
@@ -88,7 +88,7 @@
         if (node.isLeading()) {
             leads.complete(null);
         } else {
-            node.loop.after(20, () -> awaitLead(node, leads));
+            node.loop.schedule(20, () -> awaitLead(node, leads));
         }
     }
 
@@ -101,7 +101,7 @@
         try {
             CompletableFuture<Boolean> learner = new CompletableFuture<>();
             node.begin(learner::completeExceptionally);
-            node.loop.enter(() -> awaitMember(node, learner));
+            node.loop.submit(() -> awaitMember(node, learner));
             assertTrue(learner.get(10, TimeUnit.SECONDS), "it founded a core of its own");
         } finally {
             node.close();
@@ -112,7 +112,7 @@
         if (node.isRecovered()) {
             learner.complete(node.isLearner());
         } else {
-            node.loop.after(20, () -> awaitMember(node, learner));
+            node.loop.schedule(20, () -> awaitMember(node, learner));
         }
     }
 }
--- a/src/test/java/gingerspool/daemon/HandoverTest.java
+++ b/src/test/java/gingerspool/daemon/HandoverTest.java
@@ -81,7 +81,7 @@
                         new NodeConfiguration(
                                 ConfigurationTest.tree(node), Map.of("TMPDIR", folder.toString())));
         daemons.add(d);
-        d.loop.enter(d::begin);
+        d.loop.submit(d::begin);
         return d;
     }
 
@@ -137,7 +137,7 @@
     /** What this says in a turn of the process. */
     private static <T> T on(Daemon d, Supplier<T> what) throws Exception {
         CompletableFuture<T> told = new CompletableFuture<>();
-        d.loop.enter(() -> told.complete(what.get()));
+        d.loop.submit(() -> told.complete(what.get()));
         return told.get();
     }
 
@@ -197,7 +197,7 @@
         answer = Bench.read(fresh);
         assertTrue(answer.endsWith("made i2") && !answer.contains("close"), answer);
         assertEquals(healthz(port), "200");
-        first.loop.enter(() -> first.leave(first.loop.now()));
+        first.loop.submit(() -> first.leave(first.loop.now()));
         first.ended.await();
         assertEquals(healthz(port), "200");
     }
@@ -257,7 +257,7 @@
         assertTrue(Bench.read(to(third.door.address(), done("i1"))).startsWith("HTTP/1.1 200 "));
         assertTrue(Bench.read(one).endsWith("made i1"));
         one.close();
-        first.loop.enter(() -> first.leave(first.loop.now()));
+        first.loop.submit(() -> first.leave(first.loop.now()));
         first.ended.await();
         second.ended.await();
         Socket three = to(third.door.address(), task("i3"));
--- a/src/test/java/gingerspool/daemon/PolicyMeasure.java
+++ b/src/test/java/gingerspool/daemon/PolicyMeasure.java
@@ -93,8 +93,8 @@
             Files.delete(file);
             peers.callBackTo((InetSocketAddress) daemon.door.address());
             CountDownLatch ready = new CountDownLatch(1);
-            daemon.loop.enter(daemon::begin);
-            daemon.loop.enter(ready::countDown);
+            daemon.loop.submit(daemon::begin);
+            daemon.loop.submit(ready::countDown);
             ready.await();
             double[] latency = load((InetSocketAddress) daemon.door.address(), seed);
             daemon.loop.stop();
--- a/src/test/java/gingerspool/daemon/ReloadTest.java
+++ b/src/test/java/gingerspool/daemon/ReloadTest.java
@@ -75,8 +75,8 @@
         daemon = FileDaemon.open(file(text));
         peers.callBackTo((InetSocketAddress) daemon.door.address());
         CountDownLatch ready = new CountDownLatch(1);
-        daemon.loop.enter(daemon::begin);
-        daemon.loop.enter(ready::countDown);
+        daemon.loop.submit(daemon::begin);
+        daemon.loop.submit(ready::countDown);
         ready.await();
     }
 
@@ -104,7 +104,7 @@
     /** Waits until all that was entered before has been done on the loop. */
     private void settled() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        daemon.loop.enter(done::countDown);
+        daemon.loop.submit(done::countDown);
         done.await();
     }
 
--- a/src/test/java/gingerspool/daemon/ServeTest.java
+++ b/src/test/java/gingerspool/daemon/ServeTest.java
@@ -58,7 +58,7 @@
                         .replace("'safe'", "'unsafe'")
                         .replace(sound, other);
         daemon = new Daemon(new NodeConfiguration(ConfigurationTest.tree(node), Map.of()));
-        daemon.loop.enter(daemon::begin);
+        daemon.loop.submit(daemon::begin);
     }
 
     private void start() throws Exception {
@@ -369,7 +369,7 @@
         for (int i = 0; i < 16; i++) {
             Bench.read(say("GET /healthz HTTP/1.1\r\n\r\n"));
         }
-        daemon.loop.enter(daemon.door::outOfDescriptors);
+        daemon.loop.submit(daemon.door::outOfDescriptors);
         assertTrue(Bench.read(say("GET /healthz HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 200 "));
         assertTrue(daemon.door.connections() <= 14, daemon.door.connections() + " connections");
     }
@@ -410,7 +410,7 @@
     private void reload(String text) throws IOException {
         Path file = Files.createTempFile("configuration", ".json");
         Files.writeString(file, text.replace('\'', '"'));
-        daemon.loop.enter(() -> daemon.reload(Map.of("GW_CONFIG", file.toString())));
+        daemon.loop.submit(() -> daemon.reload(Map.of("GW_CONFIG", file.toString())));
         assertTrue(Bench.read(say("GET /healthz HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 200 "));
         Files.delete(file);
     }
@@ -429,7 +429,7 @@
             reload(moved);
             assertTrue(listCall(other).contains("since=0 "));
             assertEquals(clients.get(0).getInputStream().read(), -1);
-            daemon.loop.enter(daemon.scheduler::watchList);
+            daemon.loop.submit(daemon.scheduler::watchList);
             clients.get(clients.size() - 1).close();
             assertTrue(
                     listCall(other).contains("since=0 "),
@@ -517,7 +517,7 @@
         start();
         Socket client = say(task("i1", 3000));
         work(TAKEN);
-        daemon.loop.enter(() -> daemon.leave(daemon.loop.now() - 2600));
+        daemon.loop.submit(() -> daemon.leave(daemon.loop.now() - 2600));
         assertTrue(Bench.read(say("GET /healthz HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 503 "));
         callBack("i1", "s-1", "done");
         String answer = Bench.read(client);
@@ -539,7 +539,7 @@
         Socket atWorker = work(TAKEN);
         callBack("i1", "s-1", "done");
         Bench.read(client);
-        daemon.loop.enter(() -> daemon.leave(daemon.loop.now() - 1500));
+        daemon.loop.submit(() -> daemon.leave(daemon.loop.now() - 1500));
         Bench.write(client, task("i2", 3000));
         assertTrue(Bench.read(atWorker).contains("X-Correlation-Id: i2\r\n"));
         Bench.write(atWorker, TAKEN);
@@ -553,7 +553,7 @@
         start();
         Socket client = say(task("i1", 3000));
         work(TAKEN);
-        daemon.loop.enter(daemon.scheduler::abandonAll);
+        daemon.loop.submit(daemon.scheduler::abandonAll);
         assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
         assertTrue(callBack("i1", "s-1", "done").startsWith("HTTP/1.1 200 "));
     }
--- a/src/test/java/gingerspool/dataplane/ControlLinksTest.java
+++ b/src/test/java/gingerspool/dataplane/ControlLinksTest.java
@@ -100,7 +100,7 @@
                         NodeSettings.read(file),
                         () -> new Messages.Register("front-1", "a", 1, Map.of()),
                         received::add);
-        network.turn(links::begin);
+        network.execute(links::begin);
         run(50);
         first.announces(5, "10.0.0.1");
         run(20);
--- a/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
+++ b/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
@@ -64,9 +64,12 @@
         network = new ModelNetwork(seed, without);
         record =
                 new ModelRecord(
-                        network, settings.retryRatio, settings.retrySlack, settings.retryWindow);
+                        network,
+                        settings.retryBudgetRatio,
+                        settings.retryBudgetSlack,
+                        settings.retryBudgetWindow);
         trouble = network.chance.nextInt(4) * 0.3;
-        ConnectionPool pool = new ConnectionPool(network, settings.beat / 4, 5000, 40);
+        ConnectionPool pool = new ConnectionPool(network, settings.heartbeatInterval / 4, 5000, 40);
         router = new RequestRouter(network, settings, pool, this, () -> {});
         router.configure(configuration());
     }
@@ -164,7 +167,7 @@
                 lastTold,
                 () -> {
                     if (of == term) {
-                        network.turn(what);
+                        network.execute(what);
                     }
                 });
     }
@@ -185,7 +188,7 @@
         long of = ++term;
         allocator =
                 new SlotAllocator(
-                        settings.beat,
+                        settings.heartbeatInterval,
                         network.now(),
                         (front, message) -> toScheduler(of, () -> receive(message)));
         allocator.configure(configuration());
@@ -297,7 +300,7 @@
             if (channel == null) {
                 channel = network.channel();
                 channel.join(new Line(channel));
-                network.turn(() -> router.accept(channel));
+                network.execute(() -> router.accept(channel));
             }
             ask();
         }
--- a/src/test/java/gingerspool/dataplane/DeposedLeaderTest.java
+++ b/src/test/java/gingerspool/dataplane/DeposedLeaderTest.java
@@ -78,7 +78,7 @@
 
     private static boolean isLed(SingleThreadEventLoop loop, ControlLinks links) throws Exception {
         CompletableFuture<Boolean> led = new CompletableFuture<>();
-        loop.enter(() -> led.complete(links.isLed()));
+        loop.submit(() -> led.complete(links.isLed()));
         return led.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -106,7 +106,7 @@
                                     told.complete(null);
                                 }
                             });
-            loop.enter(links::begin);
+            loop.submit(links::begin);
             Socket toOld = old.accept();
             Socket toFollower = follower.accept();
             List<String> members = List.of(OLD, FOLLOWER);
@@ -132,7 +132,7 @@
     private static void awaitUnled(SingleThreadEventLoop loop, ControlLinks links)
             throws Exception {
         CompletableFuture<Void> unled = new CompletableFuture<>();
-        loop.enter(() -> check(loop, links, unled));
+        loop.submit(() -> check(loop, links, unled));
         unled.get(PATIENCE_MS / 5, TimeUnit.MILLISECONDS);
         assertFalse(isLed(loop, links));
     }
@@ -142,7 +142,7 @@
         if (!links.isLed()) {
             unled.complete(null);
         } else {
-            loop.after(10, () -> check(loop, links, unled));
+            loop.schedule(10, () -> check(loop, links, unled));
         }
     }
 }
--- a/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
+++ b/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
@@ -99,7 +99,7 @@
 
     private <T> T on(Callable<T> what) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
-        loop.enter(
+        loop.submit(
                 () -> {
                     try {
                         done.complete(what.call());
@@ -176,7 +176,7 @@
         // It starts after a millisecond on the same loop; a knock would wait for it as well.
         on(() -> null);
         CompletableFuture<Void> later = new CompletableFuture<>();
-        loop.enter(() -> loop.after(20, () -> later.complete(null)));
+        loop.submit(() -> loop.schedule(20, () -> later.complete(null)));
         later.get(5, TimeUnit.SECONDS);
         grant(JsonTree.text("", tree, "Identifier"), address);
     }
@@ -280,7 +280,7 @@
     // ---- The environment ----
 
     @Override
-    public EventLoop turns() {
+    public EventLoop loop() {
         return loop;
     }
 
