--- a/src/test/java/gingerspool/dataplane/ModelNetwork.java
+++ b/src/test/java/gingerspool/dataplane/ModelNetwork.java
@@ -49,9 +49,9 @@
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
                     Comparator.comparingDouble(Event::at).thenComparingLong(Event::serial));
-    private final ArrayDeque<Runnable> turns = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
     private final Map<SocketAddress, Acceptor> acceptors = new HashMap<>();
-    private boolean inTurn;
+    private boolean isRunning;
     private long serial;
     private double now = 1_000_000;
     private String fault;
@@ -99,30 +99,30 @@
     }
 
     @Override
-    public void turn(Runnable what) {
-        turns.add(what);
-        if (inTurn) {
+    public void execute(Runnable what) {
+        tasks.add(what);
+        if (isRunning) {
             return;
         }
-        inTurn = true;
-        for (Runnable next = turns.poll(); next != null; next = turns.poll()) {
+        isRunning = true;
+        for (Runnable next = tasks.poll(); next != null; next = tasks.poll()) {
             try {
                 next.run();
             } catch (RuntimeException e) {
-                check(false, "a turn broke: " + e);
+                check(false, "a task broke: " + e);
             }
         }
-        inTurn = false;
+        isRunning = false;
     }
 
     @Override
-    public Future<?> after(double span, Runnable what) {
+    public Future<?> schedule(double span, Runnable what) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         at(
                 now + span,
                 () -> {
                     if (done.complete(null)) {
-                        turn(what);
+                        execute(what);
                     }
                 });
         return done;
--- a/src/test/java/gingerspool/dataplane/RequestRouterTest.java
+++ b/src/test/java/gingerspool/dataplane/RequestRouterTest.java
@@ -37,7 +37,7 @@
 
         Line() {
             channel.join(this);
-            network.turn(() -> router.accept(channel));
+            network.execute(() -> router.accept(channel));
         }
 
         Line send(String text) {
@@ -127,7 +127,7 @@
     }
 
     private void grant(String instance, int port, int slots) {
-        network.turn(
+        network.execute(
                 () ->
                         router.queue("f")
                                 .granted(
@@ -192,7 +192,7 @@
         Line line = new Line().ask("a", "safe", 900);
         run(20);
         router.leave();
-        network.turn(router::giveUpAll);
+        network.execute(router::giveUpAll);
         run(20);
         assertEquals(line.status(), "503");
         assertTrue(line.came.toString().contains("Connection: close"), line.came.toString());
--- a/src/test/java/gingerspool/experiment/BrokenScheduler.java
+++ b/src/test/java/gingerspool/experiment/BrokenScheduler.java
@@ -53,7 +53,7 @@
         private boolean answered;
     }
 
-    private final EventLoop turns;
+    private final EventLoop loop;
     private final Way way;
     private final SplittableRandom chance;
     private final Map<String, InetSocketAddress> workers = new HashMap<>();
@@ -64,8 +64,8 @@
     private ClientEndpoint door;
     private int count;
 
-    BrokenScheduler(EventLoop turns, Way way, long seed, Set<String> profiles) {
-        this.turns = turns;
+    BrokenScheduler(EventLoop loop, Way way, long seed, Set<String> profiles) {
+        this.loop = loop;
         this.way = way;
         this.profiles = profiles;
         chance = new SplittableRandom(seed);
@@ -75,7 +75,7 @@
     InetSocketAddress listen() throws IOException {
         door =
                 new ClientEndpoint(
-                        turns,
+                        loop,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         false,
                         1000,
@@ -86,7 +86,7 @@
     }
 
     void follow(InetSocketAddress discovery) {
-        DiscoveryClient.open(turns, discovery, 0, 500, this);
+        DiscoveryClient.open(loop, discovery, 0, 500, this);
     }
 
     // ---- The list ----
@@ -173,12 +173,13 @@
         count++;
         if ((way == Way.RESENDS || way == Way.COPIES) && count % 5 == 0) {
             String other = pick(t.worker);
-            turns.after(way == Way.COPIES ? 1 : 20, () -> send(id, t, other, timeLeft));
+            loop.schedule(way == Way.COPIES ? 1 : 20, () -> send(id, t, other, timeLeft));
         }
         if (way == Way.BOUNCES_WHAT_RUNS && count % 5 == 0) {
-            turns.after(5, () -> answer(id, t, () -> ClientEndpoint.bounced(client, 0)));
+            loop.schedule(5, () -> answer(id, t, () -> ClientEndpoint.bounced(client, 0)));
         }
-        turns.after(timeLeft - EARLY, () -> answer(id, t, () -> ClientEndpoint.abandoned(client)));
+        loop.schedule(
+                timeLeft - EARLY, () -> answer(id, t, () -> ClientEndpoint.abandoned(client)));
     }
 
     private void answer(String id, Held t, Runnable how) {
@@ -192,7 +193,7 @@
         try {
             Outbound c =
                     Outbound.open(
-                            turns,
+                            loop,
                             workers.get(worker),
                             250,
                             new Outbound.Owner() {
@@ -258,7 +259,7 @@
             answer(id, t, t.client::close);
         } else if (way == Way.LATE && now) {
             t.answered = true;
-            turns.after(900, () -> ClientEndpoint.finished(t.client, result));
+            loop.schedule(900, () -> ClientEndpoint.finished(t.client, result));
         } else if (way == Way.MAKES_UP && now) {
             answer(id, t, () -> ClientEndpoint.finished(t.client, result + "0"));
         } else if (way == Way.ANSWERS_TWICE && now) {
--- a/src/test/java/gingerspool/experiment/JudgeTest.java
+++ b/src/test/java/gingerspool/experiment/JudgeTest.java
@@ -62,7 +62,7 @@
         Path executions = folder.resolve("executions.tsv");
         try {
             CompletableFuture<Void> done = new CompletableFuture<>();
-            loop.enter(
+            loop.submit(
                     () -> {
                         try {
                             BrokenScheduler scheduler =
@@ -72,13 +72,13 @@
                             Load load = new Load(loop, plan, at, clients);
                             fleet.start();
                             scheduler.follow(fleet.discovery(0));
-                            loop.after(
+                            loop.schedule(
                                     100,
                                     () -> {
                                         fleet.play();
                                         load.play(
                                                 () ->
-                                                        loop.after(
+                                                        loop.schedule(
                                                                 300,
                                                                 () -> {
                                                                     try {
--- a/src/test/java/gingerspool/load/LoadMeasure.java
+++ b/src/test/java/gingerspool/load/LoadMeasure.java
@@ -31,7 +31,7 @@
             SingleThreadEventLoop ofDoor = new SingleThreadEventLoop();
             SingleThreadEventLoop ofLoad = new SingleThreadEventLoop();
             CompletableFuture<ClientEndpoint> opened = new CompletableFuture<>();
-            ofDoor.enter(
+            ofDoor.submit(
                     () -> {
                         try {
                             ClientEndpoint door =
@@ -60,7 +60,7 @@
                             record);
             CompletableFuture<Void> done = new CompletableFuture<>();
             long from = System.nanoTime();
-            ofLoad.enter(() -> load.play(() -> done.complete(null)));
+            ofLoad.submit(() -> load.play(() -> done.complete(null)));
             done.get(60, TimeUnit.SECONDS);
             System.out.printf(
                     "rate %d/s: %d asked in %.2f s, sent late by %.2f ms (median) %.2f ms "
--- a/src/test/java/gingerspool/load/LoadTest.java
+++ b/src/test/java/gingerspool/load/LoadTest.java
@@ -53,7 +53,7 @@
         Plan plan = Plan.make(read.scenario(), 1, folder);
         CompletableFuture<Void> done = new CompletableFuture<>();
         Path record = folder.resolve("clients.tsv");
-        loop.enter(
+        loop.submit(
                 () -> {
                     try {
                         ClientEndpoint door =
--- a/src/test/java/gingerspool/settings/SettingsTest.java
+++ b/src/test/java/gingerspool/settings/SettingsTest.java
@@ -38,10 +38,10 @@
     @Test
     public void readsAndPassesNewKeysOver() throws Exception {
         NodeSettings s = read(SOUND);
-        assertEquals(s.innerPort, 7400);
+        assertEquals(s.internalPort, 7400);
         assertEquals(s.zones.toString(), "[a, b]");
-        assertEquals(s.grace, 6000.0);
-        assertEquals(s.front.getPort(), 8241);
+        assertEquals(s.gracePeriod, 6000.0);
+        assertEquals(s.frontAddress.getPort(), 8241);
         assertTrue(s.firstStart);
     }
 
--- a/src/test/java/gingerspool/store/StoreTest.java
+++ b/src/test/java/gingerspool/store/StoreTest.java
@@ -150,10 +150,10 @@
         assertEquals(roster.index("b"), 1);
         assertEquals(roster.index("a"), 0);
         assertEquals(roster.find("c"), -1);
-        assertTrue(roster.moves(0, Address.read("127.0.0.1:1")));
-        assertFalse(roster.moves(0, Address.read("127.0.0.1:1")));
-        assertFalse(roster.moves(0, null));
-        assertTrue(roster.turns(0, 2));
-        assertFalse(roster.turns(0, 2));
+        assertTrue(roster.setAddress(0, Address.read("127.0.0.1:1")));
+        assertFalse(roster.setAddress(0, Address.read("127.0.0.1:1")));
+        assertFalse(roster.setAddress(0, null));
+        assertTrue(roster.setState(0, 2));
+        assertFalse(roster.setState(0, 2));
     }
 }
--- a/src/test/java/gingerspool/wire/FramesTest.java
+++ b/src/test/java/gingerspool/wire/FramesTest.java
@@ -36,7 +36,7 @@
     }
 
     private Socket link(CompletableFuture<Frames> whenUp) throws Exception {
-        loop.enter(
+        loop.submit(
                 () -> {
                     try {
                         Frames.open(
@@ -80,7 +80,7 @@
         CompletableFuture<Frames> f = new CompletableFuture<>();
         try (Socket peer = link(f)) {
             Frames link = get(f);
-            loop.enter(
+            loop.submit(
                     () -> {
                         for (int i = 0; i < 64; i++) {
                             link.send(new byte[1 << 20]);
