--- a/src/main/java/gingerspool/capacity/HollowCore.java
+++ b/src/main/java/gingerspool/capacity/HollowCore.java
@@ -123,7 +123,7 @@
 
     private Node leader() {
         for (Node n : nodes.values()) {
-            if (n.replica.leads(now)) {
+            if (n.replica.isActiveLeader(now)) {
                 return n;
             }
         }
--- a/src/main/java/gingerspool/consensus/ConsensusMessage.java
+++ b/src/main/java/gingerspool/consensus/ConsensusMessage.java
@@ -7,10 +7,11 @@
     long term();
 
     /** A candidate asks for a vote in its term; its log ends with this index and term. */
-    record RequestVote(long term, long lastTerm, long last) implements ConsensusMessage {}
+    record RequestVote(long term, long lastLogTerm, long lastLogIndex)
+            implements ConsensusMessage {}
 
     /** Whether the other would vote for the sender in this term; neither promises anything. */
-    record PreVote(long term, long lastTerm, long last) implements ConsensusMessage {}
+    record PreVote(long term, long lastLogTerm, long lastLogIndex) implements ConsensusMessage {}
 
     /** The answer to a pre-vote, with the term that the voter is in. */
     record PreVoteReply(long term, boolean granted, long currentTerm) implements ConsensusMessage {}
@@ -21,15 +22,15 @@
     /** Entries after an index (none: a heartbeat), and how far the log is committed. */
     record AppendEntries(
             long term,
-            long previous,
+            long previousIndex,
             long previousTerm,
             List<LogEntry> entries,
-            long committed,
+            long commitIndex,
             double sentAt)
             implements ConsensusMessage {}
 
     /** A piece of a snapshot, for a member that lacks entries that the leader no longer has. */
-    record InstallSnapshot(long term, SnapshotPiece piece, long committed, double sentAt)
+    record InstallSnapshot(long term, SnapshotPiece piece, long commitIndex, double sentAt)
             implements ConsensusMessage {}
 
     /**
@@ -37,7 +38,7 @@
      * known to match. Where it did not, `last` is the last entry that may match, and conflictTerm
      * the term that differed there, or 0.
      */
-    record AppendReply(long term, boolean matched, long last, long conflictTerm, double sentAt)
+    record AppendReply(long term, boolean matched, long lastIndex, long conflictTerm, double sentAt)
             implements ConsensusMessage {}
 
     /** How many pieces of a snapshot have arrived without a gap. */
@@ -57,7 +58,7 @@
     record LeaveReply(long term, boolean replacementWaits) implements ConsensusMessage {}
 
     /** The leader gives up its lease; the heir is to stand for election at once. */
-    record TimeoutNow(long term, Member heir) implements ConsensusMessage {}
+    record TimeoutNow(long term, Member successor) implements ConsensusMessage {}
 
     /** A message with its sender and receiver. */
     record Envelope(Member from, Member to, ConsensusMessage message) {
--- a/src/main/java/gingerspool/consensus/Contacts.java
+++ b/src/main/java/gingerspool/consensus/Contacts.java
@@ -10,35 +10,35 @@
  */
 final class Contacts {
     /** The most addresses that are kept of those that others named. */
-    private static final int HEARD_OF_MOST = 32;
+    private static final int KNOWN_ADDRESSES_MOST = 32;
 
     /** Leases without a leader until a voter asks beyond the voters that it knows. */
-    private static final double PATIENCE = 2;
+    private static final double ASK_SEEDS_AFTER_LEASES = 2;
 
     private final ReplicaContext context;
     private final Election election;
-    private final LinkedHashSet<String> heardOf = new LinkedHashSet<>();
+    private final LinkedHashSet<String> knownAddresses = new LinkedHashSet<>();
     private double askAt;
-    private double ledAt;
+    private double leaderHeardAt;
 
     Contacts(ReplicaContext context, Election election) {
         this.context = context;
         this.election = election;
-        ledAt = context.now;
+        leaderHeardAt = context.now;
     }
 
     /** The addresses of the voters, and of all that may know the leader where that is not known. */
     Set<String> addresses(Set<Member> learners) {
         Set<String> addresses = new LinkedHashSet<>();
         context.log.voters().all().forEach(m -> addresses.add(m.ip()));
-        context.log.votersAt(context.committed).all().forEach(m -> addresses.add(m.ip()));
+        context.log.votersAt(context.commitIndex).all().forEach(m -> addresses.add(m.ip()));
         learners.forEach(m -> addresses.add(m.ip()));
         if (context.leader != null) {
             addresses.add(context.leader.ip());
         }
         if (isLost()) {
             addresses.addAll(context.settings.seeds());
-            addresses.addAll(heardOf);
+            addresses.addAll(knownAddresses);
         }
         addresses.remove(context.self.ip());
         return addresses;
@@ -46,12 +46,12 @@
 
     /** Whether this member knows no leader, and could not find one among the voters it knows. */
     private boolean isLost() {
-        return !knowsLeader() && (!context.isVoter() || context.now >= patientUntil());
+        return !knowsLeader() && (!context.isVoter() || context.now >= askSeedsFrom());
     }
 
     /** A voter first tries to have a leader elected by the voters it knows. */
-    private double patientUntil() {
-        return ledAt + PATIENCE * context.lease();
+    private double askSeedsFrom() {
+        return leaderHeardAt + ASK_SEEDS_AFTER_LEASES * context.lease();
     }
 
     private boolean knowsLeader() {
@@ -59,12 +59,12 @@
     }
 
     double nextTick() {
-        return context.isVoter() ? Math.max(askAt, patientUntil()) : askAt;
+        return context.isVoter() ? Math.max(askAt, askSeedsFrom()) : askAt;
     }
 
     /** A leader was heard. */
     void heardLeader() {
-        ledAt = context.now;
+        leaderHeardAt = context.now;
     }
 
     /** Asks all contacts while no leader is known. */
@@ -74,7 +74,7 @@
         }
         askAt = context.now + context.heartbeat();
         if (knowsLeader()) {
-            ledAt = context.now;
+            leaderHeardAt = context.now;
         } else if (isLost()) {
             addresses(Set.of()).forEach(this::ask);
         }
@@ -96,9 +96,9 @@
     }
 
     void onReferral(ConsensusMessage.Referral referral) {
-        referral.addresses().forEach(this::hear);
+        referral.addresses().forEach(this::noteAddress);
         if (!referral.leader().isEmpty()) {
-            hear(referral.leader());
+            noteAddress(referral.leader());
             if (!knowsLeader() && !referral.leader().equals(context.self.ip())) {
                 ask(referral.leader());
             }
@@ -106,11 +106,11 @@
     }
 
     /** The newest addresses are kept. */
-    void hear(String address) {
-        heardOf.remove(address);
-        heardOf.add(address);
-        if (heardOf.size() > HEARD_OF_MOST) {
-            heardOf.remove(heardOf.iterator().next());
+    void noteAddress(String address) {
+        knownAddresses.remove(address);
+        knownAddresses.add(address);
+        if (knownAddresses.size() > KNOWN_ADDRESSES_MOST) {
+            knownAddresses.remove(knownAddresses.iterator().next());
         }
     }
 }
--- a/src/main/java/gingerspool/consensus/Departure.java
+++ b/src/main/java/gingerspool/consensus/Departure.java
@@ -9,7 +9,7 @@
  */
 final class Departure {
     /** For so many leases a leader that leaves tries to be replaced before it hands over. */
-    private static final double REPLACED_WITHIN = 1;
+    private static final double REPLACEMENT_WAIT_LEASES = 1;
 
     private final ReplicaContext context;
     private final Election election;
@@ -57,8 +57,8 @@
 
     private void leaveAsLeader() {
         boolean replaced = membership.hasReadyLearner() || membership.isChanging();
-        double from = Math.max(begunAt, membership.leadsSince());
-        if (replaced && context.now < from + REPLACED_WITHIN * context.lease()) {
+        double from = Math.max(begunAt, membership.electedAt());
+        if (replaced && context.now < from + REPLACEMENT_WAIT_LEASES * context.lease()) {
             membership.advance();
         } else {
             transfer.run();
@@ -80,7 +80,8 @@
 
     /** Whether nothing is lost if this member's process ends now. */
     boolean mayStop() {
-        if (!context.guarded(ConsensusSafeguard.LEAVER_STAYS_UNTIL_SWAPPED) || !context.isVoter()) {
+        if (!context.hasSafeguard(ConsensusSafeguard.LEAVER_STAYS_UNTIL_SWAPPED)
+                || !context.isVoter()) {
             return true;
         }
         boolean alone = context.log.voters().all().size() == 1;
--- a/src/main/java/gingerspool/consensus/Durability.java
+++ b/src/main/java/gingerspool/consensus/Durability.java
@@ -25,9 +25,9 @@
 
     /** Up to here the log's entries are durable. */
     long durableIndex() {
-        return context.guarded(ConsensusSafeguard.SYNC_BEFORE_ACKNOWLEDGE)
+        return context.hasSafeguard(ConsensusSafeguard.SYNC_BEFORE_ACKNOWLEDGE)
                 ? durableIndex
-                : context.log.last();
+                : context.log.lastIndex();
     }
 
     boolean voteIsDurable() {
@@ -45,12 +45,13 @@
                         from,
                         context.log.from(from),
                         snapshot));
-        long upTo = context.log.last();
+        long upTo = context.log.lastIndex();
         long before = truncations;
         whenSaved(
                 () -> {
                     if (truncations == before
-                            || !context.guarded(ConsensusSafeguard.TRUNCATION_RESETS_DURABLE)) {
+                            || !context.hasSafeguard(
+                                    ConsensusSafeguard.TRUNCATION_RESETS_DURABLE)) {
                         durableIndex = Math.max(durableIndex, upTo);
                         onDurableEntries.run();
                     }
@@ -59,14 +60,14 @@
 
     /** Writes the term and the vote. */
     void saveVote() {
-        saveEntries(context.log.last() + 1, null);
+        saveEntries(context.log.lastIndex() + 1, null);
         voteTicket = ticket;
     }
 
     /** Entries beyond this index were removed. */
     void truncated(long lastKept) {
         truncations++;
-        if (context.guarded(ConsensusSafeguard.TRUNCATION_RESETS_DURABLE)) {
+        if (context.hasSafeguard(ConsensusSafeguard.TRUNCATION_RESETS_DURABLE)) {
             durableIndex = Math.min(durableIndex, lastKept);
         }
     }
@@ -90,7 +91,7 @@
 
     /** Everything, to be written anew after a failure, under a new ticket. */
     LogWrite fullState() {
-        Snapshot base = context.log.base();
+        Snapshot base = context.log.snapshot();
         return new LogWrite(
                 ++ticket,
                 context.self,
--- a/src/main/java/gingerspool/consensus/Election.java
+++ b/src/main/java/gingerspool/consensus/Election.java
@@ -11,7 +11,7 @@
  */
 final class Election {
     /** A leaving member stands for election only after so many more leases without a leader. */
-    private static final double LEAVING_WAITS = 4;
+    private static final double LEAVING_DELAY_LEASES = 4;
 
     private final ReplicaContext context;
     private final Durability durability;
@@ -19,10 +19,10 @@
     private final Runnable onElected;
 
     /** Until then this member votes for nobody but whom it follows. */
-    private double withheldUntil;
+    private double voteWithheldUntil;
 
     /** When this member stands for election if it hears of no leader. */
-    private double electionAt;
+    private double electionTimeoutAt;
 
     /** When a candidate asks again those that have not answered. */
     private double retryAt;
@@ -38,7 +38,7 @@
     Election(
             ReplicaContext context,
             Durability durability,
-            boolean founds,
+            boolean bootstraps,
             BooleanSupplier leads,
             Runnable onElected) {
         this.context = context;
@@ -49,24 +49,25 @@
         // its process, and in its own term it granted nobody else one.
         boolean ownTerm = context.self.equals(context.votedFor);
         boolean free =
-                founds
+                bootstraps
                         || ownTerm
-                        || !context.guarded(ConsensusSafeguard.LEASE_WAITED_OUT_AFTER_RESTART);
-        withheldUntil = free ? context.now : context.now + context.lease();
-        double spread = ownTerm ? 2 * ReplicaContext.HEARTBEATS : 2;
-        electionAt = withheldUntil + context.lease() * context.random.nextDouble() / spread;
+                        || !context.hasSafeguard(ConsensusSafeguard.LEASE_WAITED_OUT_AFTER_RESTART);
+        voteWithheldUntil = free ? context.now : context.now + context.lease();
+        double spread = ownTerm ? 2 * ReplicaContext.HEARTBEATS_PER_LEASE : 2;
+        electionTimeoutAt =
+                voteWithheldUntil + context.lease() * context.random.nextDouble() / spread;
     }
 
     /** The leader as far as it was heard of within a lease, or null. */
     Member leader(double at) {
-        return at < withheldUntil ? context.leader : null;
+        return at < voteWithheldUntil ? context.leader : null;
     }
 
     void tick() {
         if (!context.isVoter()) {
             return;
         }
-        if (context.now >= electionAt && context.now >= withheldUntil) {
+        if (context.now >= electionTimeoutAt && context.now >= voteWithheldUntil) {
             standForPreVote();
         } else if (isCandidate() && context.now >= retryAt) {
             askForVotes();
@@ -74,7 +75,7 @@
     }
 
     double nextTick() {
-        double stands = Math.max(electionAt, withheldUntil);
+        double stands = Math.max(electionTimeoutAt, voteWithheldUntil);
         return isCandidate() ? Math.min(retryAt, stands) : stands;
     }
 
@@ -83,8 +84,9 @@
     }
 
     private void delayElection() {
-        double leases = (context.leaving ? LEAVING_WAITS : 0) + 0.5;
-        electionAt = context.now + context.lease() * (leases + context.random.nextDouble() / 2);
+        double leases = (context.leaving ? LEAVING_DELAY_LEASES : 0) + 0.5;
+        electionTimeoutAt =
+                context.now + context.lease() * (leases + context.random.nextDouble() / 2);
     }
 
     // ---- As a candidate ----
@@ -94,7 +96,7 @@
         context.leader = null;
         candidateTerm = Math.max(candidateTerm, context.term + 1);
         delayElection();
-        if (!context.guarded(ConsensusSafeguard.PRE_VOTE)) {
+        if (!context.hasSafeguard(ConsensusSafeguard.PRE_VOTE)) {
             stand();
             return;
         }
@@ -110,7 +112,7 @@
         context.term = Math.max(context.term + 1, candidateTerm);
         context.votedFor = context.self;
         votes.clear();
-        retryAt = electionAt;
+        retryAt = electionTimeoutAt;
         durability.saveVote();
         long term = context.term;
         Runnable ask =
@@ -121,7 +123,7 @@
                         countVotes();
                     }
                 };
-        if (context.guarded(ConsensusSafeguard.VOTE_DURABLE_BEFORE_REPLY)) {
+        if (context.hasSafeguard(ConsensusSafeguard.VOTE_DURABLE_BEFORE_REPLY)) {
             durability.whenSaved(ask);
         } else {
             ask.run();
@@ -134,9 +136,10 @@
         RaftLog log = context.log;
         ConsensusMessage request =
                 context.role == Role.PRE_CANDIDATE
-                        ? new ConsensusMessage.PreVote(candidateTerm, log.lastTerm(), log.last())
+                        ? new ConsensusMessage.PreVote(
+                                candidateTerm, log.lastTerm(), log.lastIndex())
                         : new ConsensusMessage.RequestVote(
-                                context.term, log.lastTerm(), log.last());
+                                context.term, log.lastTerm(), log.lastIndex());
         for (Member member : log.voters().all()) {
             if (!votes.contains(member)) {
                 context.send(member, request);
@@ -176,7 +179,8 @@
 
     void onPreVote(Member from, ConsensusMessage.PreVote request) {
         boolean granted =
-                mayVote(from, request.term()) && upToDate(request.lastTerm(), request.last());
+                mayVote(from, request.term())
+                        && upToDate(request.lastLogTerm(), request.lastLogIndex());
         context.send(
                 from, new ConsensusMessage.PreVoteReply(request.term(), granted, context.term));
     }
@@ -184,8 +188,8 @@
     void onRequestVote(Member from, ConsensusMessage.RequestVote request) {
         boolean repeated =
                 from.equals(context.votedFor)
-                        || !context.guarded(ConsensusSafeguard.ONE_VOTE_PER_TERM)
-                                && upToDate(request.lastTerm(), request.last());
+                        || !context.hasSafeguard(ConsensusSafeguard.ONE_VOTE_PER_TERM)
+                                && upToDate(request.lastLogTerm(), request.lastLogIndex());
         if (request.term() == context.term && repeated && context.role != Role.LEADER) {
             grant(from, request.term());
             return;
@@ -197,7 +201,7 @@
         context.term = request.term();
         context.votedFor = null;
         context.follow(null);
-        boolean granted = upToDate(request.lastTerm(), request.last());
+        boolean granted = upToDate(request.lastLogTerm(), request.lastLogIndex());
         if (granted) {
             context.votedFor = from;
             delayElection();
@@ -211,8 +215,8 @@
     /** Whom this member follows may be voted for at any time: it has no lease while it stands. */
     private boolean mayVote(Member from, long term) {
         boolean withheld =
-                context.now < withheldUntil
-                        && context.guarded(ConsensusSafeguard.VOTE_WITHHELD_DURING_LEASE);
+                context.now < voteWithheldUntil
+                        && context.hasSafeguard(ConsensusSafeguard.VOTE_WITHHELD_DURING_LEASE);
         return term > context.term
                 && (!withheld || from.equals(context.votedFor))
                 && !leads.getAsBoolean();
@@ -220,9 +224,9 @@
 
     private boolean upToDate(long lastTerm, long last) {
         RaftLog log = context.log;
-        return !context.guarded(ConsensusSafeguard.VOTE_ONLY_FOR_UP_TO_DATE_LOG)
+        return !context.hasSafeguard(ConsensusSafeguard.VOTE_ONLY_FOR_UP_TO_DATE_LOG)
                 || lastTerm > log.lastTerm()
-                || lastTerm == log.lastTerm() && last >= log.last();
+                || lastTerm == log.lastTerm() && last >= log.lastIndex();
     }
 
     private void grant(Member to, long term) {
@@ -232,7 +236,7 @@
                         context.send(to, new ConsensusMessage.VoteReply(term, true));
                     }
                 };
-        if (context.guarded(ConsensusSafeguard.VOTE_DURABLE_BEFORE_REPLY)) {
+        if (context.hasSafeguard(ConsensusSafeguard.VOTE_DURABLE_BEFORE_REPLY)) {
             durability.whenSaved(reply);
         } else {
             reply.run();
@@ -255,9 +259,10 @@
             durability.saveVote();
         }
         context.follow(from);
-        withheldUntil = Math.max(withheldUntil, context.now + context.lease());
-        double leaving = context.leaving ? LEAVING_WAITS : 0;
-        electionAt = withheldUntil + context.lease() * (leaving + context.random.nextDouble() / 2);
+        voteWithheldUntil = Math.max(voteWithheldUntil, context.now + context.lease());
+        double leaving = context.leaving ? LEAVING_DELAY_LEASES : 0;
+        electionTimeoutAt =
+                voteWithheldUntil + context.lease() * (leaving + context.random.nextDouble() / 2);
     }
 
     /** Another member is in a higher term: this one leads no more. */
@@ -271,13 +276,13 @@
     /** Leads no more, and stands again after a while. */
     void stepDown() {
         context.follow(null);
-        electionAt = context.now + context.lease();
+        electionTimeoutAt = context.now + context.lease();
         delayElectionIfLeaving();
     }
 
     private void delayElectionIfLeaving() {
         if (context.leaving) {
-            electionAt = context.now + LEAVING_WAITS * context.lease();
+            electionTimeoutAt = context.now + LEAVING_DELAY_LEASES * context.lease();
         }
     }
 
@@ -285,10 +290,10 @@
         if (message.term() == context.term && from.equals(context.leader)) {
             // The lease was given up by its holder.
             resignedTerm = message.term();
-            withheldUntil = context.now;
+            voteWithheldUntil = context.now;
             context.leader = null;
-            if (message.heir().equals(context.self)) {
-                electionAt = context.now;
+            if (message.successor().equals(context.self)) {
+                electionTimeoutAt = context.now;
             } else {
                 delayElection();
             }
--- a/src/main/java/gingerspool/consensus/Follower.java
+++ b/src/main/java/gingerspool/consensus/Follower.java
@@ -23,9 +23,9 @@
             refuse(from, -1, 0, message.sentAt());
             return;
         }
-        long previous = message.previous();
-        if (previous > log.last()) {
-            refuse(from, log.last(), 0, message.sentAt());
+        long previous = message.previousIndex();
+        if (previous > log.lastIndex()) {
+            refuse(from, log.lastIndex(), 0, message.sentAt());
             return;
         }
         if (!log.matches(previous, message.previousTerm())) {
@@ -33,11 +33,11 @@
             return;
         }
         long changedFrom = store(message);
-        if (changedFrom <= log.last()) {
+        if (changedFrom <= log.lastIndex()) {
             durability.saveEntries(changedFrom, null);
         }
         long matching = previous + message.entries().size();
-        accept(from, matching, message.committed(), message.sentAt());
+        accept(from, matching, message.commitIndex(), message.sentAt());
     }
 
     private void refuse(Member from, long last, long conflictTerm, double sentAt) {
@@ -51,16 +51,16 @@
     private long store(ConsensusMessage.AppendEntries message) {
         RaftLog log = context.log;
         long changedFrom = Long.MAX_VALUE;
-        long index = message.previous();
+        long index = message.previousIndex();
         for (LogEntry entry : message.entries()) {
             index++;
-            if (index <= log.base().index()) {
+            if (index <= log.snapshot().index()) {
                 continue;
             }
             boolean differs =
-                    index <= log.last()
+                    index <= log.lastIndex()
                             && (log.termAt(index) != entry.term()
-                                    || !context.guarded(
+                                    || !context.hasSafeguard(
                                             ConsensusSafeguard.TRUNCATE_ONLY_ON_CONFLICT));
             if (differs) {
                 // What the leader does not have was never committed.
@@ -68,7 +68,7 @@
                 durability.truncated(index - 1);
                 changedFrom = Math.min(changedFrom, index);
             }
-            if (index > log.last()) {
+            if (index > log.lastIndex()) {
                 log.append(entry);
                 changedFrom = Math.min(changedFrom, index);
             }
@@ -83,7 +83,7 @@
     private double leaseAnswer(double sentAt) {
         boolean durable =
                 durability.voteIsDurable()
-                        || !context.guarded(ConsensusSafeguard.LEASE_COUNTS_DURABLE_VOTES);
+                        || !context.hasSafeguard(ConsensusSafeguard.LEASE_COUNTS_DURABLE_VOTES);
         return durable ? sentAt : Double.NEGATIVE_INFINITY;
     }
 
@@ -94,19 +94,19 @@
             long term = context.term;
             durability.whenSaved(
                     () -> {
-                        if (context.term == term && matching <= context.log.last()) {
+                        if (context.term == term && matching <= context.log.lastIndex()) {
                             answer(from, matching, sentAt);
                         }
                     });
         }
-        context.committed = Math.max(context.committed, Math.min(leaderCommitted, matching));
+        context.commitIndex = Math.max(context.commitIndex, Math.min(leaderCommitted, matching));
         onCommitted.run();
     }
 
     private void answer(Member to, long matching, double sentAt) {
         long durable = durability.durableIndex();
         long last =
-                context.guarded(ConsensusSafeguard.ACKNOWLEDGE_MATCHED_PREFIX)
+                context.hasSafeguard(ConsensusSafeguard.ACKNOWLEDGE_MATCHED_PREFIX)
                         ? Math.min(durable, matching)
                         : durable;
         context.send(to, new ConsensusMessage.AppendReply(context.term, true, last, 0, sentAt));
@@ -118,23 +118,23 @@
         SnapshotPiece piece = message.piece();
         if (!isAhead(piece)) {
             reply(from, piece, piece.pieces(), message.sentAt());
-            accept(from, piece.index(), message.committed(), message.sentAt());
+            accept(from, piece.index(), message.commitIndex(), message.sentAt());
             return;
         }
-        Snapshot whole = receiver.take(message.term(), piece);
-        if (whole == null) {
+        Snapshot complete = receiver.take(message.term(), piece);
+        if (complete == null) {
             reply(from, piece, receiver.received(piece), message.sentAt());
             return;
         }
-        install(whole);
+        install(complete);
         reply(from, piece, piece.pieces(), message.sentAt());
-        accept(from, whole.index(), message.committed(), message.sentAt());
+        accept(from, complete.index(), message.commitIndex(), message.sentAt());
     }
 
     private boolean isAhead(SnapshotPiece piece) {
-        return piece.index() > context.applied
+        return piece.index() > context.lastApplied
                 || context.log.voters().isEmpty()
-                || !context.guarded(ConsensusSafeguard.SNAPSHOT_ONLY_FORWARD);
+                || !context.hasSafeguard(ConsensusSafeguard.SNAPSHOT_ONLY_FORWARD);
     }
 
     private void reply(Member to, SnapshotPiece piece, int received, double sentAt) {
@@ -152,17 +152,17 @@
     private void install(Snapshot snapshot) {
         RaftLog log = context.log;
         boolean matches =
-                snapshot.index() > log.base().index()
+                snapshot.index() > log.snapshot().index()
                         && log.matches(snapshot.index(), snapshot.term())
-                        && context.guarded(ConsensusSafeguard.SNAPSHOT_KEEPS_MATCHING_LOG);
+                        && context.hasSafeguard(ConsensusSafeguard.SNAPSHOT_KEEPS_MATCHING_LOG);
         if (matches) {
             log.compact(snapshot);
         } else {
             log.reset(snapshot);
             durability.truncated(0);
         }
-        context.committed = Math.max(snapshot.index(), matches ? context.committed : 0);
-        context.applied = snapshot.index();
+        context.commitIndex = Math.max(snapshot.index(), matches ? context.commitIndex : 0);
+        context.lastApplied = snapshot.index();
         if (snapshot.state() != null) {
             context.environment.restore(snapshot.index(), snapshot.state());
         }
--- a/src/main/java/gingerspool/consensus/FollowerProgress.java
+++ b/src/main/java/gingerspool/consensus/FollowerProgress.java
@@ -13,10 +13,10 @@
     private record Batch(long last, int entries, long bytes) {}
 
     /** The next entry to send. */
-    long next;
+    long nextIndex;
 
     /** Up to here its log is durable and matches ours. */
-    long matched;
+    long matchIndex;
 
     /** Whether it is being found out where its log matches: then one message goes at a time. */
     boolean probing;
@@ -40,8 +40,8 @@
     private int entriesInFlight;
     private long bytesInFlight;
 
-    FollowerProgress(long next, double now) {
-        this.next = next;
+    FollowerProgress(long nextIndex, double now) {
+        this.nextIndex = nextIndex;
         heardAt = now;
     }
 
@@ -51,9 +51,9 @@
 
     void sent(List<LogEntry> batch) {
         long bytes = batch.stream().mapToLong(LogEntry::size).sum();
-        next += batch.size();
+        nextIndex += batch.size();
         if (!batch.isEmpty()) {
-            inFlight.add(new Batch(next - 1, batch.size(), bytes));
+            inFlight.add(new Batch(nextIndex - 1, batch.size(), bytes));
             entriesInFlight += batch.size();
             bytesInFlight += bytes;
         }
@@ -61,10 +61,10 @@
 
     /** All up to here has arrived and matches. */
     void matchedUpTo(long index) {
-        matched = Math.max(matched, index);
+        matchIndex = Math.max(matchIndex, index);
         probing = false;
-        next = Math.max(next, matched + 1);
-        while (!inFlight.isEmpty() && inFlight.peek().last() <= matched) {
+        nextIndex = Math.max(nextIndex, matchIndex + 1);
+        while (!inFlight.isEmpty() && inFlight.peek().last() <= matchIndex) {
             Batch arrived = inFlight.poll();
             entriesInFlight -= arrived.entries();
             bytesInFlight -= arrived.bytes();
@@ -73,7 +73,7 @@
 
     /** What is on its way is lost or does not fit: goes on from this index, 0 for a snapshot. */
     void resumeAt(long index) {
-        next = index == 0 ? 0 : Math.max(matched + 1, index);
+        nextIndex = index == 0 ? 0 : Math.max(matchIndex + 1, index);
         probing = false;
         inFlight.clear();
         entriesInFlight = 0;
--- a/src/main/java/gingerspool/consensus/LeaderLease.java
+++ b/src/main/java/gingerspool/consensus/LeaderLease.java
@@ -8,7 +8,7 @@
  */
 final class LeaderLease {
     /** The part of the lease that is trusted, since clocks run a little apart. */
-    private static final double TRUSTED = 0.75;
+    private static final double TRUSTED_PART = 0.75;
 
     private final ReplicaContext context;
     private final Replication replication;
@@ -21,7 +21,9 @@
     /** Until when the lease is trusted. */
     double end() {
         double trusted =
-                context.guarded(ConsensusSafeguard.LEASE_TRUSTED_IN_PART) ? TRUSTED : 1 / TRUSTED;
+                context.hasSafeguard(ConsensusSafeguard.LEASE_TRUSTED_IN_PART)
+                        ? TRUSTED_PART
+                        : 1 / TRUSTED_PART;
         return context.quorumSet().reached(replication::leaseAcknowledgedAt, 0)
                 + trusted * context.lease();
     }
@@ -30,10 +32,10 @@
      * Whether this member leads, has its lease, and has applied all that was committed before its
      * term: only then it may answer for the state, and do what only one may.
      */
-    boolean leads(double at) {
+    boolean isActiveLeader(double at) {
         return context.role == Role.LEADER
                 && (replication.isOwnTermCommitted()
-                        || !context.guarded(ConsensusSafeguard.SERVE_AFTER_OWN_TERM_COMMITTED))
+                        || !context.hasSafeguard(ConsensusSafeguard.SERVE_AFTER_OWN_TERM_COMMITTED))
                 && at < end();
     }
 
@@ -44,7 +46,7 @@
     boolean isLost() {
         double since = Math.max(end(), replication.electedAt() + context.lease());
         return context.role == Role.LEADER
-                && context.guarded(ConsensusSafeguard.STEP_DOWN_WITHOUT_LEASE)
+                && context.hasSafeguard(ConsensusSafeguard.STEP_DOWN_WITHOUT_LEASE)
                 && context.now > since + context.lease();
     }
 }
--- a/src/main/java/gingerspool/consensus/LeadershipTransfer.java
+++ b/src/main/java/gingerspool/consensus/LeadershipTransfer.java
@@ -19,26 +19,26 @@
      * look for the new leader. Nothing happens where no voter answers.
      */
     void run() {
-        Member heir = heir();
-        if (heir == null) {
+        Member successor = successor();
+        if (successor == null) {
             return;
         }
-        ConsensusMessage message = new ConsensusMessage.TimeoutNow(context.term, heir);
+        ConsensusMessage message = new ConsensusMessage.TimeoutNow(context.term, successor);
         replication.followers().keySet().forEach(member -> context.send(member, message));
         election.stepDown();
     }
 
-    private Member heir() {
-        Member heir = null;
+    private Member successor() {
+        Member successor = null;
         long most = -1;
         for (Map.Entry<Member, FollowerProgress> e : replication.followers().entrySet()) {
             boolean able =
                     context.log.voters().contains(e.getKey()) && replication.isHeard(e.getKey(), 1);
-            if (able && e.getValue().matched > most) {
-                heir = e.getKey();
-                most = e.getValue().matched;
+            if (able && e.getValue().matchIndex > most) {
+                successor = e.getKey();
+                most = e.getValue().matchIndex;
             }
         }
-        return heir;
+        return successor;
     }
 }
--- a/src/main/java/gingerspool/consensus/Membership.java
+++ b/src/main/java/gingerspool/consensus/Membership.java
@@ -12,27 +12,37 @@
  */
 final class Membership {
     /** The least voters wanted, where there are machines for so many. */
-    private static final int LEAST = 3;
+    private static final int LEAST_VOTERS = 3;
 
     /**
      * A voter that has not answered a new leader at all counts as silent after so many leases: its
      * silence began before.
      */
-    private static final double SILENT_FROM_START = 0.5;
+    private static final double SILENT_AT_START_LEASES = 0.5;
 
     /** Leases within which a learner finds a new leader. */
-    private static final double FINDS_LEADER = 2;
+    private static final double LEARNER_SEARCH_LEASES = 2;
+
+    /** Why a voter is to be replaced, the most urgent reason last. */
+    private enum Replaceable {
+        NO,
+        SILENT,
+        LEAVING,
+
+        /** Another member, without its log, is on its machine. */
+        DISK_LOST
+    }
 
     private final ReplicaContext context;
     private final Replication replication;
     private final LeaderLease lease;
     private final LeadershipTransfer transfer;
 
-    /** What was committed a heartbeat ago: who has that is caught up. */
-    private long committedBefore;
+    /** What was committed a heartbeat ago: a learner that has it is caught up. */
+    private long caughtUpIndex;
 
     private double measuredAt;
-    private long committedThen;
+    private long nextCaughtUpIndex;
 
     Membership(
             ReplicaContext context,
@@ -47,15 +57,15 @@
 
     /** A new term is led: a learner must have its first entry to be caught up. */
     void begin() {
-        committedBefore = replication.termStart();
-        committedThen = committedBefore;
+        caughtUpIndex = replication.termStart();
+        nextCaughtUpIndex = caughtUpIndex;
         measuredAt = context.now;
     }
 
     private void measure() {
         if (context.now >= measuredAt + context.heartbeat()) {
-            committedBefore = Math.max(committedBefore, committedThen);
-            committedThen = context.committed;
+            caughtUpIndex = Math.max(caughtUpIndex, nextCaughtUpIndex);
+            nextCaughtUpIndex = context.commitIndex;
             measuredAt = context.now;
         }
     }
@@ -68,13 +78,13 @@
     }
 
     /** When this member was elected. */
-    double leadsSince() {
+    double electedAt() {
         return replication.electedAt();
     }
 
     /** Whether a change of the voters is under way. */
     boolean isChanging() {
-        return context.log.voters().isJoint() || context.log.votersIndex() > context.committed;
+        return context.log.voters().isJoint() || context.log.votersIndex() > context.commitIndex;
     }
 
     /** Whether a learner could replace this member at once. */
@@ -86,7 +96,8 @@
     void onLeaveRequest(Member from) {
         replication.progress(from).leavingAt = context.now;
         // A new leader does not know the learners yet: they find it within about a lease.
-        boolean maybe = context.now < replication.electedAt() + FINDS_LEADER * context.lease();
+        boolean maybe =
+                context.now < replication.electedAt() + LEARNER_SEARCH_LEASES * context.lease();
         boolean waits = maybe || learners().stream().anyMatch(this::isPresent);
         context.send(from, new ConsensusMessage.LeaveReply(context.term, waits));
         advance();
@@ -97,11 +108,12 @@
         measure();
         RaftLog log = context.log;
         VoterSet voters = log.voters();
-        if (!lease.leads(context.now)
+        if (!lease.isActiveLeader(context.now)
                 || !replication.isOwnTermCommitted()
-                        && context.guarded(ConsensusSafeguard.MEMBERSHIP_CHANGE_AFTER_OWN_TERM)
-                || log.votersIndex() > context.committed
-                        && context.guarded(ConsensusSafeguard.ONE_MEMBERSHIP_CHANGE_AT_A_TIME)) {
+                        && context.hasSafeguard(ConsensusSafeguard.MEMBERSHIP_CHANGE_AFTER_OWN_TERM)
+                || log.votersIndex() > context.commitIndex
+                        && context.hasSafeguard(
+                                ConsensusSafeguard.ONE_MEMBERSHIP_CHANGE_AT_A_TIME)) {
             return;
         }
         if (voters.isJoint()) {
@@ -137,7 +149,7 @@
             ready.remove(learner);
             next.set(next.indexOf(voter), learner);
         }
-        int wanted = Math.max(LEAST, 2 * context.settings.tolerated() + 1);
+        int wanted = Math.max(LEAST_VOTERS, 2 * context.settings.toleratedLosses() + 1);
         while (next.size() < wanted && !ready.isEmpty()) {
             next.add(ready.remove(0));
         }
@@ -158,27 +170,29 @@
     private List<Member> replaceable(List<Member> voters) {
         List<Member> found = new ArrayList<>();
         for (Member voter : voters) {
-            if (urgency(voter) > 0) {
+            if (reasonToReplace(voter) != Replaceable.NO) {
                 found.add(voter);
             }
         }
-        found.sort(Comparator.comparingInt(this::urgency).reversed());
+        found.sort(Comparator.comparing(this::reasonToReplace).reversed());
         return found;
     }
 
-    private int urgency(Member voter) {
+    private Replaceable reasonToReplace(Member voter) {
         if (voter.equals(context.self)) {
-            return context.leaving ? 2 : 0;
+            return context.leaving ? Replaceable.LEAVING : Replaceable.NO;
         }
         FollowerProgress progress = replication.progress(voter);
         if (learners().stream().anyMatch(l -> l.ip().equals(voter.ip()) && isPresent(l))) {
-            return 3;
+            return Replaceable.DISK_LOST;
         }
         if (isLeaving(voter)) {
-            return 2;
+            return Replaceable.LEAVING;
         }
-        double patience = progress.answered ? ReplicaContext.SILENT : SILENT_FROM_START;
-        return context.now > progress.heardAt + patience * context.lease() ? 1 : 0;
+        double silentLeases =
+                progress.answered ? ReplicaContext.SILENT_LEASES : SILENT_AT_START_LEASES;
+        boolean isSilent = context.now > progress.heardAt + silentLeases * context.lease();
+        return isSilent ? Replaceable.SILENT : Replaceable.NO;
     }
 
     private boolean isLeaving(Member member) {
@@ -204,8 +218,9 @@
 
     private boolean isReady(Member learner) {
         boolean caughtUp =
-                replication.progress(learner).matched >= committedBefore
-                        || !context.guarded(ConsensusSafeguard.LEARNER_CAUGHT_UP_BEFORE_VOTING);
+                replication.progress(learner).matchIndex >= caughtUpIndex
+                        || !context.hasSafeguard(
+                                ConsensusSafeguard.LEARNER_CAUGHT_UP_BEFORE_VOTING);
         return isPresent(learner) && caughtUp;
     }
 }
--- a/src/main/java/gingerspool/consensus/RaftLog.java
+++ b/src/main/java/gingerspool/consensus/RaftLog.java
@@ -8,18 +8,18 @@
 
 /** The log in memory: a snapshot, the entries after it, and where among them the voters change. */
 final class RaftLog {
-    private Snapshot base;
+    private Snapshot snapshot;
     private final List<LogEntry> entries = new ArrayList<>();
     private final TreeMap<Long, VoterSet> voterChanges = new TreeMap<>();
     private long bytes;
 
-    RaftLog(Snapshot base, List<LogEntry> entries) {
-        this.base = base;
+    RaftLog(Snapshot snapshot, List<LogEntry> entries) {
+        this.snapshot = snapshot;
         entries.forEach(this::append);
     }
 
-    Snapshot base() {
-        return base;
+    Snapshot snapshot() {
+        return snapshot;
     }
 
     /** The size of the entries after the snapshot, about, in bytes. */
@@ -28,16 +28,16 @@
     }
 
     /** The index of the last entry. */
-    long last() {
-        return base.index() + entries.size();
+    long lastIndex() {
+        return snapshot.index() + entries.size();
     }
 
     long lastTerm() {
-        return termAt(last());
+        return termAt(lastIndex());
     }
 
     long termAt(long index) {
-        return index == base.index() ? base.term() : entry(index).term();
+        return index == snapshot.index() ? snapshot.term() : entry(index).term();
     }
 
     LogEntry entry(long index) {
@@ -45,17 +45,17 @@
     }
 
     private int position(long index) {
-        return (int) (index - base.index() - 1);
+        return (int) (index - snapshot.index() - 1);
     }
 
     /** Whether the log has an entry of this term there, or had one within its snapshot. */
     boolean matches(long index, long term) {
-        return index <= last() && (index < base.index() || termAt(index) == term);
+        return index <= lastIndex() && (index < snapshot.index() || termAt(index) == term);
     }
 
     /** All entries from an index on. */
     List<LogEntry> from(long index) {
-        return index > last()
+        return index > lastIndex()
                 ? List.of()
                 : List.copyOf(entries.subList(position(index), entries.size()));
     }
@@ -64,7 +64,7 @@
     List<LogEntry> batch(long index, int mostEntries, long mostBytes) {
         List<LogEntry> batch = new ArrayList<>();
         long size = 0;
-        for (long i = index; i <= last() && batch.size() < mostEntries; i++) {
+        for (long i = index; i <= lastIndex() && batch.size() < mostEntries; i++) {
             size += entry(i).size();
             if (size > mostBytes && !batch.isEmpty()) {
                 break;
@@ -77,7 +77,7 @@
     /** The first index after the snapshot from which on up to this one all have its term. */
     long firstOfTermAt(long index) {
         long first = index;
-        while (first - 1 > base.index() && termAt(first - 1) == termAt(index)) {
+        while (first - 1 > snapshot.index() && termAt(first - 1) == termAt(index)) {
             first--;
         }
         return first;
@@ -85,8 +85,8 @@
 
     /** The last index not beyond this one whose term is not above that. */
     long lastUpToTerm(long index, long term) {
-        long found = Math.min(index, last());
-        while (found > base.index() && termAt(found) > term) {
+        long found = Math.min(index, lastIndex());
+        while (found > snapshot.index() && termAt(found) > term) {
             found--;
         }
         return found;
@@ -96,7 +96,7 @@
         entries.add(entry);
         bytes += entry.size();
         if (entry.voters() != null) {
-            voterChanges.put(last(), entry.voters());
+            voterChanges.put(lastIndex(), entry.voters());
         }
     }
 
@@ -108,16 +108,16 @@
     }
 
     /** Replaces all entries up to the snapshot's by it, and keeps those after. */
-    void compact(Snapshot snapshot) {
-        entries.subList(0, position(snapshot.index()) + 1).clear();
-        base = snapshot;
-        voterChanges.headMap(snapshot.index(), true).clear();
+    void compact(Snapshot next) {
+        entries.subList(0, position(next.index()) + 1).clear();
+        snapshot = next;
+        voterChanges.headMap(next.index(), true).clear();
         measure();
     }
 
     /** Replaces everything by a snapshot. */
-    void reset(Snapshot snapshot) {
-        base = snapshot;
+    void reset(Snapshot next) {
+        snapshot = next;
         entries.clear();
         voterChanges.clear();
         bytes = 0;
@@ -129,18 +129,18 @@
 
     /** The voters by the newest entry, committed or not: these are in force. */
     VoterSet voters() {
-        return voterChanges.isEmpty() ? base.voters() : voterChanges.lastEntry().getValue();
+        return voterChanges.isEmpty() ? snapshot.voters() : voterChanges.lastEntry().getValue();
     }
 
     /** The index of the entry that made these the voters. */
     long votersIndex() {
-        return voterChanges.isEmpty() ? base.index() : voterChanges.lastKey();
+        return voterChanges.isEmpty() ? snapshot.index() : voterChanges.lastKey();
     }
 
     /** The voters once this index was appended. */
     VoterSet votersAt(long index) {
         Map.Entry<Long, VoterSet> change = voterChanges.floorEntry(index);
-        return change == null ? base.voters() : change.getValue();
+        return change == null ? snapshot.voters() : change.getValue();
     }
 
     /** The voters by the entries after an index. */
--- a/src/main/java/gingerspool/consensus/Replica.java
+++ b/src/main/java/gingerspool/consensus/Replica.java
@@ -5,15 +5,21 @@
 import java.util.Set;
 
 /**
- * One replica of the log of commands, by the Raft algorithm: each term has one leader, which
- * appends commands; an entry is committed once more members than may be lost, and a majority, hold
- * it durably. The leader serves under a lease. Voters change by joint consensus. Without I/O, clock
- * or thread: times are milliseconds of a steady clock, and effects go to a ReplicaEnvironment.
+ * One replica of the log of commands, by the Raft algorithm (Ongaro and Ousterhout, 2014).
+ *
+ * <p>Invariants: each term has one leader at the most; an entry is committed once a majority of the
+ * voters, and more members than may be lost, hold it durably; a committed entry is in the log of
+ * every later leader. The leader serves only under a lease. Voters change by joint consensus.
+ *
+ * <p>Roles: a follower becomes a pre-candidate when it has heard no leader for a lease, a candidate
+ * when a majority would vote for it, and the leader when a majority has; it is a follower again
+ * when it hears of a newer term or has had no lease for the length of one.
+ *
+ * <p>Without I/O, clock or thread: times are milliseconds of a steady clock, effects go to a {@link
+ * ReplicaEnvironment}. All calls must come from one thread. This class joins the parts and hands
+ * each message to the one that it is for; the state that they share is in {@link ReplicaContext}.
  */
 public final class Replica {
-    /** The log is replaced by a snapshot once it is so many times as large as the last one. */
-    private static final int SNAPSHOT_FACTOR = 2;
-
     private final ReplicaContext context;
     private final Durability durability;
     private final Election election;
@@ -23,9 +29,7 @@
     private final Departure departure;
     private final Contacts contacts;
     private final Follower follower;
-
-    /** The size of the applied entries that no snapshot holds, in bytes. */
-    private long appliedBytes;
+    private final StateMachineDriver stateMachine;
 
     /**
      * A member as its disk left it. Who was there at the first start passes the founders and no
@@ -38,30 +42,31 @@
             ReplicaSettings settings,
             double now,
             ReplicaEnvironment environment) {
-        boolean founds = disk == null && founders.contains(self);
+        boolean bootstraps = disk == null && founders.contains(self);
         Snapshot base =
                 disk != null
                         ? disk.snapshot()
-                        : new Snapshot(0, 0, founds ? founders : List.of(), null);
+                        : new Snapshot(0, 0, bootstraps ? founders : List.of(), null);
         RaftLog log = new RaftLog(base, disk == null ? List.of() : disk.entries());
         Member member = disk == null ? self : disk.self();
         context = new ReplicaContext(settings, environment, member, log);
         context.now = now;
-        context.committed = base.index();
-        context.applied = base.index();
+        context.commitIndex = base.index();
+        context.lastApplied = base.index();
         if (disk != null) {
             context.term = disk.term();
             context.votedFor = disk.votedFor();
         }
-        durability = new Durability(context, log.last(), this::onDurableEntries);
+        durability = new Durability(context, log.lastIndex(), this::onDurableEntries);
+        stateMachine = new StateMachineDriver(context, durability);
         replication = new Replication(context, durability, this::onCommitted);
         lease = new LeaderLease(context, replication);
         election =
                 new Election(
                         context,
                         durability,
-                        founds,
-                        () -> lease.leads(context.now),
+                        bootstraps,
+                        () -> lease.isActiveLeader(context.now),
                         this::onElected);
         LeadershipTransfer transfer = new LeadershipTransfer(context, replication, election);
         membership = new Membership(context, replication, lease, transfer);
@@ -96,10 +101,10 @@
         return !context.isVoter();
     }
 
-    /** Who leads, as far as known lately, or null. */
+    /** The leader, as far as it was heard of within a lease, or null. */
     public Member leader(double at) {
         if (context.role == Role.LEADER) {
-            return leads(at) ? context.self : null;
+            return isActiveLeader(at) ? context.self : null;
         }
         return election.leader(at);
     }
@@ -108,8 +113,8 @@
      * Whether this member leads, has its lease, and has applied all that was committed before its
      * term: only then it may answer for the state, and do what only one may.
      */
-    public boolean leads(double at) {
-        return lease.leads(at);
+    public boolean isActiveLeader(double at) {
+        return lease.isActiveLeader(at);
     }
 
     /** Whether this member was elected for its term and has not stepped down; see leads(). */
@@ -119,7 +124,7 @@
 
     /** The index of the last applied entry. */
     public long appliedIndex() {
-        return context.applied;
+        return context.lastApplied;
     }
 
     /**
@@ -166,7 +171,7 @@
      */
     public boolean propose(double at, byte[] command) {
         context.now = at;
-        if (!leads(at)) {
+        if (!isActiveLeader(at)) {
             return false;
         }
         replication.append(LogEntry.command(context.term, command));
@@ -178,7 +183,7 @@
     public void compact(double at) {
         context.now = at;
         if (!context.log.voters().isEmpty()) {
-            makeSnapshot();
+            stateMachine.makeSnapshot();
         }
     }
 
@@ -226,53 +231,26 @@
     }
 
     private void onCommitted() {
-        while (context.applied < Math.min(context.committed, context.log.last())) {
-            context.applied++;
-            LogEntry entry = context.log.entry(context.applied);
-            appliedBytes += entry.size();
-            if (entry.command() != null) {
-                context.environment.apply(context.applied, entry.command());
-            }
-        }
-        byte[] state = context.log.base().state();
-        long last = state == null ? 0 : (long) SNAPSHOT_FACTOR * state.length;
-        if (appliedBytes > Math.max(context.settings.snapshotFloor(), last)) {
-            makeSnapshot();
-        }
-        if (context.role == Role.LEADER
-                && (context.log.voters().isJoint()
-                        || !context.log.voters().contains(context.self))) {
+        stateMachine.applyCommitted();
+        VoterSet voters = context.log.voters();
+        if (context.role == Role.LEADER && (voters.isJoint() || !voters.contains(context.self))) {
             membership.advance();
         }
     }
 
-    /** Puts the applied state in the place of the applied entries. */
-    private void makeSnapshot() {
-        RaftLog log = context.log;
-        long index = context.applied;
-        log.compact(
-                new Snapshot(
-                        index,
-                        log.termAt(index),
-                        log.votersAt(index),
-                        context.environment.snapshotState()));
-        appliedBytes = 0;
-        durability.saveEntries(index + 1, log.base());
-    }
-
     // ---- Messages ----
 
     /** A message came for an earlier member of this machine: its sender may know the leader. */
-    public void hear(Member from) {
+    public void noteSender(Member from) {
         if (!from.ip().equals(context.self.ip())) {
-            contacts.hear(from.ip());
+            contacts.noteAddress(from.ip());
         }
     }
 
     /** A message for this member. */
     public void receive(double at, Member from, ConsensusMessage message) {
         context.now = at;
-        hear(from);
+        noteSender(from);
         if (message instanceof ConsensusMessage.AppendEntries m) {
             if (heardLeader(from, m.term())) {
                 follower.onAppendEntries(from, m);
@@ -322,7 +300,7 @@
 
     /** Whether it comes from the leader of our term or a newer one; others are told so. */
     private boolean heardLeader(Member from, long term) {
-        if (term < context.term && context.guarded(ConsensusSafeguard.OLD_TERMS_REFUSED)) {
+        if (term < context.term && context.hasSafeguard(ConsensusSafeguard.OLD_TERMS_REFUSED)) {
             context.send(
                     from,
                     new ConsensusMessage.AppendReply(
--- a/src/main/java/gingerspool/consensus/ReplicaContext.java
+++ b/src/main/java/gingerspool/consensus/ReplicaContext.java
@@ -13,10 +13,10 @@
     }
 
     /** Heartbeats a lease. */
-    static final double HEARTBEATS = 6;
+    static final double HEARTBEATS_PER_LEASE = 6;
 
     /** A member that was not heard for so many leases is silent. */
-    static final double SILENT = 2;
+    static final double SILENT_LEASES = 2;
 
     final ReplicaSettings settings;
     final ReplicaEnvironment environment;
@@ -34,8 +34,8 @@
     /** The leader of the term, or null where it is not known. */
     Member leader;
 
-    long committed;
-    long applied;
+    long commitIndex;
+    long lastApplied;
 
     /** Whether this member is about to leave. */
     boolean leaving;
@@ -49,8 +49,8 @@
         random = new SplittableRandom(settings.randomSeed());
     }
 
-    boolean guarded(ConsensusSafeguard safeguard) {
-        return settings.guarded(safeguard);
+    boolean hasSafeguard(ConsensusSafeguard safeguard) {
+        return settings.hasSafeguard(safeguard);
     }
 
     double lease() {
@@ -58,7 +58,7 @@
     }
 
     double heartbeat() {
-        return settings.lease() / HEARTBEATS;
+        return settings.lease() / HEARTBEATS_PER_LEASE;
     }
 
     void send(Member to, ConsensusMessage message) {
@@ -68,7 +68,7 @@
     /** Those whose majorities decide. */
     VoterSet quorumSet() {
         VoterSet voters = log.voters();
-        return voters.isJoint() && !guarded(ConsensusSafeguard.JOINT_QUORUM)
+        return voters.isJoint() && !hasSafeguard(ConsensusSafeguard.JOINT_QUORUM)
                 ? VoterSet.of(voters.incoming())
                 : voters;
     }
@@ -79,13 +79,13 @@
      * can win.
      */
     boolean isVoter() {
-        if (!guarded(ConsensusSafeguard.REMOVAL_ONLY_BY_COMMITTED_CHANGE)) {
+        if (!hasSafeguard(ConsensusSafeguard.REMOVAL_ONLY_BY_COMMITTED_CHANGE)) {
             return log.voters().contains(self);
         }
-        if (log.votersAt(committed).contains(self)) {
+        if (log.votersAt(commitIndex).contains(self)) {
             return true;
         }
-        for (VoterSet voters : log.votersAfter(committed)) {
+        for (VoterSet voters : log.votersAfter(commitIndex)) {
             if (voters.contains(self)) {
                 return true;
             }
--- a/src/main/java/gingerspool/consensus/ReplicaSettings.java
+++ b/src/main/java/gingerspool/consensus/ReplicaSettings.java
@@ -15,7 +15,7 @@
  * @param disabled safeguards that a test takes out; none in production
  */
 public record ReplicaSettings(
-        int tolerated,
+        int toleratedLosses,
         double lease,
         List<String> seeds,
         long randomSeed,
@@ -26,11 +26,11 @@
     private static final int PIECE_BYTES = 1 << 16;
 
     /** Settings of a production replica. */
-    public ReplicaSettings(int tolerated, double lease, List<String> seeds, long randomSeed) {
-        this(tolerated, lease, seeds, randomSeed, SNAPSHOT_FLOOR, PIECE_BYTES, Set.of());
+    public ReplicaSettings(int toleratedLosses, double lease, List<String> seeds, long randomSeed) {
+        this(toleratedLosses, lease, seeds, randomSeed, SNAPSHOT_FLOOR, PIECE_BYTES, Set.of());
     }
 
-    boolean guarded(ConsensusSafeguard safeguard) {
+    boolean hasSafeguard(ConsensusSafeguard safeguard) {
         return !disabled.contains(safeguard);
     }
 }
--- a/src/main/java/gingerspool/consensus/Replication.java
+++ b/src/main/java/gingerspool/consensus/Replication.java
@@ -49,7 +49,7 @@
     }
 
     boolean isOwnTermCommitted() {
-        return context.committed >= termStart;
+        return context.commitIndex >= termStart;
     }
 
     Map<Member, FollowerProgress> followers() {
@@ -58,7 +58,7 @@
 
     FollowerProgress progress(Member member) {
         return followers.computeIfAbsent(
-                member, k -> new FollowerProgress(context.log.last() + 1, context.now));
+                member, k -> new FollowerProgress(context.log.lastIndex() + 1, context.now));
     }
 
     /** When the newest heartbeat was sent that this voter answered. */
@@ -67,7 +67,9 @@
     }
 
     private double durableAt(Member member) {
-        return member.equals(context.self) ? durability.durableIndex() : progress(member).matched;
+        return member.equals(context.self)
+                ? durability.durableIndex()
+                : progress(member).matchIndex;
     }
 
     /** Whether a member has answered within so many leases. */
@@ -84,14 +86,14 @@
     void begin() {
         followers.clear();
         electedAt = context.now;
-        termStart = context.log.last() + 1;
+        termStart = context.log.lastIndex() + 1;
         append(LogEntry.begin(context.term));
     }
 
     /** Appends an entry and sends it. */
     void append(LogEntry entry) {
         context.log.append(entry);
-        durability.saveEntries(context.log.last(), null);
+        durability.saveEntries(context.log.lastIndex(), null);
         for (Member member : recipients()) {
             send(member, false);
         }
@@ -113,7 +115,7 @@
         }
         heartbeatAt = context.now + context.heartbeat();
         VoterSet voters = context.log.voters();
-        double silentSince = context.now - ReplicaContext.SILENT * context.lease();
+        double silentSince = context.now - ReplicaContext.SILENT_LEASES * context.lease();
         followers
                 .entrySet()
                 .removeIf(e -> !voters.contains(e.getKey()) && e.getValue().heardAt < silentSince);
@@ -133,20 +135,22 @@
     /** Sends a member what it lacks, as far as there is room; a heartbeat in any case. */
     private void send(Member to, boolean heartbeat) {
         FollowerProgress progress = progress(to);
-        if (progress.next <= context.log.base().index()) {
+        if (progress.nextIndex <= context.log.snapshot().index()) {
             sendSnapshot(to, progress, heartbeat);
             return;
         }
         progress.snapshot = null;
         boolean due = heartbeat;
         while (due
-                || progress.next <= context.log.last() && progress.hasRoom() && !progress.probing) {
+                || progress.nextIndex <= context.log.lastIndex()
+                        && progress.hasRoom()
+                        && !progress.probing) {
             due = false;
             List<LogEntry> batch =
                     progress.hasRoom()
-                            ? context.log.batch(progress.next, BATCH_ENTRIES, BATCH_BYTES)
+                            ? context.log.batch(progress.nextIndex, BATCH_ENTRIES, BATCH_BYTES)
                             : List.of();
-            long previous = progress.next - 1;
+            long previous = progress.nextIndex - 1;
             context.send(
                     to,
                     new ConsensusMessage.AppendEntries(
@@ -154,7 +158,7 @@
                             previous,
                             context.log.termAt(previous),
                             batch,
-                            context.committed,
+                            context.commitIndex,
                             context.now));
             if (!progress.probing) {
                 progress.sent(batch);
@@ -163,7 +167,7 @@
     }
 
     private void sendSnapshot(Member to, FollowerProgress progress, boolean heartbeat) {
-        Snapshot base = context.log.base();
+        Snapshot base = context.log.snapshot();
         if (progress.snapshot == null || progress.snapshot.snapshot != base) {
             progress.snapshot =
                     new SnapshotSender(base, digestOf(base), context.settings.pieceBytes());
@@ -177,7 +181,7 @@
                                 new ConsensusMessage.InstallSnapshot(
                                         context.term,
                                         sender.piece(number),
-                                        context.committed,
+                                        context.commitIndex,
                                         context.now)));
     }
 
@@ -207,11 +211,11 @@
             return;
         }
         if (reply.matched()) {
-            progress.matchedUpTo(reply.last());
+            progress.matchedUpTo(reply.lastIndex());
             advanceCommit();
         } else if (progress.probing
                 && reply.conflictTerm() == 0
-                && reply.last() >= progress.next - 1) {
+                && reply.lastIndex() >= progress.nextIndex - 1) {
             // Others of the messages that did not match were in flight: the probe is, too.
             return;
         } else {
@@ -225,8 +229,8 @@
 
     /** Backs up by whole terms: past all entries of a term that the follower does not have. */
     private long resumption(FollowerProgress progress, ConsensusMessage.AppendReply reply) {
-        long resume = Math.min(progress.next - 1, reply.last() + 1);
-        if (reply.conflictTerm() == 0 || resume <= context.log.base().index()) {
+        long resume = Math.min(progress.nextIndex - 1, reply.lastIndex() + 1);
+        if (reply.conflictTerm() == 0 || resume <= context.log.snapshot().index()) {
             return resume;
         }
         return Math.min(resume, context.log.lastUpToTerm(resume, reply.conflictTerm()) + 1);
@@ -253,14 +257,14 @@
         if (context.role != Role.LEADER) {
             return;
         }
-        boolean copies = context.guarded(ConsensusSafeguard.MORE_COPIES_THAN_LOSSES);
-        int least = copies ? context.settings.tolerated() + 1 : 0;
+        boolean copies = context.hasSafeguard(ConsensusSafeguard.MORE_COPIES_THAN_LOSSES);
+        int least = copies ? context.settings.toleratedLosses() + 1 : 0;
         long held = (long) context.quorumSet().reached(this::durableAt, least);
         // What older terms left counts only with an entry of this term behind it.
-        if (held > context.committed
+        if (held > context.commitIndex
                 && (context.log.termAt(held) == context.term
-                        || !context.guarded(ConsensusSafeguard.COMMIT_ONLY_OWN_TERM))) {
-            context.committed = held;
+                        || !context.hasSafeguard(ConsensusSafeguard.COMMIT_ONLY_OWN_TERM))) {
+            context.commitIndex = held;
             heartbeatAt = context.now;
             onCommitted.run();
         }
--- a/src/main/java/gingerspool/consensus/SnapshotReceiver.java
+++ b/src/main/java/gingerspool/consensus/SnapshotReceiver.java
@@ -65,7 +65,7 @@
         SnapshotPiece of = first;
         forget();
         boolean right = SnapshotDigest.of(state).equals(of.digest());
-        if (!right && context.guarded(ConsensusSafeguard.SNAPSHOT_DIGEST_CHECKED)) {
+        if (!right && context.hasSafeguard(ConsensusSafeguard.SNAPSHOT_DIGEST_CHECKED)) {
             return null;
         }
         return new Snapshot(
--- a/src/main/java/gingerspool/controlplane/CoreMember.java
+++ b/src/main/java/gingerspool/controlplane/CoreMember.java
@@ -139,7 +139,7 @@
     }
 
     boolean isLeading() {
-        return replica.leads(loop.now());
+        return replica.isActiveLeader(loop.now());
     }
 
     /** This process is about to end; see Replica.leave. */
@@ -234,7 +234,7 @@
             replica.receive(loop.now(), envelope.from(), envelope.message());
             afterReplica();
         } else {
-            replica.hear(envelope.from());
+            replica.noteSender(envelope.from());
         }
     }
 
--- a/src/main/java/gingerspool/controlplane/Leadership.java
+++ b/src/main/java/gingerspool/controlplane/Leadership.java
@@ -43,7 +43,7 @@
             duties = null;
             end.run();
         }
-        if (duties == null && replica.leads(now)) {
+        if (duties == null && replica.isActiveLeader(now)) {
             term = replica.term();
             LOG.info("duty.started term={} members={}", term, replica.members());
             duties = begin.apply(term);
--- a/src/main/java/gingerspool/controlplane/OperatorCalls.java
+++ b/src/main/java/gingerspool/controlplane/OperatorCalls.java
@@ -75,7 +75,7 @@
         } else if (call instanceof OperatorCall.Status) {
             byte[] text = status.get().getBytes(StandardCharsets.UTF_8);
             call.reply().answer(200, List.of("Content-Type: text/plain"), text);
-        } else if (!replica.get().leads(loop.now())) {
+        } else if (!replica.get().isActiveLeader(loop.now())) {
             redirect(call);
         } else if (call instanceof OperatorCall.Read) {
             read(call);
--- a/src/main/java/gingerspool/controlplane/RepairExchange.java
+++ b/src/main/java/gingerspool/controlplane/RepairExchange.java
@@ -71,7 +71,7 @@
     void compare() {
         Member leader = replica.leader(loop.now());
         List<Long> own = RangeDigests.digests(state.items());
-        if (replica.leads(loop.now())) {
+        if (replica.isActiveLeader(loop.now())) {
             repair.compare(
                     ip,
                     replica.members().stream().map(Member::ip).toList(),
--- a/src/test/java/gingerspool/consensus/LogRepairTest.java
+++ b/src/test/java/gingerspool/consensus/LogRepairTest.java
@@ -103,7 +103,7 @@
         cluster.arrives =
                 e -> {
                     if (e.message() instanceof ConsensusMessage.AppendReply r && r.matched()) {
-                        acknowledged[0] = Math.max(acknowledged[0], r.last());
+                        acknowledged[0] = Math.max(acknowledged[0], r.lastIndex());
                     }
                     return false;
                 };
--- a/src/test/java/gingerspool/consensus/SnapshotTransferTest.java
+++ b/src/test/java/gingerspool/consensus/SnapshotTransferTest.java
@@ -174,7 +174,7 @@
                             e.from(),
                             e.to(),
                             new ConsensusMessage.InstallSnapshot(
-                                    m.term(), changed, m.committed(), m.sentAt()));
+                                    m.term(), changed, m.commitIndex(), m.sentAt()));
                 };
         away.comeBack();
         away.cluster.run(2000);
--- a/src/test/java/gingerspool/consensus/TestCluster.java
+++ b/src/test/java/gingerspool/consensus/TestCluster.java
@@ -126,7 +126,7 @@
         }
 
         boolean leads() {
-            return replica != null && replica.leads(now);
+            return replica != null && replica.isActiveLeader(now);
         }
     }
 
--- a/src/test/java/gingerspool/controlplane/CoreModel.java
+++ b/src/test/java/gingerspool/controlplane/CoreModel.java
@@ -106,7 +106,7 @@
         }
 
         boolean leads() {
-            return isUp() && replica.leads(loop.now());
+            return isUp() && replica.isActiveLeader(loop.now());
         }
 
         private void tick(int of) {
--- a/src/test/java/gingerspool/simulation/ConsensusSimulation.java
+++ b/src/test/java/gingerspool/simulation/ConsensusSimulation.java
@@ -167,7 +167,7 @@
             if (envelope.isFor(replica.self())) {
                 replica.receive(clock(), envelope.from(), envelope.message());
             } else {
-                replica.hear(envelope.from());
+                replica.noteSender(envelope.from());
             }
         }
 
@@ -392,14 +392,14 @@
                 sent.from(),
                 sent.to(),
                 new ConsensusMessage.InstallSnapshot(
-                        m.term(), wrongBytes, m.committed(), m.sentAt()));
+                        m.term(), wrongBytes, m.commitIndex(), m.sentAt()));
     }
 
     /** One duty holder at a time, and fences that go up. */
     private void checkLeaders() {
         String holder = null;
         for (Machine m : machines.values()) {
-            if (m.replica != null && m.replica.leads(now + m.ahead)) {
+            if (m.replica != null && m.replica.isActiveLeader(now + m.ahead)) {
                 wrong(holder != null, holder + " and " + m.ip + " hold the duty");
                 holder = m.ip;
                 wrong(
@@ -476,7 +476,10 @@
         operators.stop();
         run(now + 2 * LEASE);
         Machine leader =
-                up().stream().filter(m -> m.replica.leads(m.clock())).findFirst().orElse(null);
+                up().stream()
+                        .filter(m -> m.replica.isActiveLeader(m.clock()))
+                        .findFirst()
+                        .orElse(null);
         wrong(leader == null, "nobody leads in the end");
         if (leader != null) {
             String seen = operators.verdict(leader.state);
--- a/src/test/java/gingerspool/simulation/PermittedLosses.java
+++ b/src/test/java/gingerspool/simulation/PermittedLosses.java
@@ -147,7 +147,7 @@
     }
 
     private static boolean leads(Machine machine) {
-        return machine.replica.leads(machine.clock());
+        return machine.replica.isActiveLeader(machine.clock());
     }
 
     /** A machine goes for good, and a new one comes. */
--- a/src/test/java/gingerspool/simulation/ScriptedFaults.java
+++ b/src/test/java/gingerspool/simulation/ScriptedFaults.java
@@ -50,7 +50,9 @@
         List<Machine> found = new ArrayList<>();
         for (Machine machine : cluster.machines.values()) {
             if (machine.replica != null && !machine.replica.isLearner()) {
-                found.add(machine.replica.leads(machine.clock()) ? 0 : found.size(), machine);
+                found.add(
+                        machine.replica.isActiveLeader(machine.clock()) ? 0 : found.size(),
+                        machine);
             }
         }
         return found;
--- a/src/test/java/gingerspool/simulation/SimulatedFaults.java
+++ b/src/test/java/gingerspool/simulation/SimulatedFaults.java
@@ -76,7 +76,7 @@
 
     private Machine leaderOrAny() {
         return cluster.machines.values().stream()
-                .filter(m -> m.replica != null && m.replica.leads(m.clock()))
+                .filter(m -> m.replica != null && m.replica.isActiveLeader(m.clock()))
                 .findFirst()
                 .orElseGet(this::any);
     }
--- a/src/test/java/gingerspool/simulation/SimulatedOperators.java
+++ b/src/test/java/gingerspool/simulation/SimulatedOperators.java
@@ -97,7 +97,7 @@
         /** What a control process does with a call. */
         private void run(ConsensusSimulation.Machine machine) {
             double clock = machine.clock();
-            if (!machine.replica.leads(clock)) {
+            if (!machine.replica.isActiveLeader(clock)) {
                 Member leader = machine.replica.leader(clock);
                 boolean known = leader != null && !leader.equals(machine.replica.self());
                 answer(known ? REDIRECT : UNAVAILABLE, known ? leader.ip() : null, true);
--- a/src/test/java/gingerspool/simulation/SmallCluster.java
+++ b/src/test/java/gingerspool/simulation/SmallCluster.java
@@ -223,7 +223,10 @@
     }
 
     private Node leader() {
-        return nodes.stream().filter(n -> !n.gone && n.replica.leads(now)).findFirst().orElse(null);
+        return nodes.stream()
+                .filter(n -> !n.gone && n.replica.isActiveLeader(now))
+                .findFirst()
+                .orElse(null);
     }
 
     private Node unsynced() {
@@ -398,7 +401,7 @@
         if (p.recipient.id().isEmpty() || p.recipient.equals(to.replica.self())) {
             to.replica.receive(now, p.sender, p.message);
         } else {
-            to.replica.hear(p.sender);
+            to.replica.noteSender(p.sender);
         }
     }
 
@@ -460,7 +463,7 @@
     private void check() {
         int leaders = 0;
         for (Node n : nodes) {
-            if (!n.gone && n.replica.leads(now)) {
+            if (!n.gone && n.replica.isActiveLeader(now)) {
                 leaders++;
                 long term = n.replica.term();
                 wrong(
--- a/src/test/java/gingerspool/storage/StoredCore.java
+++ b/src/test/java/gingerspool/storage/StoredCore.java
@@ -155,7 +155,7 @@
     Node leader() throws StorageException {
         for (int i = 0; i < 100; i++) {
             for (Node node : nodes.values()) {
-                if (node.replica.leads(now)) {
+                if (node.replica.isActiveLeader(now)) {
                     return node;
                 }
             }
