--- a/src/main/java/gingerspool/capacity/ConfigurationSeries.java
+++ b/src/main/java/gingerspool/capacity/ConfigurationSeries.java
@@ -175,8 +175,8 @@
             ConfigurationState state, SampleConfiguration sample, int functions) {
         long version = state.version();
         ConfigurationState.Verdict verdict =
-                state.take(false, version, sample.change(version + 1, functions));
-        if (verdict.status() != ConfigurationState.TAKEN) {
+                state.apply(false, version, sample.change(version + 1, functions));
+        if (verdict.status() != ConfigurationState.ACCEPTED) {
             throw new IllegalStateException(verdict.text());
         }
     }
--- a/src/main/java/gingerspool/capacity/HollowCore.java
+++ b/src/main/java/gingerspool/capacity/HollowCore.java
@@ -70,8 +70,8 @@
         public void apply(long index, byte[] command) {
             try {
                 Messages.ChangeCommand c = (Messages.ChangeCommand) codec.read(command);
-                ConfigurationState.Verdict v = state.take(c.whole(), c.on(), c.body());
-                if (v.status() != ConfigurationState.TAKEN) {
+                ConfigurationState.Verdict v = state.apply(c.whole(), c.on(), c.body());
+                if (v.status() != ConfigurationState.ACCEPTED) {
                     throw new IllegalStateException(v.text());
                 }
             } catch (MalformedMessageException e) {
--- a/src/main/java/gingerspool/capacity/SampleConfiguration.java
+++ b/src/main/java/gingerspool/capacity/SampleConfiguration.java
@@ -89,8 +89,8 @@
     /** The same with any number of routes. */
     public ConfigurationState state(int functions, int routes) {
         ConfigurationState state = new ConfigurationState();
-        ConfigurationState.Verdict verdict = state.take(true, 0, whole(1, functions, routes));
-        if (verdict.status() != ConfigurationState.TAKEN) {
+        ConfigurationState.Verdict verdict = state.apply(true, 0, whole(1, functions, routes));
+        if (verdict.status() != ConfigurationState.ACCEPTED) {
             throw new IllegalStateException(verdict.text());
         }
         return state;
--- a/src/main/java/gingerspool/cli/Platforms.java
+++ b/src/main/java/gingerspool/cli/Platforms.java
@@ -100,8 +100,8 @@
         @Override
         public Integer call() throws IOException {
             ConfigurationState.Verdict v =
-                    new ConfigurationState().take(true, 0, Files.readAllBytes(file));
-            if (v.status() == ConfigurationState.TAKEN) {
+                    new ConfigurationState().apply(true, 0, Files.readAllBytes(file));
+            if (v.status() == ConfigurationState.ACCEPTED) {
                 spec.commandLine().getOut().println(file + ": can be taken");
                 return 0;
             }
--- a/src/main/java/gingerspool/configuration/AcceptedChanges.java
+++ b/src/main/java/gingerspool/configuration/AcceptedChanges.java
@@ -16,15 +16,15 @@
  * make the same blocks on every member. See docs/adr/0005-accepted-changes.md for the bound.
  */
 final class AcceptedChanges {
-    /** So many are kept at the most. */
-    static final int MOST = 50_000;
+    /** The most changes that are kept. */
+    static final int CHANGES_MOST = 50_000;
 
-    private static final int IN_BLOCK = 256;
+    private static final int CHANGES_PER_BLOCK = 256;
 
-    /** Bytes of a digest, the first of a SHA-256. */
-    private static final int DIGEST = 16;
+    /** The first bytes of a SHA-256 are the digest. */
+    private static final int DIGEST_BYTES = 16;
 
-    private static final int RECORD = Long.BYTES + DIGEST;
+    private static final int RECORD_BYTES = Long.BYTES + DIGEST_BYTES;
 
     /** By the first version of each block: its records, version and digest, in order. */
     private final TreeMap<Long, byte[]> blocks = new TreeMap<>();
@@ -36,9 +36,9 @@
         try {
             MessageDigest sha = MessageDigest.getInstance("SHA-256");
             sha.update((whole + " " + on + " ").getBytes(StandardCharsets.US_ASCII));
-            return Arrays.copyOf(sha.digest(body), DIGEST);
+            return Arrays.copyOf(sha.digest(body), DIGEST_BYTES);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("every Java platform has SHA-256", e);
         }
     }
 
@@ -49,7 +49,7 @@
             return false;
         }
         ByteBuffer records = ByteBuffer.wrap(block.getValue());
-        byte[] found = new byte[DIGEST];
+        byte[] found = new byte[DIGEST_BYTES];
         while (records.hasRemaining()) {
             long at = records.getLong();
             records.get(found);
@@ -63,14 +63,14 @@
     /** Versions only go up. */
     void add(long version, byte[] digest) {
         Map.Entry<Long, byte[]> last = blocks.lastEntry();
-        boolean fits = last != null && last.getValue().length < IN_BLOCK * RECORD;
+        boolean fits = last != null && last.getValue().length < CHANGES_PER_BLOCK * RECORD_BYTES;
         byte[] block = fits ? last.getValue() : new byte[0];
-        byte[] grown = Arrays.copyOf(block, block.length + RECORD);
-        ByteBuffer.wrap(grown, block.length, RECORD).putLong(version).put(digest);
+        byte[] grown = Arrays.copyOf(block, block.length + RECORD_BYTES);
+        ByteBuffer.wrap(grown, block.length, RECORD_BYTES).putLong(version).put(digest);
         blocks.put(fits ? last.getKey() : version, grown);
         count++;
-        while (count > MOST) {
-            count -= blocks.pollFirstEntry().getValue().length / RECORD;
+        while (count > CHANGES_MOST) {
+            count -= blocks.pollFirstEntry().getValue().length / RECORD_BYTES;
         }
     }
 
@@ -93,11 +93,11 @@
         for (Map.Entry<?, ?> e : blocks.entrySet()) {
             try {
                 byte[] records = Base64.getDecoder().decode((String) e.getValue());
-                if (records.length == 0 || records.length % RECORD != 0) {
+                if (records.length == 0 || records.length % RECORD_BYTES != 0) {
                     throw new InvalidConfigurationException("a block of " + records.length);
                 }
                 made.blocks.put(Long.parseLong((String) e.getKey()), records);
-                made.count += records.length / RECORD;
+                made.count += records.length / RECORD_BYTES;
             } catch (IllegalArgumentException | ClassCastException bad) {
                 throw new InvalidConfigurationException("a block that can't be read: " + bad);
             }
@@ -112,7 +112,8 @@
                 (version, digest) ->
                         sorted.put(
                                 Long.parseLong((String) version),
-                                Arrays.copyOf(HexFormat.of().parseHex((String) digest), DIGEST)));
+                                Arrays.copyOf(
+                                        HexFormat.of().parseHex((String) digest), DIGEST_BYTES)));
         AcceptedChanges made = new AcceptedChanges();
         sorted.forEach(made::add);
         return made;
--- a/src/main/java/gingerspool/configuration/ConfigurationState.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationState.java
@@ -8,7 +8,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -17,22 +16,24 @@
 import java.util.TreeMap;
 
 /**
- * The configuration that is in force, and what was taken lately. Commands come in the one order, so
- * each member decides the same of each. It is kept as it was sent, fields that nobody knows
- * included.
+ * The configuration in force and the changes accepted lately: the state machine of the log.
+ *
+ * <p>Invariants: versions only go up; the same commands in the same order make the same state on
+ * every member; the configuration is kept as it was sent, fields that nobody knows included. For
+ * one thread; the control node owns it.
  */
 public final class ConfigurationState {
-    public static final int TAKEN = 200;
-    public static final int OTHER_VERSION = 412;
+    public static final int ACCEPTED = 200;
+    public static final int VERSION_CONFLICT = 412;
     public static final int INVALID = 400;
 
     /** What became of a change: where it was taken, now or before, the version that it made. */
     public record Verdict(int status, String text, long version) {
-        static Verdict taken(long version) {
-            return new Verdict(TAKEN, "taken", version);
+        static Verdict accepted(long version) {
+            return new Verdict(ACCEPTED, "taken", version);
         }
 
-        static Verdict refused(int status, String why) {
+        static Verdict rejected(int status, String why) {
             return new Verdict(status, why, 0);
         }
     }
@@ -58,7 +59,7 @@
     // ---- Commands ----
 
     /** A whole configuration, or changes to the one in force, made on a version. */
-    public Verdict take(boolean whole, long on, byte[] body) {
+    public Verdict apply(boolean whole, long on, byte[] body) {
         byte[] digest = AcceptedChanges.digest(whole, on, body);
         try {
             Object sent = Json.read(body, 0, body.length);
@@ -67,15 +68,15 @@
             }
             long version = version(said);
             if (accepted.contains(version, digest)) {
-                return Verdict.taken(version);
+                return Verdict.accepted(version);
             }
             if (on != version()) {
-                return Verdict.refused(OTHER_VERSION, "the version in force is " + version());
+                return Verdict.rejected(VERSION_CONFLICT, "the version in force is " + version());
             }
             Map<String, Object> next = whole ? copy(said) : changed(said);
             Configuration typed = typed(next);
-            check(typed);
-            checkWeights(next);
+            ConfigurationRules.check(typed);
+            ConfigurationRules.checkWeights(next);
             if (version <= version()) {
                 throw new InvalidConfigurationException(
                         "Version " + version + " is not higher than " + version());
@@ -83,9 +84,9 @@
             tree = next;
             configuration = typed;
             accepted.add(version, digest);
-            return Verdict.taken(version);
+            return Verdict.accepted(version);
         } catch (BadMessage | InvalidConfigurationException e) {
-            return Verdict.refused(INVALID, e.getMessage());
+            return Verdict.rejected(INVALID, e.getMessage());
         }
     }
 
@@ -108,17 +109,20 @@
     private Map<String, Object> changed(Map<?, ?> said) throws InvalidConfigurationException {
         Map<String, Object> next = copy(tree);
         next.put("Version", said.get("Version"));
-        Set<Object> lists = new HashSet<>(table(said, "Upserts").keySet());
-        lists.addAll(table(said, "Removals").keySet());
+        Set<Object> lists = new HashSet<>(JsonItems.table(said, "Upserts").keySet());
+        lists.addAll(JsonItems.table(said, "Removals").keySet());
         for (Object list : lists) {
             Map<Object, Object> byName = new LinkedHashMap<>();
-            for (Object item : list(next.get(list), String.valueOf(list))) {
+            for (Object item : JsonItems.list(next.get(list), String.valueOf(list))) {
                 byName.put(JsonTree.at(item, "Name"), item);
             }
-            for (Object name : list(table(said, "Removals").get(list), "Removals." + list)) {
+            for (Object name :
+                    JsonItems.list(
+                            JsonItems.table(said, "Removals").get(list), "Removals." + list)) {
                 byName.remove(name);
             }
-            for (Object item : list(table(said, "Upserts").get(list), "Upserts." + list)) {
+            for (Object item :
+                    JsonItems.list(JsonItems.table(said, "Upserts").get(list), "Upserts." + list)) {
                 if (JsonTree.text(null, item, "Name") == null) {
                     throw new InvalidConfigurationException(
                             "an item of Upserts." + list + " has no Name");
@@ -130,22 +134,6 @@
         return next;
     }
 
-    private static Map<?, ?> table(Map<?, ?> said, String key)
-            throws InvalidConfigurationException {
-        Object at = said.get(key);
-        if (at != null && !(at instanceof Map<?, ?>)) {
-            throw new InvalidConfigurationException(key + " is no object");
-        }
-        return at == null ? Map.of() : (Map<?, ?>) at;
-    }
-
-    private static List<?> list(Object at, String key) throws InvalidConfigurationException {
-        if (at != null && !(at instanceof List<?>)) {
-            throw new InvalidConfigurationException(key + " is no list");
-        }
-        return at == null ? List.of() : (List<?>) at;
-    }
-
     private static Configuration typed(Map<String, Object> tree)
             throws InvalidConfigurationException {
         try {
@@ -157,68 +145,6 @@
         }
     }
 
-    /** The rules that any configuration keeps. */
-    private static void check(Configuration c) throws InvalidConfigurationException {
-        Set<String> services = new HashSet<>();
-        for (Service s : c.getServicesList()) {
-            if (s.getName().isEmpty() || !services.add(s.getName())) {
-                throw new InvalidConfigurationException(
-                        "Services: \"" + s.getName() + "\" stands twice or has no Name");
-            }
-        }
-        Set<String> names = new HashSet<>();
-        Map<String, String> places = new HashMap<>();
-        for (Route r : c.getRoutesList()) {
-            String at = "Routes: \"" + r.getName() + "\" ";
-            if (r.getName().isEmpty() || !names.add(r.getName())) {
-                throw new InvalidConfigurationException(at + "stands twice or has no Name");
-            }
-            if (!services.contains(r.getService())) {
-                throw new InvalidConfigurationException(
-                        at + "names Service \"" + r.getService() + "\", which isn't there");
-            }
-            if (r.hasTimeout() && r.getTimeout() <= 0) {
-                throw new InvalidConfigurationException(at + "has TimeoutMs " + r.getTimeout());
-            }
-            String other =
-                    places.put(RouteTable.host(r.getHost()) + " " + r.getPrefix(), r.getName());
-            if (other != null) {
-                throw new InvalidConfigurationException(
-                        at + "has the HostName and PathPrefix of \"" + other + "\"");
-            }
-        }
-    }
-
-    /**
-     * Where a route is split over a list, the weights in it must not sum to 0. Routes of today's
-     * sites name one service, so no field of our own has weights.
-     */
-    private static void checkWeights(Map<String, Object> tree)
-            throws InvalidConfigurationException {
-        for (Object route : list(tree.get("Routes"), "Routes")) {
-            if (route instanceof Map<?, ?> fields) {
-                for (Map.Entry<?, ?> field : fields.entrySet()) {
-                    if (field.getValue() instanceof List<?> parts && weighsNothing(parts)) {
-                        throw new InvalidConfigurationException(
-                                "Routes: \"%s\" has weights in %s that sum to 0"
-                                        .formatted(fields.get("Name"), field.getKey()));
-                    }
-                }
-            }
-        }
-    }
-
-    private static boolean weighsNothing(List<?> parts) {
-        double sum = 0;
-        for (Object part : parts) {
-            if (!(JsonTree.at(part, "Weight") instanceof Number weight)) {
-                return false;
-            }
-            sum += weight.doubleValue();
-        }
-        return !parts.isEmpty() && sum <= 0;
-    }
-
     // ---- Repair ----
 
     /**
@@ -230,10 +156,7 @@
         tree.forEach(
                 (field, value) -> {
                     if (value instanceof List<?> l) {
-                        all.put("N/" + field, Json.write(List.of(l.size())));
-                        for (int i = 0; i < l.size(); i++) {
-                            all.put("L/" + field + "/" + i, Json.write(Arrays.asList(l.get(i))));
-                        }
+                        JsonItems.putList(all, field, l);
                     } else {
                         all.put("F/" + field, Json.write(Arrays.asList(value)));
                     }
@@ -246,19 +169,22 @@
     /**
      * Takes items in place of whatever is known here; what makes no configuration is refused whole.
      */
-    public void mend(Map<String, String> items) throws InvalidConfigurationException {
+    public void repair(Map<String, String> items) throws InvalidConfigurationException {
         Map<String, Object> next = new LinkedHashMap<>();
         Map<String, Object> blocks = new TreeMap<>();
         try {
             for (Map.Entry<String, String> e : items.entrySet()) {
                 String name = e.getKey().substring(2);
                 switch (e.getKey().charAt(0)) {
-                    case 'T' -> blocks.put(name, value(e.getValue()));
-                    case 'F' -> next.put(name, value(e.getValue()));
+                    case 'T' -> blocks.put(name, JsonItems.value(e.getValue()));
+                    case 'F' -> next.put(name, JsonItems.value(e.getValue()));
                     case 'N' ->
                             next.put(
                                     name,
-                                    list(items, name, ((Number) value(e.getValue())).intValue()));
+                                    JsonItems.readList(
+                                            items,
+                                            name,
+                                            ((Number) JsonItems.value(e.getValue())).intValue()));
                     default -> {}
                 }
             }
@@ -275,24 +201,6 @@
         accepted = changes;
     }
 
-    private static List<Object> list(Map<String, String> items, String name, int length)
-            throws BadMessage, InvalidConfigurationException {
-        List<Object> list = new ArrayList<>();
-        for (int i = 0; i < length; i++) {
-            String item = items.get("L/" + name + "/" + i);
-            if (item == null) {
-                throw new InvalidConfigurationException(name + " lacks item " + i);
-            }
-            list.add(value(item));
-        }
-        return list;
-    }
-
-    private static Object value(String item) throws BadMessage {
-        byte[] b = item.getBytes(StandardCharsets.UTF_8);
-        return ((List<?>) Json.read(b, 0, b.length)).get(0);
-    }
-
     // ---- To and from a snapshot ----
 
     public byte[] state() {
--- a/src/main/java/gingerspool/controlplane/CoreMember.java
+++ b/src/main/java/gingerspool/controlplane/CoreMember.java
@@ -271,7 +271,7 @@
             Messages.ChangeCommand change = (Messages.ChangeCommand) node.codec().read(command);
             long before = state.version();
             ConfigurationState.Verdict verdict =
-                    state.take(change.whole(), change.on(), change.body());
+                    state.apply(change.whole(), change.on(), change.body());
             if (state.version() != before) {
                 LOG.info("config.committed version={} index={}", state.version(), index);
                 node.onConfigurationChanged();
--- a/src/main/java/gingerspool/controlplane/OperatorCalls.java
+++ b/src/main/java/gingerspool/controlplane/OperatorCalls.java
@@ -125,7 +125,7 @@
 
     /** A command was committed and applied. */
     void applied(long id, ConfigurationState.Verdict verdict) {
-        boolean isTaken = verdict.status() == ConfigurationState.TAKEN;
+        boolean isTaken = verdict.status() == ConfigurationState.ACCEPTED;
         refused += isTaken ? 0 : 1;
         OperatorCall.Change call = pending.remove(id);
         if (call != null && isTaken) {
--- a/src/main/java/gingerspool/controlplane/RepairExchange.java
+++ b/src/main/java/gingerspool/controlplane/RepairExchange.java
@@ -109,7 +109,7 @@
             return;
         }
         try {
-            state.mend(RangeDigests.replaced(state.items(), message.ranges(), message.items()));
+            state.repair(RangeDigests.replaced(state.items(), message.ranges(), message.items()));
             replica.compact(loop.now());
             LOG.warn(
                     "state.repaired from={} index={} version={}",
--- a/src/main/java/gingerspool/storage/DurableLog.java
+++ b/src/main/java/gingerspool/storage/DurableLog.java
@@ -34,14 +34,14 @@
     private static final Logger LOG = LogManager.getLogger(DurableLog.class);
 
     /** The format of what is written here; of older ones format 1 is read. */
-    static final int FORM = 2;
+    static final int FORMAT = 2;
 
-    private static final int FORM_1 = 1;
+    private static final int FORMAT_1 = 1;
 
     /** A file that is larger than this part of the disk is replaced. */
-    private static final double FULL = 0.2;
+    private static final double FULL_DISK_PART = 0.2;
 
-    private static final int MB = 1 << 20;
+    private static final int BYTES_PER_MB = 1 << 20;
 
     /** What stands under `promise`. */
     public record Vote(Member self, long term, Member votedFor) {}
@@ -51,7 +51,7 @@
     /** What comes before a file's name for H2's file layer: "" for the disk itself. */
     private final String scheme;
 
-    private final long fileMost;
+    private final long fileBytesMost;
     private final KryoCodec codec =
             new KryoCodec(
                     List.of(
@@ -72,7 +72,7 @@
     DurableLog(LogFolder folder, double diskMb, String scheme) {
         this.folder = folder;
         this.scheme = scheme;
-        fileMost = (long) Math.max(MB, diskMb * MB * FULL);
+        fileBytesMost = (long) Math.max(BYTES_PER_MB, diskMb * BYTES_PER_MB * FULL_DISK_PART);
     }
 
     /**
@@ -130,13 +130,13 @@
 
     private KryoCodec codecOf(Path file, byte[] form)
             throws UnreadableLogException, UnsupportedFormatException {
-        if (form == null || form.length != 1 || form[0] < FORM_1) {
+        if (form == null || form.length != 1 || form[0] < FORMAT_1) {
             throw new UnreadableLogException("no format");
         }
-        if (form[0] > FORM) {
-            throw new UnsupportedFormatException(file, form[0], FORM);
+        if (form[0] > FORMAT) {
+            throw new UnsupportedFormatException(file, form[0], FORMAT);
         }
-        return form[0] == FORM_1 ? LogFormat1.codec() : codec;
+        return form[0] == FORMAT_1 ? LogFormat1.codec() : codec;
     }
 
     private static Snapshot snapshot(Object read) {
@@ -199,22 +199,22 @@
 
     /** Whether the file has grown so that the whole content should go to a new one. */
     public boolean isFull() {
-        return store != null && !store.isClosed() && store.getFileStore().size() > fileMost;
+        return store != null && !store.isClosed() && store.getFileStore().size() > fileBytesMost;
     }
 
     /** Writes all content to a new file; older ones are gone for good when this returns. */
-    public void rewrite(LogWrite whole) throws StorageException {
-        boolean isWhole = false;
+    public void rewrite(LogWrite complete) throws StorageException {
+        boolean isComplete = false;
         try {
             create();
-            put(whole);
+            put(complete);
             store.commit();
             store.sync();
             folder.sync();
-            isWhole = true;
+            isComplete = true;
             removeOlder();
         } catch (IOException | MVStoreException | IllegalStateException e) {
-            abandon(isWhole);
+            abandon(isComplete);
             throw new StorageException("can't write to " + folder, e);
         }
     }
@@ -233,10 +233,10 @@
      * Guards a full disk against what failed attempts leave. A file that is whole stays: of the
      * older ones some may be gone already.
      */
-    private void abandon(boolean isWhole) {
+    private void abandon(boolean isComplete) {
         close();
         try {
-            if (!isWhole) {
+            if (!isComplete) {
                 folder.delete(folder.file(number));
             }
         } catch (IOException e) {
@@ -245,7 +245,7 @@
     }
 
     private void put(LogWrite c) {
-        meta.put("form", new byte[] {FORM});
+        meta.put("form", new byte[] {FORMAT});
         meta.put("promise", codec.write(new Vote(c.self(), c.term(), c.votedFor())));
         if (c.snapshot() != null) {
             meta.put("base", codec.write(c.snapshot()));
--- a/src/main/java/gingerspool/storage/LogWriter.java
+++ b/src/main/java/gingerspool/storage/LogWriter.java
@@ -23,7 +23,7 @@
     private static final Logger LOG = LogManager.getLogger(LogWriter.class);
 
     /** How long it waits after the disk has failed. */
-    private static final Duration PAUSE = Duration.ofMillis(100);
+    private static final Duration RETRY_PAUSE = Duration.ofMillis(100);
 
     /** Who the log is kept for; all calls come on the loop. */
     public interface Owner {
@@ -45,8 +45,8 @@
     private final Owner owner;
     private final WriteQueue backlog = new WriteQueue();
     private final Thread thread = new Thread(this::run, "log");
-    private volatile boolean ended;
-    private volatile boolean failing;
+    private volatile boolean isEnded;
+    private volatile boolean isFailing;
 
     /** What the newest file holds is unknown, or there may be torn bytes behind it. */
     private boolean mustRewrite = true;
@@ -57,8 +57,8 @@
                     .handle(StorageException.class)
                     .abortOn(UnsupportedFormatException.class)
                     .withMaxRetries(-1)
-                    .withDelay(PAUSE)
-                    .abortIf((done, why) -> ended)
+                    .withDelay(RETRY_PAUSE)
+                    .abortIf((persisted, why) -> isEnded)
                     .onFailedAttempt(e -> failed(e.getLastException()))
                     .build();
 
@@ -81,21 +81,21 @@
 
     /** Whether the last attempt to read or write failed. */
     public boolean isFailing() {
-        return failing;
+        return isFailing;
     }
 
     public void end() {
-        ended = true;
+        isEnded = true;
         LockSupport.unpark(thread);
     }
 
     private void run() {
-        if (tried(this::recover)) {
-            while (!ended) {
+        if (runUntilDone(this::recover)) {
+            while (!isEnded) {
                 if (backlog.isEmpty() && !log.isFull() && !mustRewrite) {
                     LockSupport.park(this);
                 } else {
-                    tried(this::work);
+                    runUntilDone(this::writeNext);
                 }
             }
         }
@@ -103,7 +103,7 @@
     }
 
     /** False where it ended first, or the log can't be used. */
-    private boolean tried(CheckedRunnable what) {
+    private boolean runUntilDone(CheckedRunnable what) {
         try {
             Failsafe.with(untilDone).run(what);
             return true;
@@ -127,7 +127,7 @@
         loop.execute(() -> owner.recovered(found));
     }
 
-    private void work() throws StorageException {
+    private void writeNext() throws StorageException {
         if (mustRewrite || log.isFull()) {
             rewrite();
         } else {
@@ -136,24 +136,24 @@
     }
 
     private void failed(Throwable why) {
-        if (!failing) {
+        if (!isFailing) {
             LOG.warn("log.failing why=\"{}\"", why.getMessage());
         }
-        failing = true;
+        isFailing = true;
         mustRewrite = true;
     }
 
     private void worksAgain() {
-        if (failing) {
+        if (isFailing) {
             LOG.info("log.recovered");
         }
-        failing = false;
+        isFailing = false;
     }
 
     private void write(List<LogWrite> changes) throws StorageException {
         if (!changes.isEmpty()) {
             log.save(changes);
-            done(changes.get(changes.size() - 1).ticket());
+            persisted(changes.get(changes.size() - 1).ticket());
         }
     }
 
@@ -171,11 +171,11 @@
         log.rewrite(all);
         worksAgain();
         mustRewrite = false;
-        done(all.ticket());
+        persisted(all.ticket());
         write(later);
     }
 
-    private void done(long ticket) {
+    private void persisted(long ticket) {
         loop.execute(() -> owner.persisted(ticket));
     }
 }
--- a/src/main/java/gingerspool/storage/WriteQueue.java
+++ b/src/main/java/gingerspool/storage/WriteQueue.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.jctools.queues.SpscUnboundedArrayQueue;
 
-/** Changes on their way from the loop, which adds, to the ledger's thread, which takes. */
+/** Changes on their way from the loop, which adds, to the log's thread, which takes. */
 final class WriteQueue {
     private static final int CHUNK = 64;
 
@@ -17,7 +17,7 @@
     }
 
     /**
-     * By the ledger's thread only: all that has come, in order, but for what this ticket covers
+     * By the log's thread only: all that has come, in order, but for what this ticket covers
      * already.
      */
     List<LogWrite> takeBeyond(long ticket) {
--- a/src/test/java/gingerspool/configuration/ConfigurationStateTest.java
+++ b/src/test/java/gingerspool/configuration/ConfigurationStateTest.java
@@ -50,7 +50,7 @@
     }
 
     private ConfigurationState.Verdict replace(long on, String text) {
-        return configurationState.take(true, on, bytes(text));
+        return configurationState.apply(true, on, bytes(text));
     }
 
     @Test
@@ -78,7 +78,7 @@
         ConfigurationState restored = new ConfigurationState();
         restored.restore(first.state());
         ConfigurationState repaired = new ConfigurationState();
-        repaired.mend(first.items());
+        repaired.repair(first.items());
         Map<String, String> items = first.items();
         for (ConfigurationState state : new ConfigurationState[] {first, restored, repaired}) {
             for (int version = 1; version <= 700; version++) {
@@ -89,11 +89,11 @@
             assertEquals(state.version(), 700);
             assertEquals(state.items(), items);
             assertEquals(
-                    state.take(true, 8, bytes(whole(9, route("x", "/x/", "s", 1)))).status(),
+                    state.apply(true, 8, bytes(whole(9, route("x", "/x/", "s", 1)))).status(),
                     412,
                     "another under a number that was taken");
             assertEquals(
-                    state.take(true, 7, bytes(whole(9, ""))).status(),
+                    state.apply(true, 7, bytes(whole(9, ""))).status(),
                     412,
                     "the same content on another version");
             assertEquals(change(state, 701).status(), 200);
@@ -101,7 +101,7 @@
     }
 
     private static ConfigurationState.Verdict change(ConfigurationState state, int version) {
-        return state.take(true, version - 1, bytes(whole(version, "")));
+        return state.apply(true, version - 1, bytes(whole(version, "")));
     }
 
     @Test
@@ -115,18 +115,19 @@
         ConfigurationState state = new ConfigurationState();
         state.restore(
                 bytes("{\"tree\":%s,\"taken\":{\"3\":\"%s\"}}".formatted(whole(3, ""), digest)));
-        assertEquals(state.take(true, 0, change).version(), 3);
+        assertEquals(state.apply(true, 0, change).version(), 3);
     }
 
     @Test
     public void remembersSoManyAndForgetsTheOldestFirst() throws Exception {
         AcceptedChanges all = new AcceptedChanges();
-        int added = AcceptedChanges.MOST + 1000;
+        int added = AcceptedChanges.CHANGES_MOST + 1000;
         for (int version = 1; version <= added; version++) {
             all.add(2L * version, AcceptedChanges.digest(true, version, new byte[0]));
         }
         assertTrue(
-                all.size() <= AcceptedChanges.MOST && all.size() > added - 1300, "" + all.size());
+                all.size() <= AcceptedChanges.CHANGES_MOST && all.size() > added - 1300,
+                "" + all.size());
         AcceptedChanges copy = AcceptedChanges.of(all.blocks());
         for (int back = 0; back < all.size(); back += 97) {
             int version = added - back;
@@ -187,17 +188,17 @@
     @Test(dataProvider = "valid")
     public void takesWhateverIsValid(String text) {
         ConfigurationState fresh = new ConfigurationState();
-        fresh.take(true, 0, bytes(whole(3, route("keep", "/k/", "s", 5))));
-        ConfigurationState.Verdict v = fresh.take(true, 3, bytes(text));
+        fresh.apply(true, 0, bytes(whole(3, route("keep", "/k/", "s", 5))));
+        ConfigurationState.Verdict v = fresh.apply(true, 3, bytes(text));
         assertEquals(v.status(), 200, v.text());
     }
 
     @Test(dataProvider = "invalid")
     public void refusesWithTheItemsName(String text, String named) {
         ConfigurationState fresh = new ConfigurationState();
-        fresh.take(true, 0, bytes(whole(3, route("keep", "/k/", "s", 5))));
+        fresh.apply(true, 0, bytes(whole(3, route("keep", "/k/", "s", 5))));
         byte[] before = fresh.text();
-        ConfigurationState.Verdict v = fresh.take(true, 3, bytes(text));
+        ConfigurationState.Verdict v = fresh.apply(true, 3, bytes(text));
         assertEquals(v.status(), 400);
         assertTrue(v.text().contains(named), v.text());
         assertEquals(fresh.text(), before, "nothing of it is taken");
@@ -206,7 +207,7 @@
     @Test
     public void changesItemsByNameAndKeepsWhatItDoesNotKnow() throws Exception {
         ConfigurationState a = new ConfigurationState();
-        a.take(
+        a.apply(
                 true,
                 0,
                 bytes(whole(3, route("r", "/a/", "s", 100) + "," + route("old", "/o/", "s", 1))));
@@ -216,7 +217,7 @@
                         + ","
                         + route("n", "/a/b/", "s", 60)
                         + "]},\"Removals\":{\"Routes\":[\"old\"]}}";
-        assertEquals(a.take(false, 3, bytes(change)).status(), 200);
+        assertEquals(a.apply(false, 3, bytes(change)).status(), 200);
         RouteTable t = new RouteTable(a.configuration());
         assertEquals(t.find("a.EXAMPLE:80", "/a/x").getTimeout(), 50);
         assertEquals(
@@ -230,7 +231,8 @@
                 JsonTree.at(((java.util.List<?>) JsonTree.at(read, "Services")).get(0), "Odd", "x")
                         .toString(),
                 "[1.0]");
-        assertEquals(b.take(false, 3, bytes(change)).status(), 200, "known again after a snapshot");
+        assertEquals(
+                b.apply(false, 3, bytes(change)).status(), 200, "known again after a snapshot");
         assertEquals(b.version(), 4);
     }
 
@@ -246,20 +248,20 @@
                                 + "{\"Name\":\"r\",\"Service\":\"s\","
                                 + "\"PathPrefix\":\"/\",\"HostName\":\"h\"}],\"Services\":[{\"Name\":\"s\"}],\"Empty\":[]}")
                         .getBytes(StandardCharsets.UTF_8);
-        assertEquals(whole.take(true, 0, sent).status(), ConfigurationState.TAKEN);
+        assertEquals(whole.apply(true, 0, sent).status(), ConfigurationState.ACCEPTED);
         ConfigurationState copy = new ConfigurationState();
-        copy.mend(whole.items());
+        copy.repair(whole.items());
         assertEquals(copy.items(), whole.items());
         assertEquals(
                 Json.read(new String(copy.text(), StandardCharsets.UTF_8)),
                 Json.read(new String(sent, StandardCharsets.UTF_8)));
         assertEquals(
-                copy.take(true, 0, sent).status(),
-                ConfigurationState.TAKEN,
+                copy.apply(true, 0, sent).status(),
+                ConfigurationState.ACCEPTED,
                 "it knows what made its version");
         Map<String, String> lacking = new HashMap<>(whole.items());
         lacking.remove("L/Routes/0");
-        assertThrows(InvalidConfigurationException.class, () -> copy.mend(lacking));
+        assertThrows(InvalidConfigurationException.class, () -> copy.repair(lacking));
         assertEquals(copy.items(), whole.items());
     }
 }
--- a/src/test/java/gingerspool/controlplane/CoreModel.java
+++ b/src/test/java/gingerspool/controlplane/CoreModel.java
@@ -182,7 +182,7 @@
         public void apply(long index, byte[] command) {
             try {
                 Messages.ChangeCommand c = (Messages.ChangeCommand) codec.read(command);
-                calls.applied(c.id(), state.take(c.whole(), c.on(), c.body()));
+                calls.applied(c.id(), state.apply(c.whole(), c.on(), c.body()));
             } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
--- a/src/test/java/gingerspool/controlplane/LeaderDutiesTest.java
+++ b/src/test/java/gingerspool/controlplane/LeaderDutiesTest.java
@@ -155,7 +155,7 @@
         Leading(Node node) {
             this.node = node;
             ConfigurationState state = new ConfigurationState();
-            state.take(true, 0, CONFIGURATION.getBytes(StandardCharsets.UTF_8));
+            state.apply(true, 0, CONFIGURATION.getBytes(StandardCharsets.UTF_8));
             schedulers = new SchedulerRegistry(core.loop, settings, state);
             schedulers.configured();
             leadership =
--- a/src/test/java/gingerspool/controlplane/RepairTest.java
+++ b/src/test/java/gingerspool/controlplane/RepairTest.java
@@ -29,7 +29,7 @@
                 new Platforms.Running(Files.createTempDirectory("repair"))) {
             assertEquals(platform.configure().statusCode(), 200);
             ConfigurationState taken = new ConfigurationState();
-            taken.take(true, 0, Platforms.Running.CONFIGURATION.getBytes());
+            taken.apply(true, 0, Platforms.Running.CONFIGURATION.getBytes());
             Map<String, String> right = taken.items();
             for (ControlNode member : platform.core) {
                 // All have delivered it once they answer to it.
@@ -50,7 +50,7 @@
                             damaged.remove("T/1");
                             try {
                                 ConfigurationState a = member.configurationState;
-                                a.mend(damaged);
+                                a.repair(damaged);
                                 await(member, right, mended);
                             } catch (gingerspool.configuration.InvalidConfigurationException e) {
                                 mended.completeExceptionally(e);
--- a/src/test/java/gingerspool/simulation/RealConfiguration.java
+++ b/src/test/java/gingerspool/simulation/RealConfiguration.java
@@ -20,7 +20,7 @@
                         + order.content()
                         + ",\"Routes\":[],\"Services\":[]}";
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        return state.take(true, order.base(), bytes).status();
+        return state.apply(true, order.base(), bytes).status();
     }
 
     @Override
--- a/src/test/java/gingerspool/storage/DurableLogTest.java
+++ b/src/test/java/gingerspool/storage/DurableLogTest.java
@@ -172,7 +172,7 @@
     public void aNewerFormatIsAnErrorAndStaysAsItIs() throws Exception {
         Path at = folder();
         try (MVStore newer = MVStore.open(at.resolve("ledger-4.mv").toString())) {
-            newer.openMap("meta").put("form", new byte[] {DurableLog.FORM + 1});
+            newer.openMap("meta").put("form", new byte[] {DurableLog.FORMAT + 1});
         }
         byte[] before = Files.readAllBytes(file(at));
         try (DurableLog log = new DurableLog(at, 128)) {
--- a/src/test/java/gingerspool/storage/LogWriterTest.java
+++ b/src/test/java/gingerspool/storage/LogWriterTest.java
@@ -147,7 +147,7 @@
     public void aNewerFormatEndsIt() throws Exception {
         Path at = folder();
         try (MVStore newer = MVStore.open(at.resolve("ledger-1.mv").toString())) {
-            newer.openMap("meta").put("form", new byte[] {DurableLog.FORM + 1});
+            newer.openMap("meta").put("form", new byte[] {DurableLog.FORMAT + 1});
         }
         start(ModelDisk.folder(at));
         assertTrue(next() instanceof UnsupportedFormatException);
--- a/src/test/java/gingerspool/storage/StoredCore.java
+++ b/src/test/java/gingerspool/storage/StoredCore.java
@@ -95,7 +95,7 @@
         public void apply(long index, byte[] command) {
             try {
                 Messages.ChangeCommand c = (Messages.ChangeCommand) codec.read(command);
-                verdict = state.take(c.whole(), c.on(), c.body());
+                verdict = state.apply(c.whole(), c.on(), c.body());
             } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
--- a/src/test/java/gingerspool/storage/StoredDiskTest.java
+++ b/src/test/java/gingerspool/storage/StoredDiskTest.java
@@ -92,16 +92,16 @@
             for (long version : new long[] {LAST, 1, 40}) {
                 ConfigurationState.Verdict again =
                         core.change(version == 1, version - 1, StoredCore.body(version));
-                assertEquals(again.status(), ConfigurationState.TAKEN);
+                assertEquals(again.status(), ConfigurationState.ACCEPTED);
                 assertEquals(again.version(), version);
             }
             assertEquals(leader.state.version(), LAST);
             assertEquals(
                     core.change(false, LAST - 1, StoredCore.body(LAST + 1)).status(),
-                    ConfigurationState.OTHER_VERSION);
+                    ConfigurationState.VERSION_CONFLICT);
             assertEquals(
                     core.change(false, LAST, StoredCore.body(LAST + 1)).status(),
-                    ConfigurationState.TAKEN);
+                    ConfigurationState.ACCEPTED);
             core.pass(1000);
         }
         try (StoredCore core = start()) {
