--- a/src/main/java/gingerspool/dataplane/ControlLinks.java
+++ b/src/main/java/gingerspool/dataplane/ControlLinks.java
@@ -94,7 +94,7 @@
     }
 
     /** How long no leader has been known. */
-    double leaderless() {
+    double leaderlessFor() {
         return leader != null
                         && loop.now() < leader.heardAt + settings.heartbeatInterval * SILENT / 2
                 ? 0
@@ -102,7 +102,7 @@
     }
 
     /** Tells the leader; false where there is none. */
-    boolean say(Object word) {
+    boolean tellLeader(Object word) {
         if (leader == null) {
             return false;
         }
--- /dev/null
+++ b/src/main/java/gingerspool/dataplane/DemandReporter.java
@@ -0,0 +1,96 @@
+package gingerspool.dataplane;
+
+import gingerspool.codec.Messages;
+
+/**
+ * Tells the leader what one function needs here: slots that are missing at once, other changes when
+ * it is asked to. Counts begin anew with each registration.
+ */
+final class DemandReporter {
+    /** What was reported to nobody yet. */
+    private static final int NOT_REPORTED = -1;
+
+    private final FunctionQueue.Environment environment;
+    private final String function;
+    private final RequestBacklog backlog;
+    private final SlotInventory inventory;
+    private final MeanServiceTime serviceTime;
+
+    /** Slots of started instances granted, and requests arrived, since the registration. */
+    private long granted;
+
+    private long arrivals;
+    private int reportedMissing;
+    private int reportedInFlight;
+    private long reportedArrivals;
+
+    DemandReporter(
+            FunctionQueue.Environment environment,
+            String function,
+            RequestBacklog backlog,
+            SlotInventory inventory,
+            MeanServiceTime serviceTime) {
+        this.environment = environment;
+        this.function = function;
+        this.backlog = backlog;
+        this.inventory = inventory;
+        this.serviceTime = serviceTime;
+    }
+
+    /** A new leader registered this scheduler. */
+    void reset() {
+        granted = 0;
+        arrivals = 0;
+        reportedArrivals = 0;
+        reportedMissing = 0;
+        reportedInFlight = NOT_REPORTED;
+    }
+
+    void onArrival() {
+        arrivals++;
+    }
+
+    /** Slots of a started instance were granted: so many fewer are missing. */
+    void onGrant(int slots) {
+        granted += slots;
+        reportedMissing = Math.max(0, reportedMissing - slots);
+    }
+
+    /** Reports where the slots that are missing have changed. */
+    void reportMissing() {
+        int missing = missingSlots();
+        if (missing != reportedMissing) {
+            report(missing);
+        }
+    }
+
+    /** Reports where anything has changed. */
+    void reportChanges() {
+        int missing = missingSlots();
+        if (missing != reportedMissing
+                || backlog.inFlight() != reportedInFlight
+                || arrivals != reportedArrivals) {
+            report(missing);
+        }
+    }
+
+    /** Whether the leader knows of requests in flight here. */
+    boolean hasReportedRequests() {
+        return reportedInFlight > 0;
+    }
+
+    private int missingSlots() {
+        return Math.max(0, backlog.waitingForSlots() - inventory.usableSlots());
+    }
+
+    private void report(int missing) {
+        int inFlight = backlog.inFlight();
+        if (environment.tellLeader(
+                new Messages.SlotDemand(
+                        function, missing, granted, inFlight, arrivals, serviceTime.mean()))) {
+            reportedMissing = missing;
+            reportedInFlight = inFlight;
+            reportedArrivals = arrivals;
+        }
+    }
+}
--- a/src/main/java/gingerspool/dataplane/HollowScheduler.java
+++ b/src/main/java/gingerspool/dataplane/HollowScheduler.java
@@ -46,7 +46,7 @@
 
     /** Tells the leader; false where there is none. */
     public boolean tell(Object message) {
-        return links.say(message);
+        return links.tellLeader(message);
     }
 
     /** A queue of a function as the scheduler makes it at the first request. */
@@ -79,12 +79,12 @@
         }
 
         @Override
-        public boolean say(Object message) {
-            return links.say(message);
+        public boolean tellLeader(Object message) {
+            return links.tellLeader(message);
         }
 
         @Override
-        public double leaderless() {
+        public double leaderlessFor() {
             return 0;
         }
 
--- /dev/null
+++ b/src/main/java/gingerspool/dataplane/InstanceConnector.java
@@ -0,0 +1,101 @@
+package gingerspool.dataplane;
+
+import gingerspool.codec.Messages;
+import gingerspool.codec.Messages.InstanceCondition;
+import java.io.IOException;
+import java.util.function.DoubleSupplier;
+
+/**
+ * Finds out when an instance that starts has come up: connects to it again and again, from about
+ * half of its start time on, as the platform's list says so much later. Then the leader is told.
+ */
+final class InstanceConnector {
+    /** When the first attempt is made, in parts of the time that the instance still needs. */
+    private static final double FIRST_PART = 0.5;
+
+    /** The pause between two attempts, in start times. */
+    private static final double PAUSE_START_TIMES = 0.03;
+
+    /** How long after its expected start an instance is given up, in start times. */
+    private static final double GIVE_UP_START_TIMES = 8;
+
+    private final FunctionQueue.Environment environment;
+    private final FunctionDispatcher dispatcher;
+    private final SlotReturns returns;
+    private final DoubleSupplier startTime;
+    private final Runnable onUp;
+
+    /** The start time is the function's; onUp runs after an instance was found to be up. */
+    InstanceConnector(
+            FunctionQueue.Environment environment,
+            FunctionDispatcher dispatcher,
+            SlotReturns returns,
+            DoubleSupplier startTime,
+            Runnable onUp) {
+        this.environment = environment;
+        this.dispatcher = dispatcher;
+        this.returns = returns;
+        this.startTime = startTime;
+        this.onUp = onUp;
+    }
+
+    /** Slots were granted of an instance that starts within this span. */
+    void awaitStart(InstanceSlot slot, double startsIn) {
+        slot.startsAt = environment.loop().now() + startsIn;
+        connectAfter(slot, FIRST_PART * startsIn);
+    }
+
+    /** The instance has started. */
+    void markUp(InstanceSlot slot) {
+        if (!slot.isUp) {
+            slot.isUp = true;
+            slot.idleSince = environment.loop().now();
+            dispatcher.publishSlots(slot);
+        }
+    }
+
+    private void connectAfter(InstanceSlot slot, double delay) {
+        if (!slot.isConnecting && !slot.isUp) {
+            slot.isConnecting = true;
+            environment
+                    .loop()
+                    .schedule(
+                            delay,
+                            () -> {
+                                slot.isConnecting = false;
+                                connect(slot);
+                            });
+        }
+    }
+
+    private void connect(InstanceSlot slot) {
+        if (slot.isUp || slot.isDraining || slot.granted == 0) {
+            return;
+        }
+        double giveUpAt = slot.startsAt + GIVE_UP_START_TIMES * startTime.getAsDouble();
+        if (environment.loop().now() > giveUpAt) {
+            returns.returnSlots(slot, slot.granted, InstanceCondition.UNREACHABLE);
+            return;
+        }
+        try {
+            slot.isConnecting = true;
+            environment
+                    .pool()
+                    .tryConnect(slot.poolIndex, slot.address, isUp -> onConnected(slot, isUp));
+        } catch (IOException e) {
+            onConnected(slot, false);
+        }
+    }
+
+    private void onConnected(InstanceSlot slot, boolean isUp) {
+        slot.isConnecting = false;
+        if (isUp) {
+            markUp(slot);
+            environment.tellLeader(
+                    new Messages.SlotReturn(slot.instance, 0, InstanceCondition.STARTED));
+            onUp.run();
+        } else {
+            connectAfter(slot, PAUSE_START_TIMES * startTime.getAsDouble());
+        }
+    }
+}
--- a/src/main/java/gingerspool/dataplane/InstanceResponse.java
+++ b/src/main/java/gingerspool/dataplane/InstanceResponse.java
@@ -33,8 +33,11 @@
                     "remaining-milliseconds",
                     "expected-instance");
 
+    /** The instance that was meant is not the one that was asked. */
+    static final int OTHER_INSTANCE = 421;
+
     /** To a client these promise that the request did not run and never will. */
-    private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
+    private static final Set<Integer> PROMISES = Set.of(408, OTHER_INSTANCE, 429, 503);
 
     private InstanceResponse() {}
 
@@ -96,7 +99,7 @@
         boolean named = id.equals(answer.field("request-id"));
         boolean says =
                 answer.field("not-executed") != null
-                        || status == 421
+                        || status == OTHER_INSTANCE
                         || !has.test(RequestSafeguard.REFUSAL_MARK) && PROMISES.contains(status);
         // Guards unsafe requests: a refusal without our id may be another request's.
         if (says && (named || !has.test(RequestSafeguard.REFUSAL_ID))) {
--- a/src/main/java/gingerspool/dataplane/InstanceSlot.java
+++ b/src/main/java/gingerspool/dataplane/InstanceSlot.java
@@ -2,12 +2,13 @@
 
 import java.net.InetSocketAddress;
 
-/** What a scheduler knows of one instance, and the slots that it holds there. */
+/** What a scheduler knows of one instance, and the slots that it holds there. Facts only. */
 final class InstanceSlot {
     final String instance;
-    final FunctionQueue desk;
     final InetSocketAddress address;
     final String zone;
+
+    /** Requests that the instance runs at once, for all schedulers. */
     final int capacity;
 
     /** Its number in the pool of connections. */
@@ -16,35 +17,41 @@
     /** Its number in the function's Dispatcher. */
     final int worker;
 
-    /** Slots that the leader gave. */
-    int held;
+    /** Slots that the leader granted, or that were taken while there was none. */
+    int granted;
+
+    /** Slots in use. */
+    int inUse;
+
+    /** Slots where something that was given up may still be running. */
+    int uncertain;
 
-    /** Slots in use, and those where something that was given up may still be running. */
-    int used;
+    /** Whether it has started. */
+    boolean isUp;
 
-    int doubtful;
-    boolean up;
+    /** Whether one of its slots was taken while there was no leader. */
+    boolean isUnassigned;
 
-    /** One of the slots held was taken while there was no leader. */
-    boolean unassigned;
+    /** Whether nothing new may go there. */
+    boolean isDraining;
 
-    /** Nothing new goes there. */
-    boolean leaving;
+    /** Whether an attempt to connect is under way or scheduled. */
+    boolean isConnecting;
 
-    boolean connecting;
+    /** When it is expected to have started. */
     double startsAt;
+
+    /** When a slot of it was last granted or freed. */
     double idleSince;
 
     InstanceSlot(
             String instance,
-            FunctionQueue desk,
             InetSocketAddress address,
             String zone,
             int capacity,
             int poolIndex,
             int worker) {
         this.instance = instance;
-        this.desk = desk;
         this.address = address;
         this.zone = zone;
         this.capacity = capacity;
@@ -52,13 +59,17 @@
         this.worker = worker;
     }
 
-    /** Slots that a task may take now. */
-    int free() {
-        return up && !leaving ? Math.max(0, held - used - doubtful) : 0;
+    /** Slots that a request may take now: none of an instance that starts or drains. */
+    int usableSlots() {
+        return isUsable() ? unusedSlots() : 0;
+    }
+
+    boolean isUsable() {
+        return isUp && !isDraining;
     }
 
-    /** Slots that are held for nothing. */
-    int idle() {
-        return Math.max(0, held - used - doubtful);
+    /** Slots that no request uses, also of an instance that starts or drains. */
+    int unusedSlots() {
+        return Math.max(0, granted - inUse - uncertain);
     }
 }
--- a/src/main/java/gingerspool/dataplane/PendingRequest.java
+++ b/src/main/java/gingerspool/dataplane/PendingRequest.java
@@ -8,40 +8,41 @@
 import java.util.List;
 import java.util.concurrent.Future;
 
-/** A client's request in hand. */
+/** A client's request in flight. Facts only. */
 final class PendingRequest extends Task {
     final Message request;
     final Route route;
-    final double cameAt;
+    final double arrivedAt;
 
     /** Within which the answer earns its full worth. */
     final double dueAt;
 
     /**
-     * Orders requests of one rank. One that came with less time than its route gives was refused
-     * before, or is a call of a worker that keeps a slot busy until it is answered: it goes first.
+     * Orders requests of one priority. One that came with less time than its route gives was
+     * rejected before, or is a call of a worker that keeps a slot busy until it is answered: it
+     * goes first.
      */
     final double urgentAt;
 
     /**
-     * It came with nearly all the time that such requests have: no earlier try of it was turned
-     * away.
+     * Whether it came with nearly all the time that such requests have: no earlier attempt of it
+     * was rejected.
      */
-    final boolean first;
+    final boolean isFirstAttempt;
 
     /** Null once it has its answer or the client has gone. */
     Inbound client;
 
     Future<?> alarm;
 
-    /** The Dispatcher has it; before that it waits for a slot. */
-    boolean placed;
+    /** Whether the Dispatcher has it; before that it waits for a slot. */
+    boolean isDispatched;
 
     /** Those under way and those that ended, by number of the assignment. */
     final List<Attempt> attempts = new ArrayList<>(1);
 
     /** Assignments that reached no instance. */
-    int unreached;
+    int unreachedAttempts;
 
     /** A failure of a worker, to be passed on if nothing better comes. */
     Message failure;
@@ -51,21 +52,21 @@
             Inbound client,
             Message request,
             Route route,
-            double cameAt,
+            double arrivedAt,
             double dueAt,
             double urgentAt,
-            boolean first) {
+            boolean isFirstAttempt) {
         super(id);
         this.client = client;
         this.request = request;
         this.route = route;
-        this.cameAt = cameAt;
+        this.arrivedAt = arrivedAt;
         this.dueAt = dueAt;
         this.urgentAt = urgentAt;
-        this.first = first;
+        this.isFirstAttempt = isFirstAttempt;
     }
 
-    boolean safe() {
+    boolean isSafe() {
         return route.getKind().equals("safe");
     }
 
--- a/src/main/java/gingerspool/dataplane/RequestRouter.java
+++ b/src/main/java/gingerspool/dataplane/RequestRouter.java
@@ -52,7 +52,7 @@
         boolean tell(Object message);
 
         /** How long there has been no leader, in milliseconds. */
-        double leaderless();
+        double leaderlessFor();
     }
 
     /** Counts of requests since the start, for the log. */
@@ -146,7 +146,7 @@
     /** All slots that this scheduler holds, by instance. */
     Map<String, Integer> heldSlots() {
         Map<String, Integer> held = new LinkedHashMap<>();
-        queues.values().forEach(queue -> queue.held(held));
+        queues.values().forEach(queue -> queue.addHoldings(held));
         return held;
     }
 
@@ -198,7 +198,7 @@
     }
 
     Counts counts() {
-        int overfull = queues.values().stream().mapToInt(queue -> queue.refusals).sum();
+        int overfull = queues.values().stream().mapToInt(queue -> queue.rejections()).sum();
         return new Counts(taken, served, refused, failed, overfull);
     }
 
@@ -348,13 +348,13 @@
     }
 
     @Override
-    public boolean say(Object message) {
+    public boolean tellLeader(Object message) {
         return control.tell(message);
     }
 
     @Override
-    public double leaderless() {
-        return control.leaderless();
+    public double leaderlessFor() {
+        return control.leaderlessFor();
     }
 
     @Override
--- a/src/main/java/gingerspool/dataplane/SchedulerNode.java
+++ b/src/main/java/gingerspool/dataplane/SchedulerNode.java
@@ -179,12 +179,12 @@
 
     @Override
     public boolean tell(Object message) {
-        return core.say(message);
+        return core.tellLeader(message);
     }
 
     @Override
-    public double leaderless() {
-        return core.leaderless();
+    public double leaderlessFor() {
+        return core.leaderlessFor();
     }
 
     private void receive(Object message) {
@@ -215,7 +215,7 @@
         if (queue != null) {
             queue.granted(grant);
         } else {
-            core.say(
+            core.tellLeader(
                     new Messages.SlotReturn(
                             grant.instance(), grant.slots(), Messages.InstanceCondition.HEALTHY));
         }
@@ -252,7 +252,7 @@
      * Tells what is in force; the digest is made anew each time, so that damage to our copy shows.
      */
     private void acknowledge() {
-        core.say(
+        core.tellLeader(
                 new Messages.ConfigurationAck(
                         router.configuration().getVersion(),
                         RangeDigests.digest(router.configuration().toByteArray())));
@@ -260,7 +260,7 @@
 
     private void acknowledgeAgain() {
         acknowledge();
-        core.say(new Messages.SlotHoldings(grants, router.heldSlots()));
+        core.tellLeader(new Messages.SlotHoldings(grants, router.heldSlots()));
         loop.schedule(COMPARE_INTERVAL * settings.heartbeatInterval, this::acknowledgeAgain);
     }
 }
--- a/src/main/java/gingerspool/store/ConnectionPool.java
+++ b/src/main/java/gingerspool/store/ConnectionPool.java
@@ -20,24 +20,24 @@
  */
 public final class ConnectionPool {
     /** A resting connection is closed after this part of the time that workers allow. */
-    private static final double KEPT = 0.6;
+    private static final double IDLE_PART = 0.6;
 
     private final EventLoop loop;
     private final double connectWithin;
     private final IdleTimeout rest;
     private int most;
-    private final List<WorkerConnections> berths = new ArrayList<>();
+    private final List<WorkerConnections> byWorker = new ArrayList<>();
 
     /** The longest at rest first. */
     private final Set<Outbound> resting = new LinkedHashSet<>();
 
-    private final Map<Outbound, Consumer<Boolean>> knocks = new HashMap<>();
+    private final Map<Outbound, Consumer<Boolean>> connectCallbacks = new HashMap<>();
     private int count;
 
     public ConnectionPool(EventLoop loop, double connectWithin, double idleMost, int most) {
         this.loop = loop;
         this.connectWithin = connectWithin;
-        rest = new IdleTimeout(KEPT * idleMost);
+        rest = new IdleTimeout(IDLE_PART * idleMost);
         this.most = most;
     }
 
@@ -48,7 +48,7 @@
 
         @Override
         public void free(Outbound connection) {
-            double span = Math.min(rest.span(loop.now()), KEPT * connection.keptFor());
+            double span = Math.min(rest.span(loop.now()), IDLE_PART * connection.keptFor());
             if (kept && span > 0) {
                 free.push(connection);
                 resting.add(connection);
@@ -65,10 +65,10 @@
 
         @Override
         public void up(Outbound connection) {
-            Consumer<Boolean> knock = knocks.remove(connection);
-            if (knock != null) {
+            Consumer<Boolean> tryConnect = connectCallbacks.remove(connection);
+            if (tryConnect != null) {
                 free(connection);
-                knock.accept(true);
+                tryConnect.accept(true);
             }
         }
 
@@ -77,46 +77,46 @@
             count--;
             free.remove(connection);
             resting.remove(connection);
-            Consumer<Boolean> knock = knocks.remove(connection);
-            if (knock != null) {
-                knock.accept(false);
+            Consumer<Boolean> tryConnect = connectCallbacks.remove(connection);
+            if (tryConnect != null) {
+                tryConnect.accept(false);
             }
         }
     }
 
-    private WorkerConnections berth(int worker) {
-        while (berths.size() <= worker) {
-            berths.add(new WorkerConnections());
+    private WorkerConnections connectionsOf(int worker) {
+        while (byWorker.size() <= worker) {
+            byWorker.add(new WorkerConnections());
         }
-        return berths.get(worker);
+        return byWorker.get(worker);
     }
 
     /**
      * Opens one to a worker that may not be up yet; tells whether it came up, and is kept at rest
      * then.
      */
-    public void knock(int worker, InetSocketAddress address, Consumer<Boolean> then)
+    public void tryConnect(int worker, InetSocketAddress address, Consumer<Boolean> then)
             throws IOException {
         if (count >= most) {
             throw new IOException("all " + most + " connections to workers are in use");
         }
-        WorkerConnections berth = berth(worker);
-        knocks.put(Outbound.open(loop, address, connectWithin, berth), then);
+        WorkerConnections connectionsOf = connectionsOf(worker);
+        connectCallbacks.put(Outbound.open(loop, address, connectWithin, connectionsOf), then);
         count++;
     }
 
     /** A connection to this worker, at rest or new; it must be used at once. */
     public Outbound take(int worker, InetSocketAddress address) throws IOException {
-        WorkerConnections berth = berth(worker);
+        WorkerConnections connectionsOf = connectionsOf(worker);
         // The latest one is on top: if it has rested too long, so have the others.
         double span = rest.span(loop.now());
-        while (!berth.free.isEmpty() && berth.free.peek().restedFor() > span) {
+        while (!connectionsOf.free.isEmpty() && connectionsOf.free.peek().restedFor() > span) {
             // Taken out first: one that still writes is told closed only later.
-            Outbound old = berth.free.poll();
+            Outbound old = connectionsOf.free.poll();
             resting.remove(old);
             old.close();
         }
-        Outbound connection = berth.free.poll();
+        Outbound connection = connectionsOf.free.poll();
         if (connection != null) {
             resting.remove(connection);
             return connection;
@@ -127,7 +127,7 @@
         if (count >= most) {
             throw new IOException("all " + most + " connections to workers are busy");
         }
-        connection = Outbound.open(loop, address, connectWithin, berth);
+        connection = Outbound.open(loop, address, connectWithin, connectionsOf);
         count++;
         return connection;
     }
@@ -139,10 +139,10 @@
 
     /** Whether connections to this worker are kept at rest; if not, those that are get closed. */
     public void keep(int worker, boolean kept) {
-        if (worker >= berths.size()) {
+        if (worker >= byWorker.size()) {
             return;
         }
-        berths.get(worker).kept = kept;
+        byWorker.get(worker).kept = kept;
         if (!kept) {
             empty(worker);
         }
@@ -150,8 +150,8 @@
 
     /** Closes the connections to this worker that are at rest. */
     public void empty(int worker) {
-        if (worker < berths.size()) {
-            List.copyOf(berths.get(worker).free).forEach(Outbound::close);
+        if (worker < byWorker.size()) {
+            List.copyOf(byWorker.get(worker).free).forEach(Outbound::close);
         }
     }
 
--- a/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
+++ b/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
@@ -256,7 +256,7 @@
     }
 
     @Override
-    public double leaderless() {
+    public double leaderlessFor() {
         return led ? 0 : network.now() - lostAt;
     }
 
--- a/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
+++ b/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
@@ -300,13 +300,13 @@
     }
 
     @Override
-    public boolean say(Object word) {
+    public boolean tellLeader(Object word) {
         said.add(word);
         return true;
     }
 
     @Override
-    public double leaderless() {
+    public double leaderlessFor() {
         return 0;
     }
 
--- a/src/test/java/gingerspool/dataplane/RequestRouterTest.java
+++ b/src/test/java/gingerspool/dataplane/RequestRouterTest.java
@@ -251,7 +251,7 @@
     }
 
     @Override
-    public double leaderless() {
+    public double leaderlessFor() {
         return 0;
     }
 }
