--- a/src/main/java/gingerspool/controlplane/InternalEndpoint.java
+++ b/src/main/java/gingerspool/controlplane/InternalEndpoint.java
@@ -70,7 +70,8 @@
     void closeSilent() {
         for (Map.Entry<Frames, Accepted> e : List.copyOf(links.entrySet())) {
             if (loop.now()
-                    > e.getValue().heardAt + PeerLinks.SILENCE * settings.heartbeatInterval) {
+                    > e.getValue().heardAt
+                            + PeerLinks.SILENCE_HEARTBEATS * settings.heartbeatInterval) {
                 e.getKey().close();
             }
         }
--- a/src/main/java/gingerspool/controlplane/OperatorCalls.java
+++ b/src/main/java/gingerspool/controlplane/OperatorCalls.java
@@ -21,7 +21,7 @@
  */
 final class OperatorCalls {
     /** A caller allows a second of silence; it is answered before, in milliseconds. */
-    private static final double ANSWER_WITHIN = 800;
+    private static final double ANSWER_TIMEOUT_MS = 800;
 
     /** Seconds until a member that knows no leader may be worth another call. */
     private static final int RETRY_AFTER_S = 1;
@@ -109,7 +109,7 @@
         long id = replica.get().term() << 32 | ++commands;
         pending.put(id, call);
         loop.schedule(
-                ANSWER_WITHIN,
+                ANSWER_TIMEOUT_MS,
                 () -> {
                     if (pending.remove(id) != null) {
                         answerError(call, 503, "not agreed on in time; it may still be");
--- a/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
+++ b/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
@@ -14,10 +14,10 @@
 
 /** Where operators call: reads requests and hands them on as command objects. */
 final class OperatorEndpoint implements Listener.Owner, Inbound.Handler {
-    private static final double PATIENCE = 10_000;
-    private static final int HEAD_MOST = 16 * 1024;
-    private static final int BODY_MOST = 2 << 20;
-    private static final int MOST = 256;
+    private static final double TIMEOUT_MS = 10_000;
+    private static final int HEADER_BYTES_MOST = 16 * 1024;
+    private static final int BODY_BYTES_MOST = 2 << 20;
+    private static final int CONNECTIONS_MOST = 256;
 
     private final EventLoop loop;
     private final Consumer<OperatorCall> run;
@@ -42,7 +42,7 @@
 
     @Override
     public boolean hasRoom() {
-        return open.size() < MOST;
+        return open.size() < CONNECTIONS_MOST;
     }
 
     @Override
@@ -50,7 +50,15 @@
 
     @Override
     public void accepted(AsynchronousSocketChannel channel) {
-        Inbound c = new Inbound(loop, channel, this, PATIENCE, PATIENCE, HEAD_MOST, BODY_MOST);
+        Inbound c =
+                new Inbound(
+                        loop,
+                        channel,
+                        this,
+                        TIMEOUT_MS,
+                        TIMEOUT_MS,
+                        HEADER_BYTES_MOST,
+                        BODY_BYTES_MOST);
         open.add(c);
         c.start();
     }
--- a/src/main/java/gingerspool/controlplane/PeerLinks.java
+++ b/src/main/java/gingerspool/controlplane/PeerLinks.java
@@ -22,16 +22,16 @@
     private static final Logger LOG = LogManager.getLogger(PeerLinks.class);
 
     /** In heartbeat intervals: silence after which a link is given up. */
-    static final double SILENCE = 1.5;
+    static final double SILENCE_HEARTBEATS = 1.5;
 
     /** In heartbeat intervals: how long connecting may take. */
-    private static final double CONNECT = 0.25;
+    private static final double CONNECT_HEARTBEATS = 0.25;
 
     /** In heartbeat intervals: the pause between two attempts to connect. */
-    private static final double RETRY = 0.125;
+    private static final double RETRY_HEARTBEATS = 0.125;
 
     /** In heartbeat intervals: how long a link is kept to one that is wanted no more. */
-    private static final double UNWANTED = 4;
+    private static final double UNNEEDED_HEARTBEATS = 4;
 
     private final EventLoop loop;
     private final NodeSettings settings;
@@ -41,7 +41,7 @@
     private static final class Peer {
         Frames link;
         boolean isUp;
-        double triedAt = Double.NEGATIVE_INFINITY;
+        double attemptedAt = Double.NEGATIVE_INFINITY;
         double heardAt;
     }
 
@@ -62,11 +62,11 @@
             boolean isSilent =
                     p.isUp
                             && now
-                                    > Math.max(p.heardAt, p.triedAt)
-                                            + SILENCE * settings.heartbeatInterval;
+                                    > Math.max(p.heardAt, p.attemptedAt)
+                                            + SILENCE_HEARTBEATS * settings.heartbeatInterval;
             boolean isUnwanted =
                     !wanted.contains(e.getKey())
-                            && now > p.heardAt + UNWANTED * settings.heartbeatInterval;
+                            && now > p.heardAt + UNNEEDED_HEARTBEATS * settings.heartbeatInterval;
             if (p.link != null && (isSilent || isUnwanted)) {
                 p.link.close();
             }
@@ -76,14 +76,15 @@
     private void connect(String ip) {
         double now = loop.now();
         Peer p = peers.computeIfAbsent(ip, k -> new Peer());
-        if (p.link == null && now >= p.triedAt + RETRY * settings.heartbeatInterval) {
-            p.triedAt = now;
+        if (p.link == null
+                && now >= p.attemptedAt + RETRY_HEARTBEATS * settings.heartbeatInterval) {
+            p.attemptedAt = now;
             try {
                 p.link =
                         Frames.open(
                                 loop,
                                 new InetSocketAddress(ip, settings.internalPort),
-                                CONNECT * settings.heartbeatInterval,
+                                CONNECT_HEARTBEATS * settings.heartbeatInterval,
                                 this);
             } catch (IOException e) {
                 LOG.warn("link.failed to={} why=\"{}\"", ip, e.getMessage());
--- a/src/main/java/gingerspool/controlplane/PlatformClient.java
+++ b/src/main/java/gingerspool/controlplane/PlatformClient.java
@@ -22,19 +22,19 @@
  * answers that can't be read are ends as well.
  */
 final class PlatformClient implements Platform {
-    private static final int MOST = 32;
-    private static final double KEPT = 5000;
+    private static final int CONNECTIONS_MOST = 32;
+    private static final double IDLE_TIMEOUT_MS = 5000;
 
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final double patience;
+    private final double timeout;
     private final ConnectionPool pool;
 
-    PlatformClient(EventLoop loop, InetSocketAddress address, double patience) {
+    PlatformClient(EventLoop loop, InetSocketAddress address, double timeout) {
         this.loop = loop;
         this.address = address;
-        this.patience = patience;
-        pool = new ConnectionPool(loop, patience, KEPT, MOST);
+        this.timeout = timeout;
+        pool = new ConnectionPool(loop, timeout, IDLE_TIMEOUT_MS, CONNECTIONS_MOST);
     }
 
     @Override
@@ -123,7 +123,7 @@
             pool.take(0, address)
                     .ask(
                             request,
-                            patience,
+                            timeout,
                             new Outbound.Caller() {
                                 @Override
                                 public void answered(Message m) {
--- a/src/main/java/gingerspool/dataplane/ControlLinks.java
+++ b/src/main/java/gingerspool/dataplane/ControlLinks.java
@@ -19,25 +19,30 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** A scheduler's links to the core: one held to each member, words only with the one that leads. */
+/**
+ * A scheduler's links to the control nodes, on the event loop: one to each member, messages only
+ * with the leader. Invariant: a registration is sent once on a link, and again on a new link only.
+ */
 final class ControlLinks implements Frames.Owner {
     private static final Logger LOG = LogManager.getLogger(ControlLinks.class);
 
-    /**
-     * In heartbeat intervals: how often it is heard of us, how long silence may last, and
-     * connecting.
-     */
-    private static final double BEAT = 0.5;
+    /** The pause between two heartbeats of ours, in heartbeat intervals. */
+    private static final double SEND_HEARTBEATS = 0.5;
 
-    private static final double SILENT = 1.25;
-    private static final double CONNECT = 0.25;
-    private static final double AGAIN = 0.1;
+    /** A link is closed after so long a silence, in heartbeat intervals. */
+    private static final double SILENCE_HEARTBEATS = 1.25;
+
+    /** How long connecting may take, in heartbeat intervals. */
+    private static final double CONNECT_HEARTBEATS = 0.25;
+
+    /** The pause between two attempts to connect, in heartbeat intervals. */
+    private static final double RETRY_HEARTBEATS = 0.1;
 
     private final EventLoop loop;
     private final NodeSettings settings;
-    private final Supplier<Messages.Register> enrol;
-    private final Consumer<Object> words;
-    private final KryoCodec coder = new KryoCodec(MessageTypes.ALL);
+    private final Supplier<Messages.Register> registration;
+    private final Consumer<Object> messages;
+    private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
     private final Map<String, Link> links = new HashMap<>();
     private Set<String> members = new LinkedHashSet<>();
     private List<InetSocketAddress> seeds;
@@ -45,20 +50,20 @@
     /** The link to the leader that has taken this scheduler on, and the one that was asked to. */
     private Link leader;
 
-    private Link asked;
-    private double askedAt;
+    private Link registering;
+    private double registeringAt;
     private long term;
-    private double lastLed;
+    private double ledAt;
 
     private static final class Link {
         final String ip;
         Frames frames;
-        boolean up;
+        boolean isUp;
         double heardAt;
-        double triedAt = Double.NEGATIVE_INFINITY;
+        double attemptedAt = Double.NEGATIVE_INFINITY;
 
         /** A registration went out on it that has no answer yet. */
-        boolean unanswered;
+        boolean isUnanswered;
 
         Link(String ip) {
             this.ip = ip;
@@ -69,19 +74,19 @@
     ControlLinks(
             EventLoop loop,
             NodeSettings settings,
-            Supplier<Messages.Register> enrol,
-            Consumer<Object> words) {
+            Supplier<Messages.Register> registration,
+            Consumer<Object> messages) {
         this.loop = loop;
         this.settings = settings;
-        this.enrol = enrol;
-        this.words = words;
+        this.registration = registration;
+        this.messages = messages;
         seeds = settings.seeds;
-        lastLed = loop.now();
+        ledAt = loop.now();
     }
 
     void begin() {
-        look();
-        beat();
+        maintainLinks();
+        sendHeartbeats();
     }
 
     /** Where to look for the core from now on. */
@@ -96,72 +101,77 @@
     /** How long no leader has been known. */
     double leaderlessFor() {
         return leader != null
-                        && loop.now() < leader.heardAt + settings.heartbeatInterval * SILENT / 2
+                        && loop.now()
+                                < leader.heardAt
+                                        + settings.heartbeatInterval * SILENCE_HEARTBEATS / 2
                 ? 0
-                : loop.now() - lastLed;
+                : loop.now() - ledAt;
     }
 
     /** Tells the leader; false where there is none. */
-    boolean tellLeader(Object word) {
+    boolean tellLeader(Object message) {
         if (leader == null) {
             return false;
         }
-        leader.frames.send(coder.write(word));
+        leader.frames.send(codec.write(message));
         return true;
     }
 
-    private void look() {
+    private void maintainLinks() {
         double now = loop.now();
         if (leader != null) {
-            lastLed = Math.max(lastLed, leader.heardAt);
+            ledAt = Math.max(ledAt, leader.heardAt);
         }
-        Set<String> wanted = new LinkedHashSet<>(members);
+        Set<String> needed = new LinkedHashSet<>(members);
         if (leader == null) {
-            seeds.forEach(a -> wanted.add(a.getAddress().getHostAddress()));
+            seeds.forEach(a -> needed.add(a.getAddress().getHostAddress()));
         }
-        for (String ip : wanted) {
-            Link l = links.computeIfAbsent(ip, Link::new);
-            if (l.frames == null && now >= l.triedAt + AGAIN * settings.heartbeatInterval) {
-                open(l, now);
+        for (String ip : needed) {
+            Link link = links.computeIfAbsent(ip, Link::new);
+            if (link.frames == null
+                    && now >= link.attemptedAt + RETRY_HEARTBEATS * settings.heartbeatInterval) {
+                open(link, now);
             }
         }
-        for (Link l : List.copyOf(links.values())) {
-            if (l.up && now > l.heardAt + SILENT * settings.heartbeatInterval) {
-                l.frames.close();
-            } else if (!wanted.contains(l.ip) && leader != null && l != leader) {
-                if (l.frames != null) {
-                    l.frames.close();
+        for (Link link : List.copyOf(links.values())) {
+            if (link.isUp && now > link.heardAt + SILENCE_HEARTBEATS * settings.heartbeatInterval) {
+                link.frames.close();
+            } else if (!needed.contains(link.ip) && leader != null && link != leader) {
+                if (link.frames != null) {
+                    link.frames.close();
                 }
-                links.remove(l.ip);
+                links.remove(link.ip);
             }
         }
-        loop.schedule(AGAIN * settings.heartbeatInterval, this::look);
+        loop.schedule(RETRY_HEARTBEATS * settings.heartbeatInterval, this::maintainLinks);
     }
 
-    private void open(Link l, double now) {
-        l.triedAt = now;
+    private void open(Link link, double now) {
+        link.attemptedAt = now;
         try {
-            l.frames =
+            link.frames =
                     Frames.open(
                             loop,
-                            new InetSocketAddress(l.ip, settings.internalPort),
-                            CONNECT * settings.heartbeatInterval,
+                            new InetSocketAddress(link.ip, settings.internalPort),
+                            CONNECT_HEARTBEATS * settings.heartbeatInterval,
                             this);
         } catch (IOException e) {
-            LOG.warn("core.link_failed to={} why=\"{}\"", l.ip, e.getMessage());
+            LOG.warn("core.link_failed to={} why=\"{}\"", link.ip, e.getMessage());
         }
     }
 
-    private void beat() {
-        byte[] hello = coder.write(new Messages.Heartbeat(settings.ip));
-        links.values().stream().filter(l -> l.up).forEach(l -> l.frames.send(hello));
-        loop.schedule(BEAT * settings.heartbeatInterval, this::beat);
+    private void sendHeartbeats() {
+        byte[] heartbeat = codec.write(new Messages.Heartbeat(settings.ip));
+        links.values().stream()
+                .filter(link -> link.isUp)
+                .forEach(link -> link.frames.send(heartbeat));
+        loop.schedule(SEND_HEARTBEATS * settings.heartbeatInterval, this::sendHeartbeats);
     }
 
-    private Link of(Frames frames) {
-        for (Link l : links.values()) {
-            if (l.frames == frames) {
-                return l;
+    private Link linkOf(Frames frames) {
+        for (Link link : links.values()) {
+            if (link.frames == frames) {
+                return link;
             }
         }
         return null;
@@ -169,55 +179,55 @@
 
     @Override
     public void up(Frames frames) {
-        Link l = of(frames);
-        if (l != null) {
-            l.up = true;
-            LOG.info("core.link_up to={}", l.ip);
-            l.heardAt = loop.now();
-            frames.send(coder.write(new Messages.Heartbeat(settings.ip)));
+        Link link = linkOf(frames);
+        if (link != null) {
+            link.isUp = true;
+            LOG.info("core.link_up to={}", link.ip);
+            link.heardAt = loop.now();
+            frames.send(codec.write(new Messages.Heartbeat(settings.ip)));
         }
     }
 
     @Override
     public void came(Frames frames, byte[] frame) {
-        Link l = of(frames);
-        if (l == null) {
+        Link link = linkOf(frames);
+        if (link == null) {
             return;
         }
-        l.heardAt = loop.now();
+        link.heardAt = loop.now();
         try {
-            Object word = coder.read(frame);
-            if (word instanceof Messages.LeaderAnnouncement s) {
-                announced(l, s);
-            } else if (word instanceof Messages.Registered e) {
-                registered(l, e);
-            } else if (l == leader) {
-                words.accept(word);
+            Object message = codec.read(frame);
+            if (message instanceof Messages.LeaderAnnouncement s) {
+                onAnnouncement(link, s);
+            } else if (message instanceof Messages.Registered e) {
+                onRegistered(link, e);
+            } else if (link == leader) {
+                messages.accept(message);
             }
         } catch (MalformedMessageException e) {
-            LOG.warn("core.bad_message from={} why=\"{}\"", l.ip, e.getMessage());
+            LOG.warn("core.bad_message from={} why=\"{}\"", link.ip, e.getMessage());
             frames.close();
         }
     }
 
     /** A member says who leads, in which term. */
-    private void announced(Link link, Messages.LeaderAnnouncement said) {
-        if (said.term() < term) {
+    private void onAnnouncement(Link link, Messages.LeaderAnnouncement announcement) {
+        if (announcement.term() < term) {
             // What an old leader says of others is old; that it leads no more itself is not.
-            if (link == asked && !link.ip.equals(said.leader())) {
+            if (link == registering && !link.ip.equals(announcement.leader())) {
                 forgetLeader();
             }
             return;
         }
-        boolean newer = said.term() > term;
-        term = said.term();
-        members = new LinkedHashSet<>(said.members());
-        if (link.ip.equals(said.leader())) {
-            leads(link, newer);
-        } else if (link == asked) {
+        boolean isNewer = announcement.term() > term;
+        term = announcement.term();
+        members = new LinkedHashSet<>(announcement.members());
+        if (link.ip.equals(announcement.leader())) {
+            onLeader(link, isNewer);
+        } else if (link == registering) {
             // It leads no more; the next leader tells us itself.
             forgetLeader();
-        } else if (newer && asked != null && !said.leader().isEmpty()) {
+        } else if (isNewer && registering != null && !announcement.leader().isEmpty()) {
             // Guards against a leader that was deposed and does not know it: what it still grants
             // may be another's by now.
             forgetLeader();
@@ -225,14 +235,15 @@
     }
 
     /** This member leads: a registration is said once on a link, and again on a new link only. */
-    private void leads(Link link, boolean newer) {
-        if (link == asked && !newer && leader == link) {
+    private void onLeader(Link link, boolean isNewer) {
+        if (link == registering && !isNewer && leader == link) {
             return;
         }
-        if (!link.unanswered) {
+        if (!link.isUnanswered) {
             forgetLeader();
             register(link);
-        } else if (newer || loop.now() > askedAt + AGAIN * settings.heartbeatInterval) {
+        } else if (isNewer
+                || loop.now() > registeringAt + RETRY_HEARTBEATS * settings.heartbeatInterval) {
             // Guards the counts of slots: an answer to the first registration would be taken for
             // one to the second, with grants between them that only one side counts.
             link.frames.close();
@@ -240,40 +251,40 @@
     }
 
     private void register(Link link) {
-        asked = link;
-        askedAt = loop.now();
-        link.unanswered = true;
+        registering = link;
+        registeringAt = loop.now();
+        link.isUnanswered = true;
         LOG.info("core.registering at={} term={}", link.ip, term);
-        link.frames.send(coder.write(enrol.get()));
+        link.frames.send(codec.write(registration.get()));
     }
 
-    private void registered(Link link, Messages.Registered answer) {
-        link.unanswered = false;
-        if (link == asked && answer.term() >= term) {
+    private void onRegistered(Link link, Messages.Registered answer) {
+        link.isUnanswered = false;
+        if (link == registering && answer.term() >= term) {
             leader = link;
             LOG.info("core.registered by={} term={}", link.ip, answer.term());
-            words.accept(answer);
+            messages.accept(answer);
         }
     }
 
     private void forgetLeader() {
         leader = null;
-        asked = null;
+        registering = null;
     }
 
     @Override
     public void closed(Frames frames) {
-        Link l = of(frames);
-        if (l == null) {
+        Link link = linkOf(frames);
+        if (link == null) {
             return;
         }
-        if (l.up) {
-            LOG.info("core.link_closed to={}", l.ip);
+        if (link.isUp) {
+            LOG.info("core.link_closed to={}", link.ip);
         }
-        l.frames = null;
-        l.up = false;
-        l.unanswered = false;
-        if (l == leader || l == asked) {
+        link.frames = null;
+        link.isUp = false;
+        link.isUnanswered = false;
+        if (link == leader || link == registering) {
             forgetLeader();
         }
     }
--- a/src/main/java/gingerspool/dataplane/FunctionQueue.java
+++ b/src/main/java/gingerspool/dataplane/FunctionQueue.java
@@ -147,7 +147,7 @@
         }
         returns.onArrival(now);
         demand.onArrival();
-        unassigned.arrived(now);
+        unassigned.onArrival(now);
         backlog.add(request);
         serve();
     }
@@ -225,7 +225,7 @@
         double leaderlessFor = environment.leaderlessFor();
         double patience = LEADERLESS_HEARTBEATS * environment.settings().heartbeatInterval;
         if (leaderlessFor == 0) {
-            unassigned.led();
+            unassigned.onLeader();
         }
         if (!backlog.isEmpty()
                 && leaderlessFor >= patience
@@ -363,7 +363,7 @@
 
     @Override
     public void onUnassignedRejected() {
-        unassigned.refused(loop.now(), environment.schedulers());
+        unassigned.onRejected(loop.now(), environment.schedulers());
     }
 
     @Override
--- a/src/main/java/gingerspool/dataplane/RequestRouter.java
+++ b/src/main/java/gingerspool/dataplane/RequestRouter.java
@@ -37,8 +37,8 @@
     private static final int LARGEST_HEADER = 1 << 20;
     private static final int LARGEST_BODY = 1 << 26;
 
-    /** The part of a route's time-out that a first try comes with at the least. */
-    private static final double FIRST_TRY = 0.97;
+    /** The part of a route's time-out that a first attempt comes with at the least. */
+    private static final double FIRST_ATTEMPT_PART = 0.97;
 
     /** How long a client waits that does not say it, in milliseconds. */
     private static final double DEFAULT_DEADLINE = 10_000;
@@ -127,9 +127,9 @@
         return all;
     }
 
-    /** So many schedulers share the budget of repeats, this one included. */
+    /** So many schedulers share the retry budget, this one included. */
     void schedulers(int count) {
-        schedulers.told(loop.now(), count);
+        schedulers.report(loop.now(), count);
     }
 
     // ---- Queues ----
@@ -193,7 +193,7 @@
         return connections.size();
     }
 
-    int inHand() {
+    int inFlight() {
         return pending.size();
     }
 
@@ -260,14 +260,14 @@
     private void take(Inbound from, Message request, Route route, String id) {
         double now = loop.now();
         double deadline = number(request.field("remaining-milliseconds"));
-        // Who comes with less than the route allows was turned away before, or is called by a
+        // Who comes with less than the route allows was rejected before, or is called by a
         // worker.
         double most = route.hasTimeout() ? route.getTimeout() : deadline;
-        boolean first = deadline >= FIRST_TRY * most;
+        boolean isFirstAttempt = deadline >= FIRST_ATTEMPT_PART * most;
         double dueAt = now + Math.max(1, route.getAim());
         double urgentAt = dueAt - Math.max(0, most - deadline);
         PendingRequest taken =
-                new PendingRequest(id, from, request, route, now, dueAt, urgentAt, first);
+                new PendingRequest(id, from, request, route, now, dueAt, urgentAt, isFirstAttempt);
         taken.expiry = now + Math.max(1, Math.min(deadline, most));
         pending.add(taken);
         from.whenGone(
--- a/src/main/java/gingerspool/dataplane/SchedulerCount.java
+++ b/src/main/java/gingerspool/dataplane/SchedulerCount.java
@@ -3,39 +3,43 @@
 import java.util.ArrayDeque;
 
 /**
- * How many schedulers share the platform's limits: the most that was told within a window. Guards
- * the limits while schedulers register with a new leader one after the other, when each would take
- * too large a share. Times are milliseconds.
+ * How many schedulers share the platform's limits: the most that was reported within a window.
+ * Guards the limits while schedulers register with a new leader one after the other, when each
+ * would take too large a share. Times are milliseconds.
  */
 final class SchedulerCount {
-    private record Told(double at, int count) {}
+    private record Report(double at, int count) {}
 
     private final double window;
 
     /** Counts that may still be the most, the largest and oldest first. */
-    private final ArrayDeque<Told> told = new ArrayDeque<>();
+    private final ArrayDeque<Report> counts = new ArrayDeque<>();
 
     SchedulerCount(double window) {
         this.window = window;
     }
 
-    void told(double now, int count) {
-        while (!told.isEmpty() && told.peekLast().count <= count) {
-            told.pollLast();
+    void report(double now, int count) {
+        while (!counts.isEmpty() && counts.peekLast().count <= count) {
+            counts.pollLast();
         }
-        told.addLast(new Told(now, count));
+        counts.addLast(new Report(now, count));
     }
 
-    /** The most within the window; the last one told counts however old it is. One if none was. */
+    /**
+     * The most within the window; the last one reported counts however old it is. One if none was.
+     */
     int most(double now) {
-        while (told.size() > 1 && nextAt() <= now - window) {
-            told.pollFirst();
+        while (counts.size() > 1 && nextAt() <= now - window) {
+            counts.pollFirst();
         }
-        return told.isEmpty() ? 1 : told.peekFirst().count;
+        return counts.isEmpty() ? 1 : counts.peekFirst().count;
     }
 
-    /** When the count that followed the first one was told: since then the first has been old. */
+    /**
+     * When the count that followed the first one was reported: since then the first has been old.
+     */
     private double nextAt() {
-        return told.stream().skip(1).findFirst().map(Told::at).orElse(Double.NaN);
+        return counts.stream().skip(1).findFirst().map(Report::at).orElse(Double.NaN);
     }
 }
--- a/src/main/java/gingerspool/dataplane/SchedulerNode.java
+++ b/src/main/java/gingerspool/dataplane/SchedulerNode.java
@@ -96,12 +96,12 @@
     private void summary() {
         RequestRouter.Counts counts = router.counts();
         LOG.info(
-                "summary version={} led={} clients={} in_hand={} taken={} served={} refused={} failed={}"
+                "summary version={} led={} clients={} in_flight={} taken={} served={} refused={} failed={}"
                         + " full={}",
                 router.configuration().getVersion(),
                 core.isLed(),
                 router.connections(),
-                router.inHand(),
+                router.inFlight(),
                 counts.taken(),
                 counts.served(),
                 counts.refused(),
@@ -116,7 +116,7 @@
     public void stop(Runnable then) {
         loop.submit(
                 () -> {
-                    LOG.info("leave in_hand={}", router.inHand());
+                    LOG.info("leave in_flight={}", router.inFlight());
                     leavingAt = loop.now();
                     whenLeft = then;
                     router.leave();
@@ -130,16 +130,16 @@
     }
 
     private void leave() {
-        double gone = loop.now() - leavingAt;
-        boolean quiet = gone > STILL_COMING * settings.heartbeatInterval;
+        double elapsed = loop.now() - leavingAt;
+        boolean quiet = elapsed > STILL_COMING * settings.heartbeatInterval;
         if (quiet) {
             router.closeIdle();
         }
-        boolean allEnded = router.inHand() == 0 && router.connections() == 0;
-        if (gone > GIVE_UP_PART_OF_GRACE * settings.gracePeriod) {
+        boolean allEnded = router.inFlight() == 0 && router.connections() == 0;
+        if (elapsed > GIVE_UP_PART_OF_GRACE * settings.gracePeriod) {
             router.giveUpAll();
         }
-        if (quiet && allEnded || gone > LAST_PART_OF_GRACE * settings.gracePeriod) {
+        if (quiet && allEnded || elapsed > LAST_PART_OF_GRACE * settings.gracePeriod) {
             listener.close();
             whenLeft.run();
         } else {
--- a/src/test/java/gingerspool/dataplane/RequestRouterTest.java
+++ b/src/test/java/gingerspool/dataplane/RequestRouterTest.java
@@ -196,7 +196,7 @@
         run(20);
         assertEquals(line.status(), "503");
         assertTrue(line.came.toString().contains("Connection: close"), line.came.toString());
-        assertEquals(router.inHand(), 0);
+        assertEquals(router.inFlight(), 0);
     }
 
     /** A call keeps a slot of its caller busy; who was refused once must not be refused twice. */
@@ -235,12 +235,12 @@
     public void theMostSchedulersWithinAWindowShareTheBudget() {
         SchedulerCount count = new SchedulerCount(10_000);
         assertEquals(count.most(0), 1);
-        count.told(0, 8);
-        count.told(1000, 1);
-        count.told(1010, 2);
+        count.report(0, 8);
+        count.report(1000, 1);
+        count.report(1010, 2);
         assertEquals(count.most(10_900), 8, "a new leader counts them one by one");
         assertEquals(count.most(11_100), 2, "it stays at two");
-        count.told(12_000, 5);
+        count.report(12_000, 5);
         assertEquals(count.most(12_000), 5);
         assertEquals(count.most(90_000), 5);
     }
--- a/src/test/java/gingerspool/dataplane/UnassignedSlotsTest.java
+++ b/src/test/java/gingerspool/dataplane/UnassignedSlotsTest.java
@@ -51,7 +51,7 @@
             next[i] = pause * chance.nextDouble();
             // Each knew a stream of requests before the leader went.
             for (double t = -30_000; t < 0; t += pause) {
-                all.get(i).arrived(t);
+                all.get(i).onArrival(t);
             }
         }
         List<Double> refused = new ArrayList<>();
@@ -63,13 +63,13 @@
                     continue;
                 }
                 next[i] = now - pause * Math.log(1 - chance.nextDouble());
-                all.get(i).arrived(now);
+                all.get(i).onArrival(now);
                 if (limited && !all.get(i).allows(now, schedulers)) {
                     continue;
                 }
                 if (now < slotFreeAt) {
                     refused.add(now);
-                    all.get(i).refused(now, schedulers);
+                    all.get(i).onRejected(now, schedulers);
                 } else {
                     served++;
                     slotFreeAt = now + RUN;
@@ -79,7 +79,7 @@
         }
         int worst = 0;
         for (int first = 0, last = 0; last < refused.size(); last++) {
-            while (refused.get(first) < refused.get(last) - UnassignedSlots.WINDOW) {
+            while (refused.get(first) < refused.get(last) - UnassignedSlots.REJECTION_WINDOW_MS) {
                 first++;
             }
             worst = Math.max(worst, last - first + 1);
