--- a/src/main/java/gingerspool/daemon/Daemon.java
+++ b/src/main/java/gingerspool/daemon/Daemon.java
@@ -65,7 +65,7 @@
     final NodeConfiguration node;
     final Scheduler scheduler;
     final SingleThreadEventLoop loop;
-    final ClientEndpoint door;
+    final ClientEndpoint clients;
     final CountDownLatch ended = new CountDownLatch(1);
     volatile int exitCode;
 
@@ -75,7 +75,7 @@
     /** How long the last reload of an operator's file held the loop, in milliseconds. */
     volatile double appliedIn;
 
-    private final ProcessLifecycle life = new ProcessLifecycle();
+    private final ProcessLifecycle lifecycle = new ProcessLifecycle();
 
     /** Null where operators have no address to call. */
     final ManagementEndpoint management;
@@ -96,7 +96,9 @@
         int toClients = node.sockets - RESERVE - toWorkers;
         loop = new SingleThreadEventLoop();
         scheduler = new Scheduler(loop, node, (int) (TASK_SHARE * toClients), toWorkers);
-        door = new ClientEndpoint(loop, node.listen, node.management != null, toClients, scheduler);
+        clients =
+                new ClientEndpoint(
+                        loop, node.listen, node.management != null, toClients, scheduler);
         management =
                 node.management == null
                         ? null
@@ -106,7 +108,7 @@
             scheduler.elsewhere(handover::callBack);
         }
         if (handover == null || !handover.hasNote()) {
-            door.listen();
+            clients.listen();
             listening = true;
         }
     }
@@ -194,8 +196,8 @@
     }
 
     private void serve() {
-        door.open();
-        life.started();
+        clients.open();
+        lifecycle.started();
         LOG.atInfo()
                 .addKeyValue("name", node.name)
                 .addKeyValue("at", Address.text(node.listen))
@@ -206,7 +208,7 @@
     private void summarise() {
         LoggingEventBuilder line = LOG.atInfo();
         scheduler.summary(line);
-        door.summary(line);
+        clients.summary(line);
         if (management != null) {
             management.summary(line);
         }
@@ -227,7 +229,7 @@
     /** To leave from this time on. */
     void leave(double from) {
         LOG.atInfo().addKeyValue("in_hand", scheduler.unanswered()).log("leaving");
-        life.leave(
+        lifecycle.leave(
                 from,
                 ProcessLifecycle.STILL_COMING
                         + Math.min(LONGEST, node.deployment.longestExpiry)
@@ -238,7 +240,7 @@
     /** Has the door do what the life's present state asks for, now and as time goes on. */
     private void look() {
         act();
-        if (!looking && life.isChanging()) {
+        if (!looking && lifecycle.isChanging()) {
             looking = true;
             loop.schedule(
                     LOOK_EVERY,
@@ -251,12 +253,12 @@
 
     private void act() {
         double now = loop.now();
-        door.ready(life.isReady());
-        door.lastAnswers(life.lastAnswers(now), life.isSucceeded());
-        if (life.idleMost(now) < Double.POSITIVE_INFINITY) {
-            door.closeIdle(life.idleMost(now), life.isClosing(now));
+        clients.ready(lifecycle.isReady());
+        clients.lastAnswers(lifecycle.lastAnswers(now), lifecycle.isSucceeded());
+        if (lifecycle.idleMost(now) < Double.POSITIVE_INFINITY) {
+            clients.closeIdle(lifecycle.idleMost(now), lifecycle.isClosing(now));
         }
-        if (life.mayEnd(now, handover != null && handover.standsBetween())) {
+        if (lifecycle.mayEnd(now, handover != null && handover.standsBetween())) {
             lookForEnd(now);
         }
     }
@@ -264,15 +266,16 @@
     /** Guards what is in hand: call-backs must get in until the last task has its answer. */
     private void lookForEnd(double now) {
         int unanswered = scheduler.unanswered();
-        if (unanswered > 0 && life.isOver(now)) {
+        if (unanswered > 0 && lifecycle.isOver(now)) {
             LOG.atWarn().addKeyValue("tasks", unanswered).log("leaving.abandoned");
             scheduler.abandonAll();
             unanswered = 0;
         }
-        if (unanswered == 0 && (life.isClosing(now) || door.connections() == 0)) {
-            door.shut();
+        if (unanswered == 0 && (lifecycle.isClosing(now) || clients.connections() == 0)) {
+            clients.shut();
         }
-        if (unanswered == 0 && (life.isSucceeded() ? door.ofClients() : door.connections()) == 0) {
+        if (unanswered == 0
+                && (lifecycle.isSucceeded() ? clients.ofClients() : clients.connections()) == 0) {
             LoggingEventBuilder line = LOG.atInfo();
             scheduler.summary(line);
             line.log("left");
@@ -282,9 +285,9 @@
 
     private void setDrained(boolean drained) {
         if (drained) {
-            life.drain(loop.now());
+            lifecycle.drain(loop.now());
         } else {
-            life.activate();
+            lifecycle.activate();
         }
         look();
     }
@@ -367,7 +370,7 @@
         @Override
         public void bind() throws IOException {
             if (!listening) {
-                door.listen();
+                clients.listen();
                 listening = true;
             }
         }
@@ -379,8 +382,8 @@
 
         @Override
         public void retire() {
-            life.succeeded(loop.now());
-            door.retire();
+            lifecycle.succeeded(loop.now());
+            clients.retire();
             listening = false;
             scheduler.mostToWorkers(Math.max(LEAST, scheduler.toWorkers()));
             look();
@@ -388,11 +391,11 @@
 
         @Override
         public void takeBack() {
-            life.aloneAgain();
+            lifecycle.aloneAgain();
             share(0);
             try {
                 bind();
-                door.open();
+                clients.open();
             } catch (IOException e) {
                 LOG.atError().addKeyValue("why", e.getMessage()).log("listen.failed");
             }
@@ -406,7 +409,7 @@
 
         @Override
         public int descriptors() {
-            return OWN + door.connections() + scheduler.toWorkers();
+            return OWN + clients.connections() + scheduler.toWorkers();
         }
 
         @Override
@@ -416,7 +419,7 @@
 
         @Override
         public boolean isDrained() {
-            return life.isDrained();
+            return lifecycle.isDrained();
         }
 
         @Override
@@ -435,7 +438,7 @@
 
         @Override
         public boolean told(byte[] callBack) throws BadMessage {
-            return door.callBack(callBack);
+            return clients.callBack(callBack);
         }
 
         @Override
@@ -453,20 +456,20 @@
         int left = Math.max(LEAST, node.sockets - RESERVE - held);
         int toWorkers = left / WORKER_SHARE;
         scheduler.mostToWorkers(toWorkers);
-        door.most(left - toWorkers);
+        clients.most(left - toWorkers);
     }
 
     /** What operators' calls do here. */
-    private final class Operators implements ManagementEndpoint.Office {
+    private final class Operators implements ManagementEndpoint.Operations {
         @Override
         public boolean takesClients() {
-            return life.takesClients() && (handover == null || handover.isAnnounced());
+            return lifecycle.takesClients() && (handover == null || handover.isAnnounced());
         }
 
         @Override
         public void suspend(String worker, boolean suspended, ManagementEndpoint.Reply reply) {
-            boolean known = life.hasStarted() && scheduler.suspend(worker, suspended);
-            if (!life.hasStarted()) {
+            boolean known = lifecycle.hasStarted() && scheduler.suspend(worker, suspended);
+            if (!lifecycle.hasStarted()) {
                 reply.answer(ManagementEndpoint.Answer.NO);
             } else if (!known) {
                 reply.answer(ManagementEndpoint.Answer.UNKNOWN);
@@ -477,7 +480,7 @@
 
         @Override
         public void drain(boolean drained, ManagementEndpoint.Reply reply) {
-            if (!life.hasStarted()) {
+            if (!lifecycle.hasStarted()) {
                 reply.answer(ManagementEndpoint.Answer.NO);
                 return;
             }
--- a/src/main/java/gingerspool/daemon/Scheduler.java
+++ b/src/main/java/gingerspool/daemon/Scheduler.java
@@ -45,7 +45,7 @@
  */
 final class Scheduler
         implements DispatchActions,
-                ClientEndpoint.Desk,
+                ClientEndpoint.RequestHandler,
                 DiscoveryClient.Follower,
                 WorkerAttempt.Owner {
     private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
@@ -74,9 +74,9 @@
     private final Configuration deployment;
     private InetSocketAddress discovery;
     private final Dispatcher dispatcher;
-    private final TaskRegistry hand;
+    private final TaskRegistry tasks;
     private final ConnectionPool pool;
-    private final WorkerDirectory roster = new WorkerDirectory();
+    private final WorkerDirectory workers = new WorkerDirectory();
     private final Set<String> suspended = new TreeSet<>();
     private final double ahead;
 
@@ -99,7 +99,7 @@
         deployment = node.deployment;
         discovery = node.discovery;
         long mostBytes = Runtime.getRuntime().maxMemory() / BODY_SHARE;
-        hand =
+        tasks =
                 new TaskRegistry(
                         Math.min(mostTasks, deployment.mostTasks),
                         deployment.mostBytes > 0
@@ -183,17 +183,17 @@
             int state,
             double size,
             double started) {
-        int known = roster.size();
-        int w = roster.index(host);
+        int known = workers.size();
+        int w = workers.index(host);
         if (w == known) {
             dispatcher.called(w, host);
         }
-        if (roster.setAddress(w, dial)) {
+        if (workers.setAddress(w, dial)) {
             pool.empty(w);
         }
         pool.keep(w, state == Dispatcher.RUNNING && !suspended.contains(host));
-        roster.setEntry(w, new WorkerDirectory.Entry(zone, kind, cell, size, started));
-        if (roster.setState(w, state)) {
+        workers.setEntry(w, new WorkerDirectory.Entry(zone, kind, cell, size, started));
+        if (workers.setState(w, state)) {
             LOG.atInfo()
                     .addKeyValue("worker", host)
                     .addKeyValue("zone", zone)
@@ -205,7 +205,7 @@
                 deployment.zones.getOrDefault(zone, -1),
                 deployment.kinds.getOrDefault(kind, 0),
                 cell,
-                roster.address(w) == null ? Dispatcher.GONE : state,
+                workers.address(w) == null ? Dispatcher.GONE : state,
                 size,
                 started);
         if (suspended.contains(host)) {
@@ -267,7 +267,7 @@
      * listed.
      */
     boolean suspend(String name, boolean suspended) {
-        int w = roster.find(name);
+        int w = workers.find(name);
         if (w < 0) {
             return false;
         }
@@ -277,15 +277,15 @@
             pool.keep(w, false);
             // Guards the ban against what was decided before it and waits for a connection to come
             // up.
-            for (ClientTask t : hand.all()) {
-                WorkerAttempt errand = outAt(t, w);
-                if (errand != null) {
-                    errand.takeBack();
+            for (ClientTask t : tasks.all()) {
+                WorkerAttempt attempt = outAt(t, w);
+                if (attempt != null) {
+                    attempt.takeBack();
                 }
             }
         } else {
             this.suspended.remove(name);
-            pool.keep(w, roster.state(w) == Dispatcher.RUNNING);
+            pool.keep(w, workers.state(w) == Dispatcher.RUNNING);
             dispatcher.resumed(loop.now(), w);
         }
         return true;
@@ -314,18 +314,18 @@
     /** The list as last held, in discovery's form, with all workers that it ever named. */
     Map<String, Object> list() {
         List<Object> hosts = new ArrayList<>();
-        for (int w = 0; w < roster.size(); w++) {
-            WorkerDirectory.Entry e = roster.entry(w);
+        for (int w = 0; w < workers.size(); w++) {
+            WorkerDirectory.Entry e = workers.entry(w);
             if (e == null) {
                 continue;
             }
             Map<String, Object> host = new LinkedHashMap<>();
-            host.put("host", roster.name(w));
-            host.put("dial", roster.address(w) == null ? "" : Address.text(roster.address(w)));
+            host.put("host", workers.name(w));
+            host.put("dial", workers.address(w) == null ? "" : Address.text(workers.address(w)));
             host.put("site", e.zone());
             host.put("class", e.kind());
             host.put("block", e.cell());
-            host.put("health", HEALTH[roster.state(w)]);
+            host.put("health", HEALTH[workers.state(w)]);
             host.put("share", e.size());
             host.put("born_ms", dispatcher.startedAt(w));
             hosts.add(host);
@@ -377,12 +377,12 @@
 
     @Override
     public boolean inHand(String id) {
-        return hand.find(id) != null;
+        return tasks.find(id) != null;
     }
 
     @Override
     public boolean hasRoomFor(int bytes) {
-        return hand.hasRoomFor(bytes);
+        return tasks.hasRoomFor(bytes);
     }
 
     @Override
@@ -411,11 +411,11 @@
                             request.message().field("host"),
                             tenant);
         }
-        hand.add(t);
+        tasks.add(t);
         Trace.arrived(t);
         request.client().whenGone(() -> gone(t));
         dispatcher.arrived(at, t);
-        hand.release(t);
+        tasks.release(t);
     }
 
     private void gone(ClientTask t) {
@@ -423,7 +423,7 @@
         left++;
         Trace.answered(loop.now(), t, "left");
         dispatcher.left(loop.now(), t);
-        hand.release(t);
+        tasks.release(t);
     }
 
     /**
@@ -457,7 +457,7 @@
 
     private void answered(ClientTask t) {
         clear(t, false);
-        hand.release(t);
+        tasks.release(t);
     }
 
     // ---- Assignments ----
@@ -465,49 +465,49 @@
     @Override
     public void send(Assignment a, double timeout) {
         ClientTask t = (ClientTask) a.task;
-        WorkerAttempt errand = new WorkerAttempt(a, deployment.reports, this);
-        t.errands.add(errand);
+        WorkerAttempt attempt = new WorkerAttempt(a, deployment.reports, this);
+        t.attempts.add(attempt);
         double now = loop.now();
         double wait = timeout > 0 ? Math.min(timeout, t.expiry - now) : t.expiry - now;
         if (wait <= 0 || t.ended()) {
-            loop.execute(() -> errand.fail(Outcome.MOOT));
+            loop.execute(() -> attempt.fail(Outcome.MOOT));
             return;
         }
-        InetSocketAddress address = roster.address(a.worker);
+        InetSocketAddress address = workers.address(a.worker);
         try {
             int before = pool.size();
             Outbound connection = pool.take(a.worker, address);
-            Trace.sent(a, roster.name(a.worker), pool.size() > before);
-            Future<?> alarm = loop.schedule(wait, () -> errand.giveUp(Outcome.TIMEOUT));
-            errand.begin(connection, alarm);
+            Trace.sent(a, workers.name(a.worker), pool.size() > before);
+            Future<?> alarm = loop.schedule(wait, () -> attempt.giveUp(Outcome.TIMEOUT));
+            attempt.begin(connection, alarm);
             connection.ask(
                     WorkerProtocol.request(t.request, address, wait),
                     wait + deployment.connectWithin,
-                    errand);
+                    attempt);
         } catch (IOException e) {
             LOG.atWarn()
-                    .addKeyValue("worker", roster.name(a.worker))
+                    .addKeyValue("worker", workers.name(a.worker))
                     .addKeyValue("why", e.getMessage())
                     .log("worker.no_connection");
-            loop.execute(() -> errand.fail(Outcome.UNREACHABLE));
+            loop.execute(() -> attempt.fail(Outcome.UNREACHABLE));
         }
     }
 
     @Override
     public void cancel(Assignment a) {
-        WorkerAttempt errand = ((ClientTask) a.task).errands.get(a.number);
-        loop.execute(() -> errand.giveUp(Outcome.CANCELLED));
+        WorkerAttempt attempt = ((ClientTask) a.task).attempts.get(a.number);
+        loop.execute(() -> attempt.giveUp(Outcome.CANCELLED));
     }
 
     @Override
-    public void giveUp(WorkerAttempt errand) {
-        int w = errand.assignment.worker;
+    public void giveUp(WorkerAttempt attempt) {
+        int w = attempt.assignment.worker;
         try {
-            byte[] request = WorkerProtocol.giveUp(errand.task.id, roster.address(w));
-            pool.take(w, roster.address(w)).ask(request, deployment.connectWithin, null);
+            byte[] request = WorkerProtocol.giveUp(attempt.task.id, workers.address(w));
+            pool.take(w, workers.address(w)).ask(request, deployment.connectWithin, null);
         } catch (IOException e) {
             LOG.atWarn()
-                    .addKeyValue("worker", roster.name(w))
+                    .addKeyValue("worker", workers.name(w))
                     .addKeyValue("why", e.getMessage())
                     .log("worker.cancel_failed");
         }
@@ -516,19 +516,19 @@
     @Override
     public boolean told(
             String id, String from, String state, double share, String result, Object load) {
-        ClientTask t = hand.find(id);
-        int worker = roster.find(from);
-        WorkerAttempt errand = t == null ? null : outAt(t, worker);
-        if (errand == null) {
-            return t != null && t.errands.stream().anyMatch(e -> e.assignment.worker == worker);
+        ClientTask t = tasks.find(id);
+        int worker = workers.find(from);
+        WorkerAttempt attempt = t == null ? null : outAt(t, worker);
+        if (attempt == null) {
+            return t != null && t.attempts.stream().anyMatch(e -> e.assignment.worker == worker);
         }
         Outcome how = WorkerProtocol.outcome(state);
         if (how != null) {
-            end(errand, how, result, load);
+            end(attempt, how, result, load);
         } else if (state.equals("started")) {
-            dispatcher.started(loop.now(), errand.assignment);
+            dispatcher.started(loop.now(), attempt.assignment);
         } else if (state.equals("running")) {
-            dispatcher.progressed(loop.now(), errand.assignment, share);
+            dispatcher.progressed(loop.now(), attempt.assignment, share);
         }
         return true;
     }
@@ -542,26 +542,26 @@
         }
     }
 
-    private void end(WorkerAttempt errand, Outcome how, String result, Object load) {
-        ClientTask t = errand.task;
+    private void end(WorkerAttempt attempt, Outcome how, String result, Object load) {
+        ClientTask t = attempt.task;
         if (how == Outcome.OK && t.client != null) {
             finished++;
             Trace.answered(loop.now(), t, "finished");
             ClientEndpoint.finished(t.client, result);
             clear(t, true);
         }
-        Outcome sure = how == Outcome.FULL && repeats(errand) ? Outcome.RESET : how;
-        errand.told(sure, deployment.reports.read(load));
+        Outcome sure = how == Outcome.FULL && repeats(attempt) ? Outcome.RESET : how;
+        attempt.told(sure, deployment.reports.read(load));
     }
 
     /**
      * Guards rule two: that a task was handed back may be a repeat, said of an earlier assignment.
      */
-    private static boolean repeats(WorkerAttempt errand) {
-        for (WorkerAttempt e : errand.task.errands) {
-            if (e != errand
+    private static boolean repeats(WorkerAttempt attempt) {
+        for (WorkerAttempt e : attempt.task.attempts) {
+            if (e != attempt
                     && e.endedByCallBack()
-                    && e.assignment.worker == errand.assignment.worker) {
+                    && e.assignment.worker == attempt.assignment.worker) {
                 return true;
             }
         }
@@ -573,7 +573,7 @@
      * nothing.
      */
     private static WorkerAttempt outAt(ClientTask t, int worker) {
-        for (WorkerAttempt e : t.errands) {
+        for (WorkerAttempt e : t.attempts) {
             if (!e.isOver() && e.assignment.worker == worker) {
                 return e;
             }
@@ -582,19 +582,19 @@
     }
 
     @Override
-    public void ended(WorkerAttempt errand, Outcome how, double[] report) {
-        ClientTask t = errand.task;
+    public void ended(WorkerAttempt attempt, Outcome how, double[] report) {
+        ClientTask t = attempt.task;
         outcomes[how.ordinal()]++;
-        Trace.ended(errand.assignment, roster.name(errand.assignment.worker), how, report);
+        Trace.ended(attempt.assignment, workers.name(attempt.assignment.worker), how, report);
         boolean over = t.ended() || how == Outcome.OK;
-        dispatcher.ended(loop.now(), errand.assignment, how, over, report);
-        hand.release(t);
+        dispatcher.ended(loop.now(), attempt.assignment, how, over, report);
+        tasks.release(t);
     }
 
     @Override
     public void probe(int worker) {
         try {
-            InetSocketAddress address = roster.address(worker);
+            InetSocketAddress address = workers.address(worker);
             pool.take(worker, address)
                     .ask(
                             WorkerProtocol.probe(address),
@@ -633,7 +633,7 @@
 
     /** Abandons what is still in hand: better this answer than none. */
     void abandonAll() {
-        for (ClientTask t : hand.all()) {
+        for (ClientTask t : tasks.all()) {
             if (t.client != null) {
                 Inbound client = t.client;
                 clear(t, false);
@@ -647,7 +647,7 @@
     /** How many tasks have no answer yet. */
     int unanswered() {
         int n = 0;
-        for (ClientTask t : hand.all()) {
+        for (ClientTask t : tasks.all()) {
             n += t.client == null ? 0 : 1;
         }
         return n;
@@ -659,7 +659,7 @@
                 .addKeyValue("bounced", bounced)
                 .addKeyValue("abandoned", abandoned)
                 .addKeyValue("left", left)
-                .addKeyValue("in_hand", hand.size());
+                .addKeyValue("in_hand", tasks.size());
         for (Outcome how : Outcome.values()) {
             int n = outcomes[how.ordinal()];
             if (n > 0) {
--- a/src/main/java/gingerspool/handover/Handover.java
+++ b/src/main/java/gingerspool/handover/Handover.java
@@ -497,7 +497,7 @@
                     from.answer(409, List.of(), "not the heir\n");
                 } else {
                     after.holds = true;
-                    from.whenGone(() -> heirGone(who));
+                    from.whenGone(() -> successorGone(who));
                 }
             }
             case "word" -> word(from, who, Json.read(body, 0, body.length));
@@ -520,7 +520,7 @@
         if (JsonTree.number(0, call, "v") != HandoverFile.VERSION) {
             throw new BadMessage(400, "v is not " + HandoverFile.VERSION);
         }
-        Peer heir =
+        Peer successor =
                 new Peer(
                         loop,
                         Address.read(who),
@@ -534,7 +534,7 @@
         if (after != null) {
             after.close();
         }
-        after = heir;
+        after = successor;
         after.ask = (long) JsonTree.number(0, call, "ask");
         Map<String, Object> state = new LinkedHashMap<>();
         state.put("v", HandoverFile.VERSION);
@@ -553,18 +553,18 @@
         LOG.atInfo().addKeyValue("successor", who).log("handover.retired");
         house.retire();
         from.answer(200, List.of(), body(Map.of("descriptors", house.descriptors())));
-        Peer heir = after;
+        Peer successor = after;
         loop.schedule(
                 HELD_WITHIN,
                 () -> {
-                    if (heir == after && !heir.holds) {
-                        heirGone(who);
+                    if (successor == after && !successor.holds) {
+                        successorGone(who);
                     }
                 });
     }
 
-    private void heirGone(String who) {
-        act(succession.heirGone(who));
+    private void successorGone(String who) {
+        act(succession.successorGone(who));
     }
 
     private void word(Inbound from, String who, Object word) {
--- a/src/main/java/gingerspool/handover/Succession.java
+++ b/src/main/java/gingerspool/handover/Succession.java
@@ -52,7 +52,7 @@
     /** Words told to the process after this one since it had the state. */
     private long told;
 
-    private String heir = "";
+    private String successor = "";
 
     Before before() {
         return before;
@@ -128,7 +128,7 @@
             return Action.REFUSE;
         }
         after = After.JOINED;
-        heir = who;
+        successor = who;
         told = 0;
         return Action.TELL;
     }
@@ -144,7 +144,7 @@
 
     /** The heir has bound and asks us to retire; it has had so many words since the state. */
     Action asksToTake(String who, long words) {
-        if (after != After.JOINED || !who.equals(heir) || !counted(words)) {
+        if (after != After.JOINED || !who.equals(successor) || !counted(words)) {
             return Action.REFUSE;
         }
         after = After.SUCCEEDED;
@@ -157,13 +157,13 @@
     }
 
     /** The heir is gone. */
-    Action heirGone(String who) {
-        if (after == After.NONE || !who.equals(heir)) {
+    Action successorGone(String who) {
+        if (after == After.NONE || !who.equals(successor)) {
             return Action.NONE;
         }
         boolean had = after == After.SUCCEEDED;
         after = After.NONE;
-        heir = "";
+        successor = "";
         return had ? Action.TAKE_BACK : Action.NONE;
     }
 }
--- a/src/main/java/gingerspool/store/ClientTask.java
+++ b/src/main/java/gingerspool/store/ClientTask.java
@@ -18,7 +18,7 @@
     public Routes.Stay stay;
 
     /** By number of the assignment. */
-    public final List<WorkerAttempt> errands = new ArrayList<>(1);
+    public final List<WorkerAttempt> attempts = new ArrayList<>(1);
 
     public ClientTask(String id, Inbound client, Message request) {
         super(id);
--- a/src/main/java/gingerspool/store/WorkerAttempt.java
+++ b/src/main/java/gingerspool/store/WorkerAttempt.java
@@ -15,10 +15,10 @@
 public final class WorkerAttempt implements Outbound.Caller {
     /** Who is told how it ended. */
     public interface Owner {
-        void ended(WorkerAttempt errand, Outcome how, double[] report);
+        void ended(WorkerAttempt attempt, Outcome how, double[] report);
 
         /** The worker has the task and is to be told to let it go. */
-        void giveUp(WorkerAttempt errand);
+        void giveUp(WorkerAttempt attempt);
     }
 
     public final Assignment assignment;
--- a/src/main/java/gingerspool/wire/ClientEndpoint.java
+++ b/src/main/java/gingerspool/wire/ClientEndpoint.java
@@ -17,7 +17,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ClientEndpoint.class);
 
     /** Who is behind the door. */
-    public interface Desk {
+    public interface RequestHandler {
         boolean knowsProfile(String name);
 
         boolean inHand(String id);
@@ -44,7 +44,7 @@
     }
 
     private final EventLoop loop;
-    private final Desk desk;
+    private final RequestHandler handler;
     private int most;
     private SocketAddress at;
 
@@ -69,9 +69,10 @@
     /**
      * Holds so many connections at the most; others may listen at the same address if it is shared.
      */
-    public ClientEndpoint(EventLoop loop, SocketAddress at, boolean shared, int most, Desk desk) {
+    public ClientEndpoint(
+            EventLoop loop, SocketAddress at, boolean shared, int most, RequestHandler handler) {
         this.loop = loop;
-        this.desk = desk;
+        this.handler = handler;
         this.most = most;
         this.at = at;
         this.shared = shared;
@@ -239,7 +240,7 @@
                     if (callBack(request.body())) {
                         from.answer(200, List.of(), "");
                     } else {
-                        desk.elsewhere(
+                        handler.elsewhere(
                                 request.body(), status -> from.answer(status, List.of(), ""));
                     }
                 }
@@ -287,7 +288,7 @@
                 .addKeyValue("state", state)
                 .addKeyValue("worker", from)
                 .log("callback.received");
-        return desk.told(
+        return handler.told(
                 id,
                 from,
                 state,
@@ -300,20 +301,20 @@
         String profile = request.field("x-service-class");
         int slash = path.indexOf('/', 1);
         String first = slash < 0 ? path.substring(1) : path.substring(1, slash);
-        if (profile == null && !desk.knowsProfile(first)
-                || profile != null && desk.knowsProfile(profile) && !profile.equals(first)) {
+        if (profile == null && !handler.knowsProfile(first)
+                || profile != null && handler.knowsProfile(profile) && !profile.equals(first)) {
             throw new BadMessage(404, "no such path");
         }
         allow(request, "POST");
         profile = profile == null ? first : profile;
-        if (!desk.knowsProfile(profile)) {
+        if (!handler.knowsProfile(profile)) {
             throw new BadMessage(400, "unknown class");
         }
         String id = request.field("x-correlation-id");
         if (id == null || id.length() > 128 || !Message.isToken(id)) {
             throw new BadMessage(400, "X-Correlation-Id is missing or unusable");
         }
-        if (desk.inHand(id)) {
+        if (handler.inHand(id)) {
             throw new BadMessage(400, "X-Correlation-Id is in use");
         }
         double timeLeft = Facts.field(request, "x-time-left-ms", Double.NaN);
@@ -321,12 +322,12 @@
         double hint = Facts.field(request, "x-weight-hint", 0) / 1000;
         double width = Facts.fact(request, "x-facts", "slots", 1);
         double memory = Facts.fact(request, "x-facts", "memory", 0);
-        if (!desk.hasRoomFor(request.body().length)) {
+        if (!handler.hasRoomFor(request.body().length)) {
             refused++;
             client.answer(503, List.of(), "too many tasks in hand\n");
             return;
         }
-        desk.arrived(
+        handler.arrived(
                 new TaskRequest(
                         client,
                         id,
--- a/src/main/java/gingerspool/wire/Inbound.java
+++ b/src/main/java/gingerspool/wire/Inbound.java
@@ -45,7 +45,7 @@
         ENDING
     }
 
-    private final Handler door;
+    private final Handler clients;
     private double idle;
     private final double stalled;
 
@@ -62,18 +62,18 @@
     private double since;
     private boolean callBacks;
 
-    public Inbound(EventLoop loop, AsynchronousSocketChannel channel, Handler door) {
-        this(loop, channel, door, IDLE, STALLED);
+    public Inbound(EventLoop loop, AsynchronousSocketChannel channel, Handler clients) {
+        this(loop, channel, clients, IDLE, STALLED);
     }
 
     /** With so long for it to be idle, and for one message, answer or end to take. */
     public Inbound(
             EventLoop loop,
             AsynchronousSocketChannel channel,
-            Handler door,
+            Handler clients,
             double idle,
             double stalled) {
-        this(loop, channel, door, idle, stalled, HEAD_MOST, BODY_MOST);
+        this(loop, channel, clients, idle, stalled, HEAD_MOST, BODY_MOST);
     }
 
     /**
@@ -83,13 +83,13 @@
     public Inbound(
             EventLoop loop,
             AsynchronousSocketChannel channel,
-            Handler door,
+            Handler clients,
             double idle,
             double stalled,
             int headMost,
             int bodyMost) {
         super(loop, channel, headMost + LINE);
-        this.door = door;
+        this.clients = clients;
         this.idle = idle;
         this.stalled = stalled;
         this.headMost = headMost;
@@ -128,7 +128,7 @@
         message = Message.request(headMost, bodyMost);
         since = loop.now();
         alarm(idle, this::close);
-        door.idle(this, true);
+        clients.idle(this, true);
     }
 
     @Override
@@ -145,7 +145,7 @@
         if (state == State.IDLE) {
             state = State.READING;
             alarm(headWithin > 0 ? headWithin : stalled, this::headTooLate);
-            door.idle(this, false);
+            clients.idle(this, false);
         }
         try {
             boolean head = message.headRead();
@@ -154,7 +154,7 @@
                 state = State.ASKED;
                 alarm(0, null);
                 lastRequest = !message.keepsAlive();
-                door.asked(this, message);
+                clients.asked(this, message);
             } else if (!head && message.headRead()) {
                 alarm(stalled, this::close);
                 if (message.wantsContinue()) {
@@ -165,7 +165,7 @@
         } catch (BadMessage e) {
             state = State.ASKED;
             lastRequest = true;
-            door.unreadable(e);
+            clients.unreadable(e);
             answer(e.status, List.of(), e.getMessage());
             return to - from;
         }
@@ -179,7 +179,7 @@
         state = State.ASKED;
         lastRequest = true;
         BadMessage late = new BadMessage(408, "the head took too long");
-        door.unreadable(late);
+        clients.unreadable(late);
         answer(late.status, List.of(), late.getMessage());
     }
 
@@ -283,7 +283,7 @@
 
     @Override
     void closed(boolean allWritten) {
-        door.closed(this);
+        clients.closed(this);
         if (whenGone != null) {
             whenGone.run();
         }
--- a/src/main/java/gingerspool/wire/ManagementEndpoint.java
+++ b/src/main/java/gingerspool/wire/ManagementEndpoint.java
@@ -47,7 +47,7 @@
     }
 
     /** Who carries calls out. */
-    public interface Office {
+    public interface Operations {
         /** Whether this process takes clients. */
         boolean takesClients();
 
@@ -62,7 +62,7 @@
     }
 
     private final EventLoop loop;
-    private final Office office;
+    private final Operations operations;
     private final int most;
     private final Listener listener;
 
@@ -79,10 +79,10 @@
     private int stalled;
 
     /** Listens at once; holds so many connections at the most. */
-    public ManagementEndpoint(EventLoop loop, SocketAddress at, int most, Office office)
+    public ManagementEndpoint(EventLoop loop, SocketAddress at, int most, Operations operations)
             throws IOException {
         this.loop = loop;
-        this.office = office;
+        this.operations = operations;
         this.most = most;
         listener = new Listener(loop, at, this);
     }
@@ -176,7 +176,7 @@
     @Override
     public void asked(Inbound from, Message request) {
         waiting.remove(from);
-        if (office.takes(from, request)) {
+        if (operations.takes(from, request)) {
             return;
         }
         from.endAfterAnswer(true);
@@ -195,11 +195,11 @@
         switch (path) {
             case "/v1/readyz" -> {
                 ClientEndpoint.allow(request, "GET");
-                reply(from, path).answer(office.takesClients() ? Answer.YES : Answer.NO);
+                reply(from, path).answer(operations.takesClients() ? Answer.YES : Answer.NO);
             }
             case "/v1/scheduler/drain", "/v1/scheduler/activate" -> {
                 ClientEndpoint.allow(request, "POST");
-                office.drain(path.endsWith("drain"), reply(from, path));
+                operations.drain(path.endsWith("drain"), reply(from, path));
             }
             default -> ofWorker(from, request, path);
         }
@@ -218,7 +218,7 @@
         if (id.isEmpty() || id.length() > ID_MOST) {
             throw new BadMessage(404, "no such worker");
         }
-        office.suspend(id, suspended, reply(from, path));
+        operations.suspend(id, suspended, reply(from, path));
     }
 
     /** A part of a path without its percent signs. */
--- a/src/test/java/gingerspool/daemon/HandoverTest.java
+++ b/src/test/java/gingerspool/daemon/HandoverTest.java
@@ -86,7 +86,7 @@
     }
 
     private static int port(Daemon d) throws IOException {
-        return ((InetSocketAddress) d.door.address()).getPort();
+        return ((InetSocketAddress) d.clients.address()).getPort();
     }
 
     private int call(Daemon d, String method, String path) throws IOException {
@@ -174,19 +174,21 @@
         Daemon first = start(0, true);
         ready(first);
         int port = port(first);
-        Socket kept = to(first.door.address(), task("i1"));
+        Socket kept = to(first.clients.address(), task("i1"));
         atWorker("i1");
         Socket calls =
-                to(first.door.address(), "POST /callback HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}");
+                to(
+                        first.clients.address(),
+                        "POST /callback HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}");
         Bench.read(calls);
         Daemon second = start(port, false);
         ready(second);
         assertEquals(call(first, "GET", "/v1/readyz"), 503);
         untilItListensNoMore(first);
-        Socket fresh = to(second.door.address(), task("i2"));
+        Socket fresh = to(second.clients.address(), task("i2"));
         atWorker("i2");
         // New connections all come to the second now, and the task of the first is told there.
-        Socket told = to(second.door.address(), done("i1"));
+        Socket told = to(second.clients.address(), done("i1"));
         assertTrue(Bench.read(told).startsWith("HTTP/1.1 200 "));
         String answer = Bench.read(kept);
         assertTrue(answer.endsWith("made i1") && answer.contains("Connection: close\r\n"), answer);
@@ -204,7 +206,7 @@
 
     /** Guards tests against the reset that a client may meet at the very moment of closing. */
     private void untilItListensNoMore(Daemon d) throws IOException {
-        while (d.door.listens()) {
+        while (d.clients.listens()) {
             call(d, "GET", "/v1/readyz");
         }
     }
@@ -224,21 +226,21 @@
         Daemon first = start(0, true, "'dueTimeMs':100", 5000);
         ready(first);
         int port = port(first);
-        Socket one = to(first.door.address(), task("i1"));
+        Socket one = to(first.clients.address(), task("i1"));
         atWorker("i1");
         Daemon second = after(first, port);
-        Socket two = to(second.door.address(), task("i2"));
+        Socket two = to(second.clients.address(), task("i2"));
         atWorker("i2");
         Daemon third = after(second, port);
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
         assertTrue(third.scheduler.suspended().contains("s-1"));
         assertEquals(call(third, "POST", "/v1/workers/s-1/resume"), 200);
         assertTrue(first.scheduler.suspended().isEmpty() && second.scheduler.suspended().isEmpty());
-        assertTrue(Bench.read(to(third.door.address(), done("i2"))).startsWith("HTTP/1.1 200 "));
+        assertTrue(Bench.read(to(third.clients.address(), done("i2"))).startsWith("HTTP/1.1 200 "));
         assertTrue(Bench.read(two).endsWith("made i2"));
         two.close();
         long since = System.nanoTime();
-        while (on(second, second.door::ofClients) > 0) {
+        while (on(second, second.clients::ofClients) > 0) {
             assertTrue(
                     System.nanoTime() - since < 10_000_000_000L,
                     "the client's end is not seen in 10 s");
@@ -254,15 +256,15 @@
                 still,
                 1,
                 "nothing is left in the middle process, but the first one's call-backs are");
-        assertTrue(Bench.read(to(third.door.address(), done("i1"))).startsWith("HTTP/1.1 200 "));
+        assertTrue(Bench.read(to(third.clients.address(), done("i1"))).startsWith("HTTP/1.1 200 "));
         assertTrue(Bench.read(one).endsWith("made i1"));
         one.close();
         first.loop.submit(() -> first.leave(first.loop.now()));
         first.ended.await();
         second.ended.await();
-        Socket three = to(third.door.address(), task("i3"));
+        Socket three = to(third.clients.address(), task("i3"));
         atWorker("i3");
-        assertTrue(Bench.read(to(third.door.address(), done("i3"))).startsWith("HTTP/1.1 200 "));
+        assertTrue(Bench.read(to(third.clients.address(), done("i3"))).startsWith("HTTP/1.1 200 "));
         assertTrue(Bench.read(three).endsWith("made i3"));
     }
 
@@ -280,9 +282,9 @@
             throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 5000);
         ready(first);
-        Socket client = to(first.door.address(), task("i1"));
+        Socket client = to(first.clients.address(), task("i1"));
         atWorker("i1");
-        Bench.read(to(first.door.address(), done("i1")));
+        Bench.read(to(first.clients.address(), done("i1")));
         assertTrue(Bench.read(client).endsWith("made i1"));
         Daemon second = start(port(first), false, due, 5000);
         ready(second);
@@ -290,9 +292,9 @@
         assertEquals(learned(second, "answeredAt"), learned(first, "answeredAt"));
         assertEquals(learned(second, "slots"), learned(first, "slots"));
         untilItListensNoMore(first);
-        Socket next = to(second.door.address(), task("i2"));
+        Socket next = to(second.clients.address(), task("i2"));
         atWorker("i2");
-        Bench.read(to(second.door.address(), done("i2")));
+        Bench.read(to(second.clients.address(), done("i2")));
         assertTrue(Bench.read(next).endsWith("made i2"));
     }
 
@@ -309,10 +311,10 @@
         assertEquals(call(second, "POST", "/v1/scheduler/activate"), 200);
         assertEquals(healthz(port(second)), "200");
         String early = task("i1").replace("4000", "300");
-        assertTrue(Bench.read(to(second.door.address(), early)).startsWith("HTTP/1.1 503 "));
+        assertTrue(Bench.read(to(second.clients.address(), early)).startsWith("HTTP/1.1 503 "));
         // A word at either process holds for both.
         assertEquals(call(first, "POST", "/v1/workers/s-1/resume"), 200);
-        to(second.door.address(), task("i2"));
+        to(second.clients.address(), task("i2"));
         atWorker("i2");
         assertEquals(call(second, "POST", "/v1/workers/s-1/suspend"), 200);
         assertTrue(first.scheduler.suspended().contains("s-1"));
@@ -329,9 +331,9 @@
         Daemon second = start(port, true);
         ready(second);
         String early = task("i1").replace("4000", "300");
-        assertTrue(Bench.read(to(second.door.address(), early)).startsWith("HTTP/1.1 503 "));
+        assertTrue(Bench.read(to(second.clients.address(), early)).startsWith("HTTP/1.1 503 "));
         assertEquals(call(second, "POST", "/v1/workers/s-1/resume"), 200);
-        to(second.door.address(), task("i2"));
+        to(second.clients.address(), task("i2"));
         atWorker("i2");
     }
 
--- a/src/test/java/gingerspool/daemon/ManagementTest.java
+++ b/src/test/java/gingerspool/daemon/ManagementTest.java
@@ -56,7 +56,7 @@
     }
 
     private Socket client(String text) throws IOException {
-        return to(daemon.door.address(), text);
+        return to(daemon.clients.address(), text);
     }
 
     private static String task(String id, int timeLeft) {
@@ -266,6 +266,6 @@
         Daemon other = new Daemon(plain);
         assertEquals(other.management, null);
         other.loop.stop();
-        assertFalse(other.door == null);
+        assertFalse(other.clients == null);
     }
 }
--- a/src/test/java/gingerspool/daemon/PolicyMeasure.java
+++ b/src/test/java/gingerspool/daemon/PolicyMeasure.java
@@ -91,12 +91,12 @@
             Path file = Files.writeString(Files.createTempFile("measure", ".toml"), text + more);
             Daemon daemon = FileDaemon.open(file);
             Files.delete(file);
-            peers.callBackTo((InetSocketAddress) daemon.door.address());
+            peers.callBackTo((InetSocketAddress) daemon.clients.address());
             CountDownLatch ready = new CountDownLatch(1);
             daemon.loop.submit(daemon::begin);
             daemon.loop.submit(ready::countDown);
             ready.await();
-            double[] latency = load((InetSocketAddress) daemon.door.address(), seed);
+            double[] latency = load((InetSocketAddress) daemon.clients.address(), seed);
             daemon.loop.stop();
             Arrays.sort(latency);
             double work = 0;
--- a/src/test/java/gingerspool/daemon/ProcessLifecycleTest.java
+++ b/src/test/java/gingerspool/daemon/ProcessLifecycleTest.java
@@ -57,35 +57,35 @@
     }
 
     private static ProcessLifecycle after(String inputs) {
-        ProcessLifecycle life = new ProcessLifecycle();
+        ProcessLifecycle lifecycle = new ProcessLifecycle();
         for (String input : inputs.split(" ")) {
             switch (input) {
-                case "started" -> life.started();
-                case "drain" -> life.drain(0);
-                case "activate" -> life.activate();
-                case "succeeded" -> life.succeeded(0);
-                case "alone" -> life.aloneAgain();
-                case "term" -> life.leave(0, WITHIN);
+                case "started" -> lifecycle.started();
+                case "drain" -> lifecycle.drain(0);
+                case "activate" -> lifecycle.activate();
+                case "succeeded" -> lifecycle.succeeded(0);
+                case "alone" -> lifecycle.aloneAgain();
+                case "term" -> lifecycle.leave(0, WITHIN);
                 default -> {}
             }
         }
-        return life;
+        return lifecycle;
     }
 
     @Test(dataProvider = "table")
     public void eachStateAnswersEachInput(String inputs, String seen, String byTime) {
-        ProcessLifecycle life = after(inputs);
+        ProcessLifecycle lifecycle = after(inputs);
         assertEquals(
-                (life.takesClients() ? "yes " : "no ")
-                        + (life.isReady() ? "yes " : "no ")
-                        + (life.listens() ? "listens" : "not"),
+                (lifecycle.takesClients() ? "yes " : "no ")
+                        + (lifecycle.isReady() ? "yes " : "no ")
+                        + (lifecycle.listens() ? "listens" : "not"),
                 seen);
         StringBuilder at = new StringBuilder();
         for (double t : List.of(0.0, 800.0, 3000.0)) {
-            double idle = life.idleMost(t);
+            double idle = lifecycle.idleMost(t);
             at.append((int) t)
                     .append(':')
-                    .append(life.lastAnswers(t))
+                    .append(lifecycle.lastAnswers(t))
                     .append('/')
                     .append(Double.isInfinite(idle) ? "none" : String.valueOf((int) idle))
                     .append(' ');
@@ -96,14 +96,14 @@
     /** Guards rule one: what is out is given up within the span told, and not before it. */
     @Test
     public void itIsOverWithinTheSpanToldAtTheFirstSignal() {
-        ProcessLifecycle life = after("started term");
-        life.leave(2000, WITHIN);
-        assertTrue(!life.isOver(3399) && life.isOver(3400));
-        assertTrue(!life.isClosing(2549) && life.isClosing(2550));
-        assertEquals(life.endsFrom(), 700.0);
-        life.succeeded(100);
-        assertTrue(life.isClosing(1360) && !life.isClosing(1359));
-        assertEquals(life.endsFrom(), 0.0);
+        ProcessLifecycle lifecycle = after("started term");
+        lifecycle.leave(2000, WITHIN);
+        assertTrue(!lifecycle.isOver(3399) && lifecycle.isOver(3400));
+        assertTrue(!lifecycle.isClosing(2549) && lifecycle.isClosing(2550));
+        assertEquals(lifecycle.endsFrom(), 700.0);
+        lifecycle.succeeded(100);
+        assertTrue(lifecycle.isClosing(1360) && !lifecycle.isClosing(1359));
+        assertEquals(lifecycle.endsFrom(), 0.0);
     }
 
     /**
@@ -112,12 +112,12 @@
      */
     @Test
     public void whoStandsBetweenTwoOthersStaysUntilItIsOver() {
-        ProcessLifecycle life = after("started");
-        life.succeeded(100);
-        assertFalse(life.mayEnd(200, false));
-        life.leave(1000, WITHIN);
-        assertTrue(life.mayEnd(1000, false));
-        assertFalse(life.mayEnd(1000 + WITHIN - 1, true));
-        assertTrue(life.mayEnd(1000 + WITHIN, true));
+        ProcessLifecycle lifecycle = after("started");
+        lifecycle.succeeded(100);
+        assertFalse(lifecycle.mayEnd(200, false));
+        lifecycle.leave(1000, WITHIN);
+        assertTrue(lifecycle.mayEnd(1000, false));
+        assertFalse(lifecycle.mayEnd(1000 + WITHIN - 1, true));
+        assertTrue(lifecycle.mayEnd(1000 + WITHIN, true));
     }
 }
--- a/src/test/java/gingerspool/daemon/ReloadTest.java
+++ b/src/test/java/gingerspool/daemon/ReloadTest.java
@@ -73,7 +73,7 @@
 
     private void start(String text) throws Exception {
         daemon = FileDaemon.open(file(text));
-        peers.callBackTo((InetSocketAddress) daemon.door.address());
+        peers.callBackTo((InetSocketAddress) daemon.clients.address());
         CountDownLatch ready = new CountDownLatch(1);
         daemon.loop.submit(daemon::begin);
         daemon.loop.submit(ready::countDown);
@@ -82,7 +82,7 @@
 
     private Socket client() throws IOException {
         Socket s = new Socket();
-        s.connect((InetSocketAddress) daemon.door.address());
+        s.connect((InetSocketAddress) daemon.clients.address());
         s.setTcpNoDelay(true);
         s.setSoTimeout(20_000);
         return s;
--- a/src/test/java/gingerspool/daemon/ServeTest.java
+++ b/src/test/java/gingerspool/daemon/ServeTest.java
@@ -82,7 +82,7 @@
     private Socket client() throws IOException {
         Socket s = new Socket();
         clients.add(s);
-        s.connect((InetSocketAddress) daemon.door.address());
+        s.connect((InetSocketAddress) daemon.clients.address());
         s.setSoTimeout(5000);
         return s;
     }
@@ -357,7 +357,7 @@
             String answer = Bench.read(say("GET /healthz HTTP/1.1\r\n\r\n"));
             assertTrue(answer.startsWith("HTTP/1.1 200 "), "connection " + i);
         }
-        assertTrue(daemon.door.connections() <= 12);
+        assertTrue(daemon.clients.connections() <= 12);
     }
 
     /**
@@ -369,9 +369,10 @@
         for (int i = 0; i < 16; i++) {
             Bench.read(say("GET /healthz HTTP/1.1\r\n\r\n"));
         }
-        daemon.loop.submit(daemon.door::outOfDescriptors);
+        daemon.loop.submit(daemon.clients::outOfDescriptors);
         assertTrue(Bench.read(say("GET /healthz HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 200 "));
-        assertTrue(daemon.door.connections() <= 14, daemon.door.connections() + " connections");
+        assertTrue(
+                daemon.clients.connections() <= 14, daemon.clients.connections() + " connections");
     }
 
     /**
@@ -525,7 +526,7 @@
                 answer.startsWith("HTTP/1.1 200 ") && answer.contains("Connection: close\r\n"),
                 answer);
         daemon.ended.await();
-        assertFalse(daemon.door.connections() > 0);
+        assertFalse(daemon.clients.connections() > 0);
     }
 
     /**
--- a/src/test/java/gingerspool/experiment/BrokenScheduler.java
+++ b/src/test/java/gingerspool/experiment/BrokenScheduler.java
@@ -25,7 +25,7 @@
  * A simple scheduler that keeps the rules, or breaks one on purpose, so that the judge is seen to
  * find it.
  */
-final class BrokenScheduler implements ClientEndpoint.Desk, DiscoveryClient.Follower {
+final class BrokenScheduler implements ClientEndpoint.RequestHandler, DiscoveryClient.Follower {
     enum Way {
         SOUND,
         RESENDS,
@@ -60,8 +60,8 @@
     private final Map<String, Integer> states = new HashMap<>();
     private final Map<String, Double> born = new HashMap<>();
     private final Set<String> profiles;
-    private final Map<String, Held> hand = new HashMap<>();
-    private ClientEndpoint door;
+    private final Map<String, Held> tasks = new HashMap<>();
+    private ClientEndpoint clients;
     private int count;
 
     BrokenScheduler(EventLoop loop, Way way, long seed, Set<String> profiles) {
@@ -73,16 +73,16 @@
 
     /** Listens at a port of the system's choice. */
     InetSocketAddress listen() throws IOException {
-        door =
+        clients =
                 new ClientEndpoint(
                         loop,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         false,
                         1000,
                         this);
-        door.listen();
-        door.open();
-        return (InetSocketAddress) door.address();
+        clients.listen();
+        clients.open();
+        return (InetSocketAddress) clients.address();
     }
 
     void follow(InetSocketAddress discovery) {
@@ -127,7 +127,7 @@
 
     @Override
     public boolean inHand(String id) {
-        return hand.containsKey(id);
+        return tasks.containsKey(id);
     }
 
     @Override
@@ -162,7 +162,7 @@
         t.client = client;
         t.request = request.message();
         t.worker = pick(null);
-        hand.put(id, t);
+        tasks.put(id, t);
         client.whenGone(() -> t.answered = true);
         if (t.worker == null) {
             ClientEndpoint.bounced(client, 0);
@@ -244,7 +244,7 @@
     @Override
     public boolean told(
             String id, String from, String state, double share, String result, Object load) {
-        Held t = hand.get(id);
+        Held t = tasks.get(id);
         Outcome how = WorkerProtocol.outcome(state);
         if (t == null || how == null) {
             return true;
--- a/src/test/java/gingerspool/handover/SuccessionTest.java
+++ b/src/test/java/gingerspool/handover/SuccessionTest.java
@@ -74,7 +74,7 @@
             case "gone" -> s.beforeGone();
             case "ask" -> s.asked(part[1]);
             case "take" -> s.asksToTake(part[1], Long.parseLong(part[2]));
-            case "heirgone" -> s.heirGone(part[1]);
+            case "heirgone" -> s.successorGone(part[1]);
             case "word" -> {
                 s.word();
                 yield Action.NONE;
@@ -122,7 +122,7 @@
     private static String play(long seed, boolean countsWords) {
         SplittableRandom chance = new SplittableRandom(seed);
         Process old = new Process("a");
-        Process heir = new Process("b");
+        Process successor = new Process("b");
         List<Sent> link = new ArrayList<>();
         List<Integer> said = new ArrayList<>();
         old.s.begin(false);
@@ -131,8 +131,8 @@
             void act(Process p, Action act) {
                 switch (act) {
                     case ASK -> {
-                        int ask = ++heir.asks;
-                        heir.early.clear();
+                        int ask = ++successor.asks;
+                        successor.early.clear();
                         link.add(
                                 new Sent(
                                         old,
@@ -143,39 +143,43 @@
                                                 List<Integer> state = List.copyOf(old.bans);
                                                 link.add(
                                                         new Sent(
-                                                                heir,
+                                                                successor,
                                                                 false,
                                                                 () -> {
-                                                                    heir.bans.clear();
-                                                                    heir.bans.addAll(state);
-                                                                    heir.heard = 0;
+                                                                    successor.bans.clear();
+                                                                    successor.bans.addAll(state);
+                                                                    successor.heard = 0;
                                                                     Action then =
-                                                                            heir.s.stateCame();
+                                                                            successor.s.stateCame();
                                                                     List<Integer> early =
-                                                                            List.copyOf(heir.early);
-                                                                    heir.early.clear();
+                                                                            List.copyOf(
+                                                                                    successor
+                                                                                            .early);
+                                                                    successor.early.clear();
                                                                     early.forEach(
                                                                             b ->
                                                                                     hear(
-                                                                                            heir, b,
-                                                                                            heir.asks));
-                                                                    act(heir, then);
+                                                                                            successor,
+                                                                                            b,
+                                                                                            successor
+                                                                                                    .asks));
+                                                                    act(successor, then);
                                                                 }));
                                             } else {
                                                 link.add(
                                                         new Sent(
-                                                                heir,
+                                                                successor,
                                                                 false,
                                                                 () ->
                                                                         act(
-                                                                                heir,
-                                                                                heir.s
+                                                                                successor,
+                                                                                successor.s
                                                                                         .stateFailed())));
                                             }
                                         }));
                     }
                     case TAKE -> {
-                        long heard = heir.heard;
+                        long heard = successor.heard;
                         link.add(
                                 new Sent(
                                         old,
@@ -188,15 +192,23 @@
                                                 old.listens = false;
                                                 link.add(
                                                         new Sent(
-                                                                heir,
+                                                                successor,
                                                                 false,
-                                                                () -> act(heir, heir.s.retired())));
+                                                                () ->
+                                                                        act(
+                                                                                successor,
+                                                                                successor.s
+                                                                                        .retired())));
                                             } else {
                                                 link.add(
                                                         new Sent(
-                                                                heir,
+                                                                successor,
                                                                 false,
-                                                                () -> act(heir, heir.s.refused())));
+                                                                () ->
+                                                                        act(
+                                                                                successor,
+                                                                                successor.s
+                                                                                        .refused())));
                                             }
                                         }));
                     }
@@ -213,7 +225,7 @@
                 case 0 -> {
                     if (!begun) {
                         begun = true;
-                        acts.act(heir, heir.s.begin(true));
+                        acts.act(successor, successor.s.begin(true));
                     }
                 }
                 case 1 -> {
@@ -225,18 +237,18 @@
                         at.bans.add(ban);
                         if (at.s.word()) {
                             int ask = old.asks;
-                            link.add(new Sent(heir, true, () -> hear(heir, ban, ask)));
+                            link.add(new Sent(successor, true, () -> hear(successor, ban, ask)));
                         }
                         said.add(ban);
                     }
                 }
                 case 2 -> {
-                    if (begun && chance.nextInt(6) == 0 && !heir.dead) {
-                        heir.dead = true;
-                        heir.listens = false;
-                        link.removeIf(m -> m.to() == heir);
+                    if (begun && chance.nextInt(6) == 0 && !successor.dead) {
+                        successor.dead = true;
+                        successor.listens = false;
+                        link.removeIf(m -> m.to() == successor);
                         if (!old.dead) {
-                            acts.act(old, old.s.heirGone("b"));
+                            acts.act(old, old.s.successorGone("b"));
                         }
                     }
                 }
@@ -257,10 +269,10 @@
                     }
                 }
             }
-            if (heir.listens && old.listens) {
+            if (successor.listens && old.listens) {
                 return seed + ": both take clients";
             }
-            if (heir.listens && !heir.bans.containsAll(said)) {
+            if (successor.listens && !successor.bans.containsAll(said)) {
                 return seed + ": the heir serves without a ban that was said";
             }
         }
@@ -270,22 +282,24 @@
                 next.what().run();
             }
         }
-        if (!heir.listens && !old.listens) {
+        if (!successor.listens && !old.listens) {
             return seed + ": nobody takes clients";
         }
-        return heir.listens && !heir.bans.containsAll(said) ? seed + ": a ban was lost" : null;
+        return successor.listens && !successor.bans.containsAll(said)
+                ? seed + ": a ban was lost"
+                : null;
     }
 
     /** A word that comes before the state waits for it. */
-    private static void hear(Process heir, int ban, int ask) {
-        if (!heir.s.isServing() && ask != heir.asks) {
+    private static void hear(Process successor, int ban, int ask) {
+        if (!successor.s.isServing() && ask != successor.asks) {
             return;
         }
-        if (heir.s.before() == Succession.Before.ASKED) {
-            heir.early.add(ban);
+        if (successor.s.before() == Succession.Before.ASKED) {
+            successor.early.add(ban);
         } else {
-            heir.bans.add(ban);
-            heir.heard++;
+            successor.bans.add(ban);
+            successor.heard++;
         }
     }
 
--- a/src/test/java/gingerspool/load/LoadTest.java
+++ b/src/test/java/gingerspool/load/LoadTest.java
@@ -95,8 +95,8 @@
         return tries;
     }
 
-    static ClientEndpoint.Desk desk(Clerk clerk) {
-        return new ClientEndpoint.Desk() {
+    static ClientEndpoint.RequestHandler desk(Clerk clerk) {
+        return new ClientEndpoint.RequestHandler() {
             @Override
             public boolean knowsProfile(String name) {
                 return name.equals("p");
--- a/src/test/java/gingerspool/store/StoreTest.java
+++ b/src/test/java/gingerspool/store/StoreTest.java
@@ -19,15 +19,15 @@
 
 public class StoreTest implements WorkerAttempt.Owner {
     private final List<String> heard = new ArrayList<>();
-    private WorkerAttempt errand;
+    private WorkerAttempt attempt;
 
     @BeforeMethod
     public void begin() throws BadMessage {
         heard.clear();
-        errand =
+        attempt =
                 new WorkerAttempt(
                         Bench.assignment(task("t1", ""), 0, 0), new LoadReport("", ""), this);
-        errand.begin(null, null);
+        attempt.begin(null, null);
     }
 
     private static ClientTask task(String id, String body) throws BadMessage {
@@ -63,16 +63,16 @@
 
     @Test
     public void aCallBackBeforeTheAnswerCounts() throws BadMessage {
-        errand.told(Outcome.OK, null);
-        errand.answered(answer(202));
-        errand.broke(true);
+        attempt.told(Outcome.OK, null);
+        attempt.answered(answer(202));
+        attempt.broke(true);
         assertEquals(heard, List.of("OK"));
     }
 
     @Test
     public void aLostAnswerIsAResetWhateverACallBackSaysLater() {
-        errand.broke(true);
-        errand.told(Outcome.OK, null);
+        attempt.broke(true);
+        attempt.told(Outcome.OK, null);
         assertEquals(heard, List.of("RESET"));
     }
 
@@ -82,49 +82,49 @@
      */
     @Test
     public void aRequestThatWasNotWrittenWholeNeverRan() {
-        errand.broke(false);
+        attempt.broke(false);
         assertEquals(heard, List.of("UNREACHABLE"));
     }
 
     @Test
     public void onceTakenTheConnectionNoLongerMatters() throws BadMessage {
-        errand.answered(answer(202));
-        errand.broke(true);
-        errand.told(Outcome.ERROR, null);
-        errand.told(Outcome.OK, null);
+        attempt.answered(answer(202));
+        attempt.broke(true);
+        attempt.told(Outcome.ERROR, null);
+        attempt.told(Outcome.OK, null);
         assertEquals(heard, List.of("ERROR"));
     }
 
     @Test
     public void aTimeOutAfterTheAnswerIsGivenUpOnTheWireFirst() throws BadMessage {
-        errand.answered(answer(202));
-        errand.giveUp(Outcome.TIMEOUT);
-        errand.told(Outcome.OK, null);
-        errand.giveUp(Outcome.CANCELLED);
+        attempt.answered(answer(202));
+        attempt.giveUp(Outcome.TIMEOUT);
+        attempt.told(Outcome.OK, null);
+        attempt.giveUp(Outcome.CANCELLED);
         assertEquals(heard, List.of("give up", "TIMEOUT"));
     }
 
     @Test
     public void aHandHasRoomForSoManyTasksAndBytes() throws BadMessage {
-        TaskRegistry hand = new TaskRegistry(2, 10);
-        hand.add(task("a", "12345678"));
-        assertTrue(hand.hasRoomFor(2));
-        assertFalse(hand.hasRoomFor(3));
-        hand.add(task("b", ""));
-        assertFalse(hand.hasRoomFor(0));
+        TaskRegistry tasks = new TaskRegistry(2, 10);
+        tasks.add(task("a", "12345678"));
+        assertTrue(tasks.hasRoomFor(2));
+        assertFalse(tasks.hasRoomFor(3));
+        tasks.add(task("b", ""));
+        assertFalse(tasks.hasRoomFor(0));
     }
 
     @Test
     public void aTaskIsLetGoOnlyOnceItHasItsAnswer() throws BadMessage {
-        TaskRegistry hand = new TaskRegistry(1, 10);
+        TaskRegistry tasks = new TaskRegistry(1, 10);
         ClientTask t = task("a", "12345678");
-        hand.add(t);
-        hand.release(t);
-        assertEquals(hand.find("a"), t);
+        tasks.add(t);
+        tasks.release(t);
+        assertEquals(tasks.find("a"), t);
         Bench.end(t);
-        hand.release(t);
-        assertNull(hand.find("a"));
-        assertTrue(hand.hasRoomFor(10));
+        tasks.release(t);
+        assertNull(tasks.find("a"));
+        assertTrue(tasks.hasRoomFor(10));
     }
 
     /**
@@ -145,15 +145,15 @@
 
     @Test
     public void aWorkerKeepsItsIndexAndMayMove() throws BadMessage {
-        WorkerDirectory roster = new WorkerDirectory();
-        assertEquals(roster.index("a"), 0);
-        assertEquals(roster.index("b"), 1);
-        assertEquals(roster.index("a"), 0);
-        assertEquals(roster.find("c"), -1);
-        assertTrue(roster.setAddress(0, Address.read("127.0.0.1:1")));
-        assertFalse(roster.setAddress(0, Address.read("127.0.0.1:1")));
-        assertFalse(roster.setAddress(0, null));
-        assertTrue(roster.setState(0, 2));
-        assertFalse(roster.setState(0, 2));
+        WorkerDirectory workers = new WorkerDirectory();
+        assertEquals(workers.index("a"), 0);
+        assertEquals(workers.index("b"), 1);
+        assertEquals(workers.index("a"), 0);
+        assertEquals(workers.find("c"), -1);
+        assertTrue(workers.setAddress(0, Address.read("127.0.0.1:1")));
+        assertFalse(workers.setAddress(0, Address.read("127.0.0.1:1")));
+        assertFalse(workers.setAddress(0, null));
+        assertTrue(workers.setState(0, 2));
+        assertFalse(workers.setState(0, 2));
     }
 }
