--- a/src/main/java/gingerspool/antientropy/RangeDigests.java
+++ b/src/main/java/gingerspool/antientropy/RangeDigests.java
@@ -15,9 +15,10 @@
 
     private RangeDigests() {}
 
+    /** The range of a key. */
     public static int of(String key) {
-        int h = key.hashCode() * 0x9E3779B9;
-        return h >>> 28;
+        int hash = key.hashCode() * 0x9E3779B9;
+        return hash >>> 28;
     }
 
     /** Sums of the items' digests by range; two copies that differ agree by chance only. */
@@ -30,11 +31,12 @@
         return Arrays.stream(sums).boxed().toList();
     }
 
+    /** The first eight bytes of a SHA-256. */
     public static long digest(byte[] bytes) {
         try {
             return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(bytes)).getLong();
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("every Java platform has SHA-256", e);
         }
     }
 
--- a/src/main/java/gingerspool/codec/KryoCodec.java
+++ b/src/main/java/gingerspool/codec/KryoCodec.java
@@ -20,6 +20,7 @@
     private final Kryo kryo = new Kryo();
     private final Output output = new Output(FIRST, -1);
 
+    /** A type is written as its number in this list, which both sides must share. */
     public KryoCodec(List<Class<?>> types) {
         kryo.setReferences(false);
         kryo.register(byte[].class);
@@ -71,13 +72,14 @@
         }
     }
 
+    /** The bytes of a message of a registered type. */
     public byte[] write(Object message) {
         output.reset();
         kryo.writeClassAndObject(output, message);
         return output.toBytes();
     }
 
-    /** What can't be read is a fault of the peer. */
+    /** Reads a message; an exception says that the peer wrote none of ours. */
     public Object read(byte[] bytes) throws MalformedMessageException {
         try {
             return kryo.readClassAndObject(new Input(bytes));
--- a/src/main/java/gingerspool/configuration/ConfigurationRules.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationRules.java
@@ -14,30 +14,32 @@
     private ConfigurationRules() {}
 
     /** The rules that any configuration keeps. */
-    static void check(Configuration c) throws InvalidConfigurationException {
+    static void check(Configuration configuration) throws InvalidConfigurationException {
         Set<String> services = new HashSet<>();
-        for (Service s : c.getServicesList()) {
-            if (s.getName().isEmpty() || !services.add(s.getName())) {
+        for (Service service : configuration.getServicesList()) {
+            if (service.getName().isEmpty() || !services.add(service.getName())) {
                 throw new InvalidConfigurationException(
-                        "Services: \"" + s.getName() + "\" stands twice or has no Name");
+                        "Services: \"" + service.getName() + "\" stands twice or has no Name");
             }
         }
         Set<String> names = new HashSet<>();
         Map<String, String> places = new HashMap<>();
-        for (Route r : c.getRoutesList()) {
-            String at = "Routes: \"" + r.getName() + "\" ";
-            if (r.getName().isEmpty() || !names.add(r.getName())) {
+        for (Route route : configuration.getRoutesList()) {
+            String at = "Routes: \"" + route.getName() + "\" ";
+            if (route.getName().isEmpty() || !names.add(route.getName())) {
                 throw new InvalidConfigurationException(at + "stands twice or has no Name");
             }
-            if (!services.contains(r.getService())) {
+            if (!services.contains(route.getService())) {
                 throw new InvalidConfigurationException(
-                        at + "names Service \"" + r.getService() + "\", which isn't there");
+                        at + "names Service \"" + route.getService() + "\", which isn't there");
             }
-            if (r.hasTimeout() && r.getTimeout() <= 0) {
-                throw new InvalidConfigurationException(at + "has TimeoutMs " + r.getTimeout());
+            if (route.hasTimeout() && route.getTimeout() <= 0) {
+                throw new InvalidConfigurationException(at + "has TimeoutMs " + route.getTimeout());
             }
             String other =
-                    places.put(RouteTable.host(r.getHost()) + " " + r.getPrefix(), r.getName());
+                    places.put(
+                            RouteTable.host(route.getHost()) + " " + route.getPrefix(),
+                            route.getName());
             if (other != null) {
                 throw new InvalidConfigurationException(
                         at + "has the HostName and PathPrefix of \"" + other + "\"");
--- a/src/main/java/gingerspool/configuration/ConfigurationState.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationState.java
@@ -137,9 +137,9 @@
     private static Configuration typed(Map<String, Object> tree)
             throws InvalidConfigurationException {
         try {
-            Configuration.Builder b = Configuration.newBuilder();
-            JsonFormat.parser().ignoringUnknownFields().merge(Json.write(tree), b);
-            return b.build();
+            Configuration.Builder builder = Configuration.newBuilder();
+            JsonFormat.parser().ignoringUnknownFields().merge(Json.write(tree), builder);
+            return builder.build();
         } catch (InvalidProtocolBufferException e) {
             throw new InvalidConfigurationException(e.getMessage());
         }
--- a/src/main/java/gingerspool/configuration/JsonItems.java
+++ b/src/main/java/gingerspool/configuration/JsonItems.java
@@ -50,7 +50,7 @@
     }
 
     static Object value(String item) throws BadMessage {
-        byte[] b = item.getBytes(StandardCharsets.UTF_8);
-        return ((List<?>) Json.read(b, 0, b.length)).get(0);
+        byte[] bytes = item.getBytes(StandardCharsets.UTF_8);
+        return ((List<?>) Json.read(bytes, 0, bytes.length)).get(0);
     }
 }
--- a/src/main/java/gingerspool/configuration/RouteTable.java
+++ b/src/main/java/gingerspool/configuration/RouteTable.java
@@ -13,6 +13,7 @@
 public final class RouteTable {
     private final Map<String, List<Route>> byHost = new HashMap<>();
 
+    /** The routes of a configuration, which may be empty. */
     public RouteTable(Configuration configuration) {
         for (Route r : configuration.getRoutesList()) {
             byHost.computeIfAbsent(host(r.getHost()), k -> new ArrayList<>()).add(r);
--- a/src/main/java/gingerspool/controlplane/ControlNode.java
+++ b/src/main/java/gingerspool/controlplane/ControlNode.java
@@ -65,6 +65,7 @@
 
     private int announcements;
 
+    /** Binds the endpoints; an exception says that one of the addresses can't be listened on. */
     public ControlNode(NodeSettings settings) throws IOException {
         this.settings = settings;
         loop = new SingleThreadEventLoop();
--- a/src/main/java/gingerspool/controlplane/OperatorCall.java
+++ b/src/main/java/gingerspool/controlplane/OperatorCall.java
@@ -18,31 +18,32 @@
     record Read(Reply reply, String target) implements OperatorCall {}
 
     /** A whole configuration, or changes, made on a version. */
-    record Change(Reply reply, String target, boolean whole, long on, byte[] body)
+    record Change(Reply reply, String target, boolean isComplete, long onVersion, byte[] body)
             implements OperatorCall {}
 
     record Status(Reply reply, String target) implements OperatorCall {}
 
     /** What can't be run, and what it is answered. */
-    record Bad(Reply reply, String target, int status, String text) implements OperatorCall {}
+    record Invalid(Reply reply, String target, int status, String text) implements OperatorCall {}
 
-    static OperatorCall decode(Reply reply, Message m) {
-        String path = m.method() + " " + m.target();
+    static OperatorCall decode(Reply reply, Message request) {
+        String path = request.method() + " " + request.target();
         return switch (path) {
-            case "GET /v1/configuration/read" -> new Read(reply, m.target());
-            case "POST /v1/configuration/replace" -> change(reply, m, true);
-            case "POST /v1/configuration/modify" -> change(reply, m, false);
-            case "GET /v1/status" -> new Status(reply, m.target());
-            default -> new Bad(reply, m.target(), 404, "no such call: " + path);
+            case "GET /v1/configuration/read" -> new Read(reply, request.target());
+            case "POST /v1/configuration/replace" -> change(reply, request, true);
+            case "POST /v1/configuration/modify" -> change(reply, request, false);
+            case "GET /v1/status" -> new Status(reply, request.target());
+            default -> new Invalid(reply, request.target(), 404, "no such call: " + path);
         };
     }
 
-    private static OperatorCall change(Reply reply, Message m, boolean whole) {
-        String on = m.field("based-on-version");
-        if (on == null || !on.matches("[0-9]{1,18}")) {
+    private static OperatorCall change(Reply reply, Message request, boolean isComplete) {
+        String onVersion = request.field("based-on-version");
+        if (onVersion == null || !onVersion.matches("[0-9]{1,18}")) {
             String why = "Based-On-Version is missing or no whole number";
-            return new Bad(reply, m.target(), 400, why);
+            return new Invalid(reply, request.target(), 400, why);
         }
-        return new Change(reply, m.target(), whole, Long.parseLong(on), m.body());
+        return new Change(
+                reply, request.target(), isComplete, Long.parseLong(onVersion), request.body());
     }
 }
--- a/src/main/java/gingerspool/controlplane/OperatorCalls.java
+++ b/src/main/java/gingerspool/controlplane/OperatorCalls.java
@@ -68,8 +68,8 @@
 
     /** Runs one call; whoever calls this looks after the replica next. */
     void run(OperatorCall call) {
-        if (call instanceof OperatorCall.Bad bad) {
-            answerError(call, bad.status(), bad.text());
+        if (call instanceof OperatorCall.Invalid invalid) {
+            answerError(call, invalid.status(), invalid.text());
         } else if (replica.get() == null) {
             answerNothingRan(call, "the disk has not been read yet");
         } else if (call instanceof OperatorCall.Status) {
@@ -116,7 +116,9 @@
                     }
                 });
         byte[] command =
-                codec.write(new Messages.ChangeCommand(id, call.whole(), call.on(), call.body()));
+                codec.write(
+                        new Messages.ChangeCommand(
+                                id, call.isComplete(), call.onVersion(), call.body()));
         if (!replica.get().propose(loop.now(), command)) {
             pending.remove(id);
             answerNothingRan(call, "the lease has just ended here");
--- a/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
+++ b/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
@@ -37,7 +37,7 @@
 
     void end() {
         listener.close();
-        open.forEach(c -> c.endAfterAnswer(true));
+        open.forEach(connection -> connection.endAfterAnswer(true));
     }
 
     @Override
@@ -50,7 +50,7 @@
 
     @Override
     public void accepted(AsynchronousSocketChannel channel) {
-        Inbound c =
+        Inbound connection =
                 new Inbound(
                         loop,
                         channel,
@@ -59,8 +59,8 @@
                         TIMEOUT_MS,
                         HEADER_BYTES_MOST,
                         BODY_BYTES_MOST);
-        open.add(c);
-        c.start();
+        open.add(connection);
+        connection.start();
     }
 
     @Override
--- a/src/main/java/gingerspool/controlplane/PeerLinks.java
+++ b/src/main/java/gingerspool/controlplane/PeerLinks.java
@@ -56,31 +56,33 @@
         double now = loop.now();
         wanted.forEach(this::connect);
         for (Map.Entry<String, Peer> e : List.copyOf(peers.entrySet())) {
-            Peer p = e.getValue();
+            Peer peer = e.getValue();
             // Guards against links that a cut has left half dead: a new one works as soon as the
             // cut ends.
             boolean isSilent =
-                    p.isUp
+                    peer.isUp
                             && now
-                                    > Math.max(p.heardAt, p.attemptedAt)
+                                    > Math.max(peer.heardAt, peer.attemptedAt)
                                             + SILENCE_HEARTBEATS * settings.heartbeatInterval;
             boolean isUnwanted =
                     !wanted.contains(e.getKey())
-                            && now > p.heardAt + UNNEEDED_HEARTBEATS * settings.heartbeatInterval;
-            if (p.link != null && (isSilent || isUnwanted)) {
-                p.link.close();
+                            && now
+                                    > peer.heardAt
+                                            + UNNEEDED_HEARTBEATS * settings.heartbeatInterval;
+            if (peer.link != null && (isSilent || isUnwanted)) {
+                peer.link.close();
             }
         }
     }
 
     private void connect(String ip) {
         double now = loop.now();
-        Peer p = peers.computeIfAbsent(ip, k -> new Peer());
-        if (p.link == null
-                && now >= p.attemptedAt + RETRY_HEARTBEATS * settings.heartbeatInterval) {
-            p.attemptedAt = now;
+        Peer peer = peers.computeIfAbsent(ip, k -> new Peer());
+        if (peer.link == null
+                && now >= peer.attemptedAt + RETRY_HEARTBEATS * settings.heartbeatInterval) {
+            peer.attemptedAt = now;
             try {
-                p.link =
+                peer.link =
                         Frames.open(
                                 loop,
                                 new InetSocketAddress(ip, settings.internalPort),
@@ -103,29 +105,31 @@
 
     /** A heartbeat came; false where none of the peers sent it. */
     boolean heardHeartbeat(String ip) {
-        Peer p = peers.get(ip);
-        if (p != null) {
-            p.heardAt = loop.now();
+        Peer peer = peers.get(ip);
+        if (peer != null) {
+            peer.heardAt = loop.now();
         }
-        return p != null;
+        return peer != null;
     }
 
     /** Sends, where there is a link. */
     void send(String ip, Object message) {
-        Peer p = peers.get(ip);
-        if (p != null && p.isUp) {
-            p.link.send(codec.write(message));
+        Peer peer = peers.get(ip);
+        if (peer != null && peer.isUp) {
+            peer.link.send(codec.write(message));
         }
     }
 
     void sendHeartbeats() {
         byte[] heartbeat = codec.write(new Messages.Heartbeat(settings.ip));
-        peers.values().stream().filter(p -> p.isUp).forEach(p -> p.link.send(heartbeat));
+        peers.values().stream()
+                .filter(peer -> peer.isUp)
+                .forEach(peer -> peer.link.send(heartbeat));
     }
 
     @Override
     public void up(Frames link) {
-        peers.values().forEach(p -> p.isUp |= p.link == link);
+        peers.values().forEach(peer -> peer.isUp |= peer.link == link);
     }
 
     @Override
@@ -135,10 +139,10 @@
 
     @Override
     public void closed(Frames link) {
-        for (Peer p : peers.values()) {
-            if (p.link == link) {
-                p.link = null;
-                p.isUp = false;
+        for (Peer peer : peers.values()) {
+            if (peer.link == link) {
+                peer.link = null;
+                peer.isUp = false;
             }
         }
     }
--- a/src/main/java/gingerspool/controlplane/PlatformClient.java
+++ b/src/main/java/gingerspool/controlplane/PlatformClient.java
@@ -45,14 +45,15 @@
     private void page(String target, List<Object> all, Consumer<List<Object>> then) {
         get(
                 target,
-                a -> {
-                    if (a.status() != 200
-                            || !(JsonTree.at(a.tree(), "Instances") instanceof List<?> l)) {
+                answer -> {
+                    if (answer.status() != 200
+                            || !(JsonTree.at(answer.tree(), "Instances")
+                                    instanceof List<?> instances)) {
                         then.accept(null);
                         return;
                     }
-                    all.addAll(l);
-                    String next = JsonTree.text("", a.tree(), "NextPageToken");
+                    all.addAll(instances);
+                    String next = JsonTree.text("", answer.tree(), "NextPageToken");
                     if (next.isEmpty()) {
                         then.accept(all);
                     } else {
@@ -126,8 +127,8 @@
                             timeout,
                             new Outbound.Caller() {
                                 @Override
-                                public void answered(Message m) {
-                                    then.accept(read(m));
+                                public void answered(Message message) {
+                                    then.accept(read(message));
                                 }
 
                                 @Override
@@ -140,13 +141,13 @@
         }
     }
 
-    private static Answer read(Message m) {
-        byte[] body = m.body();
+    private static Answer read(Message message) {
+        byte[] body = message.body();
         try {
             return new Answer(
-                    m.status(), body.length == 0 ? null : Json.read(body, 0, body.length));
+                    message.status(), body.length == 0 ? null : Json.read(body, 0, body.length));
         } catch (BadMessage e) {
-            return new Answer(m.status() == 200 ? 0 : m.status(), null);
+            return new Answer(message.status() == 200 ? 0 : message.status(), null);
         }
     }
 }
--- a/src/main/java/gingerspool/dataplane/InstanceResponse.java
+++ b/src/main/java/gingerspool/dataplane/InstanceResponse.java
@@ -50,8 +50,8 @@
                         .append(' ')
                         .append(from.target())
                         .append(" HTTP/1.1\r\n");
-        for (String f : fields(from)) {
-            head.append(f).append("\r\n");
+        for (String field : fields(from)) {
+            head.append(field).append("\r\n");
         }
         head.append("Remaining-Milliseconds: ").append((long) Math.max(1, timeLeft));
         if (instance != null) {
@@ -84,11 +84,14 @@
 
     /** A field's name as it is usually written. */
     private static String shown(String name) {
-        char[] c = name.toCharArray();
-        for (int i = 0; i < c.length; i++) {
-            c[i] = i == 0 || c[i - 1] == '-' ? Character.toUpperCase(c[i]) : c[i];
+        char[] letters = name.toCharArray();
+        for (int i = 0; i < letters.length; i++) {
+            letters[i] =
+                    i == 0 || letters[i - 1] == '-'
+                            ? Character.toUpperCase(letters[i])
+                            : letters[i];
         }
-        return new String(c);
+        return new String(letters);
     }
 
     /**
@@ -138,7 +141,7 @@
                 && !promises;
     }
 
-    static byte[] text(String s) {
-        return s.getBytes(StandardCharsets.UTF_8);
+    static byte[] text(String text) {
+        return text.getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/src/main/java/gingerspool/dataplane/SchedulerNode.java
+++ b/src/main/java/gingerspool/dataplane/SchedulerNode.java
@@ -62,6 +62,7 @@
     private double leavingAt = Double.NaN;
     private Runnable whenLeft;
 
+    /** Binds the endpoints; an exception says that one of the addresses can't be listened on. */
     public SchedulerNode(NodeSettings settings) throws IOException {
         this.settings = settings;
         loop = new SingleThreadEventLoop();
@@ -78,6 +79,7 @@
         router = new RequestRouter(loop, settings, pool, this, listener::acceptOn);
     }
 
+    /** Begins to look for the leader; clients are answered 503 until a configuration has come. */
     public void begin() {
         loop.submit(
                 () -> {
--- a/src/main/java/gingerspool/scenario/ScenarioFile.java
+++ b/src/main/java/gingerspool/scenario/ScenarioFile.java
@@ -82,11 +82,6 @@
         return s;
     }
 
-    /** The names of all faults that a scenario may hold. */
-    public static List<String> kindsOfFaults() {
-        return new ArrayList<>(FAULTS.keySet());
-    }
-
     private void read(Section all) {
         String plain = file.getFileName().toString().replaceAll("\\.toml$", "");
         s.name = all.text("name", plain).value();
--- a/src/main/java/gingerspool/storage/DurableLog.java
+++ b/src/main/java/gingerspool/storage/DurableLog.java
@@ -244,19 +244,19 @@
         }
     }
 
-    private void put(LogWrite c) {
+    private void put(LogWrite write) {
         meta.put("form", new byte[] {FORMAT});
-        meta.put("promise", codec.write(new Vote(c.self(), c.term(), c.votedFor())));
-        if (c.snapshot() != null) {
-            meta.put("base", codec.write(c.snapshot()));
+        meta.put("promise", codec.write(new Vote(write.self(), write.term(), write.votedFor())));
+        if (write.snapshot() != null) {
+            meta.put("base", codec.write(write.snapshot()));
             entries.clear();
         }
         Long last = entries.lastKey();
-        for (long index = c.from(); last != null && index <= last; index++) {
+        for (long index = write.from(); last != null && index <= last; index++) {
             entries.remove(index);
         }
-        for (int i = 0; i < c.entries().size(); i++) {
-            entries.put(c.from() + i, codec.write(c.entries().get(i)));
+        for (int i = 0; i < write.entries().size(); i++) {
+            entries.put(write.from() + i, codec.write(write.entries().get(i)));
         }
     }
 
--- a/src/main/java/gingerspool/storage/LogWriter.java
+++ b/src/main/java/gingerspool/storage/LogWriter.java
@@ -62,6 +62,7 @@
                     .onFailedAttempt(e -> failed(e.getLastException()))
                     .build();
 
+    /** The executor runs the owner's calls on the event loop; the thread starts with start(). */
     public LogWriter(DurableLog log, Executor loop, Owner owner) {
         this.log = log;
         this.loop = loop;
