--- a/src/test/java/gingerspool/autoscaler/AutoscalerTest.java
+++ b/src/test/java/gingerspool/autoscaler/AutoscalerTest.java
@@ -29,7 +29,7 @@
         starts.clear();
         nonces.clear();
         stops.clear();
-        allocator = new SlotAllocator(1000, 0, (front, word) -> {});
+        allocator = new SlotAllocator(1000, 0, (front, message) -> {});
         allocator.configure(
                 Configuration.newBuilder()
                         .addServices(
@@ -82,7 +82,7 @@
         autoscaler.instancesListed();
     }
 
-    private void want(String function, int lacks, int inHand, double at) {
+    private void demand(String function, int lacks, int inHand, double at) {
         allocator.onRegister(at, "a", new Messages.Register("a", "zb", 0, Map.of()));
         allocator.onDemand(
                 at, "a", new Messages.SlotDemand(function, lacks, 0, inHand, inHand, 60));
@@ -90,7 +90,7 @@
 
     @Test
     public void startsNothingBeforeTheListsAreKnown() {
-        want("rare", 1, 1, 600);
+        demand("rare", 1, 1, 600);
         autoscaler.tick(600);
         assertEquals(starts.size(), 0, "instances may be running already");
         hosts(4096);
@@ -106,7 +106,7 @@
     @Test
     public void startsOnceForWhatIsLackedAndStopsWhatIdles() {
         hosts(4096);
-        want("rare", 1, 1, 600);
+        demand("rare", 1, 1, 600);
         for (int i = 0; i < 10; i++) {
             autoscaler.tick(650 + 50 * i);
         }
@@ -114,7 +114,7 @@
         int rare = starts.indexOf("rare on h2");
         autoscaler.started(1200, nonces.get(rare), "i1", "10.0.0.1:1");
         allocator.markReady(1700, allocator.instance("i1"));
-        want("rare", 0, 0, 1710);
+        demand("rare", 0, 0, 1710);
         autoscaler.tick(1750);
         assertEquals(stops.size(), 0, "one task in a second: another may well come soon");
         allocator.tick(2500);
@@ -217,7 +217,7 @@
                         .addRoutes(Route.newBuilder().setService("rare").setAim(1000))
                         .addRoutes(Route.newBuilder().setService("new").setAim(1000))
                         .build());
-        want("rare", 0, 0, 600);
+        demand("rare", 0, 0, 600);
         allocator.onDemand(700, "a", new Messages.SlotDemand("new", 1, 0, 1, 1, 0));
         autoscaler.tick(700);
         assertEquals(starts.stream().filter(s -> s.startsWith("new")).count(), 1);
@@ -226,7 +226,7 @@
     @Test
     public void aHostWithoutRoomIsPassedOverAndTheRateIsKept() {
         hosts(200);
-        want("rare", 30, 30, 600);
+        demand("rare", 30, 30, 600);
         autoscaler.tick(650);
         assertEquals(
                 starts.stream().filter(s -> s.startsWith("rare")).count(),
--- a/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
+++ b/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
@@ -43,15 +43,15 @@
     private Cloud cloud;
     private ConnectionPool pool;
     private NodeSettings settings;
-    private FunctionQueue desk;
-    private BlockingQueue<Object> said;
+    private FunctionQueue queue;
+    private BlockingQueue<Object> sentMessages;
     private BlockingQueue<String> answers;
     private int poolIndexes;
 
     @BeforeMethod
     public void open() throws Exception {
         loop = new SingleThreadEventLoop();
-        said = new LinkedBlockingQueue<>();
+        sentMessages = new LinkedBlockingQueue<>();
         answers = new LinkedBlockingQueue<>();
         poolIndexes = 0;
         cloud = new Cloud(loop, "127.0.7.2", Map.of("h1", "a"), 1, 20, 0, 2);
@@ -72,7 +72,7 @@
                         .formatted((int) BEAT));
         settings = NodeSettings.read(file);
         pool = new ConnectionPool(loop, 500, 5000, 20);
-        desk =
+        queue =
                 on(
                         () -> {
                             FunctionQueue d = new FunctionQueue(this, "f");
@@ -141,7 +141,7 @@
                                     loop.now() + route.getAim(),
                                     true);
                     v.expiry = loop.now() + route.getTimeout();
-                    desk.take(v);
+                    queue.take(v);
                     return null;
                 });
         return id;
@@ -150,7 +150,7 @@
     private void grant(String instance, String address) throws Exception {
         on(
                 () -> {
-                    desk.granted(new Messages.SlotGrant("f", instance, address, "a", 2, 1, 0, 1));
+                    queue.granted(new Messages.SlotGrant("f", instance, address, "a", 2, 1, 0, 1));
                     return null;
                 });
     }
@@ -189,11 +189,11 @@
 
     /** The first word of this kind that the leader is told from now on. */
     private <T> T next(Class<T> kind) throws Exception {
-        for (Object word = said.poll(5, TimeUnit.SECONDS);
-                word != null;
-                word = said.poll(5, TimeUnit.SECONDS)) {
-            if (kind.isInstance(word)) {
-                return kind.cast(word);
+        for (Object message = sentMessages.poll(5, TimeUnit.SECONDS);
+                message != null;
+                message = sentMessages.poll(5, TimeUnit.SECONDS)) {
+            if (kind.isInstance(message)) {
+                return kind.cast(message);
             }
         }
         throw new AssertionError("no " + kind.getSimpleName() + " was said");
@@ -257,12 +257,12 @@
             if (i < 20) {
                 begin("b");
             } else if (i == 20) {
-                said.clear();
+                sentMessages.clear();
             }
             assertEquals(answer(), "200 n" + i);
         }
         assertNull(
-                said.stream()
+                sentMessages.stream()
                         .filter(w -> w instanceof Messages.SlotReturn)
                         .findFirst()
                         .orElse(null),
@@ -300,8 +300,8 @@
     }
 
     @Override
-    public boolean tellLeader(Object word) {
-        said.add(word);
+    public boolean tellLeader(Object message) {
+        sentMessages.add(message);
         return true;
     }
 
--- a/src/test/java/gingerspool/simulation/SlotSimulation.java
+++ b/src/test/java/gingerspool/simulation/SlotSimulation.java
@@ -26,11 +26,11 @@
  * is wrong with it, or null.
  */
 final class SlotSimulation {
-    static final double BEAT = 1200;
-    private static final double LAG = 800;
-    private static final double BOOT = 500;
+    static final double HEARTBEAT = 1200;
+    private static final double LIST_DELAY = 800;
+    private static final double START_TIME = 500;
     private static final int SLOTS = 2;
-    private static final int FRONTS = 4;
+    private static final int SCHEDULERS = 4;
     private static final List<String> FUNCTIONS = List.of("f", "g", "h");
 
     /** After a trouble, counts may differ for as long as rules allow. */
@@ -39,7 +39,7 @@
     private record Event(double at, long serial, Runnable what) {}
 
     /** A copy as the platform runs it. */
-    private static final class Copy {
+    private static final class ModelInstance {
         final String id;
         final String function;
         final String host;
@@ -47,7 +47,7 @@
         double endedAt = Double.POSITIVE_INFINITY;
         int running;
 
-        Copy(String id, String function, String host) {
+        ModelInstance(String id, String function, String host) {
             this.id = id;
             this.function = function;
             this.host = host;
@@ -55,35 +55,35 @@
     }
 
     /** A scheduler: what it holds and uses by copy, and who waits by function. */
-    private final class Front {
+    private final class ModelScheduler {
         final String name;
-        boolean enrolled;
+        boolean isRegistered;
 
         /** Messages of an older link or life are lost. */
         long link;
 
         long grants;
-        double lastWord;
+        double lastMessageAt;
         final Map<String, Integer> held = new LinkedHashMap<>();
         Map<String, Integer> used = new HashMap<>();
         final Map<String, ArrayDeque<Double>> waits = new HashMap<>();
         final Map<String, Long> granted = new HashMap<>();
         final Map<String, Long> came = new HashMap<>();
 
-        Front(String name) {
+        ModelScheduler(String name) {
             this.name = name;
             FUNCTIONS.forEach(f -> waits.put(f, new ArrayDeque<>()));
         }
 
         /** Messages go in order, each link's in its time. */
-        void say(Runnable toKeeper) {
-            if (!enrolled) {
+        void toAllocator(Runnable toKeeper) {
+            if (!isRegistered) {
                 return;
             }
             long of = link;
-            lastWord = Math.max(lastWord, now + 0.3 + 2 * chance.nextDouble());
+            lastMessageAt = Math.max(lastMessageAt, now + 0.3 + 2 * random.nextDouble());
             at(
-                    lastWord,
+                    lastMessageAt,
                     () -> {
                         if (link == of) {
                             toKeeper.run();
@@ -91,44 +91,44 @@
                     });
         }
 
-        void enrol() {
-            enrolled = true;
+        void register() {
+            isRegistered = true;
             grants = 0;
             granted.clear();
             came.clear();
-            Messages.Register word = new Messages.Register(name, "z", 0, Map.copyOf(held));
-            say(() -> allocator.onRegister(now, name, word));
+            Messages.Register message = new Messages.Register(name, "z", 0, Map.copyOf(held));
+            toAllocator(() -> allocator.onRegister(now, name, message));
             FUNCTIONS.forEach(this::want);
             held.keySet().stream().toList().forEach(this::idle);
         }
 
-        void breaks() {
+        void disconnect() {
             link++;
-            if (enrolled) {
-                enrolled = false;
+            if (isRegistered) {
+                isRegistered = false;
                 allocator.onDisconnect(now, name);
             }
             after(
-                    20 + chance.nextInt(280),
+                    20 + random.nextInt(280),
                     () -> {
-                        if (!enrolled) {
-                            enrol();
+                        if (!isRegistered) {
+                            register();
                         }
                     });
         }
 
-        void dies() {
+        void restart() {
             held.clear();
             used = new HashMap<>();
             waits.values().forEach(ArrayDeque::clear);
-            breaks();
+            disconnect();
         }
 
         void want(String f) {
             int inHand =
                     waits.get(f).size()
                             + used.entrySet().stream()
-                                    .filter(e -> copies.get(e.getKey()).function.equals(f))
+                                    .filter(e -> modelInstances.get(e.getKey()).function.equals(f))
                                     .mapToInt(Map.Entry::getValue)
                                     .sum();
             Messages.SlotDemand w =
@@ -139,7 +139,7 @@
                             inHand,
                             came.getOrDefault(f, 0L),
                             60);
-            say(() -> allocator.onDemand(now, name, w));
+            toAllocator(() -> allocator.onDemand(now, name, w));
         }
 
         void request(String f) {
@@ -153,7 +153,7 @@
             grants++;
             held.merge(g.instance(), g.slots(), Integer::sum);
             if (g.startsIn() > 0) {
-                knock(g.instance(), link);
+                awaitStart(g.instance(), link);
             } else {
                 granted.merge(g.function(), (long) g.slots(), Long::sum);
             }
@@ -161,10 +161,10 @@
             idle(g.instance());
         }
 
-        void knock(String id, long of) {
-            Copy c = copies.get(id);
+        void awaitStart(String id, long of) {
+            ModelInstance c = modelInstances.get(id);
             if (of == link && now >= c.startsAt && now < c.endedAt) {
-                say(
+                toAllocator(
                         () ->
                                 allocator.onReturn(
                                         now,
@@ -174,13 +174,13 @@
                 serve(c.function);
                 idle(id);
             } else if (of == link) {
-                after(15, () -> knock(id, of));
+                after(15, () -> awaitStart(id, of));
             }
         }
 
         void serve(String f) {
             for (String id : held.keySet().stream().toList()) {
-                Copy c = copies.get(id);
+                ModelInstance c = modelInstances.get(id);
                 while (c.function.equals(f)
                         && !waits.get(f).isEmpty()
                         && now >= c.startsAt
@@ -191,7 +191,7 @@
             }
         }
 
-        void use(Copy c) {
+        void use(ModelInstance c) {
             if (now >= c.endedAt) {
                 back(
                         c.id,
@@ -207,7 +207,7 @@
             served++;
             Map<String, Integer> mine = used;
             after(
-                    20 + chance.nextInt(120),
+                    20 + random.nextInt(120),
                     () -> {
                         c.running--;
                         if (mine.merge(c.id, -1, Integer::sum) == 0) {
@@ -224,23 +224,23 @@
         /** What is not used goes back after a while, or at once. */
         void idle(String id) {
             after(
-                    chance.nextBoolean() ? 0 : chance.nextInt(300),
+                    random.nextBoolean() ? 0 : random.nextInt(300),
                     () -> {
                         int n = held.getOrDefault(id, 0) - used.getOrDefault(id, 0);
-                        Copy c = copies.get(id);
+                        ModelInstance c = modelInstances.get(id);
                         boolean starting = now < c.startsAt && !waits.get(c.function).isEmpty();
-                        if (n > 0 && enrolled && !starting) {
+                        if (n > 0 && isRegistered && !starting) {
                             back(id, n, Messages.InstanceCondition.HEALTHY);
                         } else if (n > 0) {
-                            after(BOOT, () -> idle(id));
+                            after(START_TIME, () -> idle(id));
                         }
                     });
         }
 
         void back(String id, int n, Messages.InstanceCondition seen) {
-            if (enrolled && n > 0) {
+            if (isRegistered && n > 0) {
                 held.computeIfPresent(id, (k, h) -> h > n ? h - n : null);
-                say(
+                toAllocator(
                         () -> {
                             // As it was before it was mended: what comes back before the list names
                             // it was dropped.
@@ -254,11 +254,11 @@
         }
 
         void holds() {
-            if (enrolled && without != Without.EARLY_BACKS_AND_HOLDS) {
-                Messages.SlotHoldings word = new Messages.SlotHoldings(grants, Map.copyOf(held));
-                say(() -> differed += allocator.onHoldings(now, name, word) ? 0 : 1);
+            if (isRegistered && without != Without.EARLY_BACKS_AND_HOLDS) {
+                Messages.SlotHoldings message = new Messages.SlotHoldings(grants, Map.copyOf(held));
+                toAllocator(() -> differed += allocator.onHoldings(now, name, message) ? 0 : 1);
             }
-            after(4 * BEAT, this::holds);
+            after(4 * HEARTBEAT, this::holds);
         }
     }
 
@@ -269,7 +269,7 @@
         EARLY_BACKS_AND_HOLDS
     }
 
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Without without;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
@@ -278,10 +278,10 @@
     private double now;
     private SlotAllocator allocator;
     private Autoscaler autoscaler;
-    private long view;
-    private final Map<String, Front> fronts = new LinkedHashMap<>();
-    private final Map<String, Copy> copies = new LinkedHashMap<>();
-    private final Map<String, Copy> byNonce = new HashMap<>();
+    private long term;
+    private final Map<String, ModelScheduler> fronts = new LinkedHashMap<>();
+    private final Map<String, ModelInstance> modelInstances = new LinkedHashMap<>();
+    private final Map<String, ModelInstance> byNonce = new HashMap<>();
     private final Map<String, Double> missingSince = new HashMap<>();
     private double unsettledUntil;
     private boolean calm;
@@ -293,10 +293,10 @@
     private DecisionTrace trace;
 
     SlotSimulation(long seed, Without without) {
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
         this.without = without;
-        for (int i = 0; i < FRONTS; i++) {
-            fronts.put("front-" + i, new Front("front-" + i));
+        for (int i = 0; i < SCHEDULERS; i++) {
+            fronts.put("front-" + i, new ModelScheduler("front-" + i));
         }
     }
 
@@ -314,15 +314,15 @@
 
     // ---- The leader ----
 
-    private void lead() {
-        long of = ++view;
-        allocator = new SlotAllocator(BEAT, now, (front, word) -> tell(of, front, word));
+    private void electLeader() {
+        long of = ++term;
+        allocator = new SlotAllocator(HEARTBEAT, now, (front, message) -> tell(of, front, message));
         allocator.configure(configuration());
         autoscaler =
                 new Autoscaler(
                         allocator,
                         100,
-                        LAG,
+                        LIST_DELAY,
                         of + "-",
                         now,
                         new Autoscaler.Actions() {
@@ -348,10 +348,10 @@
         fronts.values()
                 .forEach(
                         f -> {
-                            f.enrolled = false;
-                            f.breaks();
+                            f.isRegistered = false;
+                            f.disconnect();
                         });
-        after(5 + chance.nextInt(300), () -> list(of));
+        after(5 + random.nextInt(300), () -> list(of));
         look(of);
     }
 
@@ -361,7 +361,7 @@
             c.addServices(
                     Service.newBuilder()
                             .setName(f)
-                            .setBoot((long) BOOT)
+                            .setBoot((long) START_TIME)
                             .setConcurrency(SLOTS)
                             .setMemory(128));
             c.addRoutes(Route.newBuilder().setName(f).setService(f).setAim(1000));
@@ -381,22 +381,22 @@
         }
     }
 
-    private void tell(long of, String front, Object word) {
-        decided(word.getClass().getSimpleName(), front, word);
-        Front f = fronts.get(front);
+    private void tell(long of, String front, Object message) {
+        decided(message.getClass().getSimpleName(), front, message);
+        ModelScheduler f = fronts.get(front);
         long link = f.link;
         // In order as well: a constant way there.
         after(
                 1,
                 () -> {
-                    if (of == view && link == f.link && word instanceof Messages.SlotGrant g) {
+                    if (of == term && link == f.link && message instanceof Messages.SlotGrant g) {
                         f.grant(g);
                     }
                 });
     }
 
     private void look(long of) {
-        if (of == view) {
+        if (of == term) {
             allocator.tick(now);
             autoscaler.tick(now);
             after(50, () -> look(of));
@@ -406,29 +406,29 @@
     // ---- The platform ----
 
     private void begin(long of, String function, String host, String nonce, int tries) {
-        if (of != view) {
+        if (of != term) {
             return;
         }
-        boolean refused = chance.nextInt(20) == 0;
-        boolean lost = chance.nextInt(10) == 0;
-        Copy c = byNonce.get(nonce);
+        boolean refused = random.nextInt(20) == 0;
+        boolean lost = random.nextInt(10) == 0;
+        ModelInstance c = byNonce.get(nonce);
         if (c == null && !refused) {
-            c = new Copy("i" + copies.size(), function, host);
-            c.startsAt = now + BOOT * (0.7 + 0.6 * chance.nextDouble());
-            copies.put(c.id, c);
+            c = new ModelInstance("i" + modelInstances.size(), function, host);
+            c.startsAt = now + START_TIME * (0.7 + 0.6 * random.nextDouble());
+            modelInstances.put(c.id, c);
             byNonce.put(nonce, c);
         }
         String id = c == null ? null : c.id;
         after(
-                5 + chance.nextInt(30),
+                5 + random.nextInt(30),
                 () -> {
-                    if (of != view) {
+                    if (of != term) {
                         return;
                     }
                     if (lost && tries < 4) {
                         after(50, () -> begin(of, function, host, nonce, tries + 1));
                     } else if (id == null || lost) {
-                        autoscaler.startFailed(now, nonce, chance.nextBoolean());
+                        autoscaler.startFailed(now, nonce, random.nextBoolean());
                     } else {
                         autoscaler.started(now, nonce, id, "10.0.0.1:1");
                     }
@@ -436,31 +436,31 @@
     }
 
     private void end(String id) {
-        Copy c = copies.get(id);
+        ModelInstance c = modelInstances.get(id);
         wrong(
                 c.running > 0 && now < c.endedAt && now > unsettledUntil,
                 id + " was stopped under work");
         c.endedAt = Math.min(c.endedAt, now);
     }
 
-    private boolean listed(Copy c) {
-        return now > c.startsAt + LAG && now < c.endedAt + LAG;
+    private boolean listed(ModelInstance c) {
+        return now > c.startsAt + LIST_DELAY && now < c.endedAt + LIST_DELAY;
     }
 
     private void list(long of) {
-        if (of != view) {
+        if (of != term) {
             return;
         }
         autoscaler.beginHosts();
         for (String h : List.of("h1", "h2")) {
             long here =
-                    copies.values().stream()
+                    modelInstances.values().stream()
                             .filter(c -> c.host.equals(h) && now < c.endedAt)
                             .count();
             autoscaler.addHost(h, "z", 16_384, 16_384 - 128 * here, true);
         }
         autoscaler.endHosts();
-        for (Copy c : copies.values()) {
+        for (ModelInstance c : modelInstances.values()) {
             Instance i = allocator.instance(c.id);
             if (listed(c) && i == null) {
                 allocator.addInstance(
@@ -475,7 +475,7 @@
             } else if (listed(c)) {
                 missingSince.remove(c.id);
                 allocator.markReady(now, i);
-            } else if (i != null && now > c.startsAt + LAG) {
+            } else if (i != null && now > c.startsAt + LIST_DELAY) {
                 allocator.removeInstance(now, i);
             }
         }
@@ -487,37 +487,37 @@
 
     private void requests() {
         if (!calm) {
-            Front f = new ArrayList<>(fronts.values()).get(chance.nextInt(FRONTS));
-            f.request(FUNCTIONS.get(Math.min(chance.nextInt(6), 2)));
-            after(-Math.log(1 - chance.nextDouble()) * 40, this::requests);
+            ModelScheduler f = new ArrayList<>(fronts.values()).get(random.nextInt(SCHEDULERS));
+            f.request(FUNCTIONS.get(Math.min(random.nextInt(6), 2)));
+            after(-Math.log(1 - random.nextDouble()) * 40, this::requests);
         }
     }
 
-    private void trouble() {
+    private void fault() {
         if (calm) {
             return;
         }
-        Front f = new ArrayList<>(fronts.values()).get(chance.nextInt(FRONTS));
+        ModelScheduler f = new ArrayList<>(fronts.values()).get(random.nextInt(SCHEDULERS));
         unsettledUntil = now + UNSETTLED;
-        switch (chance.nextInt(4)) {
-            case 0 -> lead();
-            case 1 -> f.breaks();
-            case 2 -> f.dies();
+        switch (random.nextInt(4)) {
+            case 0 -> electLeader();
+            case 1 -> f.disconnect();
+            case 2 -> f.restart();
             default ->
-                    copies.values().stream()
+                    modelInstances.values().stream()
                             .filter(c -> now >= c.startsAt && now < c.endedAt)
                             .findFirst()
                             .ifPresent(c -> c.endedAt = now);
         }
-        after(6000 + chance.nextInt(4000), this::trouble);
+        after(6000 + random.nextInt(4000), this::fault);
     }
 
     /** Plays so long with troubles, then lets all rest, and tells what is wrong, or null. */
     String play(double span) {
-        lead();
-        fronts.values().forEach(Front::holds);
+        electLeader();
+        fronts.values().forEach(ModelScheduler::holds);
         after(1000, this::requests);
-        after(3000, this::trouble);
+        after(3000, this::fault);
         run(span);
         calm = true;
         run(now + 25_000);
@@ -542,7 +542,7 @@
         wrong(
                 without == Without.NOTHING && differed > 0,
                 "what is noted differed " + differed + " times");
-        long alive = copies.values().stream().filter(c -> now < c.endedAt).count();
+        long alive = modelInstances.values().stream().filter(c -> now < c.endedAt).count();
         wrong(alive > 0, alive + " copies idle on for nobody");
         return wrong;
     }
--- a/src/test/java/gingerspool/slots/SlotAllocatorTest.java
+++ b/src/test/java/gingerspool/slots/SlotAllocatorTest.java
@@ -15,17 +15,17 @@
 import org.testng.annotations.Test;
 
 public class SlotAllocatorTest {
-    private static final double BEAT = 1000;
+    private static final double HEARTBEAT = 1000;
     private final List<Messages.SlotGrant> grants = new ArrayList<>();
     private final List<String> recalled = new ArrayList<>();
     private final Map<String, Integer> held = new HashMap<>();
     private final Map<String, Long> granted = new HashMap<>();
     private final SlotAllocator allocator =
             new SlotAllocator(
-                    BEAT,
+                    HEARTBEAT,
                     0,
-                    (front, word) -> {
-                        if (word instanceof Messages.SlotGrant g) {
+                    (front, message) -> {
+                        if (message instanceof Messages.SlotGrant g) {
                             grants.add(g);
                             held.merge(front + " " + g.instance(), g.slots(), Integer::sum);
                             granted.merge(front, 1L, Long::sum);
