--- a/src/main/java/gingerspool/dataplane/ArrivalGap.java
+++ b/src/main/java/gingerspool/dataplane/ArrivalGap.java
@@ -2,22 +2,22 @@
 
 /** The mean gap between a function's requests lately, in milliseconds. */
 final class ArrivalGap {
-    private static final int SAMPLES = 8;
+    private static final int MAX_SAMPLES = 8;
 
-    private final double longest;
+    private final double maxGap;
     private double mean;
-    private int gaps;
-    private double arrivedAt = Double.NEGATIVE_INFINITY;
+    private int gapCount;
+    private double lastArrivalAt = Double.NEGATIVE_INFINITY;
 
     /** A longer gap counts as this one. */
     ArrivalGap(double longest) {
-        this.longest = longest;
+        this.maxGap = longest;
     }
 
     void onArrival(double now) {
-        double gap = Math.min(now - arrivedAt, longest);
-        mean += (gap - mean) / Math.min(++gaps, SAMPLES);
-        arrivedAt = now;
+        double gap = Math.min(now - lastArrivalAt, maxGap);
+        mean += (gap - mean) / Math.min(++gapCount, MAX_SAMPLES);
+        lastArrivalAt = now;
     }
 
     /** The mean, 0 before the first request. */
--- a/src/main/java/gingerspool/dataplane/Attempt.java
+++ b/src/main/java/gingerspool/dataplane/Attempt.java
@@ -12,18 +12,18 @@
 final class Attempt implements Outbound.Caller {
     /** Who is told how it ended; the answer is null where there is none of ours. */
     interface Owner {
-        void ended(Attempt attempt, Outcome how, Message answer);
+        void onAttemptEnded(Attempt attempt, Outcome outcome, Message answer);
     }
 
     final Assignment assignment;
-    final PendingRequest pending;
+    final PendingRequest request;
     final InstanceSlot slot;
     final double sentAt;
     private final EventLoop loop;
     private final Owner owner;
     private Outbound connection;
-    private Future<?> alarm;
-    private Outcome how;
+    private Future<?> timeoutTimer;
+    private Outcome outcome;
 
     Attempt(Assignment assignment, InstanceSlot slot, EventLoop loop, Owner owner) {
         this.assignment = assignment;
@@ -31,17 +31,17 @@
         this.loop = loop;
         sentAt = loop.now();
         this.owner = owner;
-        pending = (PendingRequest) assignment.task;
+        request = (PendingRequest) assignment.task;
     }
 
-    void begin(Outbound on, byte[] request, Future<?> timer) {
-        connection = on;
-        alarm = timer;
-        on.ask(request, 0, this);
+    void begin(Outbound outbound, byte[] encodedRequest, Future<?> timer) {
+        connection = outbound;
+        timeoutTimer = timer;
+        outbound.ask(encodedRequest, 0, this);
     }
 
     boolean neverRan() {
-        return how != null && how.neverRan();
+        return outcome != null && outcome.neverRan();
     }
 
     /** Whether a byte of it may have been written. */
@@ -50,14 +50,14 @@
     }
 
     boolean isOver() {
-        return how != null;
+        return outcome != null;
     }
 
     /** Guards against answers that come too late, in the place of ours: the id tells. */
     @Override
     public boolean isMine(Message answer) {
         String id = answer.field("request-id");
-        return id == null || id.equals(pending.id) || !loop.has(RequestSafeguard.RESPONSE_ID);
+        return id == null || id.equals(request.id) || !loop.has(RequestSafeguard.RESPONSE_ID);
     }
 
     /** Guards against answers that are cut: only a length that was told shows that one is whole. */
@@ -69,14 +69,14 @@
     /** Guards the next request: who answers this doubtfully may have more of it under way. */
     @Override
     public boolean mayKeep(Message answer) {
-        return !InstanceResponse.isDoubtful(answer, pending.id)
+        return !InstanceProtocol.isSuspect(answer, request.id)
                 || !loop.has(RequestSafeguard.DOUBTFUL_RESPONSE_CLOSES);
     }
 
     @Override
     public void answered(Message answer) {
         connection = null;
-        end(InstanceResponse.outcome(answer, pending.id, loop::has), answer);
+        end(InstanceProtocol.outcome(answer, request.id, loop::has), answer);
     }
 
     @Override
@@ -92,17 +92,17 @@
     }
 
     /** Ends it from here: the connection goes, and what the instance does of it is not known. */
-    void giveUp(Outcome as) {
-        if (how != null) {
+    void abort(Outcome outcomeIfSent) {
+        if (outcome != null) {
             return;
         }
-        Outbound was = connection;
+        Outbound dropped = connection;
         connection = null;
-        boolean begun = was != null && was.hasBegun();
-        if (was != null) {
-            was.drop();
+        boolean begun = dropped != null && dropped.hasBegun();
+        if (dropped != null) {
+            dropped.drop();
         }
-        end(begun ? as : Outcome.MOOT, null);
+        end(begun ? outcomeIfSent : Outcome.MOOT, null);
     }
 
     /** It could not begin. */
@@ -110,14 +110,14 @@
         end(Outcome.UNREACHABLE, null);
     }
 
-    private void end(Outcome as, Message answer) {
-        if (how != null) {
+    private void end(Outcome newOutcome, Message answer) {
+        if (outcome != null) {
             return;
         }
-        how = as;
-        if (alarm != null) {
-            alarm.cancel(false);
+        outcome = newOutcome;
+        if (timeoutTimer != null) {
+            timeoutTimer.cancel(false);
         }
-        owner.ended(this, as, answer);
+        owner.onAttemptEnded(this, newOutcome, answer);
     }
 }
--- a/src/main/java/gingerspool/dataplane/AttemptRunner.java
+++ b/src/main/java/gingerspool/dataplane/AttemptRunner.java
@@ -17,7 +17,7 @@
     private static final double UNCERTAIN_SERVICE_TIMES = 3;
 
     /** So many attempts of a request that reached no instance don't count by its route. */
-    private static final int UNREACHED_MOST = 3;
+    private static final int MAX_UNCOUNTED_ATTEMPTS = 3;
 
     /** Who is told what follows. */
     interface Listener {
@@ -73,12 +73,12 @@
         Attempt attempt = new Attempt(assignment, slot, loop, this);
         request.attempts.add(attempt);
         slot.inUse++;
-        backlog.attemptBegan(request);
+        backlog.onAttemptStarted(request);
         String instance = loop.has(RequestSafeguard.EXPECTED_INSTANCE) ? slot.instance : null;
         try {
             attempt.begin(
                     environment.pool().take(slot.poolIndex, slot.address),
-                    InstanceResponse.request(
+                    InstanceProtocol.encodeRequest(
                             request.request, instance, request.expiry - loop.now()),
                     null);
         } catch (IOException e) {
@@ -89,14 +89,14 @@
     /** Not at once: the Dispatcher is in the middle of its rules. */
     void cancel(Assignment assignment) {
         PendingRequest request = (PendingRequest) assignment.task;
-        loop.execute(() -> request.attempts.get(assignment.number).giveUp(Outcome.CANCELLED));
+        loop.execute(() -> request.attempts.get(assignment.number).abort(Outcome.CANCELLED));
     }
 
     @Override
-    public void ended(Attempt attempt, Outcome outcome, Message answer) {
+    public void onAttemptEnded(Attempt attempt, Outcome outcome, Message answer) {
         double now = loop.now();
         InstanceSlot slot = attempt.slot;
-        PendingRequest request = attempt.pending;
+        PendingRequest request = attempt.request;
         slot.inUse--;
         slot.idleSince = now;
         boolean isOver = request.ended();
@@ -110,21 +110,23 @@
             request.failure = answer != null ? answer : request.failure;
             onFailure(slot, outcome, answer, request);
         }
-        backlog.attemptEnds(request);
+        backlog.onAttemptEnding(request);
         dispatcher.publishSlots(slot);
-        dispatcher.ended(attempt.assignment, outcome, isOver);
+        dispatcher.onAttemptEnded(attempt.assignment, outcome, isOver);
         listener.onSlotsChanged();
     }
 
     private void onFailure(
             InstanceSlot slot, Outcome outcome, Message answer, PendingRequest request) {
-        boolean isOther = answer != null && answer.status() == InstanceResponse.OTHER_INSTANCE;
+        boolean isOtherInstance =
+                answer != null && answer.status() == InstanceProtocol.OTHER_INSTANCE;
         if (outcome == Outcome.RESET || outcome == Outcome.CANCELLED) {
             markUncertain(slot, request);
-        } else if (outcome == Outcome.UNREACHABLE || isOther) {
+        } else if (outcome == Outcome.UNREACHABLE || isOtherInstance) {
             environment.pool().empty(slot.poolIndex);
             returns.returnSlots(slot, slot.unusedSlots(), InstanceCondition.UNREACHABLE);
-            if (outcome == Outcome.UNREACHABLE && request.unreachedAttempts < UNREACHED_MOST) {
+            if (outcome == Outcome.UNREACHABLE
+                    && request.unreachedAttempts < MAX_UNCOUNTED_ATTEMPTS) {
                 // It was sent to nobody, so it is none of the attempts that its route allows.
                 request.unreachedAttempts++;
                 request.terms = terms.of(request);
@@ -136,10 +138,10 @@
 
     /** Guards the limit of slots: what was given up may run on for a while. */
     private void markUncertain(InstanceSlot slot, PendingRequest request) {
-        double runsOn = UNCERTAIN_SERVICE_TIMES * Math.max(serviceTime.mean(), 1);
+        double maxRemainingRun = UNCERTAIN_SERVICE_TIMES * Math.max(serviceTime.mean(), 1);
         slot.uncertain++;
         loop.schedule(
-                Math.max(1, Math.min(request.expiry - loop.now(), runsOn)),
+                Math.max(1, Math.min(request.expiry - loop.now(), maxRemainingRun)),
                 () -> {
                     slot.uncertain--;
                     slot.idleSince = loop.now();
--- a/src/main/java/gingerspool/dataplane/AttemptTerms.java
+++ b/src/main/java/gingerspool/dataplane/AttemptTerms.java
@@ -15,20 +15,20 @@
  */
 final class AttemptTerms {
     /** Assignments of a request in all, those that reached no instance included. */
-    static final int ASSIGNMENTS_MOST = 8;
+    static final int MAX_ASSIGNMENTS = 8;
 
     /** Assignments of a request that may run once only. */
-    private static final int UNSAFE_ASSIGNMENTS_MOST = 4;
+    private static final int MAX_UNSAFE_ASSIGNMENTS = 4;
 
     /** Attempts of a request at once, the hedged one included. */
-    private static final int ATTEMPTS_AT_ONCE = 2;
+    private static final int MAX_CONCURRENT_ATTEMPTS = 2;
 
     /** A hedged request goes out after this part of the shortest latency target. */
-    private static final double HEDGE_AFTER_PART = 0.5;
+    private static final double HEDGE_DELAY_FRACTION = 0.5;
 
     private static final Terms UNSAFE =
             new Terms(
-                    UNSAFE_ASSIGNMENTS_MOST,
+                    MAX_UNSAFE_ASSIGNMENTS,
                     0,
                     0,
                     0,
@@ -40,40 +40,38 @@
 
     private final FunctionQueue.Environment environment;
     private final FunctionRetryBudget retryBudget;
-    private final Map<Integer, Terms> byAttempts = new HashMap<>();
-    private double hedgeAfter;
+    private final Map<Integer, Terms> termsByAttempts = new HashMap<>();
+    private double hedgeDelay;
 
     AttemptTerms(FunctionQueue.Environment environment) {
         this.environment = environment;
-        retryBudget = new FunctionRetryBudget(environment.settings(), environment.schedulers());
+        retryBudget = new FunctionRetryBudget(environment.settings(), environment.schedulerCount());
     }
 
     /** The Dispatcher was renewed for these profiles. */
     void renew(RouteProfiles profiles) {
-        hedgeAfter = HEDGE_AFTER_PART * profiles.shortestTarget();
-        byAttempts.clear();
+        hedgeDelay = HEDGE_DELAY_FRACTION * profiles.shortestTarget();
+        termsByAttempts.clear();
     }
 
     Terms of(PendingRequest request) {
-        retryBudget.share(environment.schedulers());
+        retryBudget.setSchedulerCount(environment.schedulerCount());
         if (!request.isSafe() && has(RequestSafeguard.UNSAFE_ONCE)) {
             return UNSAFE;
         }
-        return byAttempts.computeIfAbsent(attemptsMost(request), this::safe);
+        return termsByAttempts.computeIfAbsent(maxAttempts(request), this::safeTerms);
     }
 
-    private Terms safe(int attempts) {
+    private Terms safeTerms(int attempts) {
         RetryBudget budget = has(RequestSafeguard.RETRY_BUDGET) ? retryBudget : null;
-        int atOnce = Math.min(ATTEMPTS_AT_ONCE, attempts);
-        return new Terms(attempts, 0, 0, 0, 0, atOnce, hedgeAfter, budget, null);
+        int concurrentAttempts = Math.min(MAX_CONCURRENT_ATTEMPTS, attempts);
+        return new Terms(attempts, 0, 0, 0, 0, concurrentAttempts, hedgeDelay, budget, null);
     }
 
-    private int attemptsMost(PendingRequest request) {
-        int most =
-                has(RequestSafeguard.MOST_ATTEMPTS)
-                        ? request.route.getAttempts()
-                        : ASSIGNMENTS_MOST;
-        return Math.max(1, most) + request.unreachedAttempts;
+    private int maxAttempts(PendingRequest request) {
+        int routeAttempts =
+                has(RequestSafeguard.MOST_ATTEMPTS) ? request.route.getAttempts() : MAX_ASSIGNMENTS;
+        return Math.max(1, routeAttempts) + request.unreachedAttempts;
     }
 
     private boolean has(RequestSafeguard safeguard) {
--- a/src/main/java/gingerspool/dataplane/ConfigurationSubscriber.java
+++ b/src/main/java/gingerspool/dataplane/ConfigurationSubscriber.java
@@ -29,7 +29,7 @@
     }
 
     private final Listener listener;
-    private Configuration inForce = Configuration.getDefaultInstance();
+    private Configuration current = Configuration.getDefaultInstance();
     private long checksum;
 
     public ConfigurationSubscriber(Listener listener) {
@@ -38,18 +38,18 @@
 
     /** The configuration in force; of version 0 while none has come. */
     public Configuration configuration() {
-        return inForce;
+        return current;
     }
 
     /** A complete copy, newer, or again under the same number where ours was found to differ. */
     public void receive(Messages.ConfigurationPush push) {
-        boolean repairs = push.again() && push.number() == inForce.getVersion();
-        if (push.number() <= inForce.getVersion() && !repairs) {
+        boolean isRepair = push.again() && push.number() == current.getVersion();
+        if (push.number() <= current.getVersion() && !isRepair) {
             acknowledge();
             return;
         }
         try {
-            putInForce(Configuration.parseFrom(push.configuration()));
+            activate(Configuration.parseFrom(push.configuration()));
         } catch (InvalidProtocolBufferException e) {
             LOG.warn(
                     "configuration.unreadable version={} why=\"{}\"",
@@ -60,31 +60,31 @@
 
     /** What leads from one version to a newer one. */
     public void receive(Messages.ConfigurationDeltaPush push) {
-        if (push.number() <= inForce.getVersion()) {
+        if (push.number() <= current.getVersion()) {
             acknowledge();
             return;
         }
         try {
-            putInForce(
+            activate(
                     ConfigurationDelta.apply(
-                            inForce, ConfigurationChanges.parseFrom(push.changes())));
+                            current, ConfigurationChanges.parseFrom(push.changes())));
         } catch (InvalidProtocolBufferException | DeltaMismatchException e) {
             LOG.warn(
                     "configuration.delta_mismatch version={} why=\"{}\"",
                     push.number(),
                     e.getMessage());
-            listener.tellLeader(new Messages.ConfigurationRequest(inForce.getVersion()));
+            listener.tellLeader(new Messages.ConfigurationRequest(current.getVersion()));
         }
     }
 
     /** Tells the leader what is in force; the checksum is made anew, so that damage to it shows. */
     public void report() {
-        checksum = ConfigurationChecksum.of(inForce);
+        checksum = ConfigurationChecksum.of(current);
         acknowledge();
     }
 
-    private void putInForce(Configuration configuration) {
-        inForce = configuration;
+    private void activate(Configuration configuration) {
+        current = configuration;
         checksum = ConfigurationChecksum.of(configuration);
         listener.onConfiguration(configuration);
         acknowledge();
@@ -96,6 +96,6 @@
     }
 
     private void acknowledge() {
-        listener.tellLeader(new Messages.ConfigurationAck(inForce.getVersion(), checksum));
+        listener.tellLeader(new Messages.ConfigurationAck(current.getVersion(), checksum));
     }
 }
--- a/src/main/java/gingerspool/dataplane/ControlLinks.java
+++ b/src/main/java/gingerspool/dataplane/ControlLinks.java
@@ -27,21 +27,21 @@
     private static final Logger LOG = LoggerFactory.getLogger(ControlLinks.class);
 
     /** The pause between two heartbeats of ours, in heartbeat intervals. */
-    private static final double SEND_HEARTBEATS = 0.5;
+    private static final double SEND_INTERVAL_HEARTBEATS = 0.5;
 
     /** A link is closed after so long a silence, in heartbeat intervals. */
-    private static final double SILENCE_HEARTBEATS = 1.25;
+    private static final double SILENCE_TIMEOUT_HEARTBEATS = 1.25;
 
     /** How long connecting may take, in heartbeat intervals. */
-    private static final double CONNECT_HEARTBEATS = 0.25;
+    private static final double CONNECT_TIMEOUT_HEARTBEATS = 0.25;
 
     /** The pause between two attempts to connect, in heartbeat intervals. */
-    private static final double RETRY_HEARTBEATS = 0.1;
+    private static final double RETRY_INTERVAL_HEARTBEATS = 0.1;
 
     private final EventLoop loop;
     private final NodeSettings settings;
     private final Supplier<Messages.Register> registration;
-    private final Consumer<Object> messages;
+    private final Consumer<Object> messageHandler;
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
     private final Map<String, Link> links = new HashMap<>();
     private Set<String> members = new LinkedHashSet<>();
@@ -53,17 +53,17 @@
     private Link registering;
     private double registeringAt;
     private long term;
-    private double ledAt;
+    private double lastLeaderAt;
 
     private static final class Link {
         final String ip;
         Frames frames;
         boolean isUp;
-        double heardAt;
+        double lastReceivedAt;
         double attemptedAt = Double.NEGATIVE_INFINITY;
 
         /** A registration went out on it that has no answer yet. */
-        boolean isUnanswered;
+        boolean isRegistrationPending;
 
         Link(String ip) {
             this.ip = ip;
@@ -79,22 +79,22 @@
         this.loop = loop;
         this.settings = settings;
         this.registration = registration;
-        this.messages = messages;
+        this.messageHandler = messages;
         seeds = settings.seeds;
-        ledAt = loop.now();
+        lastLeaderAt = loop.now();
     }
 
-    void begin() {
+    void start() {
         maintainLinks();
         sendHeartbeats();
     }
 
     /** Where to look for the core from now on. */
-    void seeds(List<InetSocketAddress> now) {
-        seeds = now;
+    void seeds(List<InetSocketAddress> newSeeds) {
+        seeds = newSeeds;
     }
 
-    boolean isLed() {
+    boolean hasLeader() {
         return leader != null;
     }
 
@@ -102,14 +102,16 @@
     double leaderlessFor() {
         return leader != null
                         && loop.now()
-                                < leader.heardAt
-                                        + settings.heartbeatInterval * SILENCE_HEARTBEATS / 2
+                                < leader.lastReceivedAt
+                                        + settings.heartbeatInterval
+                                                * SILENCE_TIMEOUT_HEARTBEATS
+                                                / 2
                 ? 0
-                : loop.now() - ledAt;
+                : loop.now() - lastLeaderAt;
     }
 
     /** Tells the leader; false where there is none. */
-    boolean tellLeader(Object message) {
+    boolean sendToLeader(Object message) {
         if (leader == null) {
             return false;
         }
@@ -120,40 +122,45 @@
     private void maintainLinks() {
         double now = loop.now();
         if (leader != null) {
-            ledAt = Math.max(ledAt, leader.heardAt);
+            lastLeaderAt = Math.max(lastLeaderAt, leader.lastReceivedAt);
         }
-        Set<String> needed = new LinkedHashSet<>(members);
+        Set<String> neededIps = new LinkedHashSet<>(members);
         if (leader == null) {
-            seeds.forEach(a -> needed.add(a.getAddress().getHostAddress()));
+            seeds.forEach(seed -> neededIps.add(seed.getAddress().getHostAddress()));
         }
-        for (String ip : needed) {
+        for (String ip : neededIps) {
             Link link = links.computeIfAbsent(ip, Link::new);
             if (link.frames == null
-                    && now >= link.attemptedAt + RETRY_HEARTBEATS * settings.heartbeatInterval) {
-                open(link, now);
+                    && now
+                            >= link.attemptedAt
+                                    + RETRY_INTERVAL_HEARTBEATS * settings.heartbeatInterval) {
+                connect(link, now);
             }
         }
         for (Link link : List.copyOf(links.values())) {
-            if (link.isUp && now > link.heardAt + SILENCE_HEARTBEATS * settings.heartbeatInterval) {
+            if (link.isUp
+                    && now
+                            > link.lastReceivedAt
+                                    + SILENCE_TIMEOUT_HEARTBEATS * settings.heartbeatInterval) {
                 link.frames.close();
-            } else if (!needed.contains(link.ip) && leader != null && link != leader) {
+            } else if (!neededIps.contains(link.ip) && leader != null && link != leader) {
                 if (link.frames != null) {
                     link.frames.close();
                 }
                 links.remove(link.ip);
             }
         }
-        loop.schedule(RETRY_HEARTBEATS * settings.heartbeatInterval, this::maintainLinks);
+        loop.schedule(RETRY_INTERVAL_HEARTBEATS * settings.heartbeatInterval, this::maintainLinks);
     }
 
-    private void open(Link link, double now) {
+    private void connect(Link link, double now) {
         link.attemptedAt = now;
         try {
             link.frames =
                     Frames.open(
                             loop,
                             new InetSocketAddress(link.ip, settings.internalPort),
-                            CONNECT_HEARTBEATS * settings.heartbeatInterval,
+                            CONNECT_TIMEOUT_HEARTBEATS * settings.heartbeatInterval,
                             this);
         } catch (IOException e) {
             LOG.warn("core.link_failed to={} why=\"{}\"", link.ip, e.getMessage());
@@ -165,10 +172,10 @@
         links.values().stream()
                 .filter(link -> link.isUp)
                 .forEach(link -> link.frames.send(heartbeat));
-        loop.schedule(SEND_HEARTBEATS * settings.heartbeatInterval, this::sendHeartbeats);
+        loop.schedule(SEND_INTERVAL_HEARTBEATS * settings.heartbeatInterval, this::sendHeartbeats);
     }
 
-    private Link linkOf(Frames frames) {
+    private Link findLink(Frames frames) {
         for (Link link : links.values()) {
             if (link.frames == frames) {
                 return link;
@@ -179,30 +186,30 @@
 
     @Override
     public void up(Frames frames) {
-        Link link = linkOf(frames);
+        Link link = findLink(frames);
         if (link != null) {
             link.isUp = true;
             LOG.info("core.link_up to={}", link.ip);
-            link.heardAt = loop.now();
+            link.lastReceivedAt = loop.now();
             frames.send(codec.write(new Messages.Heartbeat(settings.ip)));
         }
     }
 
     @Override
     public void came(Frames frames, byte[] frame) {
-        Link link = linkOf(frames);
+        Link link = findLink(frames);
         if (link == null) {
             return;
         }
-        link.heardAt = loop.now();
+        link.lastReceivedAt = loop.now();
         try {
             Object message = codec.read(frame);
-            if (message instanceof Messages.LeaderAnnouncement s) {
-                onAnnouncement(link, s);
-            } else if (message instanceof Messages.Registered e) {
-                onRegistered(link, e);
+            if (message instanceof Messages.LeaderAnnouncement announcement) {
+                onAnnouncement(link, announcement);
+            } else if (message instanceof Messages.Registered registered) {
+                onRegistered(link, registered);
             } else if (link == leader) {
-                messages.accept(message);
+                messageHandler.accept(message);
             }
         } catch (MalformedMessageException e) {
             LOG.warn("core.bad_message from={} why=\"{}\"", link.ip, e.getMessage());
@@ -239,11 +246,12 @@
         if (link == registering && !isNewer && leader == link) {
             return;
         }
-        if (!link.isUnanswered) {
+        if (!link.isRegistrationPending) {
             forgetLeader();
             register(link);
         } else if (isNewer
-                || loop.now() > registeringAt + RETRY_HEARTBEATS * settings.heartbeatInterval) {
+                || loop.now()
+                        > registeringAt + RETRY_INTERVAL_HEARTBEATS * settings.heartbeatInterval) {
             // Guards the counts of slots: an answer to the first registration would be taken for
             // one to the second, with grants between them that only one side counts.
             link.frames.close();
@@ -253,17 +261,17 @@
     private void register(Link link) {
         registering = link;
         registeringAt = loop.now();
-        link.isUnanswered = true;
+        link.isRegistrationPending = true;
         LOG.info("core.registering at={} term={}", link.ip, term);
         link.frames.send(codec.write(registration.get()));
     }
 
     private void onRegistered(Link link, Messages.Registered answer) {
-        link.isUnanswered = false;
+        link.isRegistrationPending = false;
         if (link == registering && answer.term() >= term) {
             leader = link;
             LOG.info("core.registered by={} term={}", link.ip, answer.term());
-            messages.accept(answer);
+            messageHandler.accept(answer);
         }
     }
 
@@ -274,7 +282,7 @@
 
     @Override
     public void closed(Frames frames) {
-        Link link = linkOf(frames);
+        Link link = findLink(frames);
         if (link == null) {
             return;
         }
@@ -283,7 +291,7 @@
         }
         link.frames = null;
         link.isUp = false;
-        link.isUnanswered = false;
+        link.isRegistrationPending = false;
         if (link == leader || link == registering) {
             forgetLeader();
         }
--- a/src/main/java/gingerspool/dataplane/DemandReporter.java
+++ b/src/main/java/gingerspool/dataplane/DemandReporter.java
@@ -17,12 +17,12 @@
     private final MeanServiceTime serviceTime;
 
     /** Slots of started instances granted, and requests arrived, since the registration. */
-    private long granted;
+    private long grantedSlots;
 
-    private long arrivals;
+    private long arrivalCount;
     private int reportedMissing;
     private int reportedInFlight;
-    private long reportedArrivals;
+    private long reportedArrivalCount;
 
     DemandReporter(
             FunctionQueue.Environment environment,
@@ -39,20 +39,20 @@
 
     /** A new leader registered this scheduler. */
     void reset() {
-        granted = 0;
-        arrivals = 0;
-        reportedArrivals = 0;
+        grantedSlots = 0;
+        arrivalCount = 0;
+        reportedArrivalCount = 0;
         reportedMissing = 0;
         reportedInFlight = NOT_REPORTED;
     }
 
     void onArrival() {
-        arrivals++;
+        arrivalCount++;
     }
 
     /** Slots of a started instance were granted: so many fewer are missing. */
     void onGrant(int slots) {
-        granted += slots;
+        grantedSlots += slots;
         reportedMissing = Math.max(0, reportedMissing - slots);
     }
 
@@ -69,7 +69,7 @@
         int missing = missingSlots();
         if (missing != reportedMissing
                 || backlog.inFlight() != reportedInFlight
-                || arrivals != reportedArrivals) {
+                || arrivalCount != reportedArrivalCount) {
             report(missing);
         }
     }
@@ -85,12 +85,17 @@
 
     private void report(int missing) {
         int inFlight = backlog.inFlight();
-        if (environment.tellLeader(
+        if (environment.sendToLeader(
                 new Messages.SlotDemand(
-                        function, missing, granted, inFlight, arrivals, serviceTime.mean()))) {
+                        function,
+                        missing,
+                        grantedSlots,
+                        inFlight,
+                        arrivalCount,
+                        serviceTime.mean()))) {
             reportedMissing = missing;
             reportedInFlight = inFlight;
-            reportedArrivals = arrivals;
+            reportedArrivalCount = arrivalCount;
         }
     }
 }
--- a/src/main/java/gingerspool/dataplane/FunctionDispatcher.java
+++ b/src/main/java/gingerspool/dataplane/FunctionDispatcher.java
@@ -15,7 +15,7 @@
  */
 final class FunctionDispatcher {
     /** What a request to another zone costs, in worth. */
-    private static final double CROSS_ZONE_FEE = 0.05;
+    private static final double CROSS_ZONE_COST = 0.05;
 
     private final FunctionQueue.Environment environment;
     private final NodeSettings settings;
@@ -37,26 +37,26 @@
         settings = environment.settings();
     }
 
-    boolean isMade() {
+    boolean isCreated() {
         return dispatcher != null;
     }
 
     /** Makes a new Dispatcher, which is told of all instances. */
-    void renew(RouteProfiles profiles, double startTime) {
-        DispatcherSettings made = new DispatcherSettings();
-        made.profiles = profiles.numbered();
-        made.zone = settings.zoneNumber(settings.zone);
-        made.place = settings.zone;
-        made.dispatchers = Math.max(1, environment.schedulers());
-        made.kinds = new String[] {"instance"};
-        made.reportNames = new String[] {"free"};
-        made.reportsInAnswers = true;
-        made.mayCancel = true;
-        made.mayAdvise = true;
-        made.maxAdvice = startTime;
-        made.mostAssignments = AttemptTerms.ASSIGNMENTS_MOST;
-        made.crossFee = CROSS_ZONE_FEE;
-        dispatcher = new Dispatcher(made, seed, actions);
+    void renew(RouteProfiles profiles, double startupTime) {
+        DispatcherSettings dispatcherSettings = new DispatcherSettings();
+        dispatcherSettings.profiles = profiles.toNumberedArray();
+        dispatcherSettings.zone = settings.zoneNumber(settings.zone);
+        dispatcherSettings.place = settings.zone;
+        dispatcherSettings.dispatchers = Math.max(1, environment.schedulerCount());
+        dispatcherSettings.kinds = new String[] {"instance"};
+        dispatcherSettings.reportNames = new String[] {"free"};
+        dispatcherSettings.reportsInAnswers = true;
+        dispatcherSettings.mayCancel = true;
+        dispatcherSettings.mayAdvise = true;
+        dispatcherSettings.maxAdvice = startupTime;
+        dispatcherSettings.mostAssignments = AttemptTerms.MAX_ASSIGNMENTS;
+        dispatcherSettings.crossFee = CROSS_ZONE_COST;
+        dispatcher = new Dispatcher(dispatcherSettings, seed, actions);
         inventory.all().forEach(this::publish);
     }
 
@@ -84,38 +84,38 @@
     }
 
     /** Tells how many slots are free of an instance of which schedulers hold so many in all. */
-    void publishFreeSlots(InstanceSlot slot, int grantedToAll) {
+    void publishFreeSlots(InstanceSlot slot, int grantedSlots) {
         double[] report = new double[Report.SIZE];
         Arrays.fill(report, Double.NaN);
         // Slots that others hold are taken, ours are free but for those in use.
-        int others = Math.max(0, grantedToAll - slot.granted);
-        report[Report.FREE_SLOTS] = Math.max(0, slot.capacity - others - slot.inUse);
+        int grantedToOthers = Math.max(0, grantedSlots - slot.granted);
+        report[Report.FREE_SLOTS] = Math.max(0, slot.capacity - grantedToOthers - slot.inUse);
         dispatcher.probed(environment.loop().now(), slot.worker, report);
     }
 
-    void arrived(PendingRequest request) {
+    void onArrival(PendingRequest request) {
         dispatcher.arrived(environment.loop().now(), request);
     }
 
     /** The client of a request that was dispatched has gone, or its time is over. */
-    void left(PendingRequest request) {
+    void onDiscarded(PendingRequest request) {
         dispatcher.left(environment.loop().now(), request);
     }
 
-    void ended(Assignment assignment, Outcome outcome, boolean isOver) {
+    void onAttemptEnded(Assignment assignment, Outcome outcome, boolean isOver) {
         dispatcher.ended(environment.loop().now(), assignment, outcome, isOver, null);
     }
 
     /** Wakes the Dispatcher after a span, unless it was replaced. */
     void wakeAfter(double span) {
-        Dispatcher asked = dispatcher;
+        Dispatcher scheduledFor = dispatcher;
         environment
                 .loop()
                 .schedule(
                         span,
                         () -> {
-                            if (asked == dispatcher) {
-                                asked.wake(environment.loop().now());
+                            if (scheduledFor == dispatcher) {
+                                scheduledFor.wake(environment.loop().now());
                             }
                         });
     }
--- a/src/main/java/gingerspool/dataplane/FunctionQueue.java
+++ b/src/main/java/gingerspool/dataplane/FunctionQueue.java
@@ -29,7 +29,7 @@
  */
 final class FunctionQueue implements DispatchActions, AttemptRunner.Listener {
     /** How often waiting requests and unused slots are checked, in heartbeat intervals. */
-    private static final double CHECK_HEARTBEATS = 0.02;
+    private static final double CHECK_INTERVAL_HEARTBEATS = 0.02;
 
     /** Without a leader for so many heartbeat intervals an unassigned slot may be used. */
     private static final double LEADERLESS_HEARTBEATS = 0.5;
@@ -46,18 +46,18 @@
         NodeSettings settings();
 
         /** Schedulers that share the retry budget, this one included. */
-        int schedulers();
+        int schedulerCount();
 
         /** Sends the leader a message, or returns false where there is none. */
-        boolean tellLeader(Object message);
+        boolean sendToLeader(Object message);
 
         /** How long there has been no leader, in milliseconds. */
         double leaderlessFor();
 
         /** A number in the pool of connections that no other instance has. */
-        int takePoolIndex();
+        int allocatePoolIndex();
 
-        void leavePoolIndex(int poolIndex);
+        void releasePoolIndex(int poolIndex);
 
         /** Answers the client for good. */
         void answer(PendingRequest request, int status, List<String> fields, byte[] body);
@@ -81,7 +81,7 @@
     private RouteProfiles profiles = RouteProfiles.NONE;
 
     /** Whether the profiles have changed since the Dispatcher was made. */
-    private boolean isStale;
+    private boolean haveProfilesChanged;
 
     private boolean isCheckScheduled;
 
@@ -89,7 +89,7 @@
         this.environment = environment;
         loop = environment.loop();
         NodeSettings settings = environment.settings();
-        checkInterval = CHECK_HEARTBEATS * settings.heartbeatInterval;
+        checkInterval = CHECK_INTERVAL_HEARTBEATS * settings.heartbeatInterval;
         inventory = new SlotInventory(environment);
         long seed = (settings.name + " " + name).hashCode();
         dispatcher = new FunctionDispatcher(environment, inventory, this, seed);
@@ -100,7 +100,11 @@
         demand = new DemandReporter(environment, name, backlog, inventory, serviceTime);
         connector =
                 new InstanceConnector(
-                        environment, dispatcher, returns, () -> service.getBoot(), this::serve);
+                        environment,
+                        dispatcher,
+                        returns,
+                        () -> service.getBoot(),
+                        this::dispatchWaiting);
         deadline = new QueueDeadline(inventory, serviceTime, checkInterval);
         attempts =
                 new AttemptRunner(
@@ -117,21 +121,22 @@
     // ---- Configuration ----
 
     /** The configuration as it now stands; the routes are those that lead here. */
-    void configured(Service newService, List<Route> routes) {
+    void onConfiguration(Service newService, List<Route> routes) {
         service = newService;
-        RouteProfiles wanted = RouteProfiles.of(routes, loop::has);
-        if (!wanted.isSameAs(profiles)) {
-            profiles = wanted;
-            isStale = true;
+        RouteProfiles newProfiles = RouteProfiles.of(routes, loop::has);
+        if (!newProfiles.hasSameProfilesAs(profiles)) {
+            profiles = newProfiles;
+            haveProfilesChanged = true;
         }
         renewDispatcher();
     }
 
     /** Guards requests in flight: their Dispatcher is replaced only when it holds none. */
     private void renewDispatcher() {
-        boolean isNeeded = !dispatcher.isMade() || isStale && backlog.inFlight() == 0;
+        boolean isNeeded =
+                !dispatcher.isCreated() || haveProfilesChanged && backlog.inFlight() == 0;
         if (isNeeded) {
-            isStale = false;
+            haveProfilesChanged = false;
             terms.renew(profiles);
             dispatcher.renew(profiles, service.getBoot());
         }
@@ -140,7 +145,7 @@
     // ---- Requests ----
 
     /** A request has arrived. */
-    void take(PendingRequest request) {
+    void enqueue(PendingRequest request) {
         double now = loop.now();
         if (backlog.inFlight() == 0) {
             renewDispatcher();
@@ -149,32 +154,32 @@
         demand.onArrival();
         unassigned.onArrival(now);
         backlog.add(request);
-        serve();
+        dispatchWaiting();
     }
 
     /** The client has gone, or its time is over. */
-    void leave(PendingRequest request) {
+    void discard(PendingRequest request) {
         if (request.isDispatched) {
-            dispatcher.left(request);
-            withdrawUnsent(request);
+            dispatcher.onDiscarded(request);
+            cancelUnsent(request);
         } else {
             backlog.remove(request);
         }
-        backlog.ended();
-        serve();
+        backlog.onRequestEnded();
+        dispatchWaiting();
     }
 
     /** What was not sent yet never will be: so it is sure not to have run there. */
-    private static void withdrawUnsent(PendingRequest request) {
+    private static void cancelUnsent(PendingRequest request) {
         for (Attempt attempt : List.copyOf(request.attempts)) {
             if (!attempt.hasBegun()) {
-                attempt.giveUp(Outcome.CANCELLED);
+                attempt.abort(Outcome.CANCELLED);
             }
         }
     }
 
     /** Hands the Dispatcher the requests for which a slot is usable. */
-    private void serve() {
+    private void dispatchWaiting() {
         while (!backlog.isEmpty() && inventory.usableSlots() > backlog.waitingAtDispatcher()) {
             dispatch(backlog.poll());
         }
@@ -187,7 +192,7 @@
         request.isDispatched = true;
         request.profile = profiles.find(request.route, isLate);
         request.terms = terms.of(request);
-        dispatcher.arrived(request);
+        dispatcher.onArrival(request);
     }
 
     // ---- Regular checks ----
@@ -202,7 +207,7 @@
     private void check() {
         isCheckScheduled = false;
         double now = loop.now();
-        backlog.waiting().forEach(request -> rejectIfHopeless(request, now));
+        backlog.waiting().forEach(request -> rejectIfTooLate(request, now));
         useUnassigned(now);
         returns.returnUnused(now);
         demand.reportChanges();
@@ -211,25 +216,26 @@
         }
     }
 
-    private void rejectIfHopeless(PendingRequest request, double now) {
-        OptionalDouble pause = deadline.rejection(request, now, service.getBoot());
-        if (pause.isPresent()) {
+    private void rejectIfTooLate(PendingRequest request, double now) {
+        OptionalDouble retryAfter = deadline.retryAfter(request, now, service.getBoot());
+        if (retryAfter.isPresent()) {
             backlog.remove(request);
-            backlog.ended();
-            reject(request, pause.getAsDouble());
+            backlog.onRequestEnded();
+            reject(request, retryAfter.getAsDouble());
         }
     }
 
     /** Guards against a leader that is gone: without one, one slot is used as if it were ours. */
     private void useUnassigned(double now) {
         double leaderlessFor = environment.leaderlessFor();
-        double patience = LEADERLESS_HEARTBEATS * environment.settings().heartbeatInterval;
+        double leaderlessThreshold =
+                LEADERLESS_HEARTBEATS * environment.settings().heartbeatInterval;
         if (leaderlessFor == 0) {
             unassigned.onLeader();
         }
         if (!backlog.isEmpty()
-                && leaderlessFor >= patience
-                && unassigned.allows(now, environment.schedulers())
+                && leaderlessFor >= leaderlessThreshold
+                && unassigned.allows(now, environment.schedulerCount())
                 && !inventory.holdsUsableSlots()) {
             inventory.all().stream()
                     .filter(slot -> slot.isUsable() && slot.uncertain == 0)
@@ -243,19 +249,19 @@
         slot.isUnassigned = true;
         slot.idleSince = now;
         dispatcher.publishSlots(slot);
-        serve();
+        dispatchWaiting();
     }
 
     // ---- Messages of the leader ----
 
     /** Slots were granted. */
-    void granted(Messages.SlotGrant grant) {
+    void onGrant(Messages.SlotGrant grant) {
         InstanceSlot slot = inventory.find(grant.instance());
         if (slot == null) {
             try {
                 slot = inventory.add(grant);
             } catch (BadMessage e) {
-                environment.tellLeader(
+                environment.sendToLeader(
                         new Messages.SlotReturn(
                                 grant.instance(), grant.slots(), InstanceCondition.UNREACHABLE));
                 return;
@@ -275,11 +281,11 @@
         if (slot.isUp) {
             dispatcher.publishFreeSlots(slot, grant.grantedSlots());
         }
-        serve();
+        dispatchWaiting();
     }
 
     /** So many slots are to be returned as they fall free. */
-    void recalled(int slots) {
+    void onRecall(int slots) {
         returns.onRecall(slots);
         returns.returnUnused(loop.now());
     }
@@ -298,7 +304,7 @@
     }
 
     /** A new leader registered this scheduler: what it grants is counted anew. */
-    void registered() {
+    void onRegistered() {
         demand.reset();
         returns.reset();
         demand.reportMissing();
@@ -328,8 +334,8 @@
     }
 
     @Override
-    public void bounce(Task task, double pause) {
-        endWithoutAnswer((PendingRequest) task, pause);
+    public void bounce(Task task, double retryAfter) {
+        endWithoutAnswer((PendingRequest) task, retryAfter);
     }
 
     @Override
@@ -356,43 +362,46 @@
 
     @Override
     public void onAnswer(PendingRequest request, Message answer) {
-        backlog.ended();
+        backlog.onRequestEnded();
         environment.answer(
-                request, answer.status(), InstanceResponse.fields(answer), answer.body());
+                request, answer.status(), InstanceProtocol.forwardedFields(answer), answer.body());
     }
 
     @Override
     public void onUnassignedRejected() {
-        unassigned.onRejected(loop.now(), environment.schedulers());
+        unassigned.onRejected(loop.now(), environment.schedulerCount());
     }
 
     @Override
     public void onSlotsChanged() {
-        serve();
+        dispatchWaiting();
     }
 
     /** The Dispatcher has given it up: what may be promised depends on what has run. */
-    private void endWithoutAnswer(PendingRequest request, double pause) {
-        backlog.ended();
+    private void endWithoutAnswer(PendingRequest request, double retryAfter) {
+        backlog.onRequestEnded();
         Message failure = request.failure;
         if (!request.mayHaveRun()) {
-            reject(request, pause > 0 ? pause : service.getBoot());
-        } else if (InstanceResponse.mayPass(failure, request.id, loop::has)) {
+            reject(request, retryAfter > 0 ? retryAfter : service.getBoot());
+        } else if (InstanceProtocol.mayForward(failure, request.id, loop::has)) {
             environment.answer(
-                    request, failure.status(), InstanceResponse.fields(failure), failure.body());
+                    request,
+                    failure.status(),
+                    InstanceProtocol.forwardedFields(failure),
+                    failure.body());
         } else {
-            byte[] why = InstanceResponse.text("no whole answer came");
-            environment.answer(request, BAD_GATEWAY, List.of(), why);
+            byte[] message = InstanceProtocol.utf8("no whole answer came");
+            environment.answer(request, BAD_GATEWAY, List.of(), message);
         }
     }
 
     /** It has not run and never will: the client may come back after the pause. */
-    private void reject(PendingRequest request, double pause) {
-        double seconds = Math.max(1, Math.round(pause)) / 1000.0;
+    private void reject(PendingRequest request, double retryAfter) {
+        double seconds = Math.max(1, Math.round(retryAfter)) / 1000.0;
         environment.answer(
                 request,
                 UNAVAILABLE,
                 List.of("Retry-After: " + seconds),
-                InstanceResponse.text("no instance in time"));
+                InstanceProtocol.utf8("no instance in time"));
     }
 }
--- a/src/main/java/gingerspool/dataplane/FunctionRetryBudget.java
+++ b/src/main/java/gingerspool/dataplane/FunctionRetryBudget.java
@@ -14,30 +14,31 @@
      * The parts of the platform's ratio and floor that are used: the rest is for calls that
      * repeated runs make, and for schedulers that know another number of schedulers.
      */
-    private static final double RATIO_USED = 0.5;
+    private static final double RATIO_FRACTION = 0.5;
 
-    private static final double FLOOR_USED = 0.5;
+    private static final double FLOOR_FRACTION = 0.5;
 
     private final NodeSettings settings;
     private Budget budget;
-    private int schedulers;
+    private int schedulerCount;
 
-    FunctionRetryBudget(NodeSettings settings, int schedulers) {
+    FunctionRetryBudget(NodeSettings settings, int schedulerCount) {
         this.settings = settings;
-        share(schedulers);
+        setSchedulerCount(schedulerCount);
     }
 
     /** So many schedulers share the floor from now on; what was saved up is kept. */
-    void share(int among) {
-        if (budget != null && among == schedulers) {
+    void setSchedulerCount(int newCount) {
+        if (budget != null && newCount == schedulerCount) {
             return;
         }
-        schedulers = among;
+        schedulerCount = newCount;
         double floorPerS =
-                FLOOR_USED * settings.retryBudgetSlack * 1000 / settings.retryBudgetWindow;
+                FLOOR_FRACTION * settings.retryBudgetSlack * 1000 / settings.retryBudgetWindow;
         Policy.Repeats policy =
                 new Policy.Repeats(
-                        RATIO_USED * settings.retryBudgetRatio, floorPerS / Math.max(1, among));
+                        RATIO_FRACTION * settings.retryBudgetRatio,
+                        floorPerS / Math.max(1, newCount));
         budget = new Budget(policy, budget);
     }
 
--- a/src/main/java/gingerspool/dataplane/InstanceConnector.java
+++ b/src/main/java/gingerspool/dataplane/InstanceConnector.java
@@ -11,18 +11,18 @@
  */
 final class InstanceConnector {
     /** When the first attempt is made, in parts of the time that the instance still needs. */
-    private static final double FIRST_PART = 0.5;
+    private static final double FIRST_ATTEMPT_FRACTION = 0.5;
 
     /** The pause between two attempts, in start times. */
-    private static final double PAUSE_START_TIMES = 0.03;
+    private static final double RETRY_STARTUP_TIMES = 0.03;
 
     /** How long after its expected start an instance is given up, in start times. */
-    private static final double GIVE_UP_START_TIMES = 8;
+    private static final double GIVE_UP_STARTUP_TIMES = 8;
 
     private final FunctionQueue.Environment environment;
     private final FunctionDispatcher dispatcher;
     private final SlotReturns returns;
-    private final DoubleSupplier startTime;
+    private final DoubleSupplier startupTime;
     private final Runnable onUp;
 
     /** The start time is the function's; onUp runs after an instance was found to be up. */
@@ -30,19 +30,19 @@
             FunctionQueue.Environment environment,
             FunctionDispatcher dispatcher,
             SlotReturns returns,
-            DoubleSupplier startTime,
+            DoubleSupplier startupTime,
             Runnable onUp) {
         this.environment = environment;
         this.dispatcher = dispatcher;
         this.returns = returns;
-        this.startTime = startTime;
+        this.startupTime = startupTime;
         this.onUp = onUp;
     }
 
     /** Slots were granted of an instance that starts within this span. */
     void awaitStart(InstanceSlot slot, double startsIn) {
         slot.startsAt = environment.loop().now() + startsIn;
-        connectAfter(slot, FIRST_PART * startsIn);
+        connectAfter(slot, FIRST_ATTEMPT_FRACTION * startsIn);
     }
 
     /** The instance has started. */
@@ -72,7 +72,7 @@
         if (slot.isUp || slot.isDraining || slot.granted == 0) {
             return;
         }
-        double giveUpAt = slot.startsAt + GIVE_UP_START_TIMES * startTime.getAsDouble();
+        double giveUpAt = slot.startsAt + GIVE_UP_STARTUP_TIMES * startupTime.getAsDouble();
         if (environment.loop().now() > giveUpAt) {
             returns.returnSlots(slot, slot.granted, InstanceCondition.UNREACHABLE);
             return;
@@ -91,11 +91,11 @@
         slot.isConnecting = false;
         if (isUp) {
             markUp(slot);
-            environment.tellLeader(
+            environment.sendToLeader(
                     new Messages.SlotReturn(slot.instance, 0, InstanceCondition.STARTED));
             onUp.run();
         } else {
-            connectAfter(slot, PAUSE_START_TIMES * startTime.getAsDouble());
+            connectAfter(slot, RETRY_STARTUP_TIMES * startupTime.getAsDouble());
         }
     }
 }
--- a/src/main/java/gingerspool/dataplane/InstanceResponse.java
+++ b/src/main/java/gingerspool/dataplane/InstanceProtocol.java
@@ -15,9 +15,9 @@
  * What is said to instances and clients, and what instances' answers mean. The protocol's names end
  * here.
  */
-final class InstanceResponse {
+final class InstanceProtocol {
     /** Fields that concern one connection only, and those that we write ourselves. */
-    private static final Set<String> OWN =
+    private static final Set<String> NOT_FORWARDED =
             Set.of(
                     "connection",
                     "keep-alive",
@@ -37,20 +37,20 @@
     static final int OTHER_INSTANCE = 421;
 
     /** To a client these promise that the request did not run and never will. */
-    private static final Set<Integer> PROMISES = Set.of(408, OTHER_INSTANCE, 429, 503);
+    private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, OTHER_INSTANCE, 429, 503);
 
-    private InstanceResponse() {}
+    private InstanceProtocol() {}
 
     /** The client's request for this instance (null: any), unchanged but for the time left. */
-    static byte[] request(Message from, String instance, double timeLeft) {
-        byte[] body = from.body();
+    static byte[] encodeRequest(Message request, String instance, double timeLeft) {
+        byte[] body = request.body();
         StringBuilder head =
                 new StringBuilder(320)
-                        .append(from.method())
+                        .append(request.method())
                         .append(' ')
-                        .append(from.target())
+                        .append(request.target())
                         .append(" HTTP/1.1\r\n");
-        for (String field : fields(from)) {
+        for (String field : forwardedFields(request)) {
             head.append(field).append("\r\n");
         }
         head.append("Remaining-Milliseconds: ").append((long) Math.max(1, timeLeft));
@@ -58,40 +58,41 @@
             head.append("\r\nExpected-Instance: ").append(instance);
         }
         if (body.length > 0
-                || from.field("content-length") != null
-                || from.field("transfer-encoding") != null) {
+                || request.field("content-length") != null
+                || request.field("transfer-encoding") != null) {
             head.append("\r\nContent-Length: ").append(body.length);
         }
         return Inbound.joined(head.append("\r\n\r\n"), body);
     }
 
     /** The fields that are passed on. */
-    static List<String> fields(Message from) {
-        String connection = from.field("connection");
-        String named =
+    static List<String> forwardedFields(Message message) {
+        String connection = message.field("connection");
+        String connectionOptions =
                 connection == null
                         ? ""
                         : "," + connection.toLowerCase(Locale.ROOT).replace(" ", "") + ",";
-        List<String> all = new ArrayList<>();
-        from.eachField(
+        List<String> forwarded = new ArrayList<>();
+        message.eachField(
                 (name, value) -> {
-                    if (!OWN.contains(name) && !named.contains("," + name + ",")) {
-                        all.add(shown(name) + ": " + value);
+                    if (!NOT_FORWARDED.contains(name)
+                            && !connectionOptions.contains("," + name + ",")) {
+                        forwarded.add(canonicalName(name) + ": " + value);
                     }
                 });
-        return all;
+        return forwarded;
     }
 
     /** A field's name as it is usually written. */
-    private static String shown(String name) {
-        char[] letters = name.toCharArray();
-        for (int i = 0; i < letters.length; i++) {
-            letters[i] =
-                    i == 0 || letters[i - 1] == '-'
-                            ? Character.toUpperCase(letters[i])
-                            : letters[i];
+    private static String canonicalName(String name) {
+        char[] characters = name.toCharArray();
+        for (int i = 0; i < characters.length; i++) {
+            characters[i] =
+                    i == 0 || characters[i - 1] == '-'
+                            ? Character.toUpperCase(characters[i])
+                            : characters[i];
         }
-        return new String(letters);
+        return new String(characters);
     }
 
     /**
@@ -99,49 +100,50 @@
      */
     static Outcome outcome(Message answer, String id, Predicate<RequestSafeguard> has) {
         int status = answer.status();
-        boolean named = id.equals(answer.field("request-id"));
-        boolean says =
+        boolean isIdMatching = id.equals(answer.field("request-id"));
+        boolean isRefusal =
                 answer.field("not-executed") != null
                         || status == OTHER_INSTANCE
-                        || !has.test(RequestSafeguard.REFUSAL_MARK) && PROMISES.contains(status);
+                        || !has.test(RequestSafeguard.REFUSAL_MARK)
+                                && NOT_EXECUTED_STATUSES.contains(status);
         // Guards unsafe requests: a refusal without our id may be another request's.
-        if (says && (named || !has.test(RequestSafeguard.REFUSAL_ID))) {
+        if (isRefusal && (isIdMatching || !has.test(RequestSafeguard.REFUSAL_ID))) {
             return Outcome.FULL;
         }
-        boolean encoded =
+        boolean isEncoded =
                 answer.field("content-encoding") != null
                         && has.test(RequestSafeguard.CONTENT_ENCODING);
-        boolean unstamped =
+        boolean lacksStamp =
                 status < 300
                         && answer.field("server-stamp") == null
                         && has.test(RequestSafeguard.SERVER_STAMP);
-        boolean failed = status >= 500 || PROMISES.contains(status);
-        boolean known = named || !has.test(RequestSafeguard.RESPONSE_ID);
-        return !known || encoded || unstamped || failed ? Outcome.ERROR : Outcome.OK;
+        boolean isFailure = status >= 500 || NOT_EXECUTED_STATUSES.contains(status);
+        boolean isIdAccepted = isIdMatching || !has.test(RequestSafeguard.RESPONSE_ID);
+        return !isIdAccepted || isEncoded || lacksStamp || isFailure ? Outcome.ERROR : Outcome.OK;
     }
 
     /** Whether an answer is not as a worker in order answers a request of this id. */
-    static boolean isDoubtful(Message answer, String id) {
-        boolean unstamped = answer.status() < 300 && answer.field("server-stamp") == null;
+    static boolean isSuspect(Message answer, String id) {
+        boolean lacksStamp = answer.status() < 300 && answer.field("server-stamp") == null;
         return !id.equals(answer.field("request-id"))
                 || answer.field("content-encoding") != null
-                || unstamped;
+                || lacksStamp;
     }
 
     /** Whether a failure may be passed on as it is: it must not promise what is not so. */
-    static boolean mayPass(Message failure, String id, Predicate<RequestSafeguard> has) {
-        boolean promises =
+    static boolean mayForward(Message failure, String id, Predicate<RequestSafeguard> has) {
+        boolean promisesNotExecuted =
                 failure != null
-                        && PROMISES.contains(failure.status())
+                        && NOT_EXECUTED_STATUSES.contains(failure.status())
                         && has.test(RequestSafeguard.PROMISE);
         return failure != null
                 && failure.status() >= 400
                 && id.equals(failure.field("request-id"))
                 && failure.field("content-encoding") == null
-                && !promises;
+                && !promisesNotExecuted;
     }
 
-    static byte[] text(String text) {
+    static byte[] utf8(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/src/main/java/gingerspool/dataplane/PendingRequest.java
+++ b/src/main/java/gingerspool/dataplane/PendingRequest.java
@@ -33,7 +33,7 @@
     /** Null once it has its answer or the client has gone. */
     Inbound client;
 
-    Future<?> alarm;
+    Future<?> expiryTimer;
 
     /** Whether the Dispatcher has it; before that it waits for a slot. */
     boolean isDispatched;
@@ -72,6 +72,6 @@
 
     /** Whether some worker may have run it. */
     boolean mayHaveRun() {
-        return attempts.stream().anyMatch(t -> !t.neverRan());
+        return attempts.stream().anyMatch(attempt -> !attempt.neverRan());
     }
 }
--- a/src/main/java/gingerspool/dataplane/ReadinessEndpoint.java
+++ b/src/main/java/gingerspool/dataplane/ReadinessEndpoint.java
@@ -13,27 +13,28 @@
 
 /** Where the platform asks whether clients are to come here. */
 final class ReadinessEndpoint implements Listener.Owner, Inbound.Handler {
-    private static final double PATIENCE = 10_000;
-    private static final int MOST = 64;
+    private static final double CONNECTION_TIMEOUT_MS = 10_000;
+    private static final int MAX_CONNECTIONS = 64;
 
     private final EventLoop loop;
-    private final BooleanSupplier ready;
+    private final BooleanSupplier isReady;
     private final Listener listener;
-    private int open;
+    private int openConnections;
 
-    ReadinessEndpoint(EventLoop loop, SocketAddress at, BooleanSupplier ready) throws IOException {
+    ReadinessEndpoint(EventLoop loop, SocketAddress address, BooleanSupplier isReady)
+            throws IOException {
         this.loop = loop;
-        this.ready = ready;
-        listener = new Listener(loop, at, this);
+        this.isReady = isReady;
+        listener = new Listener(loop, address, this);
     }
 
-    void begin() {
+    void start() {
         listener.acceptOn();
     }
 
     @Override
     public boolean hasRoom() {
-        return open < MOST;
+        return openConnections < MAX_CONNECTIONS;
     }
 
     @Override
@@ -41,14 +42,15 @@
 
     @Override
     public void accepted(AsynchronousSocketChannel channel) {
-        open++;
-        new Inbound(loop, channel, this, PATIENCE, PATIENCE).start();
+        openConnections++;
+        new Inbound(loop, channel, this, CONNECTION_TIMEOUT_MS, CONNECTION_TIMEOUT_MS).start();
     }
 
     @Override
     public void asked(Inbound from, Message request) {
-        boolean known = request.method().equals("GET") && request.target().equals("/v1/readiness");
-        from.answer(!known ? 404 : ready.getAsBoolean() ? 200 : 503, List.of(), "");
+        boolean isKnown =
+                request.method().equals("GET") && request.target().equals("/v1/readiness");
+        from.answer(!isKnown ? 404 : isReady.getAsBoolean() ? 200 : 503, List.of(), "");
     }
 
     @Override
@@ -59,7 +61,7 @@
 
     @Override
     public void closed(Inbound connection) {
-        open--;
+        openConnections--;
         listener.acceptOn();
     }
 }
--- a/src/main/java/gingerspool/dataplane/RequestBacklog.java
+++ b/src/main/java/gingerspool/dataplane/RequestBacklog.java
@@ -16,7 +16,7 @@
     private int inFlight;
 
     /** Requests with an attempt under way. */
-    private int attempted;
+    private int requestsWithAttempts;
 
     void add(PendingRequest request) {
         inFlight++;
@@ -34,18 +34,18 @@
     }
 
     /** A request has its answer, or its client has gone. */
-    void ended() {
+    void onRequestEnded() {
         inFlight--;
     }
 
     /** To be called when an attempt has been added to a request. */
-    void attemptBegan(PendingRequest request) {
-        attempted += request.outstanding() == 1 ? 1 : 0;
+    void onAttemptStarted(PendingRequest request) {
+        requestsWithAttempts += request.outstanding() == 1 ? 1 : 0;
     }
 
     /** To be called when an attempt has ended, before the Dispatcher is told. */
-    void attemptEnds(PendingRequest request) {
-        attempted -= request.outstanding() == 1 ? 1 : 0;
+    void onAttemptEnding(PendingRequest request) {
+        requestsWithAttempts -= request.outstanding() == 1 ? 1 : 0;
     }
 
     boolean isEmpty() {
@@ -63,7 +63,7 @@
 
     /** Requests that the Dispatcher has without any attempt under way: they come first. */
     int waitingAtDispatcher() {
-        return Math.max(0, inFlight - waiting.size() - attempted);
+        return Math.max(0, inFlight - waiting.size() - requestsWithAttempts);
     }
 
     /** Requests that wait for a slot, here or at the Dispatcher. */
@@ -73,6 +73,6 @@
 
     /** Whether some request has no attempt under way. */
     boolean hasUnattempted() {
-        return inFlight > attempted;
+        return inFlight > requestsWithAttempts;
     }
 }
--- a/src/main/java/gingerspool/dataplane/RequestRouter.java
+++ b/src/main/java/gingerspool/dataplane/RequestRouter.java
@@ -29,19 +29,19 @@
  */
 final class RequestRouter implements Inbound.Handler, FunctionQueue.Environment {
     /** Limits while there is no configuration: milliseconds and bytes. */
-    private static final double DEFAULT_IDLE_TIMEOUT = 15_000;
+    private static final double DEFAULT_IDLE_TIMEOUT_MS = 15_000;
 
-    private static final double DEFAULT_READ_TIMEOUT = 5000;
+    private static final double DEFAULT_READ_TIMEOUT_MS = 5000;
     private static final int DEFAULT_HEADER_BYTES = 16 * 1024;
     private static final int DEFAULT_BODY_BYTES = 256 * 1024;
-    private static final int LARGEST_HEADER = 1 << 20;
-    private static final int LARGEST_BODY = 1 << 26;
+    private static final int MAX_HEADER_BYTES = 1 << 20;
+    private static final int MAX_BODY_BYTES = 1 << 26;
 
     /** The part of a route's time-out that a first attempt comes with at the least. */
-    private static final double FIRST_ATTEMPT_PART = 0.97;
+    private static final double FIRST_ATTEMPT_FRACTION = 0.97;
 
     /** How long a client waits that does not say it, in milliseconds. */
-    private static final double DEFAULT_DEADLINE = 10_000;
+    private static final double DEFAULT_REMAINING_MS = 10_000;
 
     /** When to come back to a scheduler that has no configuration yet. */
     private static final String RETRY_SOON = "Retry-After: 0.5";
@@ -49,14 +49,14 @@
     /** What the router needs of the links to the core. */
     interface ControlPlane {
         /** Sends the leader a message, or returns false where there is none. */
-        boolean tell(Object message);
+        boolean sendToLeader(Object message);
 
         /** How long there has been no leader, in milliseconds. */
         double leaderlessFor();
     }
 
     /** Counts of requests since the start, for the log. */
-    record Counts(int taken, int served, int refused, int failed, int overfull) {}
+    record Counts(int taken, int served, int refused, int failed, int instanceRejections) {}
 
     private final EventLoop loop;
     private final NodeSettings settings;
@@ -64,23 +64,23 @@
     private final ControlPlane control;
 
     /** Called whenever a client's connection has closed. */
-    private final Runnable whenClosed;
+    private final Runnable onConnectionClosed;
 
     private final Set<Inbound> connections = new LinkedHashSet<>();
-    private final Set<Inbound> idle = new LinkedHashSet<>();
+    private final Set<Inbound> idleConnections = new LinkedHashSet<>();
     private final Set<PendingRequest> pending = new HashSet<>();
     private final Map<String, FunctionQueue> queues = new HashMap<>();
     private final ArrayDeque<Integer> freePoolIndexes = new ArrayDeque<>();
-    private int poolIndexes;
+    private int nextPoolIndex;
     private Configuration configuration = Configuration.getDefaultInstance();
     private RouteTable routes;
     private Map<String, List<Route>> routesByService = Map.of();
-    private final SchedulerCount schedulers;
-    private boolean leaving;
-    private int taken;
-    private int served;
-    private int refused;
-    private int failed;
+    private final SchedulerCount reportSchedulerCount;
+    private boolean isDraining;
+    private int receivedCount;
+    private int servedCount;
+    private int refusedCount;
+    private int failedCount;
 
     RequestRouter(
             EventLoop loop,
@@ -92,8 +92,8 @@
         this.settings = settings;
         this.pool = pool;
         this.control = control;
-        this.whenClosed = whenClosed;
-        schedulers = new SchedulerCount(settings.retryBudgetWindow);
+        this.onConnectionClosed = whenClosed;
+        reportSchedulerCount = new SchedulerCount(settings.retryBudgetWindow);
     }
 
     // ---- Configuration ----
@@ -111,19 +111,19 @@
         boolean limitsChanged = !newest.getLimits().equals(configuration.getLimits());
         configuration = newest;
         routes = new RouteTable(newest);
-        routesByService = byService(newest);
+        routesByService = groupByService(newest);
         if (limitsChanged) {
-            connections.forEach(this::limit);
+            connections.forEach(this::applyLimits);
         }
         for (Service service : newest.getServicesList()) {
             FunctionQueue queue = queues.get(service.getName());
             if (queue != null) {
-                queue.configured(service, routesTo(service.getName()));
+                queue.onConfiguration(service, routesTo(service.getName()));
             }
         }
     }
 
-    private static Map<String, List<Route>> byService(Configuration configuration) {
+    private static Map<String, List<Route>> groupByService(Configuration configuration) {
         Map<String, List<Route>> all = new HashMap<>();
         for (Route route : configuration.getRoutesList()) {
             all.computeIfAbsent(route.getService(), name -> new ArrayList<>(1)).add(route);
@@ -136,8 +136,8 @@
     }
 
     /** So many schedulers share the retry budget, this one included. */
-    void schedulers(int count) {
-        schedulers.report(loop.now(), count);
+    void schedulerCount(int count) {
+        reportSchedulerCount.report(loop.now(), count);
     }
 
     // ---- Queues ----
@@ -158,14 +158,14 @@
         return held;
     }
 
-    private FunctionQueue queueOf(Route route) {
+    private FunctionQueue queueFor(Route route) {
         return queues.computeIfAbsent(
                 route.getService(),
                 name -> {
                     FunctionQueue queue = new FunctionQueue(this, name);
                     for (Service service : configuration.getServicesList()) {
                         if (service.getName().equals(name)) {
-                            queue.configured(service, routesTo(name));
+                            queue.onConfiguration(service, routesTo(name));
                         }
                     }
                     return queue;
@@ -175,27 +175,27 @@
     // ---- Clients' connections ----
 
     /** A client that may have written since `letInFrom`, in milliseconds on the loop's clock. */
-    void accept(AsynchronousSocketChannel channel, double letInFrom) {
+    void accept(AsynchronousSocketChannel channel, double earliestArrival) {
         Inbound connection =
-                new Inbound(loop, channel, this, DEFAULT_IDLE_TIMEOUT, DEFAULT_READ_TIMEOUT);
-        connection.mayHoldSince(letInFrom);
-        limit(connection);
+                new Inbound(loop, channel, this, DEFAULT_IDLE_TIMEOUT_MS, DEFAULT_READ_TIMEOUT_MS);
+        connection.mayHoldSince(earliestArrival);
+        applyLimits(connection);
         connections.add(connection);
-        connection.endAfterAnswer(leaving);
+        connection.endAfterAnswer(isDraining);
         connection.start();
     }
 
     /** Puts the operators' limits in force on this connection, as far as there are any. */
-    private void limit(Inbound connection) {
+    private void applyLimits(Inbound connection) {
         Limits limits = configuration.getLimits();
         connection.limits(
-                limits.getIdleTimeout() > 0 ? limits.getIdleTimeout() : DEFAULT_IDLE_TIMEOUT,
-                limits.getHeaderTimeout() > 0 ? limits.getHeaderTimeout() : DEFAULT_READ_TIMEOUT,
+                limits.getIdleTimeout() > 0 ? limits.getIdleTimeout() : DEFAULT_IDLE_TIMEOUT_MS,
+                limits.getHeaderTimeout() > 0 ? limits.getHeaderTimeout() : DEFAULT_READ_TIMEOUT_MS,
                 limits.getHeaderBytes() > 0
-                        ? (int) Math.min(limits.getHeaderBytes(), LARGEST_HEADER)
+                        ? (int) Math.min(limits.getHeaderBytes(), MAX_HEADER_BYTES)
                         : DEFAULT_HEADER_BYTES,
                 limits.getBodyBytes() > 0
-                        ? (int) Math.min(limits.getBodyBytes(), LARGEST_BODY)
+                        ? (int) Math.min(limits.getBodyBytes(), MAX_BODY_BYTES)
                         : DEFAULT_BODY_BYTES);
     }
 
@@ -208,49 +208,51 @@
     }
 
     Counts counts() {
-        int overfull = queues.values().stream().mapToInt(queue -> queue.rejections()).sum();
-        return new Counts(taken, served, refused, failed, overfull);
+        int instanceRejections =
+                queues.values().stream().mapToInt(queue -> queue.rejections()).sum();
+        return new Counts(
+                receivedCount, servedCount, refusedCount, failedCount, instanceRejections);
     }
 
     /** The process is to end: every answer from now on is the last of its connection. */
-    void leave() {
-        leaving = true;
+    void startDraining() {
+        isDraining = true;
         connections.forEach(connection -> connection.endAfterAnswer(true));
     }
 
     /** Closes connections between requests, and those that have had none for `fresh` ms. */
-    void closeIdle(double fresh) {
-        List.copyOf(idle).forEach(connection -> connection.closeIfIdle(0, fresh));
+    void closeIdle(double minUnusedMs) {
+        List.copyOf(idleConnections).forEach(connection -> connection.closeIfIdle(0, minUnusedMs));
     }
 
     @Override
     public void idle(Inbound connection, boolean isIdle) {
         if (isIdle) {
-            idle.add(connection);
+            idleConnections.add(connection);
         } else {
-            idle.remove(connection);
+            idleConnections.remove(connection);
         }
     }
 
     @Override
     public void unreadable(BadMessage fault) {
-        refused++;
+        refusedCount++;
     }
 
     @Override
     public void closed(Inbound connection) {
         connections.remove(connection);
-        idle.remove(connection);
-        whenClosed.run();
+        idleConnections.remove(connection);
+        onConnectionClosed.run();
     }
 
     // ---- Requests ----
 
     @Override
     public void asked(Inbound from, Message request) {
-        taken++;
+        receivedCount++;
         if (routes == null) {
-            refused++;
+            refusedCount++;
             from.answer(503, List.of(RETRY_SOON), "no configuration here yet");
             return;
         }
@@ -258,83 +260,83 @@
         Route route = host == null ? null : routes.find(host, request.target());
         String id = request.field("request-id");
         if (route == null || id == null) {
-            refused++;
+            refusedCount++;
             from.answer(
                     route == null ? 404 : 400,
                     List.of(),
                     route == null ? "no such route" : "no Request-Id");
             return;
         }
-        take(from, request, route, id);
+        admit(from, request, route, id);
     }
 
-    private void take(Inbound from, Message request, Route route, String id) {
+    private void admit(Inbound from, Message request, Route route, String id) {
         double now = loop.now();
-        double deadline = number(request.field("remaining-milliseconds"));
+        double remaining = parseRemaining(request.field("remaining-milliseconds"));
         // Who comes with less than the route allows was rejected before, or is called by a
         // worker.
-        double most = route.hasTimeout() ? route.getTimeout() : deadline;
-        boolean isFirstAttempt = deadline >= FIRST_ATTEMPT_PART * most;
+        double maxTimeout = route.hasTimeout() ? route.getTimeout() : remaining;
+        boolean isFirstAttempt = remaining >= FIRST_ATTEMPT_FRACTION * maxTimeout;
         double dueAt = now + Math.max(1, route.getAim());
-        double urgentAt = dueAt - Math.max(0, most - deadline);
-        PendingRequest taken =
+        double urgentAt = dueAt - Math.max(0, maxTimeout - remaining);
+        PendingRequest admitted =
                 new PendingRequest(id, from, request, route, now, dueAt, urgentAt, isFirstAttempt);
         // The client counts from when it wrote, however long that was under way to us.
-        double waited = Math.max(0, now - from.arrivedFrom());
-        taken.expiry = now + Math.max(1, Math.min(deadline, most) - waited);
-        pending.add(taken);
+        double elapsed = Math.max(0, now - from.arrivedFrom());
+        admitted.expiry = now + Math.max(1, Math.min(remaining, maxTimeout) - elapsed);
+        pending.add(admitted);
         from.whenGone(
                 () -> {
-                    taken.client = null;
-                    end(taken);
-                    queueOf(route).leave(taken);
+                    admitted.client = null;
+                    removePending(admitted);
+                    queueFor(route).discard(admitted);
                 });
-        taken.alarm = loop.schedule(taken.expiry - now, () -> expired(taken));
-        queueOf(route).take(taken);
+        admitted.expiryTimer = loop.schedule(admitted.expiry - now, () -> onExpired(admitted));
+        queueFor(route).enqueue(admitted);
     }
 
-    private static double number(String field) {
+    private static double parseRemaining(String field) {
         try {
-            return field == null ? DEFAULT_DEADLINE : Double.parseDouble(field);
+            return field == null ? DEFAULT_REMAINING_MS : Double.parseDouble(field);
         } catch (NumberFormatException e) {
-            return DEFAULT_DEADLINE;
+            return DEFAULT_REMAINING_MS;
         }
     }
 
     /** Its time is over. */
-    private void expired(PendingRequest request) {
-        giveUp(request, 504, "out of time");
+    private void onExpired(PendingRequest request) {
+        abort(request, 504, "out of time");
     }
 
     /** Ends it for good: with a promise where nothing was sent, else with this status. */
-    private void giveUp(PendingRequest request, int statusIfSent, String why) {
-        queues.get(request.route.getService()).leave(request);
-        boolean ran = request.mayHaveRun();
-        answer(request, ran ? statusIfSent : 503, List.of(), InstanceResponse.text(why));
+    private void abort(PendingRequest request, int statusIfSent, String message) {
+        queues.get(request.route.getService()).discard(request);
+        boolean mayHaveRun = request.mayHaveRun();
+        answer(request, mayHaveRun ? statusIfSent : 503, List.of(), InstanceProtocol.utf8(message));
     }
 
     /** The process ends: whoever still waits gets an answer, so that none is just cut off. */
-    void giveUpAll() {
-        List.copyOf(pending).forEach(request -> giveUp(request, 502, "the scheduler ends"));
+    void abortAll() {
+        List.copyOf(pending).forEach(request -> abort(request, 502, "the scheduler ends"));
     }
 
     @Override
     public void answer(PendingRequest request, int status, List<String> fields, byte[] body) {
         Inbound client = request.client;
-        end(request);
-        served += status < 300 ? 1 : 0;
-        refused += status == 503 ? 1 : 0;
-        failed += status >= 300 && status != 503 ? 1 : 0;
+        removePending(request);
+        servedCount += status < 300 ? 1 : 0;
+        refusedCount += status == 503 ? 1 : 0;
+        failedCount += status >= 300 && status != 503 ? 1 : 0;
         if (client != null) {
             client.answer(status, fields, body);
         }
     }
 
-    private void end(PendingRequest request) {
+    private void removePending(PendingRequest request) {
         pending.remove(request);
         request.client = null;
-        if (request.alarm != null) {
-            request.alarm.cancel(false);
+        if (request.expiryTimer != null) {
+            request.expiryTimer.cancel(false);
         }
     }
 
@@ -356,13 +358,13 @@
     }
 
     @Override
-    public int schedulers() {
-        return schedulers.most(loop.now());
+    public int schedulerCount() {
+        return reportSchedulerCount.max(loop.now());
     }
 
     @Override
-    public boolean tellLeader(Object message) {
-        return control.tell(message);
+    public boolean sendToLeader(Object message) {
+        return control.sendToLeader(message);
     }
 
     @Override
@@ -371,13 +373,13 @@
     }
 
     @Override
-    public int takePoolIndex() {
-        Integer free = freePoolIndexes.poll();
-        return free != null ? free : poolIndexes++;
+    public int allocatePoolIndex() {
+        Integer freeIndex = freePoolIndexes.poll();
+        return freeIndex != null ? freeIndex : nextPoolIndex++;
     }
 
     @Override
-    public void leavePoolIndex(int poolIndex) {
+    public void releasePoolIndex(int poolIndex) {
         pool.keep(poolIndex, false);
         pool.keep(poolIndex, true);
         freePoolIndexes.add(poolIndex);
--- a/src/main/java/gingerspool/dataplane/RouteProfiles.java
+++ b/src/main/java/gingerspool/dataplane/RouteProfiles.java
@@ -17,7 +17,7 @@
     private static final double DEFAULT_EXPIRY_MS = 60_000;
 
     /** The service time to begin with, in parts of the latency target. */
-    private static final double FIRST_SERVICE_TIME_PART = 0.2;
+    private static final double INITIAL_SERVICE_TIME_FRACTION = 0.2;
 
     /** The shortest latency target where there are no routes, in milliseconds. */
     private static final double DEFAULT_TARGET_MS = 1000;
@@ -51,25 +51,25 @@
         profile.expiry = route.hasTimeout() ? route.getTimeout() : DEFAULT_EXPIRY_MS;
         profile.dueTime = isLate ? profile.expiry : target;
         profile.stretch = 0;
-        profile.work = FIRST_SERVICE_TIME_PART * target;
+        profile.work = INITIAL_SERVICE_TIME_FRACTION * target;
         profile.prio = -route.getPriority();
         profile.effect = mayRepeat ? Profile.Effect.IDEMPOTENT : Profile.Effect.SIDE_EFFECTING;
         return profile;
     }
 
     private static String name(Route route, boolean isLate) {
-        String sort =
+        String routeType =
                 String.join(
                         " ",
                         route.getKind(),
                         String.valueOf(route.getAim()),
                         String.valueOf(route.getTimeout()),
                         String.valueOf(route.getPriority()));
-        return isLate ? sort + " late" : sort;
+        return isLate ? routeType + " late" : routeType;
     }
 
     /** The profiles, numbered in their order. */
-    Profile[] numbered() {
+    Profile[] toNumberedArray() {
         Profile[] all = profiles.toArray(new Profile[0]);
         for (int i = 0; i < all.length; i++) {
             all[i].index = i;
@@ -88,20 +88,20 @@
      */
     Profile find(Route route, boolean isLate) {
         String name = name(route, isLate);
-        Profile careful = null;
+        Profile fallback = null;
         for (Profile profile : profiles) {
             if (profile.name.equals(name)) {
                 return profile;
             }
-            boolean isMoreCareful =
-                    careful == null || profile.effect == Profile.Effect.SIDE_EFFECTING;
-            careful = isMoreCareful ? profile : careful;
+            boolean isBetterFallback =
+                    fallback == null || profile.effect == Profile.Effect.SIDE_EFFECTING;
+            fallback = isBetterFallback ? profile : fallback;
         }
-        return careful;
+        return fallback;
     }
 
     /** Whether others mean the same to the Dispatcher. */
-    boolean isSameAs(RouteProfiles other) {
+    boolean hasSameProfilesAs(RouteProfiles other) {
         return profiles.toString().equals(other.profiles.toString());
     }
 }
--- a/src/main/java/gingerspool/dataplane/SchedulerCount.java
+++ b/src/main/java/gingerspool/dataplane/SchedulerCount.java
@@ -13,33 +13,33 @@
     private final double window;
 
     /** Counts that may still be the most, the largest and oldest first. */
-    private final ArrayDeque<Report> counts = new ArrayDeque<>();
+    private final ArrayDeque<Report> reports = new ArrayDeque<>();
 
     SchedulerCount(double window) {
         this.window = window;
     }
 
     void report(double now, int count) {
-        while (!counts.isEmpty() && counts.peekLast().count <= count) {
-            counts.pollLast();
+        while (!reports.isEmpty() && reports.peekLast().count <= count) {
+            reports.pollLast();
         }
-        counts.addLast(new Report(now, count));
+        reports.addLast(new Report(now, count));
     }
 
     /**
      * The most within the window; the last one reported counts however old it is. One if none was.
      */
-    int most(double now) {
-        while (counts.size() > 1 && nextAt() <= now - window) {
-            counts.pollFirst();
+    int max(double now) {
+        while (reports.size() > 1 && secondReportAt() <= now - window) {
+            reports.pollFirst();
         }
-        return counts.isEmpty() ? 1 : counts.peekFirst().count;
+        return reports.isEmpty() ? 1 : reports.peekFirst().count;
     }
 
     /**
      * When the count that followed the first one was reported: since then the first has been old.
      */
-    private double nextAt() {
-        return counts.stream().skip(1).findFirst().map(Report::at).orElse(Double.NaN);
+    private double secondReportAt() {
+        return reports.stream().skip(1).findFirst().map(Report::at).orElse(Double.NaN);
     }
 }
--- a/src/main/java/gingerspool/dataplane/SchedulerNode.java
+++ b/src/main/java/gingerspool/dataplane/SchedulerNode.java
@@ -19,48 +19,48 @@
     private static final Logger LOG = LoggerFactory.getLogger(SchedulerNode.class);
 
     /** Descriptors that clients, and connections to instances, may hold, in parts of all. */
-    private static final double CLIENT_SHARE = 0.6;
+    private static final double CLIENT_DESCRIPTOR_FRACTION = 0.6;
 
-    private static final double INSTANCE_SHARE = 0.25;
+    private static final double INSTANCE_DESCRIPTOR_FRACTION = 0.25;
 
     /** Connecting to an instance may take this part of a heartbeat interval. */
-    private static final double CONNECT_TIMEOUT = 0.25;
+    private static final double CONNECT_TIMEOUT_HEARTBEATS = 0.25;
 
     /** Idle connections to instances are kept so long at the most, in milliseconds. */
-    private static final double POOL_IDLE_TIMEOUT = 10_000;
+    private static final double POOL_IDLE_TIMEOUT_MS = 10_000;
 
     /** After SIGTERM clients come for so many heartbeat intervals more. */
-    private static final double STILL_COMING = 2;
+    private static final double LATE_CLIENT_HEARTBEATS = 2;
 
     /** The process ends within this part of the grace period, whatever is in hand. */
-    private static final double LAST_PART_OF_GRACE = 0.9;
+    private static final double EXIT_GRACE_FRACTION = 0.9;
 
     /** What is in hand by then is given up, so that its answer is written before the end. */
-    private static final double GIVE_UP_PART_OF_GRACE = 0.85;
+    private static final double ABORT_GRACE_FRACTION = 0.85;
 
     /** Looks at whether all has ended, in parts of a heartbeat interval. */
-    private static final double LEAVE_CHECK = 0.02;
+    private static final double DRAIN_CHECK_HEARTBEATS = 0.02;
 
-    private static final double SUMMARY_INTERVAL = 10_000;
+    private static final double SUMMARY_INTERVAL_MS = 10_000;
 
     /** How often the core is told the digest of our copy, in heartbeat intervals. */
-    private static final double COMPARE_INTERVAL = 4;
+    private static final double STATE_REPORT_HEARTBEATS = 4;
 
     private final NodeSettings settings;
     private final SingleThreadEventLoop loop;
     private final Listener listener;
     private final ReadinessEndpoint readiness;
-    private final ControlLinks core;
+    private final ControlLinks controlLinks;
     private final RequestRouter router;
-    private final int clientsMost;
+    private final int maxClients;
 
     private final ConfigurationSubscriber configuration;
 
     /** Grants that have come from this leader. */
-    private long grants;
+    private long grantsReceived;
 
-    private double leavingAt = Double.NaN;
-    private Runnable whenLeft;
+    private double drainingSince = Double.NaN;
+    private Runnable onDrained;
 
     /** Binds the endpoints; an exception says that one of the addresses can't be listened on. */
     public SchedulerNode(NodeSettings settings) throws IOException {
@@ -69,11 +69,11 @@
         ConnectionPool pool =
                 new ConnectionPool(
                         loop,
-                        CONNECT_TIMEOUT * settings.heartbeatInterval,
-                        POOL_IDLE_TIMEOUT,
-                        (int) (INSTANCE_SHARE * settings.descriptors));
-        clientsMost = (int) (CLIENT_SHARE * settings.descriptors);
-        core = new ControlLinks(loop, settings, this::registration, this::receive);
+                        CONNECT_TIMEOUT_HEARTBEATS * settings.heartbeatInterval,
+                        POOL_IDLE_TIMEOUT_MS,
+                        (int) (INSTANCE_DESCRIPTOR_FRACTION * settings.descriptors));
+        maxClients = (int) (CLIENT_DESCRIPTOR_FRACTION * settings.descriptors);
+        controlLinks = new ControlLinks(loop, settings, this::registration, this::onMessage);
         readiness = new ReadinessEndpoint(loop, settings.readinessAddress, this::isReady);
         listener = new Listener(loop, settings.frontAddress, this);
         router = new RequestRouter(loop, settings, pool, this, listener::acceptOn);
@@ -84,46 +84,46 @@
     public void begin() {
         loop.submit(
                 () -> {
-                    core.begin();
-                    readiness.begin();
+                    controlLinks.start();
+                    readiness.start();
                     listener.acceptOn();
-                    acknowledgeAgain();
-                    summary();
+                    reportState();
+                    logSummary();
                 });
     }
 
     private boolean isReady() {
-        return router.isConfigured() && Double.isNaN(leavingAt);
+        return router.isConfigured() && Double.isNaN(drainingSince);
     }
 
-    private void summary() {
+    private void logSummary() {
         RequestRouter.Counts counts = router.counts();
         LOG.info(
                 "summary version={} led={} clients={} in_flight={} taken={} served={} refused={} failed={}"
                         + " full={}",
                 configuration.configuration().getVersion(),
-                core.isLed(),
+                controlLinks.hasLeader(),
                 router.connections(),
                 router.inFlight(),
                 counts.taken(),
                 counts.served(),
                 counts.refused(),
                 counts.failed(),
-                counts.overfull());
-        loop.schedule(SUMMARY_INTERVAL, this::summary);
+                counts.instanceRejections());
+        loop.schedule(SUMMARY_INTERVAL_MS, this::logSummary);
     }
 
     // ---- Leaving, settings ----
 
     /** Takes no new clients, answers all that it has, then runs this. */
-    public void stop(Runnable then) {
+    public void stop(Runnable onStopped) {
         loop.submit(
                 () -> {
                     LOG.info("leave in_flight={}", router.inFlight());
-                    leavingAt = loop.now();
-                    whenLeft = then;
-                    router.leave();
-                    leave();
+                    drainingSince = loop.now();
+                    onDrained = onStopped;
+                    router.startDraining();
+                    checkDrained();
                 });
     }
 
@@ -132,39 +132,39 @@
         loop.stop();
     }
 
-    private void leave() {
-        double elapsed = loop.now() - leavingAt;
-        double stillComing = STILL_COMING * settings.heartbeatInterval;
-        boolean quiet = elapsed > stillComing;
-        if (quiet) {
-            router.closeIdle(stillComing);
+    private void checkDrained() {
+        double elapsed = loop.now() - drainingSince;
+        double lateClientTime = LATE_CLIENT_HEARTBEATS * settings.heartbeatInterval;
+        boolean isPastLateClients = elapsed > lateClientTime;
+        if (isPastLateClients) {
+            router.closeIdle(lateClientTime);
         }
         boolean allEnded = router.inFlight() == 0 && router.connections() == 0;
-        if (elapsed > GIVE_UP_PART_OF_GRACE * settings.gracePeriod) {
-            router.giveUpAll();
+        if (elapsed > ABORT_GRACE_FRACTION * settings.gracePeriod) {
+            router.abortAll();
         }
-        boolean isLate = elapsed > LAST_PART_OF_GRACE * settings.gracePeriod;
-        if (quiet && allEnded || isLate) {
+        boolean mustExit = elapsed > EXIT_GRACE_FRACTION * settings.gracePeriod;
+        if (isPastLateClients && allEnded || mustExit) {
             listener.close();
         }
         // A client whose accept was under way at the close is seen one look later.
-        if (quiet && allEnded && !listener.mayAccept() || isLate) {
-            whenLeft.run();
+        if (isPastLateClients && allEnded && !listener.mayAccept() || mustExit) {
+            onDrained.run();
         } else {
-            loop.schedule(LEAVE_CHECK * settings.heartbeatInterval, this::leave);
+            loop.schedule(DRAIN_CHECK_HEARTBEATS * settings.heartbeatInterval, this::checkDrained);
         }
     }
 
     /** The settings file has changed. */
-    public void settings(NodeSettings now) {
-        loop.submit(() -> core.seeds(now.seeds));
+    public void settings(NodeSettings newSettings) {
+        loop.submit(() -> controlLinks.seeds(newSettings.seeds));
     }
 
     // ---- Clients ----
 
     @Override
     public boolean hasRoom() {
-        return router.connections() < clientsMost;
+        return router.connections() < maxClients;
     }
 
     @Override
@@ -176,8 +176,8 @@
     }
 
     @Override
-    public void accepted(AsynchronousSocketChannel channel, double letInFrom) {
-        router.accept(channel, letInFrom);
+    public void accepted(AsynchronousSocketChannel channel, double earliestArrival) {
+        router.accept(channel, earliestArrival);
     }
 
     // ---- The core ----
@@ -191,31 +191,31 @@
     }
 
     @Override
-    public boolean tell(Object message) {
-        return core.tellLeader(message);
+    public boolean sendToLeader(Object message) {
+        return controlLinks.sendToLeader(message);
     }
 
     @Override
     public double leaderlessFor() {
-        return core.leaderlessFor();
+        return controlLinks.leaderlessFor();
     }
 
-    private void receive(Object message) {
+    private void onMessage(Object message) {
         if (message instanceof Messages.Registered) {
-            grants = 0;
-            router.queues().forEach(FunctionQueue::registered);
+            grantsReceived = 0;
+            router.queues().forEach(FunctionQueue::onRegistered);
         } else if (message instanceof Messages.SchedulerCount count) {
-            router.schedulers(count.count());
+            router.schedulerCount(count.count());
         } else if (message instanceof Messages.ConfigurationPush push) {
             configuration.receive(push);
         } else if (message instanceof Messages.ConfigurationDeltaPush push) {
             configuration.receive(push);
         } else if (message instanceof Messages.SlotGrant grant) {
-            granted(grant);
+            onGrant(grant);
         } else if (message instanceof Messages.SlotRecall recall) {
             FunctionQueue queue = router.queue(recall.function());
             if (queue != null) {
-                queue.recalled(recall.slots());
+                queue.onRecall(recall.slots());
             }
         } else if (message instanceof Messages.InstanceWithdrawal withdrawal) {
             withdrawal
@@ -232,25 +232,25 @@
 
         @Override
         public void tellLeader(Object message) {
-            core.tellLeader(message);
+            controlLinks.sendToLeader(message);
         }
     }
 
-    private void granted(Messages.SlotGrant grant) {
-        grants++;
+    private void onGrant(Messages.SlotGrant grant) {
+        grantsReceived++;
         FunctionQueue queue = router.queue(grant.function());
         if (queue != null) {
-            queue.granted(grant);
+            queue.onGrant(grant);
         } else {
-            core.tellLeader(
+            controlLinks.sendToLeader(
                     new Messages.SlotReturn(
                             grant.instance(), grant.slots(), Messages.InstanceCondition.HEALTHY));
         }
     }
 
-    private void acknowledgeAgain() {
+    private void reportState() {
         configuration.report();
-        core.tellLeader(new Messages.SlotHoldings(grants, router.heldSlots()));
-        loop.schedule(COMPARE_INTERVAL * settings.heartbeatInterval, this::acknowledgeAgain);
+        controlLinks.sendToLeader(new Messages.SlotHoldings(grantsReceived, router.heldSlots()));
+        loop.schedule(STATE_REPORT_HEARTBEATS * settings.heartbeatInterval, this::reportState);
     }
 }
--- a/src/main/java/gingerspool/dataplane/SlotInventory.java
+++ b/src/main/java/gingerspool/dataplane/SlotInventory.java
@@ -51,7 +51,7 @@
                         address,
                         grant.zone(),
                         grant.capacity(),
-                        environment.takePoolIndex(),
+                        environment.allocatePoolIndex(),
                         worker);
         byInstance.put(slot.instance, slot);
         byWorker.set(worker, slot);
@@ -63,7 +63,7 @@
         byInstance.remove(slot.instance);
         byWorker.set(slot.worker, null);
         freeWorkers.add(slot.worker);
-        environment.leavePoolIndex(slot.poolIndex);
+        environment.releasePoolIndex(slot.poolIndex);
     }
 
     /** Slots that requests may take now. */
--- a/src/main/java/gingerspool/dataplane/SlotReturns.java
+++ b/src/main/java/gingerspool/dataplane/SlotReturns.java
@@ -14,19 +14,19 @@
     private static final double KEEP_HEARTBEATS = 1;
 
     /** An instance where nothing was held for so many heartbeat intervals is forgotten. */
-    private static final double FORGET_HEARTBEATS = 50;
+    private static final double REMOVE_HEARTBEATS = 50;
 
     /** The longest gap between requests that counts, in times that a slot is kept. */
-    private static final double LONGEST_GAP_KEEPS = 8;
+    private static final double MAX_GAP_KEEP_PERIODS = 8;
 
     private final FunctionQueue.Environment environment;
     private final SlotInventory inventory;
     private final RequestBacklog backlog;
     private final FunctionDispatcher dispatcher;
     private final ArrivalGap arrivalGap;
-    private final double keepFor;
-    private final double forgetAfter;
-    private int recalled;
+    private final double keepPeriod;
+    private final double removeAfter;
+    private int recalledSlots;
 
     SlotReturns(
             FunctionQueue.Environment environment,
@@ -38,9 +38,9 @@
         this.backlog = backlog;
         this.dispatcher = dispatcher;
         double heartbeat = environment.settings().heartbeatInterval;
-        keepFor = KEEP_HEARTBEATS * heartbeat;
-        forgetAfter = FORGET_HEARTBEATS * heartbeat;
-        arrivalGap = new ArrivalGap(LONGEST_GAP_KEEPS * keepFor);
+        keepPeriod = KEEP_HEARTBEATS * heartbeat;
+        removeAfter = REMOVE_HEARTBEATS * heartbeat;
+        arrivalGap = new ArrivalGap(MAX_GAP_KEEP_PERIODS * keepPeriod);
     }
 
     void onArrival(double now) {
@@ -49,12 +49,12 @@
 
     /** The leader wants so many slots back as they fall free. */
     void onRecall(int slots) {
-        recalled += slots;
+        recalledSlots += slots;
     }
 
     /** A new leader has recalled nothing yet. */
     void reset() {
-        recalled = 0;
+        recalledSlots = 0;
     }
 
     /** Returns what is kept for nothing or recalled, and forgets instances that are of no use. */
@@ -63,34 +63,34 @@
             int unused = slot.unusedSlots();
             boolean isAwaited = !slot.isUp && backlog.hasUnattempted();
             boolean isKept = isKept(slot, now);
-            if (unused > 0 && !isAwaited && (!isKept || recalled > 0)) {
-                int slots = isKept ? Math.min(unused, recalled) : unused;
+            if (unused > 0 && !isAwaited && (!isKept || recalledSlots > 0)) {
+                int slots = isKept ? Math.min(unused, recalledSlots) : unused;
                 returnSlots(slot, slots, InstanceCondition.HEALTHY);
-            } else if (isForgettable(slot, now)) {
+            } else if (isRemovable(slot, now)) {
                 inventory.remove(slot);
             }
         }
     }
 
     private boolean isKept(InstanceSlot slot, double now) {
-        boolean isLikelyUsed = arrivalGap.mean() < keepFor || backlog.waitingAtDispatcher() > 0;
-        return now < slot.idleSince + keepFor && isLikelyUsed && !slot.isDraining;
+        boolean isLikelyUsed = arrivalGap.mean() < keepPeriod || backlog.waitingAtDispatcher() > 0;
+        return now < slot.idleSince + keepPeriod && isLikelyUsed && !slot.isDraining;
     }
 
     /** Guards against instances that pile up: the leader may never name one again that is gone. */
-    private boolean isForgettable(InstanceSlot slot, double now) {
+    private boolean isRemovable(InstanceSlot slot, double now) {
         return slot.granted == 0
                 && slot.inUse == 0
                 && slot.uncertain == 0
                 && !slot.isConnecting
-                && (slot.isDraining || now > slot.idleSince + forgetAfter);
+                && (slot.isDraining || now > slot.idleSince + removeAfter);
     }
 
     /** Returns slots of an instance, perhaps none; without a leader they stay here. */
     void returnSlots(InstanceSlot slot, int slots, InstanceCondition condition) {
-        if (environment.tellLeader(new Messages.SlotReturn(slot.instance, slots, condition))) {
+        if (environment.sendToLeader(new Messages.SlotReturn(slot.instance, slots, condition))) {
             slot.granted -= slots;
-            recalled = Math.max(0, recalled - slots);
+            recalledSlots = Math.max(0, recalledSlots - slots);
             dispatcher.publishSlots(slot);
         }
     }
--- a/src/test/java/gingerspool/dataplane/ControlLinksTest.java
+++ b/src/test/java/gingerspool/dataplane/ControlLinksTest.java
@@ -100,13 +100,13 @@
                         NodeSettings.read(file),
                         () -> new Messages.Register("front-1", "a", 1, Map.of()),
                         received::add);
-        network.execute(links::begin);
+        network.execute(links::start);
         run(50);
         first.announces(5, "10.0.0.1");
         run(20);
         first.say(new Messages.Registered(5));
         run(20);
-        assertTrue(links.isLed());
+        assertTrue(links.hasLeader());
         received.clear();
     }
 
@@ -129,7 +129,7 @@
     public void nothingCountsBetweenAnAnnouncementAndTheRegistration() {
         second.announces(6, "10.0.0.2");
         run(20);
-        assertFalse(links.isLed());
+        assertFalse(links.hasLeader());
         second.say(recall(1));
         first.say(recall(2));
         run(20);
@@ -148,7 +148,7 @@
         first.say(recall(2));
         run(20);
         assertFalse(received.contains(recall(2)), "the leader of term 5 was deposed");
-        assertFalse(links.isLed());
+        assertFalse(links.hasLeader());
     }
 
     /** The leader may have answered the first registration: its counts must not mix with these. */
@@ -172,7 +172,7 @@
     public void anAnnouncementOfAnOlderTermChangesNothing() {
         second.announces(4, "10.0.0.2");
         run(20);
-        assertTrue(links.isLed());
+        assertTrue(links.hasLeader());
         assertEquals(second.registrations, 0);
     }
 }
--- a/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
+++ b/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
@@ -200,7 +200,7 @@
                 of,
                 () -> {
                     led = true;
-                    router.queues().forEach(FunctionQueue::registered);
+                    router.queues().forEach(FunctionQueue::onRegistered);
                 });
         ticks(of);
     }
@@ -216,12 +216,12 @@
         if (message instanceof Messages.SlotGrant grant) {
             FunctionQueue queue = router.queue(grant.function());
             if (queue != null) {
-                queue.granted(grant);
+                queue.onGrant(grant);
             }
         } else if (message instanceof Messages.SlotRecall recall) {
             FunctionQueue queue = router.queue(recall.function());
             if (queue != null) {
-                queue.recalled(recall.slots());
+                queue.onRecall(recall.slots());
             }
         }
     }
@@ -239,7 +239,7 @@
     }
 
     @Override
-    public boolean tell(Object message) {
+    public boolean sendToLeader(Object message) {
         if (!led) {
             return false;
         }
@@ -273,10 +273,10 @@
                 network.at(network.now() + network.chance.nextInt(1500), this::leads);
             }
             case 1 -> toScheduler(term, () -> receive(new Messages.SlotRecall(FUNCTION, 1)));
-            case 2 -> router.schedulers(1 + network.chance.nextInt(4));
+            case 2 -> router.schedulerCount(1 + network.chance.nextInt(4));
             case 3 -> {
                 if (leaves && network.now() > 1_000_000 + SPAN * 0.7) {
-                    router.leave();
+                    router.startDraining();
                 }
             }
             default -> replaced(1 + network.chance.nextInt(ADDRESSES));
--- a/src/test/java/gingerspool/dataplane/DeposedLeaderTest.java
+++ b/src/test/java/gingerspool/dataplane/DeposedLeaderTest.java
@@ -78,7 +78,7 @@
 
     private static boolean isLed(SingleThreadEventLoop loop, ControlLinks links) throws Exception {
         CompletableFuture<Boolean> led = new CompletableFuture<>();
-        loop.submit(() -> led.complete(links.isLed()));
+        loop.submit(() -> led.complete(links.hasLeader()));
         return led.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -106,7 +106,7 @@
                                     told.complete(null);
                                 }
                             });
-            loop.submit(links::begin);
+            loop.submit(links::start);
             Socket toOld = old.accept();
             Socket toFollower = follower.accept();
             List<String> members = List.of(OLD, FOLLOWER);
@@ -139,7 +139,7 @@
 
     private static void check(
             SingleThreadEventLoop loop, ControlLinks links, CompletableFuture<Void> unled) {
-        if (!links.isLed()) {
+        if (!links.hasLeader()) {
             unled.complete(null);
         } else {
             loop.schedule(10, () -> check(loop, links, unled));
--- a/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
+++ b/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
@@ -76,7 +76,7 @@
                 on(
                         () -> {
                             FunctionQueue d = new FunctionQueue(this, "f");
-                            d.configured(
+                            d.onConfiguration(
                                     Service.newBuilder()
                                             .setName("f")
                                             .setBoot(50)
@@ -141,7 +141,7 @@
                                     loop.now() + route.getAim(),
                                     true);
                     v.expiry = loop.now() + route.getTimeout();
-                    queue.take(v);
+                    queue.enqueue(v);
                     return null;
                 });
         return id;
@@ -150,7 +150,7 @@
     private void grant(String instance, String address) throws Exception {
         on(
                 () -> {
-                    queue.granted(new Messages.SlotGrant("f", instance, address, "a", 2, 1, 0, 1));
+                    queue.onGrant(new Messages.SlotGrant("f", instance, address, "a", 2, 1, 0, 1));
                     return null;
                 });
     }
@@ -295,12 +295,12 @@
     }
 
     @Override
-    public int schedulers() {
+    public int schedulerCount() {
         return 1;
     }
 
     @Override
-    public boolean tellLeader(Object message) {
+    public boolean sendToLeader(Object message) {
         sentMessages.add(message);
         return true;
     }
@@ -311,12 +311,12 @@
     }
 
     @Override
-    public int takePoolIndex() {
+    public int allocatePoolIndex() {
         return poolIndexes++;
     }
 
     @Override
-    public void leavePoolIndex(int poolIndex) {}
+    public void releasePoolIndex(int poolIndex) {}
 
     @Override
     public void answer(PendingRequest v, int status, List<String> fields, byte[] body) {
--- a/src/test/java/gingerspool/dataplane/InstanceResponseTest.java
+++ b/src/test/java/gingerspool/dataplane/InstanceProtocolTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class InstanceResponseTest {
+public class InstanceProtocolTest {
     private static Message read(Message m, String text) throws BadMessage {
         byte[] b = text.getBytes(StandardCharsets.ISO_8859_1);
         m.take(b, 0, b.length);
@@ -56,8 +56,8 @@
     public void whatAnAnswerMeans(String status, String fields, Outcome how, boolean mayPass)
             throws BadMessage {
         Message m = answer(status, fields);
-        assertEquals(InstanceResponse.outcome(m, "a", guard -> true), how);
-        assertEquals(InstanceResponse.mayPass(m, "a", guard -> true), mayPass);
+        assertEquals(InstanceProtocol.outcome(m, "a", guard -> true), how);
+        assertEquals(InstanceProtocol.mayForward(m, "a", guard -> true), mayPass);
     }
 
     @Test
@@ -70,7 +70,9 @@
                                 + "Keep-Alive: timeout=5\r\n"
                                 + "Transfer-Encoding: chunked\r\nExpected-Instance: other\r\n\r\n2\r\nok\r\n0\r\n\r\n");
         String sent =
-                new String(InstanceResponse.request(m, "i-1", 650.7), StandardCharsets.ISO_8859_1);
+                new String(
+                        InstanceProtocol.encodeRequest(m, "i-1", 650.7),
+                        StandardCharsets.ISO_8859_1);
         assertTrue(
                 sent.startsWith("POST /a/b?c HTTP/1.1\r\n")
                         && sent.endsWith("\r\nContent-Length: 2\r\n\r\nok"),
--- a/src/test/java/gingerspool/dataplane/RequestRouterTest.java
+++ b/src/test/java/gingerspool/dataplane/RequestRouterTest.java
@@ -130,7 +130,7 @@
         network.execute(
                 () ->
                         router.queue("f")
-                                .granted(
+                                .onGrant(
                                         new Messages.SlotGrant(
                                                 "f",
                                                 instance,
@@ -206,8 +206,8 @@
     public void atTheEndOfAProcessWhoeverWaitsGetsAnAnswer() {
         Line line = new Line().ask("a", "safe", 900);
         run(20);
-        router.leave();
-        network.execute(router::giveUpAll);
+        router.startDraining();
+        network.execute(router::abortAll);
         run(20);
         assertEquals(line.status(), "503");
         assertTrue(line.came.toString().contains("Connection: close"), line.came.toString());
@@ -249,19 +249,19 @@
     @Test
     public void theMostSchedulersWithinAWindowShareTheBudget() {
         SchedulerCount count = new SchedulerCount(10_000);
-        assertEquals(count.most(0), 1);
+        assertEquals(count.max(0), 1);
         count.report(0, 8);
         count.report(1000, 1);
         count.report(1010, 2);
-        assertEquals(count.most(10_900), 8, "a new leader counts them one by one");
-        assertEquals(count.most(11_100), 2, "it stays at two");
+        assertEquals(count.max(10_900), 8, "a new leader counts them one by one");
+        assertEquals(count.max(11_100), 2, "it stays at two");
         count.report(12_000, 5);
-        assertEquals(count.most(12_000), 5);
-        assertEquals(count.most(90_000), 5);
+        assertEquals(count.max(12_000), 5);
+        assertEquals(count.max(90_000), 5);
     }
 
     @Override
-    public boolean tell(Object message) {
+    public boolean sendToLeader(Object message) {
         return told.add(message);
     }
 
