--- a/src/main/java/gingerspool/dataplane/ArrivalGap.java
+++ b/src/main/java/gingerspool/dataplane/ArrivalGap.java
@@ -1,7 +1,11 @@
 package gingerspool.dataplane;
 
-/** The mean gap between a function's requests lately, in milliseconds. */
+/**
+ * The mean time between recent requests of a function, in milliseconds. Used by {@link
+ * SlotReturns}.
+ */
 final class ArrivalGap {
+    /** A new gap has a weight of at least 1 / MAX_SAMPLES. */
     private static final int MAX_SAMPLES = 8;
 
     private final double maxGap;
@@ -9,7 +13,7 @@
     private int gapCount;
     private double lastArrivalAt = Double.NEGATIVE_INFINITY;
 
-    /** A longer gap counts as this one. */
+    /** Gaps longer than `maxGap` ms count as `maxGap`. */
     ArrivalGap(double longest) {
         this.maxGap = longest;
     }
@@ -20,7 +24,7 @@
         lastArrivalAt = now;
     }
 
-    /** The mean, 0 before the first request. */
+    /** The mean; 0 before the first request. */
     double mean() {
         return mean;
     }
--- a/src/main/java/gingerspool/dataplane/Attempt.java
+++ b/src/main/java/gingerspool/dataplane/Attempt.java
@@ -8,9 +8,13 @@
 import gingerspool.wire.RequestSafeguard;
 import java.util.concurrent.Future;
 
-/** One assignment under way to an instance. The first of its possible ends counts. */
+/**
+ * One attempt to run a request at an instance, made for one assignment of the Dispatcher. It has
+ * several possible ends (response, broken connection, cancellation); only the first one counts.
+ * Created by {@link AttemptRunner} and used on the event loop.
+ */
 final class Attempt implements Outbound.Caller {
-    /** Who is told how it ended; the answer is null where there is none of ours. */
+    /** Notified once when the attempt has ended; the answer is null if none was received for it. */
     interface Owner {
         void onAttemptEnded(Attempt attempt, Outcome outcome, Message answer);
     }
@@ -18,7 +22,10 @@
     final Assignment assignment;
     final PendingRequest request;
     final InstanceSlot slot;
+
+    /** In milliseconds on the loop's clock. */
     final double sentAt;
+
     private final EventLoop loop;
     private final Owner owner;
     private Outbound connection;
@@ -34,6 +41,7 @@
         request = (PendingRequest) assignment.task;
     }
 
+    /** Sends the request on a connection; the timer, which may be null, is cancelled at the end. */
     void begin(Outbound outbound, byte[] encodedRequest, Future<?> timer) {
         connection = outbound;
         timeoutTimer = timer;
@@ -44,7 +52,7 @@
         return outcome != null && outcome.neverRan();
     }
 
-    /** Whether a byte of it may have been written. */
+    /** Whether any byte of the request may have been written. */
     boolean hasBegun() {
         return connection != null && connection.hasBegun();
     }
@@ -53,20 +61,29 @@
         return outcome != null;
     }
 
-    /** Guards against answers that come too late, in the place of ours: the id tells. */
+    /**
+     * Guards against late answers to earlier requests on the same connection: the Request-Id must
+     * match, if there is one.
+     */
     @Override
     public boolean isMine(Message answer) {
         String id = answer.field("request-id");
         return id == null || id.equals(request.id) || !loop.has(RequestSafeguard.RESPONSE_ID);
     }
 
-    /** Guards against answers that are cut: only a length that was told shows that one is whole. */
+    /**
+     * Guards against truncated answers: without a declared length it can't be known whether an
+     * answer is complete.
+     */
     @Override
     public boolean takesUnframed() {
         return false;
     }
 
-    /** Guards the next request: who answers this doubtfully may have more of it under way. */
+    /**
+     * Guards the next request: after a suspect answer more bytes of it may follow, so the
+     * connection is not reused.
+     */
     @Override
     public boolean mayKeep(Message answer) {
         return !InstanceProtocol.isSuspect(answer, request.id)
@@ -81,7 +98,7 @@
 
     @Override
     public void broke(boolean allWritten) {
-        // Only where not a byte was written it is sure that it never ran.
+        // The request is known not to have run only if no byte of it was written.
         boolean begun = hasBegun();
         connection = null;
         end(
@@ -91,7 +108,10 @@
                 null);
     }
 
-    /** Ends it from here: the connection goes, and what the instance does of it is not known. */
+    /**
+     * Aborts the attempt and closes its connection. If anything was sent, the attempt ends with
+     * `outcomeIfSent`, as the instance may still run the request.
+     */
     void abort(Outcome outcomeIfSent) {
         if (outcome != null) {
             return;
@@ -105,8 +125,8 @@
         end(begun ? outcomeIfSent : Outcome.MOOT, null);
     }
 
-    /** It could not begin. */
-    void fail() {
+    /** Ends the attempt because no connection to the instance could be opened. */
+    void failUnsent() {
         end(Outcome.UNREACHABLE, null);
     }
 
--- a/src/main/java/gingerspool/dataplane/AttemptRunner.java
+++ b/src/main/java/gingerspool/dataplane/AttemptRunner.java
@@ -9,25 +9,30 @@
 import java.io.IOException;
 
 /**
- * Carries out the Dispatcher's assignments: sends each to its instance, and tells of its end the
- * slots' books, the leader and the Dispatcher, in this order.
+ * Carries out the Dispatcher's assignments: sends each to its instance. When an attempt ends,
+ * updates the slot counts, returns slots to the leader where needed, and notifies the Dispatcher,
+ * in this order.
+ *
+ * <p>Used by {@link FunctionQueue} on the event loop.
  */
 final class AttemptRunner implements Attempt.Owner {
-    /** What was given up may run on for so many service times. */
+    /** A request whose attempt was abandoned may keep running for this many mean service times. */
     private static final double UNCERTAIN_SERVICE_TIMES = 3;
 
-    /** So many attempts of a request that reached no instance don't count by its route. */
+    /**
+     * The number of attempts that reached no instance and don't count against the route's maximum.
+     */
     private static final int MAX_UNCOUNTED_ATTEMPTS = 3;
 
-    /** Who is told what follows. */
+    /** Notified of the results of attempts. */
     interface Listener {
-        /** A request has the answer of an instance, its first one. */
+        /** The first successful answer to a request was received. */
         void onAnswer(PendingRequest request, Message answer);
 
-        /** A slot taken without a leader was rejected. */
+        /** An instance rejected a request that used an unassigned slot. */
         void onUnassignedRejected();
 
-        /** Slots may have fallen free. */
+        /** Slots may have become free. */
         void onSlotsChanged();
     }
 
@@ -62,7 +67,7 @@
         loop = environment.loop();
     }
 
-    /** Requests that instances rejected as too many, since the start. */
+    /** Requests that instances have rejected because they were at capacity, since the start. */
     int rejections() {
         return rejections;
     }
@@ -82,11 +87,14 @@
                             request.request, instance, request.expiry - loop.now()),
                     null);
         } catch (IOException e) {
-            loop.execute(attempt::fail);
+            loop.execute(attempt::failUnsent);
         }
     }
 
-    /** Not at once: the Dispatcher is in the middle of its rules. */
+    /**
+     * Aborts the attempt of an assignment in a later turn of the loop, as the Dispatcher calls this
+     * while it is still applying its rules.
+     */
     void cancel(Assignment assignment) {
         PendingRequest request = (PendingRequest) assignment.task;
         loop.execute(() -> request.attempts.get(assignment.number).abort(Outcome.CANCELLED));
@@ -127,7 +135,7 @@
             returns.returnSlots(slot, slot.unusedSlots(), InstanceCondition.UNREACHABLE);
             if (outcome == Outcome.UNREACHABLE
                     && request.unreachedAttempts < MAX_UNCOUNTED_ATTEMPTS) {
-                // It was sent to nobody, so it is none of the attempts that its route allows.
+                // It was not sent, so it doesn't count against the attempts that the route allows.
                 request.unreachedAttempts++;
                 request.terms = terms.of(request);
             }
@@ -136,7 +144,10 @@
         }
     }
 
-    /** Guards the limit of slots: what was given up may run on for a while. */
+    /**
+     * Guards the slot limit: an abandoned request may keep running, so its slot stays out of use
+     * until it should have finished.
+     */
     private void markUncertain(InstanceSlot slot, PendingRequest request) {
         double maxRemainingRun = UNCERTAIN_SERVICE_TIMES * Math.max(serviceTime.mean(), 1);
         slot.uncertain++;
@@ -150,6 +161,7 @@
                 });
     }
 
+    /** The instance was at capacity: returns a slot to the leader, or forgets an unassigned one. */
     private void onRejected(InstanceSlot slot) {
         rejections++;
         if (slot.isUnassigned) {
--- a/src/main/java/gingerspool/dataplane/AttemptTerms.java
+++ b/src/main/java/gingerspool/dataplane/AttemptTerms.java
@@ -9,21 +9,24 @@
 import java.util.Map;
 
 /**
- * How many instances a request may go to, and when: what may be repeated to as many as its route
- * allows, within the retry budget; anything else to another one only if none was reached. By the
- * route, not the profile, as another profile may stand in until the Dispatcher is renewed.
+ * Determines how many attempts a request may have, and when: a request that is safe to repeat has
+ * as many as its route allows, within the retry budget; any other is sent to a further instance
+ * only if no instance was reached. Based on the route rather than the profile, as a request may
+ * have a substitute profile until the Dispatcher is replaced.
+ *
+ * <p>Used by {@link FunctionQueue} and {@link AttemptRunner} on the event loop.
  */
 final class AttemptTerms {
-    /** Assignments of a request in all, those that reached no instance included. */
+    /** The maximum number of assignments of a request, including those that reached no instance. */
     static final int MAX_ASSIGNMENTS = 8;
 
-    /** Assignments of a request that may run once only. */
+    /** The maximum number of assignments of a request that may run only once. */
     private static final int MAX_UNSAFE_ASSIGNMENTS = 4;
 
-    /** Attempts of a request at once, the hedged one included. */
+    /** The maximum number of concurrent attempts of a request, including the hedged one. */
     private static final int MAX_CONCURRENT_ATTEMPTS = 2;
 
-    /** A hedged request goes out after this part of the shortest latency target. */
+    /** A hedged attempt is sent after this fraction of the shortest latency target. */
     private static final double HEDGE_DELAY_FRACTION = 0.5;
 
     private static final Terms UNSAFE =
@@ -41,6 +44,8 @@
     private final FunctionQueue.Environment environment;
     private final FunctionRetryBudget retryBudget;
     private final Map<Integer, Terms> termsByAttempts = new HashMap<>();
+
+    /** In milliseconds. */
     private double hedgeDelay;
 
     AttemptTerms(FunctionQueue.Environment environment) {
@@ -48,7 +53,7 @@
         retryBudget = new FunctionRetryBudget(environment.settings(), environment.schedulerCount());
     }
 
-    /** The Dispatcher was renewed for these profiles. */
+    /** The Dispatcher has been replaced by one with these profiles. */
     void renew(RouteProfiles profiles) {
         hedgeDelay = HEDGE_DELAY_FRACTION * profiles.shortestTarget();
         termsByAttempts.clear();
--- a/src/main/java/gingerspool/dataplane/ConfigurationSubscriber.java
+++ b/src/main/java/gingerspool/dataplane/ConfigurationSubscriber.java
@@ -11,20 +11,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a scheduler makes of the leader's pushes. Invariant: the version in force only goes up; a
- * push takes it to the version that the leader pushed, at once, or changes nothing. Each push is
- * answered, by an acknowledgement or by the request of a complete copy. For one thread, without
- * I/O.
+ * Applies the configurations that the leader pushes to a scheduler. Invariant: the current version
+ * never decreases; a push either takes it to the pushed version in one step or changes nothing. A
+ * push is answered with an acknowledgement, or with a request for a complete copy if a delta
+ * doesn't fit. Called by {@link SchedulerNode} on its event loop; not thread-safe, performs no I/O.
  */
 public final class ConfigurationSubscriber {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationSubscriber.class);
 
-    /** What follows from a push. */
+    /** Carries out the effects of a push. */
     public interface Listener {
-        /** This configuration is in force from now on. */
+        /** This configuration is the current one from now on. */
         void onConfiguration(Configuration configuration);
 
-        /** A message for the leader. */
+        /** Sends a message to the leader. */
         void tellLeader(Object message);
     }
 
@@ -36,12 +36,15 @@
         this.listener = listener;
     }
 
-    /** The configuration in force; of version 0 while none has come. */
+    /** The current configuration; its version is 0 until the first push. */
     public Configuration configuration() {
         return current;
     }
 
-    /** A complete copy, newer, or again under the same number where ours was found to differ. */
+    /**
+     * Receives a complete configuration: a newer version, or the current version again because the
+     * local copy was found to differ from it.
+     */
     public void receive(Messages.ConfigurationPush push) {
         boolean isRepair = push.again() && push.number() == current.getVersion();
         if (push.number() <= current.getVersion() && !isRepair) {
@@ -58,7 +61,7 @@
         }
     }
 
-    /** What leads from one version to a newer one. */
+    /** Receives the changes from one version to a newer one. */
     public void receive(Messages.ConfigurationDeltaPush push) {
         if (push.number() <= current.getVersion()) {
             acknowledge();
@@ -77,7 +80,10 @@
         }
     }
 
-    /** Tells the leader what is in force; the checksum is made anew, so that damage to it shows. */
+    /**
+     * Reports the current version to the leader. The checksum is recomputed so that damage to the
+     * local copy is detected.
+     */
     public void report() {
         checksum = ConfigurationChecksum.of(current);
         acknowledge();
--- a/src/main/java/gingerspool/dataplane/ControlLinks.java
+++ b/src/main/java/gingerspool/dataplane/ControlLinks.java
@@ -20,22 +20,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A scheduler's links to the control nodes, on the event loop: one to each member, messages only
- * with the leader. Invariant: a registration is sent once on a link, and again on a new link only.
+ * A scheduler's links to the control nodes: one to each member, though messages other than
+ * heartbeats and announcements are exchanged only with the leader. Finds the leader, registers with
+ * it and passes its messages on. Invariant: a registration whose answer is outstanding is not
+ * repeated on the same link, only on a new one.
+ *
+ * <p>Created by {@link SchedulerNode}; all calls are made on its event loop.
  */
 final class ControlLinks implements Frames.Owner {
     private static final Logger LOG = LoggerFactory.getLogger(ControlLinks.class);
 
-    /** The pause between two heartbeats of ours, in heartbeat intervals. */
+    /** The interval between heartbeats sent to the control nodes, in heartbeat intervals. */
     private static final double SEND_INTERVAL_HEARTBEATS = 0.5;
 
-    /** A link is closed after so long a silence, in heartbeat intervals. */
+    /** A link is closed after this long without any message, in heartbeat intervals. */
     private static final double SILENCE_TIMEOUT_HEARTBEATS = 1.25;
 
-    /** How long connecting may take, in heartbeat intervals. */
+    /** The connect time-out, in heartbeat intervals. */
     private static final double CONNECT_TIMEOUT_HEARTBEATS = 0.25;
 
-    /** The pause between two attempts to connect, in heartbeat intervals. */
+    /** The interval between attempts to connect, in heartbeat intervals. */
     private static final double RETRY_INTERVAL_HEARTBEATS = 0.1;
 
     private final EventLoop loop;
@@ -47,14 +51,22 @@
     private Set<String> members = new LinkedHashSet<>();
     private List<InetSocketAddress> seeds;
 
-    /** The link to the leader that has taken this scheduler on, and the one that was asked to. */
+    /** The link to the leader that has confirmed the registration; null if there is none. */
     private Link leader;
 
+    /** The link on which the last registration was sent; null if there is none. */
     private Link registering;
+
+    /** When the last registration was sent, in milliseconds on the loop's clock. */
     private double registeringAt;
+
+    /** The highest term that a member has announced. */
     private long term;
+
+    /** When the leader was last heard from, or when these links were created. */
     private double lastLeaderAt;
 
+    /** The link to one member. The frames are null while it is not connected or connecting. */
     private static final class Link {
         final String ip;
         Frames frames;
@@ -62,7 +74,7 @@
         double lastReceivedAt;
         double attemptedAt = Double.NEGATIVE_INFINITY;
 
-        /** A registration went out on it that has no answer yet. */
+        /** Whether a registration was sent on it and has not been answered yet. */
         boolean isRegistrationPending;
 
         Link(String ip) {
@@ -70,16 +82,18 @@
         }
     }
 
-    /** The enrolment is made anew for each leader; words are those of the leader. */
+    /**
+     * The registration is built anew for each leader; the handler receives the leader's messages.
+     */
     ControlLinks(
             EventLoop loop,
             NodeSettings settings,
             Supplier<Messages.Register> registration,
-            Consumer<Object> messages) {
+            Consumer<Object> messageHandler) {
         this.loop = loop;
         this.settings = settings;
         this.registration = registration;
-        this.messageHandler = messages;
+        this.messageHandler = messageHandler;
         seeds = settings.seeds;
         lastLeaderAt = loop.now();
     }
@@ -89,8 +103,8 @@
         sendHeartbeats();
     }
 
-    /** Where to look for the core from now on. */
-    void seeds(List<InetSocketAddress> newSeeds) {
+    /** Replaces the addresses at which control nodes are looked for while there is no leader. */
+    void setSeeds(List<InetSocketAddress> newSeeds) {
         seeds = newSeeds;
     }
 
@@ -98,7 +112,7 @@
         return leader != null;
     }
 
-    /** How long no leader has been known. */
+    /** How long there has been no leader, in milliseconds; 0 if it was heard from recently. */
     double leaderlessFor() {
         return leader != null
                         && loop.now()
@@ -110,7 +124,7 @@
                 : loop.now() - lastLeaderAt;
     }
 
-    /** Tells the leader; false where there is none. */
+    /** Sends a message to the leader; returns false if there is no leader. */
     boolean sendToLeader(Object message) {
         if (leader == null) {
             return false;
@@ -119,6 +133,10 @@
         return true;
     }
 
+    /**
+     * Opens the links that are needed, closes silent or obsolete ones, and schedules the next
+     * check.
+     */
     private void maintainLinks() {
         double now = loop.now();
         if (leader != null) {
@@ -217,10 +235,11 @@
         }
     }
 
-    /** A member says who leads, in which term. */
+    /** A member announces the leader and its term. */
     private void onAnnouncement(Link link, Messages.LeaderAnnouncement announcement) {
         if (announcement.term() < term) {
-            // What an old leader says of others is old; that it leads no more itself is not.
+            // What an old leader announces about others is outdated, but not that it has stopped
+            // leading.
             if (link == registering && !link.ip.equals(announcement.leader())) {
                 forgetLeader();
             }
@@ -232,16 +251,20 @@
         if (link.ip.equals(announcement.leader())) {
             onLeader(link, isNewer);
         } else if (link == registering) {
-            // It leads no more; the next leader tells us itself.
+            // It has stopped leading; the next leader announces itself.
             forgetLeader();
         } else if (isNewer && registering != null && !announcement.leader().isEmpty()) {
-            // Guards against a leader that was deposed and does not know it: what it still grants
-            // may be another's by now.
+            // Guards against a deposed leader that doesn't know it yet: slots that it still grants
+            // may already have been granted to another scheduler.
             forgetLeader();
         }
     }
 
-    /** This member leads: a registration is said once on a link, and again on a new link only. */
+    /**
+     * This member is the leader. Registers with it unless a registration on this link is
+     * unanswered; then the link may have to be closed, as only a new link allows another
+     * registration.
+     */
     private void onLeader(Link link, boolean isNewer) {
         if (link == registering && !isNewer && leader == link) {
             return;
@@ -252,8 +275,8 @@
         } else if (isNewer
                 || loop.now()
                         > registeringAt + RETRY_INTERVAL_HEARTBEATS * settings.heartbeatInterval) {
-            // Guards the counts of slots: an answer to the first registration would be taken for
-            // one to the second, with grants between them that only one side counts.
+            // Guards the slot counts: the answer to the first registration would be taken for the
+            // answer to the second, and grants between the two would be counted by one side only.
             link.frames.close();
         }
     }
--- a/src/main/java/gingerspool/dataplane/DemandReporter.java
+++ b/src/main/java/gingerspool/dataplane/DemandReporter.java
@@ -3,11 +3,13 @@
 import gingerspool.codec.Messages;
 
 /**
- * Tells the leader what one function needs here: slots that are missing at once, other changes when
- * it is asked to. Counts begin anew with each registration.
+ * Reports the demand of one function at this scheduler to the leader: a change in missing slots at
+ * once, other changes with the queue's regular check. Counts restart with each registration.
+ *
+ * <p>Used by {@link FunctionQueue} on the event loop.
  */
 final class DemandReporter {
-    /** What was reported to nobody yet. */
+    /** Marks a count that has not been reported since the registration. */
     private static final int NOT_REPORTED = -1;
 
     private final FunctionQueue.Environment environment;
@@ -16,10 +18,12 @@
     private final SlotInventory inventory;
     private final MeanServiceTime serviceTime;
 
-    /** Slots of started instances granted, and requests arrived, since the registration. */
+    /** Slots of started instances that were granted since the registration. */
     private long grantedSlots;
 
+    /** Requests that arrived since the registration. */
     private long arrivalCount;
+
     private int reportedMissing;
     private int reportedInFlight;
     private long reportedArrivalCount;
@@ -37,7 +41,7 @@
         this.serviceTime = serviceTime;
     }
 
-    /** A new leader registered this scheduler. */
+    /** A new leader has registered this scheduler. */
     void reset() {
         grantedSlots = 0;
         arrivalCount = 0;
@@ -50,13 +54,13 @@
         arrivalCount++;
     }
 
-    /** Slots of a started instance were granted: so many fewer are missing. */
+    /** Slots of a started instance were granted, which the leader deducts from the missing ones. */
     void onGrant(int slots) {
         grantedSlots += slots;
         reportedMissing = Math.max(0, reportedMissing - slots);
     }
 
-    /** Reports where the slots that are missing have changed. */
+    /** Reports to the leader if the number of missing slots has changed. */
     void reportMissing() {
         int missing = missingSlots();
         if (missing != reportedMissing) {
@@ -64,7 +68,7 @@
         }
     }
 
-    /** Reports where anything has changed. */
+    /** Reports to the leader if any count has changed. */
     void reportChanges() {
         int missing = missingSlots();
         if (missing != reportedMissing
--- a/src/main/java/gingerspool/dataplane/FunctionDispatcher.java
+++ b/src/main/java/gingerspool/dataplane/FunctionDispatcher.java
@@ -10,11 +10,14 @@
 import java.util.Arrays;
 
 /**
- * The Dispatcher of one function, told of instances and slots in its terms. It is replaced by a new
- * one when the routes change, which must be while it holds no task.
+ * Wraps the {@link Dispatcher} of one function: creates it, and reports instances, slots and
+ * requests to it in its own terms. The Dispatcher is replaced when the routes change, which must
+ * happen while it holds no task.
+ *
+ * <p>Used by {@link FunctionQueue} and its parts, on the event loop.
  */
 final class FunctionDispatcher {
-    /** What a request to another zone costs, in worth. */
+    /** The cost of sending a request to another zone, in units of utility. */
     private static final double CROSS_ZONE_COST = 0.05;
 
     private final FunctionQueue.Environment environment;
@@ -24,7 +27,7 @@
     private final long seed;
     private Dispatcher dispatcher;
 
-    /** The seed is that of the Dispatcher's chance. */
+    /** The seed initializes the Dispatcher's random numbers. */
     FunctionDispatcher(
             FunctionQueue.Environment environment,
             SlotInventory inventory,
@@ -41,7 +44,10 @@
         return dispatcher != null;
     }
 
-    /** Makes a new Dispatcher, which is told of all instances. */
+    /**
+     * Creates a new Dispatcher and publishes all instances to it. The start-up time of an instance,
+     * in milliseconds, is the longest Retry-After that the Dispatcher suggests.
+     */
     void renew(RouteProfiles profiles, double startupTime) {
         DispatcherSettings dispatcherSettings = new DispatcherSettings();
         dispatcherSettings.profiles = profiles.toNumberedArray();
@@ -60,7 +66,7 @@
         inventory.all().forEach(this::publish);
     }
 
-    /** Tells of an instance: where it is, whether it drains, and the slots that may be used. */
+    /** Publishes an instance: its zone, its state, its capacity and the usable slots. */
     void publish(InstanceSlot slot) {
         double now = environment.loop().now();
         dispatcher.listBegins(now, false);
@@ -77,17 +83,21 @@
         publishSlots(slot);
     }
 
-    /** Tells how many slots of an instance may be used. */
+    /** Publishes how many slots of an instance are usable. */
     void publishSlots(InstanceSlot slot) {
         int slots = slot.isUsable() ? Math.max(0, slot.granted - slot.uncertain) : 0;
         dispatcher.granted(environment.loop().now(), slot.worker, slots);
     }
 
-    /** Tells how many slots are free of an instance of which schedulers hold so many in all. */
+    /**
+     * Publishes how many slots of an instance are free. `grantedSlots` is the number that all
+     * schedulers hold together.
+     */
     void publishFreeSlots(InstanceSlot slot, int grantedSlots) {
         double[] report = new double[Report.SIZE];
         Arrays.fill(report, Double.NaN);
-        // Slots that others hold are taken, ours are free but for those in use.
+        // Slots granted to other schedulers count as busy, those granted to this one only if in
+        // use.
         int grantedToOthers = Math.max(0, grantedSlots - slot.granted);
         report[Report.FREE_SLOTS] = Math.max(0, slot.capacity - grantedToOthers - slot.inUse);
         dispatcher.probed(environment.loop().now(), slot.worker, report);
@@ -97,7 +107,7 @@
         dispatcher.arrived(environment.loop().now(), request);
     }
 
-    /** The client of a request that was dispatched has gone, or its time is over. */
+    /** The client of a dispatched request has disconnected, or the request has expired. */
     void onDiscarded(PendingRequest request) {
         dispatcher.left(environment.loop().now(), request);
     }
@@ -106,7 +116,7 @@
         dispatcher.ended(environment.loop().now(), assignment, outcome, isOver, null);
     }
 
-    /** Wakes the Dispatcher after a span, unless it was replaced. */
+    /** Wakes the Dispatcher after `span` ms, unless it has been replaced by then. */
     void wakeAfter(double span) {
         Dispatcher scheduledFor = dispatcher;
         environment
--- a/src/main/java/gingerspool/dataplane/FunctionQueue.java
+++ b/src/main/java/gingerspool/dataplane/FunctionQueue.java
@@ -18,26 +18,32 @@
 import java.util.OptionalDouble;
 
 /**
- * One function at one scheduler, on the event loop. A request waits in the backlog until a slot is
- * usable; then it is handed to the Dispatcher, which picks the instance and decides on retries. Its
- * end is an answer, a rejection here, or its client's leaving.
+ * The queue of one function at one scheduler. A request waits in the backlog until a slot is
+ * usable. It is then passed to the Dispatcher, which selects the instance and decides on retries. A
+ * request ends with a response, with a rejection by this queue, or when its client disconnects.
  *
- * <p>This class joins the parts and decides nothing: {@link RequestBacklog} owns the requests,
- * {@link SlotInventory} the slots, {@link FunctionDispatcher} the Dispatcher, {@link
- * DemandReporter} what the leader knows; {@link SlotReturns}, {@link InstanceConnector}, {@link
- * QueueDeadline} and {@link AttemptRunner} act on them.
+ * <p>This class connects the parts below and contains no policy of its own: {@link RequestBacklog}
+ * owns the requests, {@link SlotInventory} the slots, {@link FunctionDispatcher} the Dispatcher,
+ * and {@link DemandReporter} the reports to the leader; {@link SlotReturns}, {@link
+ * InstanceConnector}, {@link QueueDeadline} and {@link AttemptRunner} act on them.
+ *
+ * <p>{@link RequestRouter} passes in requests and configurations, {@link SchedulerNode} the
+ * leader's messages. All calls are made on the scheduler's event loop; times are in milliseconds.
  */
 final class FunctionQueue implements DispatchActions, AttemptRunner.Listener {
     /** How often waiting requests and unused slots are checked, in heartbeat intervals. */
     private static final double CHECK_INTERVAL_HEARTBEATS = 0.02;
 
-    /** Without a leader for so many heartbeat intervals an unassigned slot may be used. */
+    /**
+     * How long there must be no leader before an unassigned slot may be used, in heartbeat
+     * intervals.
+     */
     private static final double LEADERLESS_HEARTBEATS = 0.5;
 
     private static final int BAD_GATEWAY = 502;
     private static final int UNAVAILABLE = 503;
 
-    /** What a queue needs of the scheduler round it. */
+    /** The services of the scheduler that a queue uses. */
     interface Environment {
         EventLoop loop();
 
@@ -45,27 +51,31 @@
 
         NodeSettings settings();
 
-        /** Schedulers that share the retry budget, this one included. */
+        /** The number of schedulers that share the platform's limits, including this one. */
         int schedulerCount();
 
-        /** Sends the leader a message, or returns false where there is none. */
+        /** Sends a message to the leader; returns false if there is no leader. */
         boolean sendToLeader(Object message);
 
-        /** How long there has been no leader, in milliseconds. */
+        /** How long there has been no leader, in milliseconds; 0 if there is one. */
         double leaderlessFor();
 
-        /** A number in the pool of connections that no other instance has. */
+        /** Allocates an index in the connection pool that no other instance uses. */
         int allocatePoolIndex();
 
+        /** Closes the connections of this index and makes it available to another instance. */
         void releasePoolIndex(int poolIndex);
 
-        /** Answers the client for good. */
+        /** Sends the client the only response to its request. */
         void answer(PendingRequest request, int status, List<String> fields, byte[] body);
     }
 
     private final Environment environment;
     private final EventLoop loop;
+
+    /** In milliseconds. */
     private final double checkInterval;
+
     private final RequestBacklog backlog = new RequestBacklog();
     private final MeanServiceTime serviceTime = new MeanServiceTime();
     private final SlotInventory inventory;
@@ -80,7 +90,7 @@
     private Service service;
     private RouteProfiles profiles = RouteProfiles.NONE;
 
-    /** Whether the profiles have changed since the Dispatcher was made. */
+    /** Whether the profiles have changed since the Dispatcher was created. */
     private boolean haveProfilesChanged;
 
     private boolean isCheckScheduled;
@@ -120,7 +130,7 @@
 
     // ---- Configuration ----
 
-    /** The configuration as it now stands; the routes are those that lead here. */
+    /** Applies a new configuration; the routes are those that lead to this function. */
     void onConfiguration(Service newService, List<Route> routes) {
         service = newService;
         RouteProfiles newProfiles = RouteProfiles.of(routes, loop::has);
@@ -131,7 +141,10 @@
         renewDispatcher();
     }
 
-    /** Guards requests in flight: their Dispatcher is replaced only when it holds none. */
+    /**
+     * Creates the Dispatcher, or replaces it after a change of the profiles. Guards the requests in
+     * flight: the Dispatcher is replaced only while there are none.
+     */
     private void renewDispatcher() {
         boolean isNeeded =
                 !dispatcher.isCreated() || haveProfilesChanged && backlog.inFlight() == 0;
@@ -144,7 +157,7 @@
 
     // ---- Requests ----
 
-    /** A request has arrived. */
+    /** Adds a request that has arrived and dispatches it if a slot is usable. */
     void enqueue(PendingRequest request) {
         double now = loop.now();
         if (backlog.inFlight() == 0) {
@@ -157,7 +170,7 @@
         dispatchWaiting();
     }
 
-    /** The client has gone, or its time is over. */
+    /** Drops a request whose client has disconnected or whose time has expired. */
     void discard(PendingRequest request) {
         if (request.isDispatched) {
             dispatcher.onDiscarded(request);
@@ -169,7 +182,10 @@
         dispatchWaiting();
     }
 
-    /** What was not sent yet never will be: so it is sure not to have run there. */
+    /**
+     * Cancels the attempts of which nothing has been sent yet, so that they are known not to have
+     * run.
+     */
     private static void cancelUnsent(PendingRequest request) {
         for (Attempt attempt : List.copyOf(request.attempts)) {
             if (!attempt.hasBegun()) {
@@ -178,7 +194,7 @@
         }
     }
 
-    /** Hands the Dispatcher the requests for which a slot is usable. */
+    /** Passes waiting requests to the Dispatcher while there are usable slots for them. */
     private void dispatchWaiting() {
         while (!backlog.isEmpty() && inventory.usableSlots() > backlog.waitingAtDispatcher()) {
             dispatch(backlog.poll());
@@ -225,7 +241,10 @@
         }
     }
 
-    /** Guards against a leader that is gone: without one, one slot is used as if it were ours. */
+    /**
+     * Guards against the loss of the leader: without one, a slot of a known instance is used as if
+     * it had been granted.
+     */
     private void useUnassigned(double now) {
         double leaderlessFor = environment.leaderlessFor();
         double leaderlessThreshold =
@@ -252,9 +271,9 @@
         dispatchWaiting();
     }
 
-    // ---- Messages of the leader ----
+    // ---- Messages from the leader ----
 
-    /** Slots were granted. */
+    /** The leader has granted slots of an instance. */
     void onGrant(Messages.SlotGrant grant) {
         InstanceSlot slot = inventory.find(grant.instance());
         if (slot == null) {
@@ -284,13 +303,16 @@
         dispatchWaiting();
     }
 
-    /** So many slots are to be returned as they fall free. */
+    /** The leader asks for this many slots back, to be returned as they become free. */
     void onRecall(int slots) {
         returns.onRecall(slots);
         returns.returnUnused(loop.now());
     }
 
-    /** Nothing new may go to an instance; false where it is none of this function's. */
+    /**
+     * Stops sending requests to an instance. Returns false if the function doesn't know the
+     * instance.
+     */
     boolean withdraw(String instance) {
         InstanceSlot slot = inventory.find(instance);
         if (slot == null) {
@@ -303,7 +325,7 @@
         return true;
     }
 
-    /** A new leader registered this scheduler: what it grants is counted anew. */
+    /** A new leader has registered this scheduler: demand and recalls are counted from zero. */
     void onRegistered() {
         demand.reset();
         returns.reset();
@@ -311,12 +333,12 @@
         scheduleCheck();
     }
 
-    /** Adds the slots held, by instance, to what other functions have. */
+    /** Adds the slots that this function holds, by instance. */
     void addHoldings(Map<String, Integer> holdings) {
         inventory.addHoldings(holdings);
     }
 
-    /** Requests that instances rejected as too many, since the start. */
+    /** Requests that instances have rejected because they were at capacity, since the start. */
     int rejections() {
         return attempts.rejections();
     }
@@ -345,12 +367,13 @@
 
     @Override
     public void probe(int worker) {
-        throw new IllegalStateException("instances aren't asked for reports");
+        throw new IllegalStateException("instances can't be probed for load reports");
     }
 
     @Override
     public void watchList() {
-        throw new IllegalStateException("the list comes by itself");
+        throw new IllegalStateException(
+                "the list of instances is pushed by the leader and can't be requested");
     }
 
     @Override
@@ -358,7 +381,7 @@
         dispatcher.wakeAfter(span);
     }
 
-    // ---- Ends of requests ----
+    // ---- Completion of requests ----
 
     @Override
     public void onAnswer(PendingRequest request, Message answer) {
@@ -377,7 +400,10 @@
         dispatchWaiting();
     }
 
-    /** The Dispatcher has given it up: what may be promised depends on what has run. */
+    /**
+     * Ends a request that the Dispatcher has given up. The client is told that the request did not
+     * run only if no attempt can have run; otherwise it gets the failure of an instance, or 502.
+     */
     private void endWithoutAnswer(PendingRequest request, double retryAfter) {
         backlog.onRequestEnded();
         Message failure = request.failure;
@@ -390,18 +416,21 @@
                     InstanceProtocol.forwardedFields(failure),
                     failure.body());
         } else {
-            byte[] message = InstanceProtocol.utf8("no whole answer came");
+            byte[] message = InstanceProtocol.utf8("no complete response from an instance");
             environment.answer(request, BAD_GATEWAY, List.of(), message);
         }
     }
 
-    /** It has not run and never will: the client may come back after the pause. */
+    /**
+     * Rejects a request that has not run and never will; the client may retry after `retryAfter`
+     * ms.
+     */
     private void reject(PendingRequest request, double retryAfter) {
         double seconds = Math.max(1, Math.round(retryAfter)) / 1000.0;
         environment.answer(
                 request,
                 UNAVAILABLE,
                 List.of("Retry-After: " + seconds),
-                InstanceProtocol.utf8("no instance in time"));
+                InstanceProtocol.utf8("no instance available in time"));
     }
 }
--- a/src/main/java/gingerspool/dataplane/FunctionRetryBudget.java
+++ b/src/main/java/gingerspool/dataplane/FunctionRetryBudget.java
@@ -6,13 +6,17 @@
 import gingerspool.settings.NodeSettings;
 
 /**
- * This scheduler's part of the budget of repeats that the platform allows one function. The floor
- * is divided by the number of schedulers, which may change while requests are in hand.
+ * This scheduler's share of the platform's retry budget for one function. Retries are allowed as a
+ * ratio of requests plus a floor rate; the floor is divided by the number of schedulers, which may
+ * change while requests are in flight.
+ *
+ * <p>Called on the event loop; times are in milliseconds.
  */
 final class FunctionRetryBudget implements RetryBudget {
     /**
-     * The parts of the platform's ratio and floor that are used: the rest is for calls that
-     * repeated runs make, and for schedulers that know another number of schedulers.
+     * The fractions of the platform's ratio and floor that are used. The remainder is left for
+     * nested calls made by retried requests, and for schedulers that assume a different number of
+     * schedulers.
      */
     private static final double RATIO_FRACTION = 0.5;
 
@@ -27,7 +31,7 @@
         setSchedulerCount(schedulerCount);
     }
 
-    /** So many schedulers share the floor from now on; what was saved up is kept. */
+    /** Changes the number of schedulers that share the floor; the unspent budget is kept. */
     void setSchedulerCount(int newCount) {
         if (budget != null && newCount == schedulerCount) {
             return;
--- a/src/main/java/gingerspool/dataplane/InstanceConnector.java
+++ b/src/main/java/gingerspool/dataplane/InstanceConnector.java
@@ -6,17 +6,20 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Finds out when an instance that starts has come up: connects to it again and again, from about
- * half of its start time on, as the platform's list says so much later. Then the leader is told.
+ * Detects when a starting instance is up, by repeated attempts to connect from about half of its
+ * remaining start-up time on, because the platform's instance list shows it much later. Then
+ * notifies the leader.
+ *
+ * <p>Used by {@link FunctionQueue} on the event loop; times are in milliseconds.
  */
 final class InstanceConnector {
-    /** When the first attempt is made, in parts of the time that the instance still needs. */
+    /** When the first attempt is made, as a fraction of the remaining start-up time. */
     private static final double FIRST_ATTEMPT_FRACTION = 0.5;
 
-    /** The pause between two attempts, in start times. */
+    /** The interval between attempts, in start-up times. */
     private static final double RETRY_STARTUP_TIMES = 0.03;
 
-    /** How long after its expected start an instance is given up, in start times. */
+    /** How long after its expected start an instance is given up, in start-up times. */
     private static final double GIVE_UP_STARTUP_TIMES = 8;
 
     private final FunctionQueue.Environment environment;
@@ -25,7 +28,10 @@
     private final DoubleSupplier startupTime;
     private final Runnable onUp;
 
-    /** The start time is the function's; onUp runs after an instance was found to be up. */
+    /**
+     * The supplier gives the start-up time of the function's instances; onUp runs each time that an
+     * instance was found to be up.
+     */
     InstanceConnector(
             FunctionQueue.Environment environment,
             FunctionDispatcher dispatcher,
@@ -39,13 +45,13 @@
         this.onUp = onUp;
     }
 
-    /** Slots were granted of an instance that starts within this span. */
+    /** Slots were granted of an instance that is expected to be up in `startsIn` ms. */
     void awaitStart(InstanceSlot slot, double startsIn) {
         slot.startsAt = environment.loop().now() + startsIn;
         connectAfter(slot, FIRST_ATTEMPT_FRACTION * startsIn);
     }
 
-    /** The instance has started. */
+    /** The instance is up. */
     void markUp(InstanceSlot slot) {
         if (!slot.isUp) {
             slot.isUp = true;
--- a/src/main/java/gingerspool/dataplane/InstanceProtocol.java
+++ b/src/main/java/gingerspool/dataplane/InstanceProtocol.java
@@ -12,11 +12,14 @@
 import java.util.function.Predicate;
 
 /**
- * What is said to instances and clients, and what instances' answers mean. The protocol's names end
- * here.
+ * Encodes requests to instances and interprets their answers, and so keeps the rules of the
+ * protocol between schedulers and instances in one place. Stateless.
  */
 final class InstanceProtocol {
-    /** Fields that concern one connection only, and those that we write ourselves. */
+    /**
+     * Header fields that are not forwarded: they concern one connection only or are written by the
+     * scheduler.
+     */
     private static final Set<String> NOT_FORWARDED =
             Set.of(
                     "connection",
@@ -33,15 +36,21 @@
                     "remaining-milliseconds",
                     "expected-instance");
 
-    /** The instance that was meant is not the one that was asked. */
+    /**
+     * The request reached another instance than the one in Expected-Instance (421 Misdirected
+     * Request).
+     */
     static final int OTHER_INSTANCE = 421;
 
-    /** To a client these promise that the request did not run and never will. */
+    /** Status codes that promise to a client that the request did not run and never will. */
     private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, OTHER_INSTANCE, 429, 503);
 
     private InstanceProtocol() {}
 
-    /** The client's request for this instance (null: any), unchanged but for the time left. */
+    /**
+     * Encodes the client's request for an instance (null: any), with the remaining time in
+     * milliseconds. Apart from fields that are not forwarded, the request is unchanged.
+     */
     static byte[] encodeRequest(Message request, String instance, double timeLeft) {
         byte[] body = request.body();
         StringBuilder head =
@@ -65,7 +74,10 @@
         return Inbound.joined(head.append("\r\n\r\n"), body);
     }
 
-    /** The fields that are passed on. */
+    /**
+     * The header fields of a message that are forwarded, without those that its Connection field
+     * lists.
+     */
     static List<String> forwardedFields(Message message) {
         String connection = message.field("connection");
         String connectionOptions =
@@ -83,7 +95,7 @@
         return forwarded;
     }
 
-    /** A field's name as it is usually written. */
+    /** A lower-case field name with each word capitalized. */
     private static String canonicalName(String name) {
         char[] characters = name.toCharArray();
         for (int i = 0; i < characters.length; i++) {
@@ -96,7 +108,8 @@
     }
 
     /**
-     * What an answer says of the assignment. Only its own word that it never ran counts as such.
+     * The outcome of an assignment by the instance's answer. A request counts as not executed only
+     * if the answer says so explicitly.
      */
     static Outcome outcome(Message answer, String id, Predicate<RequestSafeguard> has) {
         int status = answer.status();
@@ -106,7 +119,8 @@
                         || status == OTHER_INSTANCE
                         || !has.test(RequestSafeguard.REFUSAL_MARK)
                                 && NOT_EXECUTED_STATUSES.contains(status);
-        // Guards unsafe requests: a refusal without our id may be another request's.
+        // Guards unsafe requests: a refusal without the id of this request may belong to another
+        // one.
         if (isRefusal && (isIdMatching || !has.test(RequestSafeguard.REFUSAL_ID))) {
             return Outcome.FULL;
         }
@@ -122,7 +136,7 @@
         return !isIdAccepted || isEncoded || lacksStamp || isFailure ? Outcome.ERROR : Outcome.OK;
     }
 
-    /** Whether an answer is not as a worker in order answers a request of this id. */
+    /** Whether an answer differs from what a healthy instance sends for a request with this id. */
     static boolean isSuspect(Message answer, String id) {
         boolean lacksStamp = answer.status() < 300 && answer.field("server-stamp") == null;
         return !id.equals(answer.field("request-id"))
@@ -130,7 +144,10 @@
                 || lacksStamp;
     }
 
-    /** Whether a failure may be passed on as it is: it must not promise what is not so. */
+    /**
+     * Whether a failure may be forwarded to the client as it is: it must not wrongly promise that
+     * the request did not run.
+     */
     static boolean mayForward(Message failure, String id, Predicate<RequestSafeguard> has) {
         boolean promisesNotExecuted =
                 failure != null
--- a/src/main/java/gingerspool/dataplane/InstanceSlot.java
+++ b/src/main/java/gingerspool/dataplane/InstanceSlot.java
@@ -2,46 +2,51 @@
 
 import java.net.InetSocketAddress;
 
-/** What a scheduler knows of one instance, and the slots that it holds there. Facts only. */
+/**
+ * What a scheduler knows about one instance, and the slots that it holds there. Holds state only;
+ * times are in milliseconds on the loop's clock. Owned by {@link SlotInventory}.
+ */
 final class InstanceSlot {
     final String instance;
     final InetSocketAddress address;
     final String zone;
 
-    /** Requests that the instance runs at once, for all schedulers. */
+    /** The number of requests that the instance runs concurrently, from all schedulers. */
     final int capacity;
 
-    /** Its number in the pool of connections. */
+    /** Its index in the connection pool. */
     final int poolIndex;
 
-    /** Its number in the function's Dispatcher. */
+    /** Its worker number in the function's Dispatcher. */
     final int worker;
 
-    /** Slots that the leader granted, or that were taken while there was none. */
+    /**
+     * Slots that the leader granted, or that were used without a grant while there was no leader.
+     */
     int granted;
 
     /** Slots in use. */
     int inUse;
 
-    /** Slots where something that was given up may still be running. */
+    /** Slots on which an abandoned request may still be running. */
     int uncertain;
 
-    /** Whether it has started. */
+    /** Whether the instance has started. */
     boolean isUp;
 
-    /** Whether one of its slots was taken while there was no leader. */
+    /** Whether one of its slots was used without a grant while there was no leader. */
     boolean isUnassigned;
 
-    /** Whether nothing new may go there. */
+    /** Whether no further requests may be sent to it. */
     boolean isDraining;
 
     /** Whether an attempt to connect is under way or scheduled. */
     boolean isConnecting;
 
-    /** When it is expected to have started. */
+    /** When the instance is expected to be up. */
     double startsAt;
 
-    /** When a slot of it was last granted or freed. */
+    /** When one of its slots was last granted or released. */
     double idleSince;
 
     InstanceSlot(
@@ -59,7 +64,7 @@
         this.worker = worker;
     }
 
-    /** Slots that a request may take now: none of an instance that starts or drains. */
+    /** Slots that a request may use now; none while the instance is starting or draining. */
     int usableSlots() {
         return isUsable() ? unusedSlots() : 0;
     }
@@ -68,7 +73,7 @@
         return isUp && !isDraining;
     }
 
-    /** Slots that no request uses, also of an instance that starts or drains. */
+    /** Slots that no request uses, also while the instance is starting or draining. */
     int unusedSlots() {
         return Math.max(0, granted - inUse - uncertain);
     }
--- a/src/main/java/gingerspool/dataplane/MeanServiceTime.java
+++ b/src/main/java/gingerspool/dataplane/MeanServiceTime.java
@@ -1,13 +1,13 @@
 package gingerspool.dataplane;
 
-/** The mean running time of a function's requests, in milliseconds, newer ones counting more. */
+/** The moving average of the time that a function's requests run, in milliseconds. */
 final class MeanServiceTime {
-    /** The weight of a new time is one in so many. */
+    /** A new sample has a weight of 1 / SAMPLES. */
     private static final int SAMPLES = 16;
 
     private double mean;
 
-    /** The mean, 0 where none was seen. */
+    /** The mean; 0 before the first sample. */
     double mean() {
         return mean;
     }
--- a/src/main/java/gingerspool/dataplane/PendingRequest.java
+++ b/src/main/java/gingerspool/dataplane/PendingRequest.java
@@ -8,43 +8,49 @@
 import java.util.List;
 import java.util.concurrent.Future;
 
-/** A client's request in flight. Facts only. */
+/**
+ * A client's request that has not been answered yet. Holds state only; times are in milliseconds on
+ * the loop's clock. Created by {@link RequestRouter} and used on the event loop.
+ */
 final class PendingRequest extends Task {
     final Message request;
     final Route route;
     final double arrivedAt;
 
-    /** Within which the answer earns its full worth. */
+    /** When the latency target of its route ends. */
     final double dueAt;
 
     /**
-     * Orders requests of one priority. One that came with less time than its route gives was
-     * rejected before, or is a call of a worker that keeps a slot busy until it is answered: it
-     * goes first.
+     * Orders requests of the same priority; the lowest value goes first. A request that arrived
+     * with less time than its route allows was rejected before, or is a nested call by an instance,
+     * which occupies a slot there until it is answered; either is more urgent.
      */
     final double urgentAt;
 
     /**
-     * Whether it came with nearly all the time that such requests have: no earlier attempt of it
-     * was rejected.
+     * Whether it arrived with nearly all the time that its route allows, so that no earlier attempt
+     * of it was rejected.
      */
     final boolean isFirstAttempt;
 
-    /** Null once it has its answer or the client has gone. */
+    /** Null once the request was answered or the client has disconnected. */
     Inbound client;
 
+    /** Null until it is set. */
     Future<?> expiryTimer;
 
-    /** Whether the Dispatcher has it; before that it waits for a slot. */
+    /** Whether it was passed to the Dispatcher; before that it waits in the backlog for a slot. */
     boolean isDispatched;
 
-    /** Those under way and those that ended, by number of the assignment. */
+    /** All attempts, current and ended, indexed by assignment number. */
     final List<Attempt> attempts = new ArrayList<>(1);
 
-    /** Assignments that reached no instance. */
+    /**
+     * The number of attempts that reached no instance and don't count against the route's maximum.
+     */
     int unreachedAttempts;
 
-    /** A failure of a worker, to be passed on if nothing better comes. */
+    /** The last failure that an instance answered with, for the client if no attempt succeeds. */
     Message failure;
 
     PendingRequest(
@@ -70,7 +76,7 @@
         return route.getKind().equals("safe");
     }
 
-    /** Whether some worker may have run it. */
+    /** Whether any instance may have run it. */
     boolean mayHaveRun() {
         return attempts.stream().anyMatch(attempt -> !attempt.neverRan());
     }
--- a/src/main/java/gingerspool/dataplane/QueueDeadline.java
+++ b/src/main/java/gingerspool/dataplane/QueueDeadline.java
@@ -3,23 +3,27 @@
 import java.util.OptionalDouble;
 
 /**
- * Whether a request that waits for a slot is better rejected now, so that its client may try again
- * in time or look elsewhere. Decides only; times are milliseconds.
+ * Decides whether a request that waits for a slot should be rejected now, so that its client can
+ * retry in time or elsewhere. Called by {@link FunctionQueue} in its regular check; has no side
+ * effects. Times are in milliseconds.
  */
 final class QueueDeadline {
-    /** A first attempt may be rejected early within this part of its latency target. */
+    /** A first attempt may be rejected early within this fraction of its latency target. */
     private static final double EARLY_REJECTION_FRACTION = 0.25;
 
-    /** It is asked to come back within this part of the time that it has left. */
+    /** An early rejection asks for a retry within at most this fraction of the remaining time. */
     private static final double RETRY_FRACTION = 1.0 / 3;
 
-    /** With no slot in sight a request waits for so many start times at the most. */
+    /**
+     * A request waits for a slot no longer than its latency target or this many start-up times,
+     * whichever is longer.
+     */
     private static final double MAX_WAIT_STARTUP_TIMES = 2;
 
     private final SlotInventory inventory;
     private final MeanServiceTime serviceTime;
 
-    /** An instance that is overdue is expected to start after this pause. */
+    /** The assumed time until an overdue instance is up. */
     private final double minWait;
 
     QueueDeadline(SlotInventory inventory, MeanServiceTime serviceTime, double minWait) {
@@ -28,7 +32,10 @@
         this.minWait = minWait;
     }
 
-    /** The pause that a request is to be rejected with; empty where it is to wait on. */
+    /**
+     * The Retry-After with which to reject a request, in milliseconds; empty if it should keep
+     * waiting.
+     */
     OptionalDouble retryAfter(PendingRequest request, double now, double startupTime) {
         if (inventory.holdsSlotsOfStarted()) {
             return OptionalDouble.empty();
@@ -45,7 +52,7 @@
                 : OptionalDouble.empty();
     }
 
-    /** Whether it would be late here, but may be in time if it comes back at once. */
+    /** Whether the request would miss its latency target here but may meet it with a retry. */
     private boolean mayRetryInTime(PendingRequest request, double now, double wait) {
         boolean isLate = now + wait + serviceTime.mean() > request.dueAt;
         double target = request.dueAt - request.arrivedAt;
@@ -55,7 +62,7 @@
                 && now - request.arrivedAt <= EARLY_REJECTION_FRACTION * target;
     }
 
-    /** Until the first of the instances that start has started; NaN where none does. */
+    /** The time until the first starting instance is expected to be up; NaN if none is starting. */
     private double timeUntilStart(double now) {
         double wait = Double.NaN;
         for (InstanceSlot slot : inventory.all()) {
--- a/src/main/java/gingerspool/dataplane/ReadinessEndpoint.java
+++ b/src/main/java/gingerspool/dataplane/ReadinessEndpoint.java
@@ -11,9 +11,15 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 
-/** Where the platform asks whether clients are to come here. */
+/**
+ * The HTTP endpoint at which the platform asks whether to send clients to this scheduler: it
+ * answers GET /v1/readiness with 200 or 503. Created by {@link SchedulerNode}; runs on its event
+ * loop.
+ */
 final class ReadinessEndpoint implements Listener.Owner, Inbound.Handler {
+    /** For an idle connection, and for reading or writing one message. */
     private static final double CONNECTION_TIMEOUT_MS = 10_000;
+
     private static final int MAX_CONNECTIONS = 64;
 
     private final EventLoop loop;
--- a/src/main/java/gingerspool/dataplane/RequestBacklog.java
+++ b/src/main/java/gingerspool/dataplane/RequestBacklog.java
@@ -5,8 +5,10 @@
 import java.util.PriorityQueue;
 
 /**
- * The requests of one function that a scheduler holds: those that wait for a slot, the most urgent
- * first, and how many the Dispatcher has.
+ * The requests of one function that a scheduler holds: those waiting for a slot, the most urgent
+ * first, and the number of those passed to the Dispatcher.
+ *
+ * <p>Used by {@link FunctionQueue} and its parts, on the event loop.
  */
 final class RequestBacklog {
     private final PriorityQueue<PendingRequest> waiting =
@@ -15,7 +17,7 @@
                             .thenComparingDouble(r -> r.urgentAt));
     private int inFlight;
 
-    /** Requests with an attempt under way. */
+    /** Requests with at least one attempt in flight. */
     private int requestsWithAttempts;
 
     void add(PendingRequest request) {
@@ -23,27 +25,27 @@
         waiting.add(request);
     }
 
-    /** Takes the most urgent one out, for the Dispatcher. */
+    /** Removes the most urgent waiting request, to pass it to the Dispatcher. */
     PendingRequest poll() {
         return waiting.poll();
     }
 
-    /** Takes one out that is not to be dispatched. */
+    /** Removes a waiting request that will not be dispatched. */
     void remove(PendingRequest request) {
         waiting.remove(request);
     }
 
-    /** A request has its answer, or its client has gone. */
+    /** A request was answered or rejected, or its client has disconnected. */
     void onRequestEnded() {
         inFlight--;
     }
 
-    /** To be called when an attempt has been added to a request. */
+    /** Must be called after an attempt was added to a request. */
     void onAttemptStarted(PendingRequest request) {
         requestsWithAttempts += request.outstanding() == 1 ? 1 : 0;
     }
 
-    /** To be called when an attempt has ended, before the Dispatcher is told. */
+    /** Must be called when an attempt has ended, before the Dispatcher is notified. */
     void onAttemptEnding(PendingRequest request) {
         requestsWithAttempts -= request.outstanding() == 1 ? 1 : 0;
     }
@@ -56,22 +58,22 @@
         return List.copyOf(waiting);
     }
 
-    /** All requests that are held, waiting or running. */
+    /** All requests that are held, waiting or dispatched. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Requests that the Dispatcher has without any attempt under way: they come first. */
+    /** Requests at the Dispatcher without any attempt in flight; they get slots first. */
     int waitingAtDispatcher() {
         return Math.max(0, inFlight - waiting.size() - requestsWithAttempts);
     }
 
-    /** Requests that wait for a slot, here or at the Dispatcher. */
+    /** Requests that wait for a slot, in the backlog or at the Dispatcher. */
     int waitingForSlots() {
         return waiting.size() + waitingAtDispatcher();
     }
 
-    /** Whether some request has no attempt under way. */
+    /** Whether any request has no attempt in flight. */
     boolean hasUnattempted() {
         return inFlight > requestsWithAttempts;
     }
--- a/src/main/java/gingerspool/dataplane/RequestRouter.java
+++ b/src/main/java/gingerspool/dataplane/RequestRouter.java
@@ -24,46 +24,56 @@
 import java.util.Set;
 
 /**
- * Clients' requests from their arrival to their one answer: the clients' connections, the route
- * table in force, a queue for each function that was asked for, and the time that each request has.
+ * Handles clients' requests from arrival to response. Owns the client connections, the current
+ * route table, one {@link FunctionQueue} for each function that has been requested, and the expiry
+ * timer of each request.
+ *
+ * <p>Created by {@link SchedulerNode}; all calls are made on its event loop, and times are in
+ * milliseconds.
  */
 final class RequestRouter implements Inbound.Handler, FunctionQueue.Environment {
-    /** Limits while there is no configuration: milliseconds and bytes. */
+    /** Limits that apply where the configuration sets none. */
     private static final double DEFAULT_IDLE_TIMEOUT_MS = 15_000;
 
     private static final double DEFAULT_READ_TIMEOUT_MS = 5000;
     private static final int DEFAULT_HEADER_BYTES = 16 * 1024;
     private static final int DEFAULT_BODY_BYTES = 256 * 1024;
+
+    /** The largest limits that the configuration can set. */
     private static final int MAX_HEADER_BYTES = 1 << 20;
+
     private static final int MAX_BODY_BYTES = 1 << 26;
 
-    /** The part of a route's time-out that a first attempt comes with at the least. */
+    /**
+     * A request counts as a first attempt if at least this fraction of its route's time-out
+     * remains.
+     */
     private static final double FIRST_ATTEMPT_FRACTION = 0.97;
 
-    /** How long a client waits that does not say it, in milliseconds. */
+    /** The remaining time of a request that doesn't state it, in milliseconds. */
     private static final double DEFAULT_REMAINING_MS = 10_000;
 
-    /** When to come back to a scheduler that has no configuration yet. */
+    /** Sent in responses while there is no configuration yet. */
     private static final String RETRY_SOON = "Retry-After: 0.5";
 
-    /** What the router needs of the links to the core. */
+    /** The part of the links to the control nodes that the router uses. */
     interface ControlPlane {
-        /** Sends the leader a message, or returns false where there is none. */
+        /** Sends a message to the leader; returns false if there is no leader. */
         boolean sendToLeader(Object message);
 
-        /** How long there has been no leader, in milliseconds. */
+        /** How long there has been no leader, in milliseconds; 0 if there is one. */
         double leaderlessFor();
     }
 
-    /** Counts of requests since the start, for the log. */
+    /** Request counters since the start, for the log. */
     record Counts(int taken, int served, int refused, int failed, int instanceRejections) {}
 
     private final EventLoop loop;
     private final NodeSettings settings;
     private final ConnectionPool pool;
-    private final ControlPlane control;
+    private final ControlPlane controlPlane;
 
-    /** Called whenever a client's connection has closed. */
+    /** Called each time that a client connection has closed. */
     private final Runnable onConnectionClosed;
 
     private final Set<Inbound> connections = new LinkedHashSet<>();
@@ -75,7 +85,7 @@
     private Configuration configuration = Configuration.getDefaultInstance();
     private RouteTable routes;
     private Map<String, List<Route>> routesByService = Map.of();
-    private final SchedulerCount reportSchedulerCount;
+    private final SchedulerCount recentSchedulerCounts;
     private boolean isDraining;
     private int receivedCount;
     private int servedCount;
@@ -91,9 +101,9 @@
         this.loop = loop;
         this.settings = settings;
         this.pool = pool;
-        this.control = control;
+        this.controlPlane = control;
         this.onConnectionClosed = whenClosed;
-        reportSchedulerCount = new SchedulerCount(settings.retryBudgetWindow);
+        recentSchedulerCounts = new SchedulerCount(settings.retryBudgetWindow);
     }
 
     // ---- Configuration ----
@@ -106,7 +116,7 @@
         return routes != null;
     }
 
-    /** Puts this configuration in force for every request that comes from now on. */
+    /** Applies a configuration to all requests that arrive from now on. */
     void configure(Configuration newest) {
         boolean limitsChanged = !newest.getLimits().equals(configuration.getLimits());
         configuration = newest;
@@ -135,9 +145,9 @@
         return routesByService.getOrDefault(service, List.of());
     }
 
-    /** So many schedulers share the retry budget, this one included. */
-    void schedulerCount(int count) {
-        reportSchedulerCount.report(loop.now(), count);
+    /** Records how many schedulers share the platform's limits, including this one. */
+    void setSchedulerCount(int count) {
+        recentSchedulerCounts.report(loop.now(), count);
     }
 
     // ---- Queues ----
@@ -146,7 +156,7 @@
         return queues.values();
     }
 
-    /** The queue of this function, or null where none was asked for. */
+    /** The queue of this function; null if the function has not been requested yet. */
     FunctionQueue queue(String function) {
         return queues.get(function);
     }
@@ -172,9 +182,12 @@
                 });
     }
 
-    // ---- Clients' connections ----
+    // ---- Client connections ----
 
-    /** A client that may have written since `letInFrom`, in milliseconds on the loop's clock. */
+    /**
+     * Takes over a client's connection. The client may have been sending since `earliestArrival`,
+     * in milliseconds on the loop's clock.
+     */
     void accept(AsynchronousSocketChannel channel, double earliestArrival) {
         Inbound connection =
                 new Inbound(loop, channel, this, DEFAULT_IDLE_TIMEOUT_MS, DEFAULT_READ_TIMEOUT_MS);
@@ -185,7 +198,7 @@
         connection.start();
     }
 
-    /** Puts the operators' limits in force on this connection, as far as there are any. */
+    /** Applies the configured limits to a connection, and the defaults where none are set. */
     private void applyLimits(Inbound connection) {
         Limits limits = configuration.getLimits();
         connection.limits(
@@ -214,13 +227,16 @@
                 receivedCount, servedCount, refusedCount, failedCount, instanceRejections);
     }
 
-    /** The process is to end: every answer from now on is the last of its connection. */
+    /** Begins the shutdown: from now on each connection closes after its next response. */
     void startDraining() {
         isDraining = true;
         connections.forEach(connection -> connection.endAfterAnswer(true));
     }
 
-    /** Closes connections between requests, and those that have had none for `fresh` ms. */
+    /**
+     * Closes idle connections: used ones at once, those without any request yet once they are
+     * `minUnusedMs` old.
+     */
     void closeIdle(double minUnusedMs) {
         List.copyOf(idleConnections).forEach(connection -> connection.closeIfIdle(0, minUnusedMs));
     }
@@ -253,7 +269,7 @@
         receivedCount++;
         if (routes == null) {
             refusedCount++;
-            from.answer(503, List.of(RETRY_SOON), "no configuration here yet");
+            from.answer(503, List.of(RETRY_SOON), "no configuration received yet");
             return;
         }
         String host = request.field("host");
@@ -264,24 +280,27 @@
             from.answer(
                     route == null ? 404 : 400,
                     List.of(),
-                    route == null ? "no such route" : "no Request-Id");
+                    route == null
+                            ? "no route matches this host and path"
+                            : "Request-Id header is missing");
             return;
         }
         admit(from, request, route, id);
     }
 
+    /** Queues a request that has a route and an id, and starts its expiry timer. */
     private void admit(Inbound from, Message request, Route route, String id) {
         double now = loop.now();
         double remaining = parseRemaining(request.field("remaining-milliseconds"));
-        // Who comes with less than the route allows was rejected before, or is called by a
-        // worker.
+        // A request with less time than its route allows was rejected before or is a nested call by
+        // an instance.
         double maxTimeout = route.hasTimeout() ? route.getTimeout() : remaining;
         boolean isFirstAttempt = remaining >= FIRST_ATTEMPT_FRACTION * maxTimeout;
         double dueAt = now + Math.max(1, route.getAim());
         double urgentAt = dueAt - Math.max(0, maxTimeout - remaining);
         PendingRequest admitted =
                 new PendingRequest(id, from, request, route, now, dueAt, urgentAt, isFirstAttempt);
-        // The client counts from when it wrote, however long that was under way to us.
+        // The client's time runs from when it sent the request, so the transit time is deducted.
         double elapsed = Math.max(0, now - from.arrivedFrom());
         admitted.expiry = now + Math.max(1, Math.min(remaining, maxTimeout) - elapsed);
         pending.add(admitted);
@@ -295,6 +314,7 @@
         queueFor(route).enqueue(admitted);
     }
 
+    /** The remaining time that a request states, or the default if it is missing or malformed. */
     private static double parseRemaining(String field) {
         try {
             return field == null ? DEFAULT_REMAINING_MS : Double.parseDouble(field);
@@ -303,21 +323,26 @@
         }
     }
 
-    /** Its time is over. */
     private void onExpired(PendingRequest request) {
-        abort(request, 504, "out of time");
+        abort(request, 504, "request timed out");
     }
 
-    /** Ends it for good: with a promise where nothing was sent, else with this status. */
+    /**
+     * Ends a request without a result: with 503, which promises that it has not run, if no attempt
+     * can have run, otherwise with `statusIfSent`.
+     */
     private void abort(PendingRequest request, int statusIfSent, String message) {
         queues.get(request.route.getService()).discard(request);
         boolean mayHaveRun = request.mayHaveRun();
         answer(request, mayHaveRun ? statusIfSent : 503, List.of(), InstanceProtocol.utf8(message));
     }
 
-    /** The process ends: whoever still waits gets an answer, so that none is just cut off. */
+    /**
+     * Answers all pending requests before the process exits, so that no client's connection is
+     * closed without a response.
+     */
     void abortAll() {
-        List.copyOf(pending).forEach(request -> abort(request, 502, "the scheduler ends"));
+        List.copyOf(pending).forEach(request -> abort(request, 502, "scheduler is shutting down"));
     }
 
     @Override
@@ -340,7 +365,7 @@
         }
     }
 
-    // ---- What queues need ----
+    // ---- Environment of the queues ----
 
     @Override
     public EventLoop loop() {
@@ -359,17 +384,17 @@
 
     @Override
     public int schedulerCount() {
-        return reportSchedulerCount.max(loop.now());
+        return recentSchedulerCounts.max(loop.now());
     }
 
     @Override
     public boolean sendToLeader(Object message) {
-        return control.sendToLeader(message);
+        return controlPlane.sendToLeader(message);
     }
 
     @Override
     public double leaderlessFor() {
-        return control.leaderlessFor();
+        return controlPlane.leaderlessFor();
     }
 
     @Override
--- a/src/main/java/gingerspool/dataplane/RouteProfiles.java
+++ b/src/main/java/gingerspool/dataplane/RouteProfiles.java
@@ -9,17 +9,20 @@
 import java.util.function.Predicate;
 
 /**
- * The Dispatcher's profiles of one function: for each sort of its routes one for requests in time
- * and one for those past their latency target.
+ * The Dispatcher's profiles for one function. Routes with the same kind, latency target, time-out
+ * and priority share two profiles: one for requests on time and one for requests that will miss the
+ * latency target.
+ *
+ * <p>Immutable but for the profiles' numbers; used by {@link FunctionQueue} on the event loop.
  */
 final class RouteProfiles {
-    /** The expiry of routes without a time-out, in milliseconds. */
+    /** The expiry for routes without a time-out, in milliseconds. */
     private static final double DEFAULT_EXPIRY_MS = 60_000;
 
-    /** The service time to begin with, in parts of the latency target. */
+    /** The initial estimate of the service time, as a fraction of the latency target. */
     private static final double INITIAL_SERVICE_TIME_FRACTION = 0.2;
 
-    /** The shortest latency target where there are no routes, in milliseconds. */
+    /** The shortest latency target if there are no routes, in milliseconds. */
     private static final double DEFAULT_TARGET_MS = 1000;
 
     static final RouteProfiles NONE = new RouteProfiles(List.of());
@@ -30,7 +33,7 @@
         this.profiles = profiles;
     }
 
-    /** The profiles of the routes that lead to a function. */
+    /** The profiles for the routes that lead to a function. */
     static RouteProfiles of(List<Route> routes, Predicate<RequestSafeguard> has) {
         Map<String, Profile> all = new LinkedHashMap<>();
         for (Route route : routes) {
@@ -57,6 +60,7 @@
         return profile;
     }
 
+    /** The unique name of a profile, made of all route settings that matter to the Dispatcher. */
     private static String name(Route route, boolean isLate) {
         String routeType =
                 String.join(
@@ -68,7 +72,7 @@
         return isLate ? routeType + " late" : routeType;
     }
 
-    /** The profiles, numbered in their order. */
+    /** The profiles, with their index set. */
     Profile[] toNumberedArray() {
         Profile[] all = profiles.toArray(new Profile[0]);
         for (int i = 0; i < all.length; i++) {
@@ -77,14 +81,14 @@
         return all;
     }
 
-    /** The shortest latency target of any. */
+    /** The shortest latency target of all profiles, in milliseconds. */
     double shortestTarget() {
         return profiles.stream().mapToDouble(p -> p.dueTime).min().orElse(DEFAULT_TARGET_MS);
     }
 
     /**
-     * The profile of a request by this route; where there is none of its sort yet, the most careful
-     * one stands in.
+     * The profile for a request on this route. Until the Dispatcher is replaced a new route may
+     * have none; then a side-effecting one is used if there is any, as the most conservative.
      */
     Profile find(Route route, boolean isLate) {
         String name = name(route, isLate);
@@ -100,7 +104,7 @@
         return fallback;
     }
 
-    /** Whether others mean the same to the Dispatcher. */
+    /** Whether the other profiles are the same to the Dispatcher. */
     boolean hasSameProfilesAs(RouteProfiles other) {
         return profiles.toString().equals(other.profiles.toString());
     }
--- a/src/main/java/gingerspool/dataplane/SchedulerCount.java
+++ b/src/main/java/gingerspool/dataplane/SchedulerCount.java
@@ -3,16 +3,18 @@
 import java.util.ArrayDeque;
 
 /**
- * How many schedulers share the platform's limits: the most that was reported within a window.
- * Guards the limits while schedulers register with a new leader one after the other, when each
- * would take too large a share. Times are milliseconds.
+ * The number of schedulers that share the platform's limits: the maximum reported within a sliding
+ * window. Guards the limits while schedulers register with a new leader one after another, when the
+ * current count is too low and each would take too large a share.
+ *
+ * <p>Used by {@link RequestRouter} on the event loop; times are in milliseconds.
  */
 final class SchedulerCount {
     private record Report(double at, int count) {}
 
     private final double window;
 
-    /** Counts that may still be the most, the largest and oldest first. */
+    /** Reports that can still be the maximum: the largest and oldest first. */
     private final ArrayDeque<Report> reports = new ArrayDeque<>();
 
     SchedulerCount(double window) {
@@ -27,7 +29,8 @@
     }
 
     /**
-     * The most within the window; the last one reported counts however old it is. One if none was.
+     * The maximum within the window. The latest report counts regardless of its age; 1 before the
+     * first report.
      */
     int max(double now) {
         while (reports.size() > 1 && secondReportAt() <= now - window) {
@@ -36,9 +39,7 @@
         return reports.isEmpty() ? 1 : reports.peekFirst().count;
     }
 
-    /**
-     * When the count that followed the first one was reported: since then the first has been old.
-     */
+    /** When the second report was made, which superseded the first one; NaN if there is none. */
     private double secondReportAt() {
         return reports.stream().skip(1).findFirst().map(Report::at).orElse(Double.NaN);
     }
--- a/src/main/java/gingerspool/dataplane/SchedulerNode.java
+++ b/src/main/java/gingerspool/dataplane/SchedulerNode.java
@@ -12,38 +12,49 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One scheduler process: joins the listeners for clients and readiness, the links to the core, and
- * the router of requests. Everything happens on one loop. Decides nothing itself.
+ * A scheduler process. Connects the listeners for clients and readiness checks, the links to the
+ * control nodes, and the {@link RequestRouter}, and contains no policy of its own. Everything runs
+ * on one event loop; the methods that start, stop and reconfigure the process are called on other
+ * threads.
  */
 public final class SchedulerNode implements Listener.Owner, RequestRouter.ControlPlane {
     private static final Logger LOG = LoggerFactory.getLogger(SchedulerNode.class);
 
-    /** Descriptors that clients, and connections to instances, may hold, in parts of all. */
+    /**
+     * The fractions of the process's file descriptors that client connections and connections to
+     * instances may use.
+     */
     private static final double CLIENT_DESCRIPTOR_FRACTION = 0.6;
 
     private static final double INSTANCE_DESCRIPTOR_FRACTION = 0.25;
 
-    /** Connecting to an instance may take this part of a heartbeat interval. */
+    /** The time-out for connecting to an instance, in heartbeat intervals. */
     private static final double CONNECT_TIMEOUT_HEARTBEATS = 0.25;
 
-    /** Idle connections to instances are kept so long at the most, in milliseconds. */
+    /** How long idle connections to instances are kept, in milliseconds. */
     private static final double POOL_IDLE_TIMEOUT_MS = 10_000;
 
-    /** After SIGTERM clients come for so many heartbeat intervals more. */
+    /** How long new clients are still expected after SIGTERM, in heartbeat intervals. */
     private static final double LATE_CLIENT_HEARTBEATS = 2;
 
-    /** The process ends within this part of the grace period, whatever is in hand. */
+    /** The process exits after this fraction of the grace period, even with requests in flight. */
     private static final double EXIT_GRACE_FRACTION = 0.9;
 
-    /** What is in hand by then is given up, so that its answer is written before the end. */
+    /**
+     * Requests still in flight after this fraction of the grace period are aborted, early enough
+     * for their responses to be written before the exit.
+     */
     private static final double ABORT_GRACE_FRACTION = 0.85;
 
-    /** Looks at whether all has ended, in parts of a heartbeat interval. */
+    /** The interval between checks for the end of draining, in heartbeat intervals. */
     private static final double DRAIN_CHECK_HEARTBEATS = 0.02;
 
     private static final double SUMMARY_INTERVAL_MS = 10_000;
 
-    /** How often the core is told the digest of our copy, in heartbeat intervals. */
+    /**
+     * The interval between reports of the configuration checksum and the held slots to the leader,
+     * in heartbeat intervals.
+     */
     private static final double STATE_REPORT_HEARTBEATS = 4;
 
     private final NodeSettings settings;
@@ -56,13 +67,15 @@
 
     private final ConfigurationSubscriber configuration;
 
-    /** Grants that have come from this leader. */
+    /** Grants received from the current leader. */
     private long grantsReceived;
 
+    /** When draining began, in milliseconds on the loop's clock; NaN before that. */
     private double drainingSince = Double.NaN;
+
     private Runnable onDrained;
 
-    /** Binds the endpoints; an exception says that one of the addresses can't be listened on. */
+    /** Binds the endpoints; throws if one of the addresses can't be bound. */
     public SchedulerNode(NodeSettings settings) throws IOException {
         this.settings = settings;
         loop = new SingleThreadEventLoop();
@@ -80,7 +93,10 @@
         configuration = new ConfigurationSubscriber(new PushListener());
     }
 
-    /** Begins to look for the leader; clients are answered 503 until a configuration has come. */
+    /**
+     * Starts looking for the leader and accepting clients, who get 503 until the first
+     * configuration.
+     */
     public void begin() {
         loop.submit(
                 () -> {
@@ -113,9 +129,12 @@
         loop.schedule(SUMMARY_INTERVAL_MS, this::logSummary);
     }
 
-    // ---- Leaving, settings ----
+    // ---- Shutdown, settings ----
 
-    /** Takes no new clients, answers all that it has, then runs this. */
+    /**
+     * Drains: fails the readiness check, serves clients until they are done or the grace period is
+     * nearly over, then runs the callback on the event loop.
+     */
     public void stop(Runnable onStopped) {
         loop.submit(
                 () -> {
@@ -127,7 +146,7 @@
                 });
     }
 
-    /** Gives back all that the process's end would, where the process goes on. */
+    /** Stops the event loop and releases its resources, for callers that don't exit the process. */
     public void close() {
         loop.stop();
     }
@@ -147,7 +166,7 @@
         if (isPastLateClients && allEnded || mustExit) {
             listener.close();
         }
-        // A client whose accept was under way at the close is seen one look later.
+        // A client whose accept was in progress when the listener closed is seen at the next check.
         if (isPastLateClients && allEnded && !listener.mayAccept() || mustExit) {
             onDrained.run();
         } else {
@@ -155,9 +174,9 @@
         }
     }
 
-    /** The settings file has changed. */
+    /** Applies changed settings; only the addresses of the control nodes can change at run time. */
     public void settings(NodeSettings newSettings) {
-        loop.submit(() -> controlLinks.seeds(newSettings.seeds));
+        loop.submit(() -> controlLinks.setSeeds(newSettings.seeds));
     }
 
     // ---- Clients ----
@@ -180,7 +199,7 @@
         router.accept(channel, earliestArrival);
     }
 
-    // ---- The core ----
+    // ---- Control plane ----
 
     private Messages.Register registration() {
         return new Messages.Register(
@@ -205,7 +224,7 @@
             grantsReceived = 0;
             router.queues().forEach(FunctionQueue::onRegistered);
         } else if (message instanceof Messages.SchedulerCount count) {
-            router.schedulerCount(count.count());
+            router.setSchedulerCount(count.count());
         } else if (message instanceof Messages.ConfigurationPush push) {
             configuration.receive(push);
         } else if (message instanceof Messages.ConfigurationDeltaPush push) {
--- a/src/main/java/gingerspool/dataplane/SlotInventory.java
+++ b/src/main/java/gingerspool/dataplane/SlotInventory.java
@@ -11,8 +11,10 @@
 import java.util.Map;
 
 /**
- * The instances of one function of which a scheduler holds slots, or held some lately, by id and by
- * their number in the Dispatcher. A number is used again once its instance was removed.
+ * The instances of one function at which a scheduler holds slots, or held some recently, by id and
+ * by worker number. A worker number is reused once its instance was removed.
+ *
+ * <p>Used by {@link FunctionQueue} and its parts, on the event loop.
  */
 final class SlotInventory {
     private final FunctionQueue.Environment environment;
@@ -24,7 +26,7 @@
         this.environment = environment;
     }
 
-    /** The instance with this id, or null. */
+    /** The instance with this id; null if it is not known. */
     InstanceSlot find(String instance) {
         return byInstance.get(instance);
     }
@@ -37,7 +39,7 @@
         return byInstance.values();
     }
 
-    /** Adds the instance of a grant, without its slots. */
+    /** Adds the instance of a grant, but not the granted slots. */
     InstanceSlot add(Messages.SlotGrant grant) throws BadMessage {
         var address = Address.read(grant.address());
         Integer free = freeWorkers.poll();
@@ -58,7 +60,7 @@
         return slot;
     }
 
-    /** Forgets an instance of which nothing is held or in use. */
+    /** Removes an instance that has no slots granted or in use. */
     void remove(InstanceSlot slot) {
         byInstance.remove(slot.instance);
         byWorker.set(slot.worker, null);
@@ -66,7 +68,7 @@
         environment.releasePoolIndex(slot.poolIndex);
     }
 
-    /** Slots that requests may take now. */
+    /** The number of slots that requests may use now. */
     int usableSlots() {
         int usable = 0;
         for (InstanceSlot slot : byInstance.values()) {
@@ -79,7 +81,7 @@
         return byInstance.values().stream().anyMatch(slot -> slot.granted > 0);
     }
 
-    /** Whether slots are held of an instance that has started: they fall free again. */
+    /** Whether slots of a started instance are held, which become free again after use. */
     boolean holdsSlotsOfStarted() {
         return byInstance.values().stream().anyMatch(slot -> slot.isUp && slot.granted > 0);
     }
@@ -88,7 +90,7 @@
         return byInstance.values().stream().anyMatch(slot -> slot.isUsable() && slot.granted > 0);
     }
 
-    /** Adds the slots held, by instance, to what other functions have. */
+    /** Adds the slots held, by instance, to those of other functions. */
     void addHoldings(Map<String, Integer> holdings) {
         for (InstanceSlot slot : byInstance.values()) {
             if (slot.granted > 0) {
--- a/src/main/java/gingerspool/dataplane/SlotReturns.java
+++ b/src/main/java/gingerspool/dataplane/SlotReturns.java
@@ -5,18 +5,20 @@
 import java.util.List;
 
 /**
- * Returns slots to the leader: those that stay unused, those that are recalled, and those of
- * instances that can't be used. A slot is kept unused for a while only where the next request is
- * likely to come meanwhile, or one waits at the Dispatcher.
+ * Returns slots to the leader: slots that stay unused, recalled slots, and slots of instances that
+ * can't be used. An unused slot is kept for a while only if the next request is likely to arrive in
+ * that time or one is waiting at the Dispatcher.
+ *
+ * <p>Used by {@link FunctionQueue} and its parts, on the event loop; times are in milliseconds.
  */
 final class SlotReturns {
-    /** How long a slot is kept unused, in heartbeat intervals. */
+    /** How long an unused slot is kept, in heartbeat intervals. */
     private static final double KEEP_HEARTBEATS = 1;
 
-    /** An instance where nothing was held for so many heartbeat intervals is forgotten. */
+    /** An instance without granted slots is removed after this many heartbeat intervals. */
     private static final double REMOVE_HEARTBEATS = 50;
 
-    /** The longest gap between requests that counts, in times that a slot is kept. */
+    /** The longest gap between requests that is counted, in multiples of the keep period. */
     private static final double MAX_GAP_KEEP_PERIODS = 8;
 
     private final FunctionQueue.Environment environment;
@@ -26,6 +28,8 @@
     private final ArrivalGap arrivalGap;
     private final double keepPeriod;
     private final double removeAfter;
+
+    /** Slots that the leader has recalled and that have not been returned yet. */
     private int recalledSlots;
 
     SlotReturns(
@@ -47,17 +51,19 @@
         arrivalGap.onArrival(now);
     }
 
-    /** The leader wants so many slots back as they fall free. */
+    /** The leader recalls slots, to be returned as they become free. */
     void onRecall(int slots) {
         recalledSlots += slots;
     }
 
-    /** A new leader has recalled nothing yet. */
+    /** Forgets the recalls of the previous leader. */
     void reset() {
         recalledSlots = 0;
     }
 
-    /** Returns what is kept for nothing or recalled, and forgets instances that are of no use. */
+    /**
+     * Returns slots that are no longer kept or were recalled, and removes instances without use.
+     */
     void returnUnused(double now) {
         for (InstanceSlot slot : List.copyOf(inventory.all())) {
             int unused = slot.unusedSlots();
@@ -77,7 +83,10 @@
         return now < slot.idleSince + keepPeriod && isLikelyUsed && !slot.isDraining;
     }
 
-    /** Guards against instances that pile up: the leader may never name one again that is gone. */
+    /**
+     * Guards against an accumulation of instances: the leader may never mention an instance again
+     * once it is gone.
+     */
     private boolean isRemovable(InstanceSlot slot, double now) {
         return slot.granted == 0
                 && slot.inUse == 0
@@ -86,7 +95,10 @@
                 && (slot.isDraining || now > slot.idleSince + removeAfter);
     }
 
-    /** Returns slots of an instance, perhaps none; without a leader they stay here. */
+    /**
+     * Returns slots of an instance and reports its condition; with 0 slots only the condition.
+     * Without a leader the slots are kept.
+     */
     void returnSlots(InstanceSlot slot, int slots, InstanceCondition condition) {
         if (environment.sendToLeader(new Messages.SlotReturn(slot.instance, slots, condition))) {
             slot.granted -= slots;
--- a/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
+++ b/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
@@ -273,7 +273,7 @@
                 network.at(network.now() + network.chance.nextInt(1500), this::leads);
             }
             case 1 -> toScheduler(term, () -> receive(new Messages.SlotRecall(FUNCTION, 1)));
-            case 2 -> router.schedulerCount(1 + network.chance.nextInt(4));
+            case 2 -> router.setSchedulerCount(1 + network.chance.nextInt(4));
             case 3 -> {
                 if (leaves && network.now() > 1_000_000 + SPAN * 0.7) {
                     router.startDraining();
