--- a/src/main/java/gingerspool/dataplane/FunctionQueue.java
+++ b/src/main/java/gingerspool/dataplane/FunctionQueue.java
@@ -416,7 +416,7 @@
                     InstanceProtocol.forwardedFields(failure),
                     failure.body());
         } else {
-            byte[] message = InstanceProtocol.utf8("no complete response from an instance");
+            byte[] message = InstanceProtocol.utf8("no whole answer came");
             environment.answer(request, BAD_GATEWAY, List.of(), message);
         }
     }
@@ -431,6 +431,6 @@
                 request,
                 UNAVAILABLE,
                 List.of("Retry-After: " + seconds),
-                InstanceProtocol.utf8("no instance available in time"));
+                InstanceProtocol.utf8("no instance in time"));
     }
 }
--- a/src/main/java/gingerspool/dataplane/RequestRouter.java
+++ b/src/main/java/gingerspool/dataplane/RequestRouter.java
@@ -269,7 +269,7 @@
         receivedCount++;
         if (routes == null) {
             refusedCount++;
-            from.answer(503, List.of(RETRY_SOON), "no configuration received yet");
+            from.answer(503, List.of(RETRY_SOON), "no configuration here yet");
             return;
         }
         String host = request.field("host");
@@ -280,9 +280,7 @@
             from.answer(
                     route == null ? 404 : 400,
                     List.of(),
-                    route == null
-                            ? "no route matches this host and path"
-                            : "Request-Id header is missing");
+                    route == null ? "no such route" : "no Request-Id");
             return;
         }
         admit(from, request, route, id);
@@ -324,7 +322,7 @@
     }
 
     private void onExpired(PendingRequest request) {
-        abort(request, 504, "request timed out");
+        abort(request, 504, "out of time");
     }
 
     /**
@@ -342,7 +340,7 @@
      * closed without a response.
      */
     void abortAll() {
-        List.copyOf(pending).forEach(request -> abort(request, 502, "scheduler is shutting down"));
+        List.copyOf(pending).forEach(request -> abort(request, 502, "the scheduler ends"));
     }
 
     @Override
