--- a/src/main/java/gingerspool/dataplane/ArrivalGap.java
+++ b/src/main/java/gingerspool/dataplane/ArrivalGap.java
@@ -14,8 +14,8 @@
     private double lastArrivalAt = Double.NEGATIVE_INFINITY;
 
     /** Gaps longer than `maxGap` ms count as `maxGap`. */
-    ArrivalGap(double longest) {
-        this.maxGap = longest;
+    ArrivalGap(double maxGap) {
+        this.maxGap = maxGap;
     }
 
     void onArrival(double now) {
--- a/src/main/java/gingerspool/dataplane/ControlLinks.java
+++ b/src/main/java/gingerspool/dataplane/ControlLinks.java
@@ -31,16 +31,16 @@
     private static final Logger LOG = LoggerFactory.getLogger(ControlLinks.class);
 
     /** The interval between heartbeats sent to the control nodes, in heartbeat intervals. */
-    private static final double SEND_INTERVAL_HEARTBEATS = 0.5;
+    private static final double SEND_HEARTBEATS = 0.5;
 
     /** A link is closed after this long without any message, in heartbeat intervals. */
-    private static final double SILENCE_TIMEOUT_HEARTBEATS = 1.25;
+    private static final double SILENCE_HEARTBEATS = 1.25;
 
     /** The connect time-out, in heartbeat intervals. */
-    private static final double CONNECT_TIMEOUT_HEARTBEATS = 0.25;
+    private static final double CONNECT_HEARTBEATS = 0.25;
 
     /** The interval between attempts to connect, in heartbeat intervals. */
-    private static final double RETRY_INTERVAL_HEARTBEATS = 0.1;
+    private static final double RETRY_HEARTBEATS = 0.1;
 
     private final EventLoop loop;
     private final NodeSettings settings;
@@ -117,9 +117,7 @@
         return leader != null
                         && loop.now()
                                 < leader.lastReceivedAt
-                                        + settings.heartbeatInterval
-                                                * SILENCE_TIMEOUT_HEARTBEATS
-                                                / 2
+                                        + settings.heartbeatInterval * SILENCE_HEARTBEATS / 2
                 ? 0
                 : loop.now() - lastLeaderAt;
     }
@@ -149,9 +147,7 @@
         for (String ip : neededIps) {
             Link link = links.computeIfAbsent(ip, Link::new);
             if (link.frames == null
-                    && now
-                            >= link.attemptedAt
-                                    + RETRY_INTERVAL_HEARTBEATS * settings.heartbeatInterval) {
+                    && now >= link.attemptedAt + RETRY_HEARTBEATS * settings.heartbeatInterval) {
                 connect(link, now);
             }
         }
@@ -159,7 +155,7 @@
             if (link.isUp
                     && now
                             > link.lastReceivedAt
-                                    + SILENCE_TIMEOUT_HEARTBEATS * settings.heartbeatInterval) {
+                                    + SILENCE_HEARTBEATS * settings.heartbeatInterval) {
                 link.frames.close();
             } else if (!neededIps.contains(link.ip) && leader != null && link != leader) {
                 if (link.frames != null) {
@@ -168,7 +164,7 @@
                 links.remove(link.ip);
             }
         }
-        loop.schedule(RETRY_INTERVAL_HEARTBEATS * settings.heartbeatInterval, this::maintainLinks);
+        loop.schedule(RETRY_HEARTBEATS * settings.heartbeatInterval, this::maintainLinks);
     }
 
     private void connect(Link link, double now) {
@@ -178,7 +174,7 @@
                     Frames.open(
                             loop,
                             new InetSocketAddress(link.ip, settings.internalPort),
-                            CONNECT_TIMEOUT_HEARTBEATS * settings.heartbeatInterval,
+                            CONNECT_HEARTBEATS * settings.heartbeatInterval,
                             this);
         } catch (IOException e) {
             LOG.warn("core.link_failed to={} why=\"{}\"", link.ip, e.getMessage());
@@ -190,7 +186,7 @@
         links.values().stream()
                 .filter(link -> link.isUp)
                 .forEach(link -> link.frames.send(heartbeat));
-        loop.schedule(SEND_INTERVAL_HEARTBEATS * settings.heartbeatInterval, this::sendHeartbeats);
+        loop.schedule(SEND_HEARTBEATS * settings.heartbeatInterval, this::sendHeartbeats);
     }
 
     private Link findLink(Frames frames) {
@@ -261,9 +257,9 @@
     }
 
     /**
-     * This member is the leader. Registers with it unless a registration on this link is
-     * unanswered; then the link may have to be closed, as only a new link allows another
-     * registration.
+     * Registers with this member as the leader unless that was done. While an earlier registration
+     * on the link is unanswered, the link is closed instead if the term is newer or the answer
+     * overdue.
      */
     private void onLeader(Link link, boolean isNewer) {
         if (link == registering && !isNewer && leader == link) {
@@ -273,8 +269,7 @@
             forgetLeader();
             register(link);
         } else if (isNewer
-                || loop.now()
-                        > registeringAt + RETRY_INTERVAL_HEARTBEATS * settings.heartbeatInterval) {
+                || loop.now() > registeringAt + RETRY_HEARTBEATS * settings.heartbeatInterval) {
             // Guards the slot counts: the answer to the first registration would be taken for the
             // answer to the second, and grants between the two would be counted by one side only.
             link.frames.close();
--- a/src/main/java/gingerspool/dataplane/DemandReporter.java
+++ b/src/main/java/gingerspool/dataplane/DemandReporter.java
@@ -54,7 +54,7 @@
         arrivalCount++;
     }
 
-    /** Slots of a started instance were granted, which the leader deducts from the missing ones. */
+    /** Slots of a started instance were granted, so as many fewer are missing. */
     void onGrant(int slots) {
         grantedSlots += slots;
         reportedMissing = Math.max(0, reportedMissing - slots);
--- a/src/main/java/gingerspool/dataplane/FunctionQueue.java
+++ b/src/main/java/gingerspool/dataplane/FunctionQueue.java
@@ -32,7 +32,7 @@
  */
 final class FunctionQueue implements DispatchActions, AttemptRunner.Listener {
     /** How often waiting requests and unused slots are checked, in heartbeat intervals. */
-    private static final double CHECK_INTERVAL_HEARTBEATS = 0.02;
+    private static final double CHECK_HEARTBEATS = 0.02;
 
     /**
      * How long there must be no leader before an unassigned slot may be used, in heartbeat
@@ -84,7 +84,7 @@
     private final SlotReturns returns;
     private final DemandReporter demand;
     private final InstanceConnector connector;
-    private final QueueDeadline deadline;
+    private final QueueDeadline queueDeadline;
     private final AttemptRunner attempts;
     private final UnassignedSlots unassigned;
     private Service service;
@@ -99,7 +99,7 @@
         this.environment = environment;
         loop = environment.loop();
         NodeSettings settings = environment.settings();
-        checkInterval = CHECK_INTERVAL_HEARTBEATS * settings.heartbeatInterval;
+        checkInterval = CHECK_HEARTBEATS * settings.heartbeatInterval;
         inventory = new SlotInventory(environment);
         long seed = (settings.name + " " + name).hashCode();
         dispatcher = new FunctionDispatcher(environment, inventory, this, seed);
@@ -115,7 +115,7 @@
                         returns,
                         () -> service.getBoot(),
                         this::dispatchWaiting);
-        deadline = new QueueDeadline(inventory, serviceTime, checkInterval);
+        queueDeadline = new QueueDeadline(inventory, serviceTime, checkInterval);
         attempts =
                 new AttemptRunner(
                         environment,
@@ -233,7 +233,7 @@
     }
 
     private void rejectIfTooLate(PendingRequest request, double now) {
-        OptionalDouble retryAfter = deadline.retryAfter(request, now, service.getBoot());
+        OptionalDouble retryAfter = queueDeadline.retryAfter(request, now, service.getBoot());
         if (retryAfter.isPresent()) {
             backlog.remove(request);
             backlog.onRequestEnded();
--- a/src/main/java/gingerspool/dataplane/RequestRouter.java
+++ b/src/main/java/gingerspool/dataplane/RequestRouter.java
@@ -96,13 +96,13 @@
             EventLoop loop,
             NodeSettings settings,
             ConnectionPool pool,
-            ControlPlane control,
-            Runnable whenClosed) {
+            ControlPlane controlPlane,
+            Runnable onConnectionClosed) {
         this.loop = loop;
         this.settings = settings;
         this.pool = pool;
-        this.controlPlane = control;
-        this.onConnectionClosed = whenClosed;
+        this.controlPlane = controlPlane;
+        this.onConnectionClosed = onConnectionClosed;
         recentSchedulerCounts = new SchedulerCount(settings.retryBudgetWindow);
     }
 
--- a/src/main/java/gingerspool/dataplane/SchedulerNode.java
+++ b/src/main/java/gingerspool/dataplane/SchedulerNode.java
@@ -174,7 +174,10 @@
         }
     }
 
-    /** Applies changed settings; only the addresses of the control nodes can change at run time. */
+    /**
+     * Applies changed settings; only the addresses of the control nodes take effect without a
+     * restart.
+     */
     public void settings(NodeSettings newSettings) {
         loop.submit(() -> controlLinks.setSeeds(newSettings.seeds));
     }
