--- a/src/main/java/gingerspool/dataplane/ArrivalGap.java
+++ b/src/main/java/gingerspool/dataplane/ArrivalGap.java
@@ -1,26 +1,30 @@
 package gingerspool.dataplane;
 
-/** The mean gap between a function's requests lately, in milliseconds. */
+/**
+ * The mean time between recent requests of a function, in milliseconds. Used by {@link
+ * SlotReturns}.
+ */
 final class ArrivalGap {
-    private static final int SAMPLES = 8;
+    /** A new gap has a weight of at least 1 / MAX_SAMPLES. */
+    private static final int MAX_SAMPLES = 8;
 
-    private final double longest;
+    private final double maxGap;
     private double mean;
-    private int gaps;
-    private double arrivedAt = Double.NEGATIVE_INFINITY;
+    private int gapCount;
+    private double lastArrivalAt = Double.NEGATIVE_INFINITY;
 
-    /** A longer gap counts as this one. */
-    ArrivalGap(double longest) {
-        this.longest = longest;
+    /** Gaps longer than `maxGap` ms count as `maxGap`. */
+    ArrivalGap(double maxGap) {
+        this.maxGap = maxGap;
     }
 
     void onArrival(double now) {
-        double gap = Math.min(now - arrivedAt, longest);
-        mean += (gap - mean) / Math.min(++gaps, SAMPLES);
-        arrivedAt = now;
+        double gap = Math.min(now - lastArrivalAt, maxGap);
+        mean += (gap - mean) / Math.min(++gapCount, MAX_SAMPLES);
+        lastArrivalAt = now;
     }
 
-    /** The mean, 0 before the first request. */
+    /** The mean; 0 before the first request. */
     double mean() {
         return mean;
     }
--- a/src/main/java/gingerspool/dataplane/Attempt.java
+++ b/src/main/java/gingerspool/dataplane/Attempt.java
@@ -8,22 +8,29 @@
 import gingerspool.wire.RequestSafeguard;
 import java.util.concurrent.Future;
 
-/** One assignment under way to an instance. The first of its possible ends counts. */
+/**
+ * One attempt to run a request at an instance, made for one assignment of the Dispatcher. It has
+ * several possible ends (response, broken connection, cancellation); only the first one counts.
+ * Created by {@link AttemptRunner} and used on the event loop.
+ */
 final class Attempt implements Outbound.Caller {
-    /** Who is told how it ended; the answer is null where there is none of ours. */
+    /** Notified once when the attempt has ended; the answer is null if none was received for it. */
     interface Owner {
-        void ended(Attempt attempt, Outcome how, Message answer);
+        void onAttemptEnded(Attempt attempt, Outcome outcome, Message answer);
     }
 
     final Assignment assignment;
-    final PendingRequest pending;
+    final PendingRequest request;
     final InstanceSlot slot;
+
+    /** In milliseconds on the loop's clock. */
     final double sentAt;
+
     private final EventLoop loop;
     private final Owner owner;
     private Outbound connection;
-    private Future<?> alarm;
-    private Outcome how;
+    private Future<?> timeoutTimer;
+    private Outcome outcome;
 
     Attempt(Assignment assignment, InstanceSlot slot, EventLoop loop, Owner owner) {
         this.assignment = assignment;
@@ -31,57 +38,67 @@
         this.loop = loop;
         sentAt = loop.now();
         this.owner = owner;
-        pending = (PendingRequest) assignment.task;
+        request = (PendingRequest) assignment.task;
     }
 
-    void begin(Outbound on, byte[] request, Future<?> timer) {
-        connection = on;
-        alarm = timer;
-        on.ask(request, 0, this);
+    /** Sends the request on a connection; the timer, which may be null, is cancelled at the end. */
+    void begin(Outbound outbound, byte[] encodedRequest, Future<?> timer) {
+        connection = outbound;
+        timeoutTimer = timer;
+        outbound.ask(encodedRequest, 0, this);
     }
 
     boolean neverRan() {
-        return how != null && how.neverRan();
+        return outcome != null && outcome.neverRan();
     }
 
-    /** Whether a byte of it may have been written. */
+    /** Whether any byte of the request may have been written. */
     boolean hasBegun() {
         return connection != null && connection.hasBegun();
     }
 
     boolean isOver() {
-        return how != null;
+        return outcome != null;
     }
 
-    /** Guards against answers that come too late, in the place of ours: the id tells. */
+    /**
+     * Guards against late answers to earlier requests on the same connection: the Request-Id must
+     * match, if there is one.
+     */
     @Override
     public boolean isMine(Message answer) {
         String id = answer.field("request-id");
-        return id == null || id.equals(pending.id) || !loop.has(RequestSafeguard.RESPONSE_ID);
+        return id == null || id.equals(request.id) || !loop.has(RequestSafeguard.RESPONSE_ID);
     }
 
-    /** Guards against answers that are cut: only a length that was told shows that one is whole. */
+    /**
+     * Guards against truncated answers: without a declared length it can't be known whether an
+     * answer is complete.
+     */
     @Override
     public boolean takesUnframed() {
         return false;
     }
 
-    /** Guards the next request: who answers this doubtfully may have more of it under way. */
+    /**
+     * Guards the next request: after a suspect answer more bytes of it may follow, so the
+     * connection is not reused.
+     */
     @Override
     public boolean mayKeep(Message answer) {
-        return !InstanceResponse.isDoubtful(answer, pending.id)
+        return !InstanceProtocol.isSuspect(answer, request.id)
                 || !loop.has(RequestSafeguard.DOUBTFUL_RESPONSE_CLOSES);
     }
 
     @Override
     public void answered(Message answer) {
         connection = null;
-        end(InstanceResponse.outcome(answer, pending.id, loop::has), answer);
+        end(InstanceProtocol.outcome(answer, request.id, loop::has), answer);
     }
 
     @Override
     public void broke(boolean allWritten) {
-        // Only where not a byte was written it is sure that it never ran.
+        // The request is known not to have run only if no byte of it was written.
         boolean begun = hasBegun();
         connection = null;
         end(
@@ -91,33 +108,36 @@
                 null);
     }
 
-    /** Ends it from here: the connection goes, and what the instance does of it is not known. */
-    void giveUp(Outcome as) {
-        if (how != null) {
+    /**
+     * Aborts the attempt and closes its connection. If anything was sent, the attempt ends with
+     * `outcomeIfSent`, as the instance may still run the request.
+     */
+    void abort(Outcome outcomeIfSent) {
+        if (outcome != null) {
             return;
         }
-        Outbound was = connection;
+        Outbound dropped = connection;
         connection = null;
-        boolean begun = was != null && was.hasBegun();
-        if (was != null) {
-            was.drop();
+        boolean begun = dropped != null && dropped.hasBegun();
+        if (dropped != null) {
+            dropped.drop();
         }
-        end(begun ? as : Outcome.MOOT, null);
+        end(begun ? outcomeIfSent : Outcome.MOOT, null);
     }
 
-    /** It could not begin. */
-    void fail() {
+    /** Ends the attempt because no connection to the instance could be opened. */
+    void failUnsent() {
         end(Outcome.UNREACHABLE, null);
     }
 
-    private void end(Outcome as, Message answer) {
-        if (how != null) {
+    private void end(Outcome newOutcome, Message answer) {
+        if (outcome != null) {
             return;
         }
-        how = as;
-        if (alarm != null) {
-            alarm.cancel(false);
+        outcome = newOutcome;
+        if (timeoutTimer != null) {
+            timeoutTimer.cancel(false);
         }
-        owner.ended(this, as, answer);
+        owner.onAttemptEnded(this, newOutcome, answer);
     }
 }
--- a/src/main/java/gingerspool/dataplane/AttemptRunner.java
+++ b/src/main/java/gingerspool/dataplane/AttemptRunner.java
@@ -9,25 +9,30 @@
 import java.io.IOException;
 
 /**
- * Carries out the Dispatcher's assignments: sends each to its instance, and tells of its end the
- * slots' books, the leader and the Dispatcher, in this order.
+ * Carries out the Dispatcher's assignments: sends each to its instance. When an attempt ends,
+ * updates the slot counts, returns slots to the leader where needed, and notifies the Dispatcher,
+ * in this order.
+ *
+ * <p>Used by {@link FunctionQueue} on the event loop.
  */
 final class AttemptRunner implements Attempt.Owner {
-    /** What was given up may run on for so many service times. */
+    /** A request whose attempt was abandoned may keep running for this many mean service times. */
     private static final double UNCERTAIN_SERVICE_TIMES = 3;
 
-    /** So many attempts of a request that reached no instance don't count by its route. */
-    private static final int UNREACHED_MOST = 3;
+    /**
+     * The number of attempts that reached no instance and don't count against the route's maximum.
+     */
+    private static final int MAX_UNCOUNTED_ATTEMPTS = 3;
 
-    /** Who is told what follows. */
+    /** Notified of the results of attempts. */
     interface Listener {
-        /** A request has the answer of an instance, its first one. */
+        /** The first successful answer to a request was received. */
         void onAnswer(PendingRequest request, Message answer);
 
-        /** A slot taken without a leader was rejected. */
+        /** An instance rejected a request that used an unassigned slot. */
         void onUnassignedRejected();
 
-        /** Slots may have fallen free. */
+        /** Slots may have become free. */
         void onSlotsChanged();
     }
 
@@ -62,7 +67,7 @@
         loop = environment.loop();
     }
 
-    /** Requests that instances rejected as too many, since the start. */
+    /** Requests that instances have rejected because they were at capacity, since the start. */
     int rejections() {
         return rejections;
     }
@@ -73,30 +78,33 @@
         Attempt attempt = new Attempt(assignment, slot, loop, this);
         request.attempts.add(attempt);
         slot.inUse++;
-        backlog.attemptBegan(request);
+        backlog.onAttemptStarted(request);
         String instance = loop.has(RequestSafeguard.EXPECTED_INSTANCE) ? slot.instance : null;
         try {
             attempt.begin(
                     environment.pool().take(slot.poolIndex, slot.address),
-                    InstanceResponse.request(
+                    InstanceProtocol.encodeRequest(
                             request.request, instance, request.expiry - loop.now()),
                     null);
         } catch (IOException e) {
-            loop.execute(attempt::fail);
+            loop.execute(attempt::failUnsent);
         }
     }
 
-    /** Not at once: the Dispatcher is in the middle of its rules. */
+    /**
+     * Aborts the attempt of an assignment in a later turn of the loop, as the Dispatcher calls this
+     * while it is still applying its rules.
+     */
     void cancel(Assignment assignment) {
         PendingRequest request = (PendingRequest) assignment.task;
-        loop.execute(() -> request.attempts.get(assignment.number).giveUp(Outcome.CANCELLED));
+        loop.execute(() -> request.attempts.get(assignment.number).abort(Outcome.CANCELLED));
     }
 
     @Override
-    public void ended(Attempt attempt, Outcome outcome, Message answer) {
+    public void onAttemptEnded(Attempt attempt, Outcome outcome, Message answer) {
         double now = loop.now();
         InstanceSlot slot = attempt.slot;
-        PendingRequest request = attempt.pending;
+        PendingRequest request = attempt.request;
         slot.inUse--;
         slot.idleSince = now;
         boolean isOver = request.ended();
@@ -110,22 +118,24 @@
             request.failure = answer != null ? answer : request.failure;
             onFailure(slot, outcome, answer, request);
         }
-        backlog.attemptEnds(request);
+        backlog.onAttemptEnding(request);
         dispatcher.publishSlots(slot);
-        dispatcher.ended(attempt.assignment, outcome, isOver);
+        dispatcher.onAttemptEnded(attempt.assignment, outcome, isOver);
         listener.onSlotsChanged();
     }
 
     private void onFailure(
             InstanceSlot slot, Outcome outcome, Message answer, PendingRequest request) {
-        boolean isOther = answer != null && answer.status() == InstanceResponse.OTHER_INSTANCE;
+        boolean isOtherInstance =
+                answer != null && answer.status() == InstanceProtocol.OTHER_INSTANCE;
         if (outcome == Outcome.RESET || outcome == Outcome.CANCELLED) {
             markUncertain(slot, request);
-        } else if (outcome == Outcome.UNREACHABLE || isOther) {
+        } else if (outcome == Outcome.UNREACHABLE || isOtherInstance) {
             environment.pool().empty(slot.poolIndex);
             returns.returnSlots(slot, slot.unusedSlots(), InstanceCondition.UNREACHABLE);
-            if (outcome == Outcome.UNREACHABLE && request.unreachedAttempts < UNREACHED_MOST) {
-                // It was sent to nobody, so it is none of the attempts that its route allows.
+            if (outcome == Outcome.UNREACHABLE
+                    && request.unreachedAttempts < MAX_UNCOUNTED_ATTEMPTS) {
+                // It was not sent, so it doesn't count against the attempts that the route allows.
                 request.unreachedAttempts++;
                 request.terms = terms.of(request);
             }
@@ -134,12 +144,15 @@
         }
     }
 
-    /** Guards the limit of slots: what was given up may run on for a while. */
+    /**
+     * Guards the slot limit: an abandoned request may keep running, so its slot stays out of use
+     * until it should have finished.
+     */
     private void markUncertain(InstanceSlot slot, PendingRequest request) {
-        double runsOn = UNCERTAIN_SERVICE_TIMES * Math.max(serviceTime.mean(), 1);
+        double maxRemainingRun = UNCERTAIN_SERVICE_TIMES * Math.max(serviceTime.mean(), 1);
         slot.uncertain++;
         loop.schedule(
-                Math.max(1, Math.min(request.expiry - loop.now(), runsOn)),
+                Math.max(1, Math.min(request.expiry - loop.now(), maxRemainingRun)),
                 () -> {
                     slot.uncertain--;
                     slot.idleSince = loop.now();
@@ -148,6 +161,7 @@
                 });
     }
 
+    /** The instance was at capacity: returns a slot to the leader, or forgets an unassigned one. */
     private void onRejected(InstanceSlot slot) {
         rejections++;
         if (slot.isUnassigned) {
--- a/src/main/java/gingerspool/dataplane/ControlLinks.java
+++ b/src/main/java/gingerspool/dataplane/ControlLinks.java
@@ -20,96 +20,110 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A scheduler's links to the control nodes, on the event loop: one to each member, messages only
- * with the leader. Invariant: a registration is sent once on a link, and again on a new link only.
+ * A scheduler's links to the control nodes: one to each member, though messages other than
+ * heartbeats and announcements are exchanged only with the leader. Finds the leader, registers with
+ * it and passes its messages on. Invariant: a registration whose answer is outstanding is not
+ * repeated on the same link, only on a new one.
+ *
+ * <p>Created by {@link SchedulerNode}; all calls are made on its event loop.
  */
 final class ControlLinks implements Frames.Owner {
     private static final Logger LOG = LoggerFactory.getLogger(ControlLinks.class);
 
-    /** The pause between two heartbeats of ours, in heartbeat intervals. */
+    /** The interval between heartbeats sent to the control nodes, in heartbeat intervals. */
     private static final double SEND_HEARTBEATS = 0.5;
 
-    /** A link is closed after so long a silence, in heartbeat intervals. */
+    /** A link is closed after this long without any message, in heartbeat intervals. */
     private static final double SILENCE_HEARTBEATS = 1.25;
 
-    /** How long connecting may take, in heartbeat intervals. */
+    /** The connect time-out, in heartbeat intervals. */
     private static final double CONNECT_HEARTBEATS = 0.25;
 
-    /** The pause between two attempts to connect, in heartbeat intervals. */
+    /** The interval between attempts to connect, in heartbeat intervals. */
     private static final double RETRY_HEARTBEATS = 0.1;
 
     private final EventLoop loop;
     private final NodeSettings settings;
     private final Supplier<Messages.Register> registration;
-    private final Consumer<Object> messages;
+    private final Consumer<Object> messageHandler;
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
     private final Map<String, Link> links = new HashMap<>();
     private Set<String> members = new LinkedHashSet<>();
     private List<InetSocketAddress> seeds;
 
-    /** The link to the leader that has taken this scheduler on, and the one that was asked to. */
+    /** The link to the leader that has confirmed the registration; null if there is none. */
     private Link leader;
 
+    /** The link on which the last registration was sent; null if there is none. */
     private Link registering;
+
+    /** When the last registration was sent, in milliseconds on the loop's clock. */
     private double registeringAt;
+
+    /** The highest term that a member has announced. */
     private long term;
-    private double ledAt;
 
+    /** When the leader was last heard from, or when these links were created. */
+    private double lastLeaderAt;
+
+    /** The link to one member. The frames are null while it is not connected or connecting. */
     private static final class Link {
         final String ip;
         Frames frames;
         boolean isUp;
-        double heardAt;
+        double lastReceivedAt;
         double attemptedAt = Double.NEGATIVE_INFINITY;
 
-        /** A registration went out on it that has no answer yet. */
-        boolean isUnanswered;
+        /** Whether a registration was sent on it and has not been answered yet. */
+        boolean isRegistrationPending;
 
         Link(String ip) {
             this.ip = ip;
         }
     }
 
-    /** The enrolment is made anew for each leader; words are those of the leader. */
+    /**
+     * The registration is built anew for each leader; the handler receives the leader's messages.
+     */
     ControlLinks(
             EventLoop loop,
             NodeSettings settings,
             Supplier<Messages.Register> registration,
-            Consumer<Object> messages) {
+            Consumer<Object> messageHandler) {
         this.loop = loop;
         this.settings = settings;
         this.registration = registration;
-        this.messages = messages;
+        this.messageHandler = messageHandler;
         seeds = settings.seeds;
-        ledAt = loop.now();
+        lastLeaderAt = loop.now();
     }
 
-    void begin() {
+    void start() {
         maintainLinks();
         sendHeartbeats();
     }
 
-    /** Where to look for the core from now on. */
-    void seeds(List<InetSocketAddress> now) {
-        seeds = now;
+    /** Replaces the addresses at which control nodes are looked for while there is no leader. */
+    void setSeeds(List<InetSocketAddress> newSeeds) {
+        seeds = newSeeds;
     }
 
-    boolean isLed() {
+    boolean hasLeader() {
         return leader != null;
     }
 
-    /** How long no leader has been known. */
+    /** How long there has been no leader, in milliseconds; 0 if it was heard from recently. */
     double leaderlessFor() {
         return leader != null
                         && loop.now()
-                                < leader.heardAt
+                                < leader.lastReceivedAt
                                         + settings.heartbeatInterval * SILENCE_HEARTBEATS / 2
                 ? 0
-                : loop.now() - ledAt;
+                : loop.now() - lastLeaderAt;
     }
 
-    /** Tells the leader; false where there is none. */
-    boolean tellLeader(Object message) {
+    /** Sends a message to the leader; returns false if there is no leader. */
+    boolean sendToLeader(Object message) {
         if (leader == null) {
             return false;
         }
@@ -117,26 +131,33 @@
         return true;
     }
 
+    /**
+     * Opens the links that are needed, closes silent or obsolete ones, and schedules the next
+     * check.
+     */
     private void maintainLinks() {
         double now = loop.now();
         if (leader != null) {
-            ledAt = Math.max(ledAt, leader.heardAt);
+            lastLeaderAt = Math.max(lastLeaderAt, leader.lastReceivedAt);
         }
-        Set<String> needed = new LinkedHashSet<>(members);
+        Set<String> neededIps = new LinkedHashSet<>(members);
         if (leader == null) {
-            seeds.forEach(a -> needed.add(a.getAddress().getHostAddress()));
+            seeds.forEach(seed -> neededIps.add(seed.getAddress().getHostAddress()));
         }
-        for (String ip : needed) {
+        for (String ip : neededIps) {
             Link link = links.computeIfAbsent(ip, Link::new);
             if (link.frames == null
                     && now >= link.attemptedAt + RETRY_HEARTBEATS * settings.heartbeatInterval) {
-                open(link, now);
+                connect(link, now);
             }
         }
         for (Link link : List.copyOf(links.values())) {
-            if (link.isUp && now > link.heardAt + SILENCE_HEARTBEATS * settings.heartbeatInterval) {
+            if (link.isUp
+                    && now
+                            > link.lastReceivedAt
+                                    + SILENCE_HEARTBEATS * settings.heartbeatInterval) {
                 link.frames.close();
-            } else if (!needed.contains(link.ip) && leader != null && link != leader) {
+            } else if (!neededIps.contains(link.ip) && leader != null && link != leader) {
                 if (link.frames != null) {
                     link.frames.close();
                 }
@@ -146,7 +167,7 @@
         loop.schedule(RETRY_HEARTBEATS * settings.heartbeatInterval, this::maintainLinks);
     }
 
-    private void open(Link link, double now) {
+    private void connect(Link link, double now) {
         link.attemptedAt = now;
         try {
             link.frames =
@@ -168,7 +189,7 @@
         loop.schedule(SEND_HEARTBEATS * settings.heartbeatInterval, this::sendHeartbeats);
     }
 
-    private Link linkOf(Frames frames) {
+    private Link findLink(Frames frames) {
         for (Link link : links.values()) {
             if (link.frames == frames) {
                 return link;
@@ -179,30 +200,30 @@
 
     @Override
     public void up(Frames frames) {
-        Link link = linkOf(frames);
+        Link link = findLink(frames);
         if (link != null) {
             link.isUp = true;
             LOG.info("core.link_up to={}", link.ip);
-            link.heardAt = loop.now();
+            link.lastReceivedAt = loop.now();
             frames.send(codec.write(new Messages.Heartbeat(settings.ip)));
         }
     }
 
     @Override
     public void came(Frames frames, byte[] frame) {
-        Link link = linkOf(frames);
+        Link link = findLink(frames);
         if (link == null) {
             return;
         }
-        link.heardAt = loop.now();
+        link.lastReceivedAt = loop.now();
         try {
             Object message = codec.read(frame);
-            if (message instanceof Messages.LeaderAnnouncement s) {
-                onAnnouncement(link, s);
-            } else if (message instanceof Messages.Registered e) {
-                onRegistered(link, e);
+            if (message instanceof Messages.LeaderAnnouncement announcement) {
+                onAnnouncement(link, announcement);
+            } else if (message instanceof Messages.Registered registered) {
+                onRegistered(link, registered);
             } else if (link == leader) {
-                messages.accept(message);
+                messageHandler.accept(message);
             }
         } catch (MalformedMessageException e) {
             LOG.warn("core.bad_message from={} why=\"{}\"", link.ip, e.getMessage());
@@ -210,10 +231,11 @@
         }
     }
 
-    /** A member says who leads, in which term. */
+    /** A member announces the leader and its term. */
     private void onAnnouncement(Link link, Messages.LeaderAnnouncement announcement) {
         if (announcement.term() < term) {
-            // What an old leader says of others is old; that it leads no more itself is not.
+            // What an old leader announces about others is outdated, but not that it has stopped
+            // leading.
             if (link == registering && !link.ip.equals(announcement.leader())) {
                 forgetLeader();
             }
@@ -225,27 +247,31 @@
         if (link.ip.equals(announcement.leader())) {
             onLeader(link, isNewer);
         } else if (link == registering) {
-            // It leads no more; the next leader tells us itself.
+            // It has stopped leading; the next leader announces itself.
             forgetLeader();
         } else if (isNewer && registering != null && !announcement.leader().isEmpty()) {
-            // Guards against a leader that was deposed and does not know it: what it still grants
-            // may be another's by now.
+            // Guards against a deposed leader that doesn't know it yet: slots that it still grants
+            // may already have been granted to another scheduler.
             forgetLeader();
         }
     }
 
-    /** This member leads: a registration is said once on a link, and again on a new link only. */
+    /**
+     * Registers with this member as the leader unless that was done. While an earlier registration
+     * on the link is unanswered, the link is closed instead if the term is newer or the answer
+     * overdue.
+     */
     private void onLeader(Link link, boolean isNewer) {
         if (link == registering && !isNewer && leader == link) {
             return;
         }
-        if (!link.isUnanswered) {
+        if (!link.isRegistrationPending) {
             forgetLeader();
             register(link);
         } else if (isNewer
                 || loop.now() > registeringAt + RETRY_HEARTBEATS * settings.heartbeatInterval) {
-            // Guards the counts of slots: an answer to the first registration would be taken for
-            // one to the second, with grants between them that only one side counts.
+            // Guards the slot counts: the answer to the first registration would be taken for the
+            // answer to the second, and grants between the two would be counted by one side only.
             link.frames.close();
         }
     }
@@ -253,17 +279,17 @@
     private void register(Link link) {
         registering = link;
         registeringAt = loop.now();
-        link.isUnanswered = true;
+        link.isRegistrationPending = true;
         LOG.info("core.registering at={} term={}", link.ip, term);
         link.frames.send(codec.write(registration.get()));
     }
 
     private void onRegistered(Link link, Messages.Registered answer) {
-        link.isUnanswered = false;
+        link.isRegistrationPending = false;
         if (link == registering && answer.term() >= term) {
             leader = link;
             LOG.info("core.registered by={} term={}", link.ip, answer.term());
-            messages.accept(answer);
+            messageHandler.accept(answer);
         }
     }
 
@@ -274,7 +300,7 @@
 
     @Override
     public void closed(Frames frames) {
-        Link link = linkOf(frames);
+        Link link = findLink(frames);
         if (link == null) {
             return;
         }
@@ -283,7 +309,7 @@
         }
         link.frames = null;
         link.isUp = false;
-        link.isUnanswered = false;
+        link.isRegistrationPending = false;
         if (link == leader || link == registering) {
             forgetLeader();
         }
--- a/src/main/java/gingerspool/dataplane/FunctionQueue.java
+++ b/src/main/java/gingerspool/dataplane/FunctionQueue.java
@@ -18,26 +18,32 @@
 import java.util.OptionalDouble;
 
 /**
- * One function at one scheduler, on the event loop. A request waits in the backlog until a slot is
- * usable; then it is handed to the Dispatcher, which picks the instance and decides on retries. Its
- * end is an answer, a rejection here, or its client's leaving.
+ * The queue of one function at one scheduler. A request waits in the backlog until a slot is
+ * usable. It is then passed to the Dispatcher, which selects the instance and decides on retries. A
+ * request ends with a response, with a rejection by this queue, or when its client disconnects.
  *
- * <p>This class joins the parts and decides nothing: {@link RequestBacklog} owns the requests,
- * {@link SlotInventory} the slots, {@link FunctionDispatcher} the Dispatcher, {@link
- * DemandReporter} what the leader knows; {@link SlotReturns}, {@link InstanceConnector}, {@link
- * QueueDeadline} and {@link AttemptRunner} act on them.
+ * <p>This class connects the parts below and contains no policy of its own: {@link RequestBacklog}
+ * owns the requests, {@link SlotInventory} the slots, {@link FunctionDispatcher} the Dispatcher,
+ * and {@link DemandReporter} the reports to the leader; {@link SlotReturns}, {@link
+ * InstanceConnector}, {@link QueueDeadline} and {@link AttemptRunner} act on them.
+ *
+ * <p>{@link RequestRouter} passes in requests and configurations, {@link SchedulerNode} the
+ * leader's messages. All calls are made on the scheduler's event loop; times are in milliseconds.
  */
 final class FunctionQueue implements DispatchActions, AttemptRunner.Listener {
     /** How often waiting requests and unused slots are checked, in heartbeat intervals. */
     private static final double CHECK_HEARTBEATS = 0.02;
 
-    /** Without a leader for so many heartbeat intervals an unassigned slot may be used. */
+    /**
+     * How long there must be no leader before an unassigned slot may be used, in heartbeat
+     * intervals.
+     */
     private static final double LEADERLESS_HEARTBEATS = 0.5;
 
     private static final int BAD_GATEWAY = 502;
     private static final int UNAVAILABLE = 503;
 
-    /** What a queue needs of the scheduler round it. */
+    /** The services of the scheduler that a queue uses. */
     interface Environment {
         EventLoop loop();
 
@@ -45,27 +51,31 @@
 
         NodeSettings settings();
 
-        /** Schedulers that share the retry budget, this one included. */
-        int schedulers();
+        /** The number of schedulers that share the platform's limits, including this one. */
+        int schedulerCount();
 
-        /** Sends the leader a message, or returns false where there is none. */
-        boolean tellLeader(Object message);
+        /** Sends a message to the leader; returns false if there is no leader. */
+        boolean sendToLeader(Object message);
 
-        /** How long there has been no leader, in milliseconds. */
+        /** How long there has been no leader, in milliseconds; 0 if there is one. */
         double leaderlessFor();
 
-        /** A number in the pool of connections that no other instance has. */
-        int takePoolIndex();
+        /** Allocates an index in the connection pool that no other instance uses. */
+        int allocatePoolIndex();
 
-        void leavePoolIndex(int poolIndex);
+        /** Closes the connections of this index and makes it available to another instance. */
+        void releasePoolIndex(int poolIndex);
 
-        /** Answers the client for good. */
+        /** Sends the client the only response to its request. */
         void answer(PendingRequest request, int status, List<String> fields, byte[] body);
     }
 
     private final Environment environment;
     private final EventLoop loop;
+
+    /** In milliseconds. */
     private final double checkInterval;
+
     private final RequestBacklog backlog = new RequestBacklog();
     private final MeanServiceTime serviceTime = new MeanServiceTime();
     private final SlotInventory inventory;
@@ -74,14 +84,14 @@
     private final SlotReturns returns;
     private final DemandReporter demand;
     private final InstanceConnector connector;
-    private final QueueDeadline deadline;
+    private final QueueDeadline queueDeadline;
     private final AttemptRunner attempts;
     private final UnassignedSlots unassigned;
     private Service service;
     private RouteProfiles profiles = RouteProfiles.NONE;
 
-    /** Whether the profiles have changed since the Dispatcher was made. */
-    private boolean isStale;
+    /** Whether the profiles have changed since the Dispatcher was created. */
+    private boolean haveProfilesChanged;
 
     private boolean isCheckScheduled;
 
@@ -100,8 +110,12 @@
         demand = new DemandReporter(environment, name, backlog, inventory, serviceTime);
         connector =
                 new InstanceConnector(
-                        environment, dispatcher, returns, () -> service.getBoot(), this::serve);
-        deadline = new QueueDeadline(inventory, serviceTime, checkInterval);
+                        environment,
+                        dispatcher,
+                        returns,
+                        () -> service.getBoot(),
+                        this::dispatchWaiting);
+        queueDeadline = new QueueDeadline(inventory, serviceTime, checkInterval);
         attempts =
                 new AttemptRunner(
                         environment,
@@ -116,22 +130,26 @@
 
     // ---- Configuration ----
 
-    /** The configuration as it now stands; the routes are those that lead here. */
-    void configured(Service newService, List<Route> routes) {
+    /** Applies a new configuration; the routes are those that lead to this function. */
+    void onConfiguration(Service newService, List<Route> routes) {
         service = newService;
-        RouteProfiles wanted = RouteProfiles.of(routes, loop::has);
-        if (!wanted.isSameAs(profiles)) {
-            profiles = wanted;
-            isStale = true;
+        RouteProfiles newProfiles = RouteProfiles.of(routes, loop::has);
+        if (!newProfiles.hasSameProfilesAs(profiles)) {
+            profiles = newProfiles;
+            haveProfilesChanged = true;
         }
         renewDispatcher();
     }
 
-    /** Guards requests in flight: their Dispatcher is replaced only when it holds none. */
+    /**
+     * Creates the Dispatcher, or replaces it after a change of the profiles. Guards the requests in
+     * flight: the Dispatcher is replaced only while there are none.
+     */
     private void renewDispatcher() {
-        boolean isNeeded = !dispatcher.isMade() || isStale && backlog.inFlight() == 0;
+        boolean isNeeded =
+                !dispatcher.isCreated() || haveProfilesChanged && backlog.inFlight() == 0;
         if (isNeeded) {
-            isStale = false;
+            haveProfilesChanged = false;
             terms.renew(profiles);
             dispatcher.renew(profiles, service.getBoot());
         }
@@ -139,8 +157,8 @@
 
     // ---- Requests ----
 
-    /** A request has arrived. */
-    void take(PendingRequest request) {
+    /** Adds a request that has arrived and dispatches it if a slot is usable. */
+    void enqueue(PendingRequest request) {
         double now = loop.now();
         if (backlog.inFlight() == 0) {
             renewDispatcher();
@@ -149,32 +167,35 @@
         demand.onArrival();
         unassigned.onArrival(now);
         backlog.add(request);
-        serve();
+        dispatchWaiting();
     }
 
-    /** The client has gone, or its time is over. */
-    void leave(PendingRequest request) {
+    /** Drops a request whose client has disconnected or whose time has expired. */
+    void discard(PendingRequest request) {
         if (request.isDispatched) {
-            dispatcher.left(request);
-            withdrawUnsent(request);
+            dispatcher.onDiscarded(request);
+            cancelUnsent(request);
         } else {
             backlog.remove(request);
         }
-        backlog.ended();
-        serve();
+        backlog.onRequestEnded();
+        dispatchWaiting();
     }
 
-    /** What was not sent yet never will be: so it is sure not to have run there. */
-    private static void withdrawUnsent(PendingRequest request) {
+    /**
+     * Cancels the attempts of which nothing has been sent yet, so that they are known not to have
+     * run.
+     */
+    private static void cancelUnsent(PendingRequest request) {
         for (Attempt attempt : List.copyOf(request.attempts)) {
             if (!attempt.hasBegun()) {
-                attempt.giveUp(Outcome.CANCELLED);
+                attempt.abort(Outcome.CANCELLED);
             }
         }
     }
 
-    /** Hands the Dispatcher the requests for which a slot is usable. */
-    private void serve() {
+    /** Passes waiting requests to the Dispatcher while there are usable slots for them. */
+    private void dispatchWaiting() {
         while (!backlog.isEmpty() && inventory.usableSlots() > backlog.waitingAtDispatcher()) {
             dispatch(backlog.poll());
         }
@@ -187,7 +208,7 @@
         request.isDispatched = true;
         request.profile = profiles.find(request.route, isLate);
         request.terms = terms.of(request);
-        dispatcher.arrived(request);
+        dispatcher.onArrival(request);
     }
 
     // ---- Regular checks ----
@@ -202,7 +223,7 @@
     private void check() {
         isCheckScheduled = false;
         double now = loop.now();
-        backlog.waiting().forEach(request -> rejectIfHopeless(request, now));
+        backlog.waiting().forEach(request -> rejectIfTooLate(request, now));
         useUnassigned(now);
         returns.returnUnused(now);
         demand.reportChanges();
@@ -211,25 +232,29 @@
         }
     }
 
-    private void rejectIfHopeless(PendingRequest request, double now) {
-        OptionalDouble pause = deadline.rejection(request, now, service.getBoot());
-        if (pause.isPresent()) {
+    private void rejectIfTooLate(PendingRequest request, double now) {
+        OptionalDouble retryAfter = queueDeadline.retryAfter(request, now, service.getBoot());
+        if (retryAfter.isPresent()) {
             backlog.remove(request);
-            backlog.ended();
-            reject(request, pause.getAsDouble());
+            backlog.onRequestEnded();
+            reject(request, retryAfter.getAsDouble());
         }
     }
 
-    /** Guards against a leader that is gone: without one, one slot is used as if it were ours. */
+    /**
+     * Guards against the loss of the leader: without one, a slot of a known instance is used as if
+     * it had been granted.
+     */
     private void useUnassigned(double now) {
         double leaderlessFor = environment.leaderlessFor();
-        double patience = LEADERLESS_HEARTBEATS * environment.settings().heartbeatInterval;
+        double leaderlessThreshold =
+                LEADERLESS_HEARTBEATS * environment.settings().heartbeatInterval;
         if (leaderlessFor == 0) {
             unassigned.onLeader();
         }
         if (!backlog.isEmpty()
-                && leaderlessFor >= patience
-                && unassigned.allows(now, environment.schedulers())
+                && leaderlessFor >= leaderlessThreshold
+                && unassigned.allows(now, environment.schedulerCount())
                 && !inventory.holdsUsableSlots()) {
             inventory.all().stream()
                     .filter(slot -> slot.isUsable() && slot.uncertain == 0)
@@ -243,19 +268,19 @@
         slot.isUnassigned = true;
         slot.idleSince = now;
         dispatcher.publishSlots(slot);
-        serve();
+        dispatchWaiting();
     }
 
-    // ---- Messages of the leader ----
+    // ---- Messages from the leader ----
 
-    /** Slots were granted. */
-    void granted(Messages.SlotGrant grant) {
+    /** The leader has granted slots of an instance. */
+    void onGrant(Messages.SlotGrant grant) {
         InstanceSlot slot = inventory.find(grant.instance());
         if (slot == null) {
             try {
                 slot = inventory.add(grant);
             } catch (BadMessage e) {
-                environment.tellLeader(
+                environment.sendToLeader(
                         new Messages.SlotReturn(
                                 grant.instance(), grant.slots(), InstanceCondition.UNREACHABLE));
                 return;
@@ -275,16 +300,19 @@
         if (slot.isUp) {
             dispatcher.publishFreeSlots(slot, grant.grantedSlots());
         }
-        serve();
+        dispatchWaiting();
     }
 
-    /** So many slots are to be returned as they fall free. */
-    void recalled(int slots) {
+    /** The leader asks for this many slots back, to be returned as they become free. */
+    void onRecall(int slots) {
         returns.onRecall(slots);
         returns.returnUnused(loop.now());
     }
 
-    /** Nothing new may go to an instance; false where it is none of this function's. */
+    /**
+     * Stops sending requests to an instance. Returns false if the function doesn't know the
+     * instance.
+     */
     boolean withdraw(String instance) {
         InstanceSlot slot = inventory.find(instance);
         if (slot == null) {
@@ -297,20 +325,20 @@
         return true;
     }
 
-    /** A new leader registered this scheduler: what it grants is counted anew. */
-    void registered() {
+    /** A new leader has registered this scheduler: demand and recalls are counted from zero. */
+    void onRegistered() {
         demand.reset();
         returns.reset();
         demand.reportMissing();
         scheduleCheck();
     }
 
-    /** Adds the slots held, by instance, to what other functions have. */
+    /** Adds the slots that this function holds, by instance. */
     void addHoldings(Map<String, Integer> holdings) {
         inventory.addHoldings(holdings);
     }
 
-    /** Requests that instances rejected as too many, since the start. */
+    /** Requests that instances have rejected because they were at capacity, since the start. */
     int rejections() {
         return attempts.rejections();
     }
@@ -328,8 +356,8 @@
     }
 
     @Override
-    public void bounce(Task task, double pause) {
-        endWithoutAnswer((PendingRequest) task, pause);
+    public void bounce(Task task, double retryAfter) {
+        endWithoutAnswer((PendingRequest) task, retryAfter);
     }
 
     @Override
@@ -339,12 +367,13 @@
 
     @Override
     public void probe(int worker) {
-        throw new IllegalStateException("instances aren't asked for reports");
+        throw new IllegalStateException("instances can't be probed for load reports");
     }
 
     @Override
     public void watchList() {
-        throw new IllegalStateException("the list comes by itself");
+        throw new IllegalStateException(
+                "the list of instances is pushed by the leader and can't be requested");
     }
 
     @Override
@@ -352,47 +381,56 @@
         dispatcher.wakeAfter(span);
     }
 
-    // ---- Ends of requests ----
+    // ---- Completion of requests ----
 
     @Override
     public void onAnswer(PendingRequest request, Message answer) {
-        backlog.ended();
+        backlog.onRequestEnded();
         environment.answer(
-                request, answer.status(), InstanceResponse.fields(answer), answer.body());
+                request, answer.status(), InstanceProtocol.forwardedFields(answer), answer.body());
     }
 
     @Override
     public void onUnassignedRejected() {
-        unassigned.onRejected(loop.now(), environment.schedulers());
+        unassigned.onRejected(loop.now(), environment.schedulerCount());
     }
 
     @Override
     public void onSlotsChanged() {
-        serve();
+        dispatchWaiting();
     }
 
-    /** The Dispatcher has given it up: what may be promised depends on what has run. */
-    private void endWithoutAnswer(PendingRequest request, double pause) {
-        backlog.ended();
+    /**
+     * Ends a request that the Dispatcher has given up. The client is told that the request did not
+     * run only if no attempt can have run; otherwise it gets the failure of an instance, or 502.
+     */
+    private void endWithoutAnswer(PendingRequest request, double retryAfter) {
+        backlog.onRequestEnded();
         Message failure = request.failure;
         if (!request.mayHaveRun()) {
-            reject(request, pause > 0 ? pause : service.getBoot());
-        } else if (InstanceResponse.mayPass(failure, request.id, loop::has)) {
+            reject(request, retryAfter > 0 ? retryAfter : service.getBoot());
+        } else if (InstanceProtocol.mayForward(failure, request.id, loop::has)) {
             environment.answer(
-                    request, failure.status(), InstanceResponse.fields(failure), failure.body());
+                    request,
+                    failure.status(),
+                    InstanceProtocol.forwardedFields(failure),
+                    failure.body());
         } else {
-            byte[] why = InstanceResponse.text("no whole answer came");
-            environment.answer(request, BAD_GATEWAY, List.of(), why);
+            byte[] message = InstanceProtocol.utf8("no whole answer came");
+            environment.answer(request, BAD_GATEWAY, List.of(), message);
         }
     }
 
-    /** It has not run and never will: the client may come back after the pause. */
-    private void reject(PendingRequest request, double pause) {
-        double seconds = Math.max(1, Math.round(pause)) / 1000.0;
+    /**
+     * Rejects a request that has not run and never will; the client may retry after `retryAfter`
+     * ms.
+     */
+    private void reject(PendingRequest request, double retryAfter) {
+        double seconds = Math.max(1, Math.round(retryAfter)) / 1000.0;
         environment.answer(
                 request,
                 UNAVAILABLE,
                 List.of("Retry-After: " + seconds),
-                InstanceResponse.text("no instance in time"));
+                InstanceProtocol.utf8("no instance in time"));
     }
 }
--- a/src/main/java/gingerspool/dataplane/InstanceConnector.java
+++ b/src/main/java/gingerspool/dataplane/InstanceConnector.java
@@ -6,46 +6,52 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Finds out when an instance that starts has come up: connects to it again and again, from about
- * half of its start time on, as the platform's list says so much later. Then the leader is told.
+ * Detects when a starting instance is up, by repeated attempts to connect from about half of its
+ * remaining start-up time on, because the platform's instance list shows it much later. Then
+ * notifies the leader.
+ *
+ * <p>Used by {@link FunctionQueue} on the event loop; times are in milliseconds.
  */
 final class InstanceConnector {
-    /** When the first attempt is made, in parts of the time that the instance still needs. */
-    private static final double FIRST_PART = 0.5;
+    /** When the first attempt is made, as a fraction of the remaining start-up time. */
+    private static final double FIRST_ATTEMPT_FRACTION = 0.5;
 
-    /** The pause between two attempts, in start times. */
-    private static final double PAUSE_START_TIMES = 0.03;
+    /** The interval between attempts, in start-up times. */
+    private static final double RETRY_STARTUP_TIMES = 0.03;
 
-    /** How long after its expected start an instance is given up, in start times. */
-    private static final double GIVE_UP_START_TIMES = 8;
+    /** How long after its expected start an instance is given up, in start-up times. */
+    private static final double GIVE_UP_STARTUP_TIMES = 8;
 
     private final FunctionQueue.Environment environment;
     private final FunctionDispatcher dispatcher;
     private final SlotReturns returns;
-    private final DoubleSupplier startTime;
+    private final DoubleSupplier startupTime;
     private final Runnable onUp;
 
-    /** The start time is the function's; onUp runs after an instance was found to be up. */
+    /**
+     * The supplier gives the start-up time of the function's instances; onUp runs each time that an
+     * instance was found to be up.
+     */
     InstanceConnector(
             FunctionQueue.Environment environment,
             FunctionDispatcher dispatcher,
             SlotReturns returns,
-            DoubleSupplier startTime,
+            DoubleSupplier startupTime,
             Runnable onUp) {
         this.environment = environment;
         this.dispatcher = dispatcher;
         this.returns = returns;
-        this.startTime = startTime;
+        this.startupTime = startupTime;
         this.onUp = onUp;
     }
 
-    /** Slots were granted of an instance that starts within this span. */
+    /** Slots were granted of an instance that is expected to be up in `startsIn` ms. */
     void awaitStart(InstanceSlot slot, double startsIn) {
         slot.startsAt = environment.loop().now() + startsIn;
-        connectAfter(slot, FIRST_PART * startsIn);
+        connectAfter(slot, FIRST_ATTEMPT_FRACTION * startsIn);
     }
 
-    /** The instance has started. */
+    /** The instance is up. */
     void markUp(InstanceSlot slot) {
         if (!slot.isUp) {
             slot.isUp = true;
@@ -72,7 +78,7 @@
         if (slot.isUp || slot.isDraining || slot.granted == 0) {
             return;
         }
-        double giveUpAt = slot.startsAt + GIVE_UP_START_TIMES * startTime.getAsDouble();
+        double giveUpAt = slot.startsAt + GIVE_UP_STARTUP_TIMES * startupTime.getAsDouble();
         if (environment.loop().now() > giveUpAt) {
             returns.returnSlots(slot, slot.granted, InstanceCondition.UNREACHABLE);
             return;
@@ -91,11 +97,11 @@
         slot.isConnecting = false;
         if (isUp) {
             markUp(slot);
-            environment.tellLeader(
+            environment.sendToLeader(
                     new Messages.SlotReturn(slot.instance, 0, InstanceCondition.STARTED));
             onUp.run();
         } else {
-            connectAfter(slot, PAUSE_START_TIMES * startTime.getAsDouble());
+            connectAfter(slot, RETRY_STARTUP_TIMES * startupTime.getAsDouble());
         }
     }
 }
--- a/src/main/java/gingerspool/dataplane/RouteProfiles.java
+++ b/src/main/java/gingerspool/dataplane/RouteProfiles.java
@@ -9,17 +9,20 @@
 import java.util.function.Predicate;
 
 /**
- * The Dispatcher's profiles of one function: for each sort of its routes one for requests in time
- * and one for those past their latency target.
+ * The Dispatcher's profiles for one function. Routes with the same kind, latency target, time-out
+ * and priority share two profiles: one for requests on time and one for requests that will miss the
+ * latency target.
+ *
+ * <p>Immutable but for the profiles' numbers; used by {@link FunctionQueue} on the event loop.
  */
 final class RouteProfiles {
-    /** The expiry of routes without a time-out, in milliseconds. */
+    /** The expiry for routes without a time-out, in milliseconds. */
     private static final double DEFAULT_EXPIRY_MS = 60_000;
 
-    /** The service time to begin with, in parts of the latency target. */
-    private static final double FIRST_SERVICE_TIME_PART = 0.2;
+    /** The initial estimate of the service time, as a fraction of the latency target. */
+    private static final double INITIAL_SERVICE_TIME_FRACTION = 0.2;
 
-    /** The shortest latency target where there are no routes, in milliseconds. */
+    /** The shortest latency target if there are no routes, in milliseconds. */
     private static final double DEFAULT_TARGET_MS = 1000;
 
     static final RouteProfiles NONE = new RouteProfiles(List.of());
@@ -30,7 +33,7 @@
         this.profiles = profiles;
     }
 
-    /** The profiles of the routes that lead to a function. */
+    /** The profiles for the routes that lead to a function. */
     static RouteProfiles of(List<Route> routes, Predicate<RequestSafeguard> has) {
         Map<String, Profile> all = new LinkedHashMap<>();
         for (Route route : routes) {
@@ -51,25 +54,26 @@
         profile.expiry = route.hasTimeout() ? route.getTimeout() : DEFAULT_EXPIRY_MS;
         profile.dueTime = isLate ? profile.expiry : target;
         profile.stretch = 0;
-        profile.work = FIRST_SERVICE_TIME_PART * target;
+        profile.work = INITIAL_SERVICE_TIME_FRACTION * target;
         profile.prio = -route.getPriority();
         profile.effect = mayRepeat ? Profile.Effect.IDEMPOTENT : Profile.Effect.SIDE_EFFECTING;
         return profile;
     }
 
+    /** The unique name of a profile, made of all route settings that matter to the Dispatcher. */
     private static String name(Route route, boolean isLate) {
-        String sort =
+        String routeType =
                 String.join(
                         " ",
                         route.getKind(),
                         String.valueOf(route.getAim()),
                         String.valueOf(route.getTimeout()),
                         String.valueOf(route.getPriority()));
-        return isLate ? sort + " late" : sort;
+        return isLate ? routeType + " late" : routeType;
     }
 
-    /** The profiles, numbered in their order. */
-    Profile[] numbered() {
+    /** The profiles, with their index set. */
+    Profile[] toNumberedArray() {
         Profile[] all = profiles.toArray(new Profile[0]);
         for (int i = 0; i < all.length; i++) {
             all[i].index = i;
@@ -77,31 +81,31 @@
         return all;
     }
 
-    /** The shortest latency target of any. */
+    /** The shortest latency target of all profiles, in milliseconds. */
     double shortestTarget() {
         return profiles.stream().mapToDouble(p -> p.dueTime).min().orElse(DEFAULT_TARGET_MS);
     }
 
     /**
-     * The profile of a request by this route; where there is none of its sort yet, the most careful
-     * one stands in.
+     * The profile for a request on this route. Until the Dispatcher is replaced a new route may
+     * have none; then a side-effecting one is used if there is any, as the most conservative.
      */
     Profile find(Route route, boolean isLate) {
         String name = name(route, isLate);
-        Profile careful = null;
+        Profile fallback = null;
         for (Profile profile : profiles) {
             if (profile.name.equals(name)) {
                 return profile;
             }
-            boolean isMoreCareful =
-                    careful == null || profile.effect == Profile.Effect.SIDE_EFFECTING;
-            careful = isMoreCareful ? profile : careful;
+            boolean isBetterFallback =
+                    fallback == null || profile.effect == Profile.Effect.SIDE_EFFECTING;
+            fallback = isBetterFallback ? profile : fallback;
         }
-        return careful;
+        return fallback;
     }
 
-    /** Whether others mean the same to the Dispatcher. */
-    boolean isSameAs(RouteProfiles other) {
+    /** Whether the other profiles are the same to the Dispatcher. */
+    boolean hasSameProfilesAs(RouteProfiles other) {
         return profiles.toString().equals(other.profiles.toString());
     }
 }
