--- a/src/main/java/gingerspool/cli/NodeProgram.java
+++ b/src/main/java/gingerspool/cli/NodeProgram.java
@@ -48,8 +48,8 @@
                 SchedulerNode scheduler = new SchedulerNode(settings);
                 Signal.handle(new Signal("TERM"), s -> scheduler.stop(ended::countDown));
                 Signal.handle(
-                        new Signal("HUP"), s -> reload(environment, scheduler::settings, log));
-                scheduler.begin();
+                        new Signal("HUP"), s -> reload(environment, scheduler::applySettings, log));
+                scheduler.start();
             }
             ended.await();
             return code.get();
--- a/src/main/java/gingerspool/cli/Platforms.java
+++ b/src/main/java/gingerspool/cli/Platforms.java
@@ -189,7 +189,7 @@
                                     why -> {
                                         throw new IllegalStateException(why);
                                     }));
-            front.forEach(SchedulerNode::begin);
+            front.forEach(SchedulerNode::start);
         }
 
         private NodeSettings settings(String name, String ip)
--- a/src/main/java/gingerspool/dataplane/ConfigurationSubscriber.java
+++ b/src/main/java/gingerspool/dataplane/ConfigurationSubscriber.java
@@ -25,7 +25,7 @@
         void onConfiguration(Configuration configuration);
 
         /** Sends a message to the leader. */
-        void tellLeader(Object message);
+        void sendToLeader(Object message);
     }
 
     private final Listener listener;
@@ -76,7 +76,7 @@
                     "configuration.delta_mismatch version={} why=\"{}\"",
                     push.number(),
                     e.getMessage());
-            listener.tellLeader(new Messages.ConfigurationRequest(current.getVersion()));
+            listener.sendToLeader(new Messages.ConfigurationRequest(current.getVersion()));
         }
     }
 
@@ -102,6 +102,6 @@
     }
 
     private void acknowledge() {
-        listener.tellLeader(new Messages.ConfigurationAck(current.getVersion(), checksum));
+        listener.sendToLeader(new Messages.ConfigurationAck(current.getVersion(), checksum));
     }
 }
--- a/src/main/java/gingerspool/dataplane/SchedulerNode.java
+++ b/src/main/java/gingerspool/dataplane/SchedulerNode.java
@@ -97,7 +97,7 @@
      * Starts looking for the leader and accepting clients, who get 503 until the first
      * configuration.
      */
-    public void begin() {
+    public void start() {
         loop.submit(
                 () -> {
                     controlLinks.start();
@@ -178,7 +178,7 @@
      * Applies changed settings; only the addresses of the control nodes take effect without a
      * restart.
      */
-    public void settings(NodeSettings newSettings) {
+    public void applySettings(NodeSettings newSettings) {
         loop.submit(() -> controlLinks.setSeeds(newSettings.seeds));
     }
 
@@ -253,7 +253,7 @@
         }
 
         @Override
-        public void tellLeader(Object message) {
+        public void sendToLeader(Object message) {
             controlLinks.sendToLeader(message);
         }
     }
--- a/src/test/java/gingerspool/controlplane/ConfigurationPublishingTest.java
+++ b/src/test/java/gingerspool/controlplane/ConfigurationPublishingTest.java
@@ -153,7 +153,7 @@
         }
 
         @Override
-        public void tellLeader(Object message) {
+        public void sendToLeader(Object message) {
             int on = connection;
             core.loop.schedule(
                     LINK_MS,
