--- a/src/main/java/gingerspool/autoscaler/Autoscaler.java
+++ b/src/main/java/gingerspool/autoscaler/Autoscaler.java
@@ -16,7 +16,7 @@
  */
 public final class Autoscaler {
     /** The part of the platform's rate of calls that is used. */
-    private static final double RATE_PART = 0.8;
+    private static final double CALL_RATE_SHARE = 0.8;
 
     /** A start that has not shown for so many start times is given up. */
     private static final double START_TIMEOUT_START_TIMES = 8;
@@ -43,13 +43,13 @@
     private final Actions actions;
     private final CapacityPlan plan = new CapacityPlan();
     private final SurplusRetirement retirement;
-    private final TokenBucket calls;
+    private final TokenBucket callBudget;
     private final Map<String, WorkerHost> hosts = new LinkedHashMap<>();
 
     /** By nonce. */
     private final Map<String, PendingStart> pendingStarts = new LinkedHashMap<>();
 
-    private long nonces;
+    private long lastNonceNumber;
     private double now;
     private boolean hostsKnown;
     private boolean instancesKnown;
@@ -73,7 +73,7 @@
         this.noncePrefix = noncePrefix;
         this.actions = actions;
         retirement = new SurplusRetirement(actions);
-        calls = new TokenBucket(RATE_PART * callsPerSecond / 1000, now);
+        callBudget = new TokenBucket(CALL_RATE_SHARE * callsPerSecond / 1000, now);
     }
 
     // ---- What the platform says ----
@@ -97,13 +97,13 @@
         hostsKnown = true;
         for (Instance instance : allocator.instances()) {
             if (instance.state == Instance.State.STARTING && now < instance.createdAt + listDelay) {
-                hostOf(instance.host).freeMemoryMb -= instance.function.memoryMb;
+                findOrAddHost(instance.host).freeMemoryMb -= instance.function.memoryMb;
             }
         }
         pendingStarts.values().forEach(start -> start.host.freeMemoryMb -= start.function.memoryMb);
     }
 
-    private WorkerHost hostOf(String name) {
+    private WorkerHost findOrAddHost(String name) {
         return hosts.computeIfAbsent(name, k -> new WorkerHost(name, ""));
     }
 
@@ -113,8 +113,8 @@
     }
 
     /** A start was carried out. */
-    public void started(double at, String nonce, String id, String address) {
-        now = at;
+    public void started(double time, String nonce, String id, String address) {
+        now = time;
         PendingStart start = pendingStarts.remove(nonce);
         if (start != null && allocator.instance(id) == null) {
             allocator.addInstance(
@@ -130,8 +130,8 @@
     }
 
     /** A start was rejected, or had no answer; without room nothing more is started there. */
-    public void startFailed(double at, String nonce, boolean hasNoRoom) {
-        now = at;
+    public void startFailed(double time, String nonce, boolean hasNoRoom) {
+        now = time;
         PendingStart start = pendingStarts.remove(nonce);
         if (start != null && hasNoRoom) {
             start.host.freeMemoryMb = 0;
@@ -143,34 +143,34 @@
     // ---- The difference ----
 
     /** Starts and stops what is due. */
-    public void tick(double at) {
-        now = at;
-        calls.fill(now);
+    public void tick(double time) {
+        now = time;
+        callBudget.refill(now);
         if (!hostsKnown || !instancesKnown) {
             return;
         }
         plan.observe(allocator.catalog().all());
-        List<Function> byNeed = new ArrayList<>(allocator.catalog().all());
-        byNeed.sort((a, b) -> Integer.compare(b.missingSlots(), a.missingSlots()));
-        byNeed.forEach(this::startMissing);
-        byNeed.forEach(this::retireSurplus);
-        retirement.stopDrained(now, calls);
+        List<Function> functionsByMissingSlots = new ArrayList<>(allocator.catalog().all());
+        functionsByMissingSlots.sort((a, b) -> Integer.compare(b.missingSlots(), a.missingSlots()));
+        functionsByMissingSlots.forEach(this::startMissingInstances);
+        functionsByMissingSlots.forEach(this::retireSurplusInstances);
+        retirement.stopDrained(now, callBudget);
     }
 
-    private void startMissing(Function function) {
-        int wanted = plan.wantedInstances(function);
+    private void startMissingInstances(Function function) {
+        int desired = plan.desiredInstances(function);
         int available = availableInstances(function);
-        while (available < wanted && calls.hasToken() && start(function)) {
+        while (available < desired && callBudget.hasToken() && start(function)) {
             available++;
         }
     }
 
-    private void retireSurplus(Function function) {
+    private void retireSurplusInstances(Function function) {
         int available = availableInstances(function);
-        if (available <= plan.wantedInstances(function)) {
-            retirement.noSurplus(function);
+        if (available <= plan.desiredInstances(function)) {
+            retirement.onNoSurplus(function);
         } else {
-            retirement.surplus(function, available, now);
+            retirement.onSurplus(function, available, now);
         }
     }
 
@@ -180,7 +180,7 @@
         for (Instance instance : function.instances.values()) {
             boolean isUsable =
                     instance.state != Instance.State.DRAINING
-                            && !isOverdue(instance)
+                            && !hasStartTimedOut(instance)
                             && !instance.isSuspect(now);
             available += isUsable ? 1 : 0;
         }
@@ -190,30 +190,30 @@
         return available;
     }
 
-    private boolean isOverdue(Instance instance) {
+    private boolean hasStartTimedOut(Instance instance) {
         double timeout = START_TIMEOUT_START_TIMES * instance.function.startTime + listDelay;
         return instance.state == Instance.State.STARTING && now > instance.createdAt + timeout;
     }
 
     /** Asks for one more instance; false where no host has room. */
     private boolean start(Function function) {
-        WorkerHost host = place(function);
+        WorkerHost host = chooseHost(function);
         if (host == null) {
             return false;
         }
-        calls.take();
+        callBudget.take();
         host.freeMemoryMb -= function.memoryMb;
-        String nonce = noncePrefix + ++nonces;
+        String nonce = noncePrefix + ++lastNonceNumber;
         pendingStarts.put(nonce, new PendingStart(function, host));
         actions.start(function, host.name, nonce);
         return true;
     }
 
-    private WorkerHost place(Function function) {
+    private WorkerHost chooseHost(Function function) {
         Placement placement = new Placement(function, allocator.inFlightByZone(function));
         for (PendingStart start : pendingStarts.values()) {
             if (start.function == function) {
-                placement.count(start.host.zone, start.host.name);
+                placement.countInstance(start.host.zone, start.host.name);
             }
         }
         return placement.choose(hosts.values());
--- a/src/main/java/gingerspool/autoscaler/ErlangDelay.java
+++ b/src/main/java/gingerspool/autoscaler/ErlangDelay.java
@@ -14,15 +14,17 @@
      * @param load arrivals in one mean running time, that is slots in use on average
      * @param span the span, in mean running times
      */
-    static double probabilityBeyond(int slots, double load, double span) {
+    static double probabilityOfWaitOver(int slots, double load, double wait) {
         if (load >= slots) {
             return 1;
         }
-        double blocked = 1;
-        for (int k = 1; k <= slots; k++) {
-            blocked = load * blocked / (k + load * blocked);
+        double blockingProbability = 1;
+        for (int servers = 1; servers <= slots; servers++) {
+            blockingProbability =
+                    load * blockingProbability / (servers + load * blockingProbability);
         }
-        double waits = blocked / (1 - load / slots * (1 - blocked));
-        return waits * Math.exp(-(slots - load) * span);
+        double waitProbability =
+                blockingProbability / (1 - load / slots * (1 - blockingProbability));
+        return waitProbability * Math.exp(-(slots - load) * wait);
     }
 }
--- a/src/main/java/gingerspool/autoscaler/Placement.java
+++ b/src/main/java/gingerspool/autoscaler/Placement.java
@@ -26,12 +26,12 @@
         this.function = function;
         this.inFlightByZone = inFlightByZone;
         for (Instance instance : function.instances.values()) {
-            count(instance.zone, instance.host);
+            countInstance(instance.zone, instance.host);
         }
     }
 
     /** One instance of the function is there, or is to be. */
-    void count(String zone, String host) {
+    void countInstance(String zone, String host) {
         instancesByZone.merge(zone, 1, Integer::sum);
         instancesByHost.merge(host, 1, Integer::sum);
     }
@@ -39,20 +39,20 @@
     /** The best host with room, or null. */
     WorkerHost choose(Collection<WorkerHost> hosts) {
         WorkerHost best = null;
-        double bestValue = 0;
+        double bestScore = 0;
         for (WorkerHost host : hosts) {
             if (host.isReady && host.freeMemoryMb >= function.memoryMb) {
-                double value = value(host);
-                if (best == null || value > bestValue) {
+                double score = score(host);
+                if (best == null || score > bestScore) {
                     best = host;
-                    bestValue = value;
+                    bestScore = score;
                 }
             }
         }
         return best;
     }
 
-    private double value(WorkerHost host) {
+    private double score(WorkerHost host) {
         double demand = 1.0 + inFlightByZone.getOrDefault(host.zone, 0);
         double supply = 1 + instancesByZone.getOrDefault(host.zone, 0);
         return demand / supply
--- a/src/main/java/gingerspool/autoscaler/StartCost.java
+++ b/src/main/java/gingerspool/autoscaler/StartCost.java
@@ -13,7 +13,7 @@
     private StartCost() {}
 
     /** How long an instance may stand idle for the price of one start, in milliseconds. */
-    static double idleTime(Function function) {
+    static double equivalentIdleTime(Function function) {
         return IDLE_START_TIMES * function.startTime;
     }
 }
--- a/src/main/java/gingerspool/autoscaler/SurplusRetirement.java
+++ b/src/main/java/gingerspool/autoscaler/SurplusRetirement.java
@@ -14,13 +14,13 @@
  */
 final class SurplusRetirement {
     /** How long an instance is more than wanted until it retires, in start times. */
-    private static final double SURPLUS_START_TIMES = 2;
+    private static final double SURPLUS_DELAY_START_TIMES = 2;
 
     /** The pause between two that retire, in start times. */
-    private static final double PAUSE_START_TIMES = 0.5;
+    private static final double RETIREMENT_PAUSE_START_TIMES = 0.5;
 
     /** How long schedulers have to return the slots of one that retires, in start times. */
-    private static final double DRAIN_START_TIMES = 20;
+    private static final double DRAIN_TIMEOUT_START_TIMES = 20;
 
     private final Autoscaler.Actions actions;
     private final Map<Function, Double> surplusSince = new HashMap<>();
@@ -33,37 +33,39 @@
     }
 
     /** The function has as many instances as are wanted, or fewer. */
-    void noSurplus(Function function) {
+    void onNoSurplus(Function function) {
         surplusSince.remove(function);
     }
 
     /** The function has so many instances, more than are wanted. */
-    void surplus(Function function, int available, double now) {
+    void onSurplus(Function function, int available, double now) {
         double since = surplusSince.computeIfAbsent(function, f -> now);
-        double span = available == 1 ? 0 : SURPLUS_START_TIMES * function.startTime;
-        if (now < since + span) {
+        double delay = available == 1 ? 0 : SURPLUS_DELAY_START_TIMES * function.startTime;
+        if (now < since + delay) {
             return;
         }
-        Instance least = leastUsed(function, available, now);
-        if (least != null) {
-            actions.drain(least);
-            retiringSince.put(least, now);
-            surplusSince.put(function, now - span + PAUSE_START_TIMES * function.startTime);
+        Instance leastUsed = leastUsedRetirable(function, available, now);
+        if (leastUsed != null) {
+            actions.drain(leastUsed);
+            retiringSince.put(leastUsed, now);
+            surplusSince.put(
+                    function, now - delay + RETIREMENT_PAUSE_START_TIMES * function.startTime);
         }
     }
 
-    private static Instance leastUsed(Function function, int available, double now) {
-        Instance least = null;
+    private static Instance leastUsedRetirable(Function function, int available, double now) {
+        Instance leastUsed = null;
         for (Instance instance : function.instances.values()) {
             boolean isIdle =
                     instance.grantedSlots() == 0
-                            && now > instance.lastUsedAt + lastIsKeptFor(function);
+                            && now > instance.lastUsedAt + lastInstanceIdleLimit(function);
             boolean mayRetire = instance.state == Instance.State.READY && (available > 1 || isIdle);
-            if (mayRetire && (least == null || instance.grantedSlots() < least.grantedSlots())) {
-                least = instance;
+            if (mayRetire
+                    && (leastUsed == null || instance.grantedSlots() < leastUsed.grantedSlots())) {
+                leastUsed = instance;
             }
         }
-        return least;
+        return leastUsed;
     }
 
     /**
@@ -71,21 +73,22 @@
      * awaited within the time that a start is worth; else not at all, or for one start time where
      * the rate isn't known yet.
      */
-    private static double lastIsKeptFor(Function function) {
-        if (function.arrivals.expected() * StartCost.idleTime(function) > 1) {
+    private static double lastInstanceIdleLimit(Function function) {
+        if (function.arrivals.expectedRate() * StartCost.equivalentIdleTime(function) > 1) {
             return Double.POSITIVE_INFINITY;
         }
         return function.arrivals.isKnown() ? 0 : function.startTime;
     }
 
     /** Stops the retired ones of which no scheduler holds a slot, within the platform's rate. */
-    void stopDrained(double now, TokenBucket calls) {
+    void stopDrained(double now, TokenBucket callBudget) {
         for (Map.Entry<Instance, Double> entry : List.copyOf(retiringSince.entrySet())) {
             Instance instance = entry.getKey();
-            double drainedBy = entry.getValue() + DRAIN_START_TIMES * instance.function.startTime;
-            boolean isDrained = instance.grantedSlots() == 0 || now > drainedBy;
-            if (isDrained && calls.hasToken()) {
-                calls.take();
+            double drainDeadline =
+                    entry.getValue() + DRAIN_TIMEOUT_START_TIMES * instance.function.startTime;
+            boolean isDrained = instance.grantedSlots() == 0 || now > drainDeadline;
+            if (isDrained && callBudget.hasToken()) {
+                callBudget.take();
                 retiringSince.remove(instance);
                 actions.stop(instance.id);
             }
--- a/src/main/java/gingerspool/autoscaler/TokenBucket.java
+++ b/src/main/java/gingerspool/autoscaler/TokenBucket.java
@@ -4,16 +4,16 @@
 final class TokenBucket {
     private final double tokensPerMs;
     private double tokens = 1;
-    private double filledAt;
+    private double refilledAt;
 
     TokenBucket(double tokensPerMs, double now) {
         this.tokensPerMs = tokensPerMs;
-        filledAt = now;
+        refilledAt = now;
     }
 
-    void fill(double now) {
-        tokens = Math.min(tokensPerMs * 1000, tokens + (now - filledAt) * tokensPerMs);
-        filledAt = now;
+    void refill(double now) {
+        tokens = Math.min(tokensPerMs * 1000, tokens + (now - refilledAt) * tokensPerMs);
+        refilledAt = now;
     }
 
     boolean hasToken() {
--- a/src/main/java/gingerspool/configuration/AcceptedChanges.java
+++ b/src/main/java/gingerspool/configuration/AcceptedChanges.java
@@ -17,7 +17,7 @@
  */
 final class AcceptedChanges {
     /** The most changes that are kept. */
-    static final int CHANGES_MOST = 50_000;
+    static final int MAX_CHANGES = 50_000;
 
     private static final int CHANGES_PER_BLOCK = 256;
 
@@ -27,16 +27,17 @@
     private static final int RECORD_BYTES = Long.BYTES + DIGEST_BYTES;
 
     /** By the first version of each block: its records, version and digest, in order. */
-    private final TreeMap<Long, byte[]> blocks = new TreeMap<>();
+    private final TreeMap<Long, byte[]> blocksByFirstVersion = new TreeMap<>();
 
     private int count;
 
     /** The digest of a change: replace or modify, the version it was made on, and its body. */
-    static byte[] digest(boolean whole, long on, byte[] body) {
+    static byte[] digest(boolean isReplacement, long baseVersion, byte[] body) {
         try {
-            MessageDigest sha = MessageDigest.getInstance("SHA-256");
-            sha.update((whole + " " + on + " ").getBytes(StandardCharsets.US_ASCII));
-            return Arrays.copyOf(sha.digest(body), DIGEST_BYTES);
+            MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
+            sha256.update(
+                    (isReplacement + " " + baseVersion + " ").getBytes(StandardCharsets.US_ASCII));
+            return Arrays.copyOf(sha256.digest(body), DIGEST_BYTES);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java platform has SHA-256", e);
         }
@@ -44,17 +45,17 @@
 
     /** Whether this very change made this version. */
     boolean contains(long version, byte[] digest) {
-        Map.Entry<Long, byte[]> block = blocks.floorEntry(version);
+        Map.Entry<Long, byte[]> block = blocksByFirstVersion.floorEntry(version);
         if (block == null) {
             return false;
         }
         ByteBuffer records = ByteBuffer.wrap(block.getValue());
-        byte[] found = new byte[DIGEST_BYTES];
+        byte[] recordDigest = new byte[DIGEST_BYTES];
         while (records.hasRemaining()) {
-            long at = records.getLong();
-            records.get(found);
-            if (at == version) {
-                return Arrays.equals(found, digest);
+            long recordVersion = records.getLong();
+            records.get(recordDigest);
+            if (recordVersion == version) {
+                return Arrays.equals(recordDigest, digest);
             }
         }
         return false;
@@ -62,15 +63,16 @@
 
     /** Versions only go up. */
     void add(long version, byte[] digest) {
-        Map.Entry<Long, byte[]> last = blocks.lastEntry();
-        boolean fits = last != null && last.getValue().length < CHANGES_PER_BLOCK * RECORD_BYTES;
-        byte[] block = fits ? last.getValue() : new byte[0];
-        byte[] grown = Arrays.copyOf(block, block.length + RECORD_BYTES);
-        ByteBuffer.wrap(grown, block.length, RECORD_BYTES).putLong(version).put(digest);
-        blocks.put(fits ? last.getKey() : version, grown);
+        Map.Entry<Long, byte[]> lastBlock = blocksByFirstVersion.lastEntry();
+        boolean hasRoom =
+                lastBlock != null && lastBlock.getValue().length < CHANGES_PER_BLOCK * RECORD_BYTES;
+        byte[] block = hasRoom ? lastBlock.getValue() : new byte[0];
+        byte[] extendedBlock = Arrays.copyOf(block, block.length + RECORD_BYTES);
+        ByteBuffer.wrap(extendedBlock, block.length, RECORD_BYTES).putLong(version).put(digest);
+        blocksByFirstVersion.put(hasRoom ? lastBlock.getKey() : version, extendedBlock);
         count++;
-        while (count > CHANGES_MOST) {
-            count -= blocks.pollFirstEntry().getValue().length / RECORD_BYTES;
+        while (count > MAX_CHANGES) {
+            count -= blocksByFirstVersion.pollFirstEntry().getValue().length / RECORD_BYTES;
         }
     }
 
@@ -80,33 +82,34 @@
 
     /** The blocks as text, by their first version. */
     Map<String, String> blocks() {
-        Map<String, String> all = new TreeMap<>();
-        blocks.forEach(
+        Map<String, String> encodedBlocks = new TreeMap<>();
+        blocksByFirstVersion.forEach(
                 (first, records) ->
-                        all.put(Long.toString(first), Base64.getEncoder().encodeToString(records)));
-        return all;
+                        encodedBlocks.put(
+                                Long.toString(first), Base64.getEncoder().encodeToString(records)));
+        return encodedBlocks;
     }
 
     /** What blocks() told elsewhere. */
-    static AcceptedChanges of(Map<?, ?> blocks) throws InvalidConfigurationException {
-        AcceptedChanges made = new AcceptedChanges();
-        for (Map.Entry<?, ?> e : blocks.entrySet()) {
+    static AcceptedChanges fromBlocks(Map<?, ?> blocks) throws InvalidConfigurationException {
+        AcceptedChanges changes = new AcceptedChanges();
+        for (Map.Entry<?, ?> block : blocks.entrySet()) {
             try {
-                byte[] records = Base64.getDecoder().decode((String) e.getValue());
+                byte[] records = Base64.getDecoder().decode((String) block.getValue());
                 if (records.length == 0 || records.length % RECORD_BYTES != 0) {
                     throw new InvalidConfigurationException("a block of " + records.length);
                 }
-                made.blocks.put(Long.parseLong((String) e.getKey()), records);
-                made.count += records.length / RECORD_BYTES;
-            } catch (IllegalArgumentException | ClassCastException bad) {
-                throw new InvalidConfigurationException("a block that can't be read: " + bad);
+                changes.blocksByFirstVersion.put(Long.parseLong((String) block.getKey()), records);
+                changes.count += records.length / RECORD_BYTES;
+            } catch (IllegalArgumentException | ClassCastException exception) {
+                throw new InvalidConfigurationException("a block that can't be read: " + exception);
             }
         }
-        return made;
+        return changes;
     }
 
     /** What earlier builds kept: each version, and its whole digest in hexadecimal. */
-    static AcceptedChanges ofEarlierForm(Map<?, ?> digests) {
+    static AcceptedChanges fromLegacyDigests(Map<?, ?> digests) {
         TreeMap<Long, byte[]> sorted = new TreeMap<>();
         digests.forEach(
                 (version, digest) ->
@@ -114,8 +117,8 @@
                                 Long.parseLong((String) version),
                                 Arrays.copyOf(
                                         HexFormat.of().parseHex((String) digest), DIGEST_BYTES)));
-        AcceptedChanges made = new AcceptedChanges();
-        sorted.forEach(made::add);
-        return made;
+        AcceptedChanges changes = new AcceptedChanges();
+        sorted.forEach(changes::add);
+        return changes;
     }
 }
--- a/src/main/java/gingerspool/configuration/ConfigurationChecksum.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationChecksum.java
@@ -10,9 +10,9 @@
  * wrongly; no protection against forgery.
  */
 public final class ConfigurationChecksum {
-    private static final int ROUTE = 1;
-    private static final int SERVICE = 2;
-    private static final int LIMITS = 3;
+    private static final int ROUTE_KIND = 1;
+    private static final int SERVICE_KIND = 2;
+    private static final int LIMITS_KIND = 3;
 
     private ConfigurationChecksum() {}
 
@@ -20,22 +20,22 @@
     public static long of(Configuration configuration) {
         long sum = mix(configuration.getVersion());
         for (Route route : configuration.getRoutesList()) {
-            sum += ofItem(ROUTE, route);
+            sum += ofItem(ROUTE_KIND, route);
         }
         for (Service service : configuration.getServicesList()) {
-            sum += ofItem(SERVICE, service);
+            sum += ofItem(SERVICE_KIND, service);
         }
-        return sum + ofItem(LIMITS, configuration.getLimits());
+        return sum + ofItem(LIMITS_KIND, configuration.getLimits());
     }
 
     private static long ofItem(int kind, MessageLite item) {
         byte[] bytes = item.toByteArray();
-        CRC32 low = new CRC32();
-        low.update(bytes, 0, bytes.length);
-        CRC32C high = new CRC32C();
-        high.update(kind);
-        high.update(bytes, 0, bytes.length);
-        return mix(high.getValue() << Integer.SIZE | low.getValue());
+        CRC32 crc32 = new CRC32();
+        crc32.update(bytes, 0, bytes.length);
+        CRC32C crc32c = new CRC32C();
+        crc32c.update(kind);
+        crc32c.update(bytes, 0, bytes.length);
+        return mix(crc32c.getValue() << Integer.SIZE | crc32.getValue());
     }
 
     /** Spreads each bit over all (the finalizer of MurmurHash3), so that sums differ. */
--- a/src/main/java/gingerspool/configuration/ConfigurationDelta.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationDelta.java
@@ -16,21 +16,23 @@
 
     /** What turns the base into the other version; its checksum is that of the latter. */
     public static ConfigurationChanges between(
-            Configuration base, Configuration newest, long checksum) {
+            Configuration base, Configuration target, long checksum) {
         ConfigurationChanges.Builder changes =
                 ConfigurationChanges.newBuilder()
                         .setBase(base.getVersion())
-                        .setVersion(newest.getVersion())
+                        .setVersion(target.getVersion())
                         .setChecksum(checksum);
-        Map<String, Route> routes = byName(base.getRoutesList(), Route::getName);
-        changes.addAllRoutes(changed(routes, newest.getRoutesList(), Route::getName))
-                .addAllRemovedRoutes(removed(routes, newest.getRoutesList(), Route::getName));
-        Map<String, Service> services = byName(base.getServicesList(), Service::getName);
-        changes.addAllServices(changed(services, newest.getServicesList(), Service::getName))
+        Map<String, Route> baseRoutes = byName(base.getRoutesList(), Route::getName);
+        changes.addAllRoutes(changedItems(baseRoutes, target.getRoutesList(), Route::getName))
+                .addAllRemovedRoutes(
+                        removedNames(baseRoutes, target.getRoutesList(), Route::getName));
+        Map<String, Service> baseServices = byName(base.getServicesList(), Service::getName);
+        changes.addAllServices(
+                        changedItems(baseServices, target.getServicesList(), Service::getName))
                 .addAllRemovedServices(
-                        removed(services, newest.getServicesList(), Service::getName));
-        if (!newest.getLimits().equals(base.getLimits())) {
-            changes.setLimits(newest.getLimits());
+                        removedNames(baseServices, target.getServicesList(), Service::getName));
+        if (!target.getLimits().equals(base.getLimits())) {
+            changes.setLimits(target.getLimits());
         }
         return changes.build();
     }
@@ -48,27 +50,27 @@
                     "a delta from version %d met version %d"
                             .formatted(changes.getBase(), base.getVersion()));
         }
-        Configuration.Builder next =
+        Configuration.Builder builder =
                 Configuration.newBuilder()
                         .setVersion(changes.getVersion())
                         .addAllRoutes(
-                                applied(
+                                updatedItems(
                                         base.getRoutesList(),
                                         changes.getRemovedRoutesList(),
                                         changes.getRoutesList(),
                                         Route::getName))
                         .addAllServices(
-                                applied(
+                                updatedItems(
                                         base.getServicesList(),
                                         changes.getRemovedServicesList(),
                                         changes.getServicesList(),
                                         Service::getName));
         if (changes.hasLimits()) {
-            next.setLimits(changes.getLimits());
+            builder.setLimits(changes.getLimits());
         } else if (base.hasLimits()) {
-            next.setLimits(base.getLimits());
+            builder.setLimits(base.getLimits());
         }
-        Configuration result = next.build();
+        Configuration result = builder.build();
         if (ConfigurationChecksum.of(result) != changes.getChecksum()) {
             throw new DeltaMismatchException(
                     "the delta to version %d does not give what it was made for"
@@ -78,24 +80,24 @@
     }
 
     private static <T> Map<String, T> byName(List<T> items, Function<T, String> name) {
-        Map<String, T> all = new LinkedHashMap<>();
-        items.forEach(item -> all.put(name.apply(item), item));
-        return all;
+        Map<String, T> itemsByName = new LinkedHashMap<>();
+        items.forEach(item -> itemsByName.put(name.apply(item), item));
+        return itemsByName;
     }
 
-    private static <T> List<T> changed(
-            Map<String, T> base, List<T> newest, Function<T, String> name) {
-        return newest.stream().filter(item -> !item.equals(base.get(name.apply(item)))).toList();
+    private static <T> List<T> changedItems(
+            Map<String, T> base, List<T> target, Function<T, String> name) {
+        return target.stream().filter(item -> !item.equals(base.get(name.apply(item)))).toList();
     }
 
-    private static <T> List<String> removed(
-            Map<String, T> base, List<T> newest, Function<T, String> name) {
-        Set<String> gone = new HashSet<>(base.keySet());
-        newest.forEach(item -> gone.remove(name.apply(item)));
-        return gone.stream().sorted().toList();
+    private static <T> List<String> removedNames(
+            Map<String, T> base, List<T> target, Function<T, String> name) {
+        Set<String> removed = new HashSet<>(base.keySet());
+        target.forEach(item -> removed.remove(name.apply(item)));
+        return removed.stream().sorted().toList();
     }
 
-    private static <T> Iterable<T> applied(
+    private static <T> Iterable<T> updatedItems(
             List<T> base, List<String> removed, List<T> changed, Function<T, String> name) {
         Map<String, T> items = byName(base, name);
         removed.forEach(items::remove);
--- a/src/main/java/gingerspool/configuration/ConfigurationHistory.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationHistory.java
@@ -11,35 +11,35 @@
  */
 public final class ConfigurationHistory {
     /** A process that has missed more versions than these is sent a complete copy. */
-    private static final int EARLIER_VERSIONS = 128;
+    private static final int MAX_EARLIER_VERSIONS = 128;
 
     /** Oldest first. */
-    private final Map<Long, Configuration> earlier = new LinkedHashMap<>();
+    private final Map<Long, Configuration> earlierVersions = new LinkedHashMap<>();
 
     /** Deltas to the newest version by their base, encoded; empty where a copy is smaller. */
-    private final Map<Long, Optional<byte[]>> deltas = new LinkedHashMap<>();
+    private final Map<Long, Optional<byte[]>> deltasByBaseVersion = new LinkedHashMap<>();
 
     private Configuration newest = Configuration.getDefaultInstance();
-    private byte[] copy = new byte[0];
+    private byte[] encodedNewest = new byte[0];
     private long checksum;
 
     /** A version took effect; one that is no higher than the last makes all before it void. */
     public void add(Configuration configuration) {
-        deltas.clear();
+        deltasByBaseVersion.clear();
         if (configuration.getVersion() <= newest.getVersion()) {
-            earlier.clear();
+            earlierVersions.clear();
         } else if (newest.getVersion() > 0) {
-            earlier.put(newest.getVersion(), newest);
-            removeOldest();
+            earlierVersions.put(newest.getVersion(), newest);
+            removeOldestVersions();
         }
         newest = configuration;
-        copy = configuration.toByteArray();
+        encodedNewest = configuration.toByteArray();
         checksum = ConfigurationChecksum.of(configuration);
     }
 
-    private void removeOldest() {
-        Iterator<Long> versions = earlier.keySet().iterator();
-        while (earlier.size() > EARLIER_VERSIONS) {
+    private void removeOldestVersions() {
+        Iterator<Long> versions = earlierVersions.keySet().iterator();
+        while (earlierVersions.size() > MAX_EARLIER_VERSIONS) {
             versions.next();
             versions.remove();
         }
@@ -57,7 +57,7 @@
 
     /** The newest version, complete, as it was when it took effect. The caller must not write. */
     public byte[] copy() {
-        return copy;
+        return encodedNewest;
     }
 
     /**
@@ -65,15 +65,15 @@
      * complete copy is no larger. The caller must not write to it.
      */
     public Optional<byte[]> deltaFrom(long version) {
-        return deltas.computeIfAbsent(version, this::encodeDelta);
+        return deltasByBaseVersion.computeIfAbsent(version, this::encodeDelta);
     }
 
     private Optional<byte[]> encodeDelta(long version) {
-        Configuration base = earlier.get(version);
+        Configuration base = earlierVersions.get(version);
         if (base == null) {
             return Optional.empty();
         }
         byte[] delta = ConfigurationDelta.between(base, newest, checksum).toByteArray();
-        return delta.length < copy.length ? Optional.of(delta) : Optional.empty();
+        return delta.length < encodedNewest.length ? Optional.of(delta) : Optional.empty();
     }
 }
--- a/src/main/java/gingerspool/configuration/ConfigurationRules.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationRules.java
@@ -15,34 +15,41 @@
 
     /** The rules that any configuration keeps. */
     static void check(Configuration configuration) throws InvalidConfigurationException {
-        Set<String> services = new HashSet<>();
+        Set<String> serviceNames = new HashSet<>();
         for (Service service : configuration.getServicesList()) {
-            if (service.getName().isEmpty() || !services.add(service.getName())) {
+            if (service.getName().isEmpty() || !serviceNames.add(service.getName())) {
                 throw new InvalidConfigurationException(
                         "Services: \"" + service.getName() + "\" stands twice or has no Name");
             }
         }
-        Set<String> names = new HashSet<>();
-        Map<String, String> places = new HashMap<>();
+        Set<String> routeNames = new HashSet<>();
+        Map<String, String> routesByHostAndPrefix = new HashMap<>();
         for (Route route : configuration.getRoutesList()) {
-            String at = "Routes: \"" + route.getName() + "\" ";
-            if (route.getName().isEmpty() || !names.add(route.getName())) {
-                throw new InvalidConfigurationException(at + "stands twice or has no Name");
+            String routeLabel = "Routes: \"" + route.getName() + "\" ";
+            if (route.getName().isEmpty() || !routeNames.add(route.getName())) {
+                throw new InvalidConfigurationException(routeLabel + "stands twice or has no Name");
             }
-            if (!services.contains(route.getService())) {
+            if (!serviceNames.contains(route.getService())) {
                 throw new InvalidConfigurationException(
-                        at + "names Service \"" + route.getService() + "\", which isn't there");
+                        routeLabel
+                                + "names Service \""
+                                + route.getService()
+                                + "\", which isn't there");
             }
             if (route.hasTimeout() && route.getTimeout() <= 0) {
-                throw new InvalidConfigurationException(at + "has TimeoutMs " + route.getTimeout());
+                throw new InvalidConfigurationException(
+                        routeLabel + "has TimeoutMs " + route.getTimeout());
             }
-            String other =
-                    places.put(
-                            RouteTable.host(route.getHost()) + " " + route.getPrefix(),
+            String conflictingRoute =
+                    routesByHostAndPrefix.put(
+                            RouteTable.normalizedHost(route.getHost()) + " " + route.getPrefix(),
                             route.getName());
-            if (other != null) {
+            if (conflictingRoute != null) {
                 throw new InvalidConfigurationException(
-                        at + "has the HostName and PathPrefix of \"" + other + "\"");
+                        routeLabel
+                                + "has the HostName and PathPrefix of \""
+                                + conflictingRoute
+                                + "\"");
             }
         }
     }
@@ -55,7 +62,8 @@
         for (Object route : JsonItems.list(tree.get("Routes"), "Routes")) {
             if (route instanceof Map<?, ?> fields) {
                 for (Map.Entry<?, ?> field : fields.entrySet()) {
-                    if (field.getValue() instanceof List<?> parts && weighsNothing(parts)) {
+                    if (field.getValue() instanceof List<?> entries
+                            && hasZeroTotalWeight(entries)) {
                         throw new InvalidConfigurationException(
                                 "Routes: \"%s\" has weights in %s that sum to 0"
                                         .formatted(fields.get("Name"), field.getKey()));
@@ -65,14 +73,14 @@
         }
     }
 
-    private static boolean weighsNothing(List<?> parts) {
+    private static boolean hasZeroTotalWeight(List<?> entries) {
         double sum = 0;
-        for (Object part : parts) {
-            if (!(JsonTree.at(part, "Weight") instanceof Number weight)) {
+        for (Object entry : entries) {
+            if (!(JsonTree.at(entry, "Weight") instanceof Number weight)) {
                 return false;
             }
             sum += weight.doubleValue();
         }
-        return !parts.isEmpty() && sum <= 0;
+        return !entries.isEmpty() && sum <= 0;
     }
 }
--- a/src/main/java/gingerspool/configuration/ConfigurationState.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationState.java
@@ -31,16 +31,16 @@
             return new Verdict(ACCEPTED, "taken", version);
         }
 
-        static Verdict rejected(int status, String why) {
-            return new Verdict(status, why, 0);
+        static Verdict rejected(int status, String message) {
+            return new Verdict(status, message, 0);
         }
     }
 
-    private Map<String, Object> tree = Map.of();
+    private Map<String, Object> json = Map.of();
     private Configuration configuration = Configuration.getDefaultInstance();
 
-    private final TypedConfiguration typed = new TypedConfiguration();
-    private AcceptedChanges accepted = new AcceptedChanges();
+    private final TypedConfiguration typedConfiguration = new TypedConfiguration();
+    private AcceptedChanges acceptedChanges = new AcceptedChanges();
 
     public long version() {
         return configuration.getVersion();
@@ -52,45 +52,45 @@
 
     /** As operators read it back. */
     public byte[] text() {
-        return Json.write(tree).getBytes(StandardCharsets.UTF_8);
+        return Json.write(json).getBytes(StandardCharsets.UTF_8);
     }
 
     // ---- Commands ----
 
     /** A whole configuration, or changes to the one in force, made on a version. */
-    public Verdict apply(boolean whole, long on, byte[] body) {
-        byte[] digest = AcceptedChanges.digest(whole, on, body);
+    public Verdict apply(boolean isReplacement, long baseVersion, byte[] body) {
+        byte[] digest = AcceptedChanges.digest(isReplacement, baseVersion, body);
         try {
-            Object sent = Json.read(body, 0, body.length);
-            if (!(sent instanceof Map<?, ?> said)) {
+            Object parsedBody = Json.read(body, 0, body.length);
+            if (!(parsedBody instanceof Map<?, ?> fields)) {
                 throw new InvalidConfigurationException("the body is no JSON object");
             }
-            long version = version(said);
-            if (accepted.contains(version, digest)) {
+            long version = version(fields);
+            if (acceptedChanges.contains(version, digest)) {
                 return Verdict.accepted(version);
             }
-            if (on != version()) {
+            if (baseVersion != version()) {
                 return Verdict.rejected(VERSION_CONFLICT, "the version in force is " + version());
             }
-            Map<String, Object> next = whole ? copy(said) : changed(said);
-            Configuration changed = typed.read(next);
-            ConfigurationRules.check(changed);
-            ConfigurationRules.checkWeights(next);
+            Map<String, Object> nextJson = isReplacement ? copy(fields) : withChanges(fields);
+            Configuration nextConfiguration = typedConfiguration.read(nextJson);
+            ConfigurationRules.check(nextConfiguration);
+            ConfigurationRules.checkWeights(nextJson);
             if (version <= version()) {
                 throw new InvalidConfigurationException(
                         "Version " + version + " is not higher than " + version());
             }
-            tree = next;
-            configuration = changed;
-            accepted.add(version, digest);
+            json = nextJson;
+            configuration = nextConfiguration;
+            acceptedChanges.add(version, digest);
             return Verdict.accepted(version);
         } catch (BadMessage | InvalidConfigurationException e) {
             return Verdict.rejected(INVALID, e.getMessage());
         }
     }
 
-    private static long version(Map<?, ?> said) throws InvalidConfigurationException {
-        if (!(said.get("Version") instanceof Number n)
+    private static long version(Map<?, ?> fields) throws InvalidConfigurationException {
+        if (!(fields.get("Version") instanceof Number n)
                 || n.doubleValue() != Math.rint(n.doubleValue())
                 || n.doubleValue() < 1) {
             throw new InvalidConfigurationException("Version is no whole number above 0");
@@ -98,39 +98,40 @@
         return n.longValue();
     }
 
-    private static Map<String, Object> copy(Map<?, ?> said) {
-        Map<String, Object> all = new LinkedHashMap<>();
-        said.forEach((k, v) -> all.put((String) k, v));
-        return all;
+    private static Map<String, Object> copy(Map<?, ?> fields) {
+        Map<String, Object> copy = new LinkedHashMap<>();
+        fields.forEach((name, value) -> copy.put((String) name, value));
+        return copy;
     }
 
     /** The configuration in force with some items added, replaced or removed by name. */
-    private Map<String, Object> changed(Map<?, ?> said) throws InvalidConfigurationException {
-        Map<String, Object> next = copy(tree);
-        next.put("Version", said.get("Version"));
-        Set<Object> lists = new HashSet<>(JsonItems.table(said, "Upserts").keySet());
-        lists.addAll(JsonItems.table(said, "Removals").keySet());
-        for (Object list : lists) {
+    private Map<String, Object> withChanges(Map<?, ?> change) throws InvalidConfigurationException {
+        Map<String, Object> nextJson = copy(json);
+        nextJson.put("Version", change.get("Version"));
+        Set<Object> changedLists = new HashSet<>(JsonItems.object(change, "Upserts").keySet());
+        changedLists.addAll(JsonItems.object(change, "Removals").keySet());
+        for (Object list : changedLists) {
             Map<Object, Object> byName = new LinkedHashMap<>();
-            for (Object item : JsonItems.list(next.get(list), String.valueOf(list))) {
+            for (Object item : JsonItems.list(nextJson.get(list), String.valueOf(list))) {
                 byName.put(JsonTree.at(item, "Name"), item);
             }
             for (Object name :
                     JsonItems.list(
-                            JsonItems.table(said, "Removals").get(list), "Removals." + list)) {
+                            JsonItems.object(change, "Removals").get(list), "Removals." + list)) {
                 byName.remove(name);
             }
             for (Object item :
-                    JsonItems.list(JsonItems.table(said, "Upserts").get(list), "Upserts." + list)) {
+                    JsonItems.list(
+                            JsonItems.object(change, "Upserts").get(list), "Upserts." + list)) {
                 if (JsonTree.text(null, item, "Name") == null) {
                     throw new InvalidConfigurationException(
                             "an item of Upserts." + list + " has no Name");
                 }
                 byName.put(JsonTree.at(item, "Name"), item);
             }
-            next.put(String.valueOf(list), new ArrayList<>(byName.values()));
+            nextJson.put(String.valueOf(list), new ArrayList<>(byName.values()));
         }
-        return next;
+        return nextJson;
     }
 
     // ---- Repair ----
@@ -141,15 +142,16 @@
      */
     public Map<String, String> items() {
         Map<String, String> all = new TreeMap<>();
-        tree.forEach(
+        json.forEach(
                 (field, value) -> {
-                    if (value instanceof List<?> l) {
-                        JsonItems.putList(all, field, l);
+                    if (value instanceof List<?> list) {
+                        JsonItems.putList(all, field, list);
                     } else {
                         all.put("F/" + field, Json.write(Arrays.asList(value)));
                     }
                 });
-        accepted.blocks()
+        acceptedChanges
+                .blocks()
                 .forEach((first, block) -> all.put("T/" + first, Json.write(List.of(block))));
         return all;
     }
@@ -158,21 +160,22 @@
      * Takes items in place of whatever is known here; what makes no configuration is refused whole.
      */
     public void repair(Map<String, String> items) throws InvalidConfigurationException {
-        Map<String, Object> next = new LinkedHashMap<>();
+        Map<String, Object> nextJson = new LinkedHashMap<>();
         Map<String, Object> blocks = new TreeMap<>();
         try {
-            for (Map.Entry<String, String> e : items.entrySet()) {
-                String name = e.getKey().substring(2);
-                switch (e.getKey().charAt(0)) {
-                    case 'T' -> blocks.put(name, JsonItems.value(e.getValue()));
-                    case 'F' -> next.put(name, JsonItems.value(e.getValue()));
+            for (Map.Entry<String, String> item : items.entrySet()) {
+                String name = item.getKey().substring(2);
+                switch (item.getKey().charAt(0)) {
+                    case 'T' -> blocks.put(name, JsonItems.readValue(item.getValue()));
+                    case 'F' -> nextJson.put(name, JsonItems.readValue(item.getValue()));
                     case 'N' ->
-                            next.put(
+                            nextJson.put(
                                     name,
                                     JsonItems.readList(
                                             items,
                                             name,
-                                            ((Number) JsonItems.value(e.getValue())).intValue()));
+                                            ((Number) JsonItems.readValue(item.getValue()))
+                                                    .intValue()));
                     default -> {}
                 }
             }
@@ -182,30 +185,31 @@
                 | IndexOutOfBoundsException e) {
             throw new InvalidConfigurationException("items that can't be read: " + e.getMessage());
         }
-        Configuration repaired = typed.read(next);
-        AcceptedChanges changes = AcceptedChanges.of(blocks);
-        tree = next;
+        Configuration repaired = typedConfiguration.read(nextJson);
+        AcceptedChanges changes = AcceptedChanges.fromBlocks(blocks);
+        json = nextJson;
         configuration = repaired;
-        accepted = changes;
+        acceptedChanges = changes;
     }
 
     // ---- To and from a snapshot ----
 
     public byte[] state() {
-        return Json.write(Map.of("tree", tree, "accepted", accepted.blocks()))
+        return Json.write(Map.of("tree", json, "accepted", acceptedChanges.blocks()))
                 .getBytes(StandardCharsets.UTF_8);
     }
 
     /** Takes the place of whatever is known here. */
     public void restore(byte[] state) {
         try {
-            Object all = Json.read(state, 0, state.length);
-            tree = copy((Map<?, ?>) JsonTree.at(all, "tree"));
-            configuration = typed.read(tree);
-            accepted =
-                    JsonTree.at(all, "taken") instanceof Map<?, ?> earlier
-                            ? AcceptedChanges.ofEarlierForm(earlier)
-                            : AcceptedChanges.of((Map<?, ?>) JsonTree.at(all, "accepted"));
+            Object parsedState = Json.read(state, 0, state.length);
+            json = copy((Map<?, ?>) JsonTree.at(parsedState, "tree"));
+            configuration = typedConfiguration.read(json);
+            acceptedChanges =
+                    JsonTree.at(parsedState, "taken") instanceof Map<?, ?> earlier
+                            ? AcceptedChanges.fromLegacyDigests(earlier)
+                            : AcceptedChanges.fromBlocks(
+                                    (Map<?, ?>) JsonTree.at(parsedState, "accepted"));
         } catch (BadMessage | InvalidConfigurationException e) {
             throw new IllegalStateException(
                     "a state that was made here can't be read: " + e.getMessage(), e);
--- a/src/main/java/gingerspool/configuration/InvalidConfigurationException.java
+++ b/src/main/java/gingerspool/configuration/InvalidConfigurationException.java
@@ -4,7 +4,7 @@
 public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public InvalidConfigurationException(String text) {
-        super(text, null, false, false);
+    public InvalidConfigurationException(String message) {
+        super(message, null, false, false);
     }
 }
--- a/src/main/java/gingerspool/configuration/JsonItems.java
+++ b/src/main/java/gingerspool/configuration/JsonItems.java
@@ -12,19 +12,19 @@
 final class JsonItems {
     private JsonItems() {}
 
-    static Map<?, ?> table(Map<?, ?> said, String key) throws InvalidConfigurationException {
-        Object at = said.get(key);
-        if (at != null && !(at instanceof Map<?, ?>)) {
+    static Map<?, ?> object(Map<?, ?> fields, String key) throws InvalidConfigurationException {
+        Object value = fields.get(key);
+        if (value != null && !(value instanceof Map<?, ?>)) {
             throw new InvalidConfigurationException(key + " is no object");
         }
-        return at == null ? Map.of() : (Map<?, ?>) at;
+        return value == null ? Map.of() : (Map<?, ?>) value;
     }
 
-    static List<?> list(Object at, String key) throws InvalidConfigurationException {
-        if (at != null && !(at instanceof List<?>)) {
+    static List<?> list(Object value, String key) throws InvalidConfigurationException {
+        if (value != null && !(value instanceof List<?>)) {
             throw new InvalidConfigurationException(key + " is no list");
         }
-        return at == null ? List.of() : (List<?>) at;
+        return value == null ? List.of() : (List<?>) value;
     }
 
     /** A list as items: its length under `N/list`, each element under `L/list/index`. */
@@ -44,12 +44,12 @@
             if (item == null) {
                 throw new InvalidConfigurationException(name + " lacks item " + i);
             }
-            list.add(value(item));
+            list.add(readValue(item));
         }
         return list;
     }
 
-    static Object value(String item) throws BadMessage {
+    static Object readValue(String item) throws BadMessage {
         byte[] bytes = item.getBytes(StandardCharsets.UTF_8);
         return ((List<?>) Json.read(bytes, 0, bytes.length)).get(0);
     }
--- a/src/main/java/gingerspool/configuration/TypedConfiguration.java
+++ b/src/main/java/gingerspool/configuration/TypedConfiguration.java
@@ -14,50 +14,51 @@
  * the same object in both and is read once: so a change costs what it changes. For one thread.
  */
 final class TypedConfiguration {
-    private static final String ROUTES = "Routes";
-    private static final String SERVICES = "Services";
+    private static final String ROUTES_FIELD = "Routes";
+    private static final String SERVICES_FIELD = "Services";
 
     /** The typed items of the version read last, by the JSON object that they were read from. */
-    private Map<Object, Message> items = new IdentityHashMap<>();
+    private Map<Object, Message> itemsByJson = new IdentityHashMap<>();
 
     /** Reads a configuration; nothing is kept of one that can't be read. */
-    Configuration read(Map<String, Object> tree) throws InvalidConfigurationException {
+    Configuration read(Map<String, Object> json) throws InvalidConfigurationException {
         try {
-            if (!(tree.get(ROUTES) instanceof List<?> routes)
-                    || !(tree.get(SERVICES) instanceof List<?> services)
+            if (!(json.get(ROUTES_FIELD) instanceof List<?> routes)
+                    || !(json.get(SERVICES_FIELD) instanceof List<?> services)
                     // The lists' names in the schema: which of both counts is not decided here.
-                    || tree.containsKey("routes")
-                    || tree.containsKey("services")) {
-                return merge(tree, Configuration.newBuilder()).build();
+                    || json.containsKey("routes")
+                    || json.containsKey("services")) {
+                return merge(json, Configuration.newBuilder()).build();
             }
-            Map<String, Object> fields = new LinkedHashMap<>(tree);
-            fields.remove(ROUTES);
-            fields.remove(SERVICES);
+            Map<String, Object> fields = new LinkedHashMap<>(json);
+            fields.remove(ROUTES_FIELD);
+            fields.remove(SERVICES_FIELD);
             Configuration.Builder builder = merge(fields, Configuration.newBuilder());
-            Map<Object, Message> read = new IdentityHashMap<>();
+            Map<Object, Message> readItems = new IdentityHashMap<>();
             for (Object route : routes) {
-                builder.addRoutes((Route) item(route, Route.newBuilder(), read));
+                builder.addRoutes((Route) item(route, Route.newBuilder(), readItems));
             }
             for (Object service : services) {
-                builder.addServices((Service) item(service, Service.newBuilder(), read));
+                builder.addServices((Service) item(service, Service.newBuilder(), readItems));
             }
-            items = read;
+            itemsByJson = readItems;
             return builder.build();
         } catch (InvalidProtocolBufferException e) {
             throw new InvalidConfigurationException(e.getMessage());
         }
     }
 
-    private Message item(Object json, Message.Builder builder, Map<Object, Message> read)
+    private Message item(Object json, Message.Builder builder, Map<Object, Message> readItems)
             throws InvalidProtocolBufferException, InvalidConfigurationException {
         if (!(json instanceof Map<?, ?>)) {
             throw new InvalidConfigurationException("an item is no object: " + Json.write(json));
         }
-        Message known = items.get(json);
+        Message knownItem = itemsByJson.get(json);
         boolean isSameType =
-                known != null && known.getDescriptorForType() == builder.getDescriptorForType();
-        Message item = isSameType ? known : merge(json, builder).build();
-        read.put(json, item);
+                knownItem != null
+                        && knownItem.getDescriptorForType() == builder.getDescriptorForType();
+        Message item = isSameType ? knownItem : merge(json, builder).build();
+        readItems.put(json, item);
         return item;
     }
 
--- a/src/main/java/gingerspool/settings/NodeSettings.java
+++ b/src/main/java/gingerspool/settings/NodeSettings.java
@@ -18,9 +18,9 @@
  */
 public final class NodeSettings {
     /** The variable that holds the file's path. */
-    public static final String VARIABLE = "GINGERSPOOL_CONFIG";
+    public static final String PATH_VARIABLE = "GINGERSPOOL_CONFIG";
 
-    private static final int PORT_MOST = 65535;
+    private static final int MAX_PORT = 65535;
 
     public final String name;
     public final String ip;
@@ -75,87 +75,93 @@
     public final double platformListDelay;
     public final double startStopRate;
 
-    private NodeSettings(Section s) {
-        name = s.text("NodeName", null).value();
-        ip = text(s, "IpAddress");
-        zone = text(s, "Zone");
-        zones = s.section("Zones").keys().stream().sorted().toList();
-        List<Integer> ports = s.wholes("InternalPortRange", 1, PORT_MOST);
+    private NodeSettings(Section root) {
+        name = root.text("NodeName", null).value();
+        ip = requiredText(root, "IpAddress");
+        zone = requiredText(root, "Zone");
+        zones = root.section("Zones").keys().stream().sorted().toList();
+        List<Integer> ports = root.wholes("InternalPortRange", 1, MAX_PORT);
         if (ports.isEmpty()) {
-            s.fault("InternalPortRange", "is missing or empty, wanted the first and the last port");
+            root.fault(
+                    "InternalPortRange", "is missing or empty, wanted the first and the last port");
         }
         internalPort = ports.isEmpty() ? 0 : ports.get(0);
-        seeds = addresses(s, "SeedNodes", s.texts("SeedNodes", List.of()));
-        firstStart = s.mark("FirstStart", false).value();
-        Section listen = s.section("ListenAddresses");
+        seeds = addresses(root, "SeedNodes", root.texts("SeedNodes", List.of()));
+        firstStart = root.mark("FirstStart", false).value();
+        Section listen = root.section("ListenAddresses");
         frontAddress = address(listen, "FrontAddress");
         readinessAddress = address(listen, "ReadinessAddress");
         controlAddress = address(listen, "ControlAddress");
         descriptors =
-                s.section("Limits").whole("FileDescriptors", 1024, 64, Integer.MAX_VALUE).value();
-        diskMb = s.section("Limits").number("DiskMb", 0.0, 0, 1e9).value();
-        var dir = s.text("DataDirectory", null);
-        dataDirectory = dir == null ? null : Path.of(dir.value());
-        toleratedLosses = s.section("ToleratedLosses").whole("Machines", 0, 0, 1000).value();
-        heartbeatInterval = s.number("HeartbeatIntervalMs", 1000.0, 10, 60_000).value();
-        Section bounds = s.section("Bounds");
-        contactTimeout = figure(bounds, "ContactMs", 4000);
-        drainTimeout = figure(bounds, "DrainMs", 3000);
-        configurationApplyTimeout = figure(bounds, "ConfigApplyMs", 3000);
-        gracePeriod = 1000 * figure(bounds, "GracePeriodS", 6);
-        rejectionAllowance = figure(bounds, "LimitSlack", 10);
-        retryBudgetRatio = figure(bounds, "RetryBudgetRatio", 0.2);
-        retryBudgetWindow = 1000 * figure(bounds, "BudgetWindowS", 10);
-        retryBudgetSlack = figure(bounds, "RetryBudgetSlack", 0);
-        Section platform = s.section("Cloud");
+                root.section("Limits")
+                        .whole("FileDescriptors", 1024, 64, Integer.MAX_VALUE)
+                        .value();
+        diskMb = root.section("Limits").number("DiskMb", 0.0, 0, 1e9).value();
+        var directory = root.text("DataDirectory", null);
+        dataDirectory = directory == null ? null : Path.of(directory.value());
+        toleratedLosses = root.section("ToleratedLosses").whole("Machines", 0, 0, 1000).value();
+        heartbeatInterval = root.number("HeartbeatIntervalMs", 1000.0, 10, 60_000).value();
+        Section bounds = root.section("Bounds");
+        contactTimeout = nonNegativeNumber(bounds, "ContactMs", 4000);
+        drainTimeout = nonNegativeNumber(bounds, "DrainMs", 3000);
+        configurationApplyTimeout = nonNegativeNumber(bounds, "ConfigApplyMs", 3000);
+        gracePeriod = 1000 * nonNegativeNumber(bounds, "GracePeriodS", 6);
+        rejectionAllowance = nonNegativeNumber(bounds, "LimitSlack", 10);
+        retryBudgetRatio = nonNegativeNumber(bounds, "RetryBudgetRatio", 0.2);
+        retryBudgetWindow = 1000 * nonNegativeNumber(bounds, "BudgetWindowS", 10);
+        retryBudgetSlack = nonNegativeNumber(bounds, "RetryBudgetSlack", 0);
+        Section platform = root.section("Cloud");
         platformAddress = address(platform, "Address");
-        platformRate = figure(platform, "RatePerS", 5);
-        platformListDelay = figure(platform, "LagMs", 1000);
-        startStopRate = figure(platform, "DutyPerS", 10);
+        platformRate = nonNegativeNumber(platform, "RatePerS", 5);
+        platformListDelay = nonNegativeNumber(platform, "LagMs", 1000);
+        startStopRate = nonNegativeNumber(platform, "DutyPerS", 10);
     }
 
-    private static double figure(Section s, String key, double other) {
-        return s.number(key, other, 0, 1e9).value();
+    private static double nonNegativeNumber(Section section, String key, double defaultValue) {
+        return section.number(key, defaultValue, 0, 1e9).value();
     }
 
     /** A text that must be there. */
-    private static String text(Section s, String key) {
-        var said = s.text(key, null);
-        if (said == null) {
-            s.fault(key, "is missing");
+    private static String requiredText(Section section, String key) {
+        var setting = section.text(key, null);
+        if (setting == null) {
+            section.fault(key, "is missing");
         }
-        return said == null ? "" : said.value();
+        return setting == null ? "" : setting.value();
     }
 
-    private static InetSocketAddress address(Section s, String key) {
-        var said = s.text(key, null);
-        return said == null || said.value() == null
+    private static InetSocketAddress address(Section section, String key) {
+        var setting = section.text(key, null);
+        return setting == null || setting.value() == null
                 ? null
-                : addresses(s, key, List.of(said.value())).stream().findFirst().orElse(null);
+                : addresses(section, key, List.of(setting.value())).stream()
+                        .findFirst()
+                        .orElse(null);
     }
 
-    private static List<InetSocketAddress> addresses(Section s, String key, List<String> texts) {
-        List<InetSocketAddress> all = new ArrayList<>();
+    private static List<InetSocketAddress> addresses(
+            Section section, String key, List<String> texts) {
+        List<InetSocketAddress> parsedAddresses = new ArrayList<>();
         for (String text : texts) {
             try {
-                all.add(Address.read(text));
+                parsedAddresses.add(Address.read(text));
             } catch (BadMessage e) {
-                s.fault(
+                section.fault(
                         key,
                         "holds \""
                                 + text
                                 + "\", wanted a numeric address and port such as 10.0.0.1:8080");
             }
         }
-        return all;
+        return parsedAddresses;
     }
 
     /** The file that the environment names. */
     public static NodeSettings read(Map<String, String> environment) throws SettingsException {
-        String file = environment.get(VARIABLE);
+        String file = environment.get(PATH_VARIABLE);
         if (file == null || file.isBlank()) {
             throw new SettingsException(
-                    VARIABLE + " is not set, wanted the path of the settings file");
+                    PATH_VARIABLE + " is not set, wanted the path of the settings file");
         }
         return read(Path.of(file));
     }
@@ -168,16 +174,16 @@
         if (faults.isEmpty() && !section.has("NodeName")) {
             section.fault("NodeName", "is missing");
         }
-        NodeSettings made = faults.isEmpty() ? new NodeSettings(section) : null;
+        NodeSettings settings = faults.isEmpty() ? new NodeSettings(section) : null;
         if (!faults.isEmpty()) {
             throw new SettingsException(
                     faults.stream().map(Diagnostic::toString).collect(Collectors.joining("; ")));
         }
-        return made;
+        return settings;
     }
 
     /** The number of a zone, -1 for one that isn't named here. */
-    public int zoneNumber(String of) {
-        return zones.indexOf(of);
+    public int zoneNumber(String zoneName) {
+        return zones.indexOf(zoneName);
     }
 }
--- a/src/main/java/gingerspool/settings/SettingsException.java
+++ b/src/main/java/gingerspool/settings/SettingsException.java
@@ -4,7 +4,7 @@
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public SettingsException(String text) {
-        super(text, null, false, false);
+    public SettingsException(String message) {
+        super(message, null, false, false);
     }
 }
--- a/src/main/java/gingerspool/slots/InstanceSelector.java
+++ b/src/main/java/gingerspool/slots/InstanceSelector.java
@@ -14,24 +14,26 @@
      */
     static Instance select(Function function, String scheduler, String zone, double now) {
         int missing = function.demands.get(scheduler).missingSlots;
-        boolean mayWait = slotsOfStarting(function, scheduler) < missing;
+        boolean mayUseStarting = slotsOnStartingInstances(function, scheduler) < missing;
         Instance best = null;
-        double bestValue = 0;
+        double bestScore = 0;
         for (Instance instance : function.instances.values()) {
             boolean isStarting = instance.state == Instance.State.STARTING;
-            if (instance.freeSlots(now) > 0 && (!isStarting || mayWait)) {
-                double value =
-                        isStarting ? startingValue(instance, now) : value(instance, zone, now);
-                if (best == null || value > bestValue) {
+            if (instance.freeSlots(now) > 0 && (!isStarting || mayUseStarting)) {
+                double score =
+                        isStarting
+                                ? scoreOfStarting(instance, now)
+                                : scoreOfStarted(instance, zone, now);
+                if (best == null || score > bestScore) {
                     best = instance;
-                    bestValue = value;
+                    bestScore = score;
                 }
             }
         }
         return best;
     }
 
-    private static int slotsOfStarting(Function function, String scheduler) {
+    private static int slotsOnStartingInstances(Function function, String scheduler) {
         int slots = 0;
         for (Instance instance : function.instances.values()) {
             if (instance.state == Instance.State.STARTING) {
@@ -42,11 +44,11 @@
     }
 
     /** Always below that of a started one. */
-    private static double startingValue(Instance instance, double now) {
+    private static double scoreOfStarting(Instance instance, double now) {
         return -1 - instance.remainingStartTime(now);
     }
 
-    private static double value(Instance instance, String zone, double now) {
+    private static double scoreOfStarted(Instance instance, String zone, double now) {
         double freeShare = (double) instance.freeSlots(now) / instance.slots;
         return freeShare + (instance.zone.equals(zone) ? SAME_ZONE_BONUS : 0);
     }
--- a/src/main/java/gingerspool/slots/RecallPolicy.java
+++ b/src/main/java/gingerspool/slots/RecallPolicy.java
@@ -14,43 +14,49 @@
 
     /** Notes each recalled slot and tells whom it is recalled from. */
     static void recall(Function function, Consumer<String> recallFrom) {
-        int slots = 0;
-        Map<String, Integer> granted = new HashMap<>();
+        int readySlots = 0;
+        Map<String, Integer> grantedByScheduler = new HashMap<>();
         for (Instance instance : function.instances.values()) {
             if (instance.state == Instance.State.READY) {
-                slots += instance.slots;
-                instance.grantedByScheduler.forEach((s, n) -> granted.merge(s, n, Integer::sum));
+                readySlots += instance.slots;
+                instance.grantedByScheduler.forEach(
+                        (s, n) -> grantedByScheduler.merge(s, n, Integer::sum));
             }
         }
-        for (SchedulerDemand poor : List.copyOf(function.demands.values())) {
-            if (poor.missingSlots > 0) {
-                String rich = mostBeyondShare(function, poor, slots, granted);
-                if (rich != null) {
-                    function.demands.get(rich).recalled++;
-                    recallFrom.accept(rich);
+        for (SchedulerDemand starvedDemand : List.copyOf(function.demands.values())) {
+            if (starvedDemand.missingSlots > 0) {
+                String overservedScheduler =
+                        mostOverservedScheduler(
+                                function, starvedDemand, readySlots, grantedByScheduler);
+                if (overservedScheduler != null) {
+                    function.demands.get(overservedScheduler).recalled++;
+                    recallFrom.accept(overservedScheduler);
                 }
             }
         }
     }
 
     /** The scheduler that holds most slots beyond its share, by one at least, or null. */
-    private static String mostBeyondShare(
-            Function function, SchedulerDemand poor, int slots, Map<String, Integer> granted) {
+    private static String mostOverservedScheduler(
+            Function function,
+            SchedulerDemand starvedDemand,
+            int readySlots,
+            Map<String, Integer> grantedByScheduler) {
         int inFlight = Math.max(1, function.inFlight());
-        String rich = null;
-        double most = 0;
-        for (Map.Entry<String, Integer> entry : granted.entrySet()) {
+        String overservedScheduler = null;
+        double largestExcess = 0;
+        for (Map.Entry<String, Integer> entry : grantedByScheduler.entrySet()) {
             SchedulerDemand demand = function.demands.get(entry.getKey());
-            if (demand == null || demand == poor) {
+            if (demand == null || demand == starvedDemand) {
                 continue;
             }
-            double share = (double) slots * demand.inFlight / inFlight;
-            double beyond = entry.getValue() - share - demand.recalled;
-            if (beyond > most && beyond >= 1) {
-                rich = entry.getKey();
-                most = beyond;
+            double fairShare = (double) readySlots * demand.inFlight / inFlight;
+            double excess = entry.getValue() - fairShare - demand.recalled;
+            if (excess > largestExcess && excess >= 1) {
+                overservedScheduler = entry.getKey();
+                largestExcess = excess;
             }
         }
-        return rich;
+        return overservedScheduler;
     }
 }
--- a/src/main/java/gingerspool/slots/SlotAllocator.java
+++ b/src/main/java/gingerspool/slots/SlotAllocator.java
@@ -22,13 +22,13 @@
  */
 public final class SlotAllocator {
     /** How long a scheduler's slots stay its own after its link broke, in heartbeat intervals. */
-    private static final double RECLAIM_HEARTBEATS = 0.5;
+    private static final double RECLAIM_DELAY_HEARTBEATS = 0.5;
 
     /** How long an instance that was not reached gets no requests, in heartbeat intervals. */
     private static final double SUSPECT_HEARTBEATS = 1;
 
     /** How long schedulers have to report to a new allocator, in heartbeat intervals. */
-    private static final double REPORT_HEARTBEATS = 0.15;
+    private static final double REGISTRATION_GRACE_HEARTBEATS = 0.15;
 
     /** What the newest arrival rates look back over, in heartbeat intervals. */
     private static final double RATE_WINDOW_HEARTBEATS = 0.8;
@@ -57,27 +57,27 @@
         long grants;
     }
 
-    private final double heartbeat;
+    private final double heartbeatInterval;
     private final Messenger messenger;
     private final FunctionCatalog catalog;
     private final Map<String, Instance> instances = new LinkedHashMap<>();
     private final Map<String, Session> sessions = new LinkedHashMap<>();
 
     /** By instance, then scheduler: slots reported of instances that no list has named yet. */
-    private final Map<String, Map<String, Integer>> reportedBeforeListed = new HashMap<>();
+    private final Map<String, Map<String, Integer>> slotsOfUnlistedInstances = new HashMap<>();
 
     /** Nothing is granted before that. */
-    private final double grantsFrom;
+    private final double grantsAllowedFrom;
 
     private double now;
 
     /** The heartbeat interval is in milliseconds. */
-    public SlotAllocator(double heartbeat, double now, Messenger messenger) {
-        this.heartbeat = heartbeat;
+    public SlotAllocator(double heartbeatInterval, double now, Messenger messenger) {
+        this.heartbeatInterval = heartbeatInterval;
         this.messenger = messenger;
         this.now = now;
-        catalog = new FunctionCatalog(RATE_WINDOW_HEARTBEATS * heartbeat);
-        grantsFrom = now + REPORT_HEARTBEATS * heartbeat;
+        catalog = new FunctionCatalog(RATE_WINDOW_HEARTBEATS * heartbeatInterval);
+        grantsAllowedFrom = now + REGISTRATION_GRACE_HEARTBEATS * heartbeatInterval;
     }
 
     public FunctionCatalog catalog() {
@@ -114,22 +114,22 @@
     // ---- Messages of schedulers ----
 
     /** A scheduler registered, perhaps again: what it holds is what it reports. */
-    public void onRegister(double at, String scheduler, Messages.Register message) {
-        now = at;
+    public void onRegister(double time, String scheduler, Messages.Register message) {
+        now = time;
         reclaim(scheduler);
         Session session = sessions.computeIfAbsent(scheduler, name -> new Session());
         session.zone = message.zone();
         session.disconnectedAt = Double.NaN;
         session.grants = 0;
-        message.held().forEach((id, slots) -> heldSlots(id).put(scheduler, slots));
+        message.held().forEach((id, slots) -> grantedSlotsOf(id).put(scheduler, slots));
     }
 
     /** Granted slots of an instance by scheduler, also before a list has named it. */
-    private Map<String, Integer> heldSlots(String id) {
+    private Map<String, Integer> grantedSlotsOf(String id) {
         Instance instance = instances.get(id);
         return instance != null
                 ? instance.grantedByScheduler
-                : reportedBeforeListed.computeIfAbsent(id, k -> new HashMap<>());
+                : slotsOfUnlistedInstances.computeIfAbsent(id, k -> new HashMap<>());
     }
 
     /**
@@ -137,28 +137,28 @@
      * this is what is noted here; what differs is repaired from it, since the scheduler knows best.
      * False where something differed.
      */
-    public boolean onHoldings(double at, String scheduler, Messages.SlotHoldings message) {
-        now = at;
+    public boolean onHoldings(double time, String scheduler, Messages.SlotHoldings message) {
+        now = time;
         Session session = sessions.get(scheduler);
         if (session == null || session.grants != message.grants()) {
             return true;
         }
         boolean matches = true;
         for (Instance instance : instances.values()) {
-            Map<String, Integer> granted = instance.grantedByScheduler;
+            Map<String, Integer> grantedSlots = instance.grantedByScheduler;
             Integer reported = message.held().get(instance.id);
-            if (!Objects.equals(granted.get(scheduler), reported)) {
+            if (!Objects.equals(grantedSlots.get(scheduler), reported)) {
                 matches = false;
-                granted.put(scheduler, reported);
-                granted.values().removeIf(Objects::isNull);
+                grantedSlots.put(scheduler, reported);
+                grantedSlots.values().removeIf(Objects::isNull);
             }
         }
         return matches;
     }
 
     /** A scheduler's link broke. */
-    public void onDisconnect(double at, String scheduler) {
-        now = at;
+    public void onDisconnect(double time, String scheduler) {
+        now = time;
         Session session = sessions.get(scheduler);
         if (session != null) {
             session.disconnectedAt = now;
@@ -168,13 +168,13 @@
 
     private void reclaim(String scheduler) {
         instances.values().forEach(instance -> instance.grantedByScheduler.remove(scheduler));
-        reportedBeforeListed.values().forEach(held -> held.remove(scheduler));
+        slotsOfUnlistedInstances.values().forEach(held -> held.remove(scheduler));
         catalog.all().forEach(function -> function.demands.remove(scheduler));
     }
 
     /** What a scheduler needs of a function now. */
-    public void onDemand(double at, String scheduler, Messages.SlotDemand message) {
-        now = at;
+    public void onDemand(double time, String scheduler, Messages.SlotDemand message) {
+        now = time;
         Function function = catalog.find(message.function());
         if (function == null || !sessions.containsKey(scheduler)) {
             return;
@@ -190,10 +190,10 @@
 
     private void update(Function function, SchedulerDemand demand, Messages.SlotDemand message) {
         // Guards against granting twice: what is on its way was not known to the scheduler yet.
-        long onItsWay = Math.max(0, demand.granted - message.granted());
-        boolean missedBefore = demand.missingSlots > 0;
-        demand.missingSlots = (int) Math.max(0, message.missing() - onItsWay);
-        demand.missingSince = missedBefore ? demand.missingSince : now;
+        long grantsInTransit = Math.max(0, demand.granted - message.granted());
+        boolean wasMissingSlots = demand.missingSlots > 0;
+        demand.missingSlots = (int) Math.max(0, message.missing() - grantsInTransit);
+        demand.missingSince = wasMissingSlots ? demand.missingSince : now;
         demand.inFlight = message.inFlight();
         function.arrivals.add(now, Math.max(0, message.arrivals() - demand.arrivals));
         demand.arrivals = message.arrivals();
@@ -208,16 +208,17 @@
     }
 
     /** A scheduler returns slots, perhaps none, and tells how the instance was. */
-    public void onReturn(double at, String scheduler, Messages.SlotReturn message) {
-        now = at;
+    public void onReturn(double time, String scheduler, Messages.SlotReturn message) {
+        now = time;
         int slots = message.slots();
         Instance instance = instances.get(message.instance());
         // Guards slots of instances that no list has named yet: else they would be held for ever.
-        Map<String, Integer> held =
+        Map<String, Integer> grantedSlots =
                 instance != null
                         ? instance.grantedByScheduler
-                        : reportedBeforeListed.getOrDefault(message.instance(), new HashMap<>());
-        held.computeIfPresent(scheduler, (name, n) -> n > slots ? n - slots : null);
+                        : slotsOfUnlistedInstances.getOrDefault(
+                                message.instance(), new HashMap<>());
+        grantedSlots.computeIfPresent(scheduler, (name, n) -> n > slots ? n - slots : null);
         if (instance == null) {
             return;
         }
@@ -230,7 +231,7 @@
                 && instance.state == Instance.State.STARTING) {
             instance.state = Instance.State.READY;
         } else if (message.condition() == InstanceCondition.UNREACHABLE) {
-            instance.suspectUntil = now + SUSPECT_HEARTBEATS * heartbeat;
+            instance.suspectUntil = now + SUSPECT_HEARTBEATS * heartbeatInterval;
         }
         grant(instance.function);
     }
@@ -239,7 +240,7 @@
 
     /** An instance became known, by its start or by the platform's list. */
     public Instance addInstance(
-            double at,
+            double time,
             String id,
             Function function,
             String address,
@@ -247,11 +248,11 @@
             String host,
             int slots,
             Instance.State state) {
-        now = at;
+        now = time;
         Instance instance = new Instance(id, function, address, zone, host, slots, state, now);
         instances.put(id, instance);
         function.instances.put(id, instance);
-        Map<String, Integer> reported = reportedBeforeListed.remove(id);
+        Map<String, Integer> reported = slotsOfUnlistedInstances.remove(id);
         if (reported != null) {
             instance.grantedByScheduler.putAll(reported);
         }
@@ -260,8 +261,8 @@
     }
 
     /** The platform lists it as ready. */
-    public void markReady(double at, Instance instance) {
-        now = at;
+    public void markReady(double time, Instance instance) {
+        now = time;
         if (instance.state == Instance.State.STARTING) {
             instance.state = Instance.State.READY;
             grant(instance.function);
@@ -269,8 +270,8 @@
     }
 
     /** It gets nothing new; what runs there goes on. */
-    public void markDraining(double at, Instance instance) {
-        now = at;
+    public void markDraining(double time, Instance instance) {
+        now = time;
         if (instance.state != Instance.State.DRAINING) {
             instance.drainingSince = now;
         }
@@ -278,8 +279,8 @@
     }
 
     /** It has ended. */
-    public void removeInstance(double at, Instance instance) {
-        now = at;
+    public void removeInstance(double time, Instance instance) {
+        now = time;
         instance.state = Instance.State.DRAINING;
         instances.remove(instance.id);
         instance.function.instances.remove(instance.id);
@@ -288,10 +289,12 @@
     // ---- Time ----
 
     /** Reclaims the slots of schedulers that stay away, and grants and recalls what is due. */
-    public void tick(double at) {
-        now = at;
+    public void tick(double time) {
+        now = time;
         for (Map.Entry<String, Session> entry : List.copyOf(sessions.entrySet())) {
-            if (now > entry.getValue().disconnectedAt + RECLAIM_HEARTBEATS * heartbeat) {
+            if (now
+                    > entry.getValue().disconnectedAt
+                            + RECLAIM_DELAY_HEARTBEATS * heartbeatInterval) {
                 reclaim(entry.getKey());
                 sessions.remove(entry.getKey());
             }
@@ -308,7 +311,7 @@
     // ---- Granting ----
 
     private boolean mayGrant() {
-        return now >= grantsFrom && messenger.mayGrant();
+        return now >= grantsAllowedFrom && messenger.mayGrant();
     }
 
     private void grant(Function function) {
@@ -319,7 +322,7 @@
 
     /** One slot to the scheduler that has missed one for longest; false where there is none. */
     private boolean grantOne(Function function) {
-        String scheduler = longestMissing(function);
+        String scheduler = longestWaitingScheduler(function);
         if (scheduler == null) {
             return false;
         }
@@ -348,18 +351,20 @@
     }
 
     /** The scheduler that has missed a slot for longest, of those that one can be granted to. */
-    private String longestMissing(Function function) {
-        String longest = null;
-        double since = 0;
+    private String longestWaitingScheduler(Function function) {
+        String longestWaiting = null;
+        double waitingSince = 0;
         for (Map.Entry<String, SchedulerDemand> entry : function.demands.entrySet()) {
             SchedulerDemand demand = entry.getValue();
-            boolean isLonger = longest == null || demand.missingSince < since;
-            if (demand.missingSlots > 0 && isLonger && select(function, entry.getKey()) != null) {
-                longest = entry.getKey();
-                since = demand.missingSince;
+            boolean hasWaitedLonger = longestWaiting == null || demand.missingSince < waitingSince;
+            if (demand.missingSlots > 0
+                    && hasWaitedLonger
+                    && select(function, entry.getKey()) != null) {
+                longestWaiting = entry.getKey();
+                waitingSince = demand.missingSince;
             }
         }
-        return longest;
+        return longestWaiting;
     }
 
     private Instance select(Function function, String scheduler) {
@@ -382,8 +387,8 @@
     /** Lines of the status page: each function that has instances or requests. */
     public List<String> status() {
         return catalog.all().stream()
-                .filter(f -> !f.instances.isEmpty() || f.inFlight() > 0)
-                .map(f -> f.name + " " + SlotUsage.of(f))
+                .filter(function -> !function.instances.isEmpty() || function.inFlight() > 0)
+                .map(function -> function.name + " " + SlotUsage.of(function))
                 .toList();
     }
 }
--- a/src/test/java/gingerspool/autoscaler/AutoscalerTest.java
+++ b/src/test/java/gingerspool/autoscaler/AutoscalerTest.java
@@ -283,9 +283,9 @@
 
     @Test
     public void waitsFollowErlang() {
-        assertEquals(ErlangDelay.probabilityBeyond(1, 0.5, 0), 0.5, 1e-9);
-        assertEquals(ErlangDelay.probabilityBeyond(2, 1, 0), 1.0 / 3, 1e-9);
-        assertEquals(ErlangDelay.probabilityBeyond(2, 1, 2), Math.exp(-2) / 3, 1e-9);
-        assertEquals(ErlangDelay.probabilityBeyond(2, 2, 5), 1.0);
+        assertEquals(ErlangDelay.probabilityOfWaitOver(1, 0.5, 0), 0.5, 1e-9);
+        assertEquals(ErlangDelay.probabilityOfWaitOver(2, 1, 0), 1.0 / 3, 1e-9);
+        assertEquals(ErlangDelay.probabilityOfWaitOver(2, 1, 2), Math.exp(-2) / 3, 1e-9);
+        assertEquals(ErlangDelay.probabilityOfWaitOver(2, 2, 5), 1.0);
     }
 }
--- a/src/test/java/gingerspool/configuration/ConfigurationStateTest.java
+++ b/src/test/java/gingerspool/configuration/ConfigurationStateTest.java
@@ -121,14 +121,14 @@
     @Test
     public void remembersSoManyAndForgetsTheOldestFirst() throws Exception {
         AcceptedChanges all = new AcceptedChanges();
-        int added = AcceptedChanges.CHANGES_MOST + 1000;
+        int added = AcceptedChanges.MAX_CHANGES + 1000;
         for (int version = 1; version <= added; version++) {
             all.add(2L * version, AcceptedChanges.digest(true, version, new byte[0]));
         }
         assertTrue(
-                all.size() <= AcceptedChanges.CHANGES_MOST && all.size() > added - 1300,
+                all.size() <= AcceptedChanges.MAX_CHANGES && all.size() > added - 1300,
                 "" + all.size());
-        AcceptedChanges copy = AcceptedChanges.of(all.blocks());
+        AcceptedChanges copy = AcceptedChanges.fromBlocks(all.blocks());
         for (int back = 0; back < all.size(); back += 97) {
             int version = added - back;
             byte[] digest = AcceptedChanges.digest(true, version, new byte[0]);
--- a/src/test/java/gingerspool/settings/SettingsTest.java
+++ b/src/test/java/gingerspool/settings/SettingsTest.java
@@ -32,7 +32,7 @@
     private static NodeSettings read(String text) throws Exception {
         Path file = Files.createTempFile("settings", ".toml");
         Files.writeString(file, text);
-        return NodeSettings.read(Map.of(NodeSettings.VARIABLE, file.toString()));
+        return NodeSettings.read(Map.of(NodeSettings.PATH_VARIABLE, file.toString()));
     }
 
     @Test
@@ -68,6 +68,6 @@
     public void saysWhichVariableIsMissing() {
         SettingsException e =
                 expectThrows(SettingsException.class, () -> NodeSettings.read(Map.of()));
-        assertTrue(e.getMessage().contains(NodeSettings.VARIABLE));
+        assertTrue(e.getMessage().contains(NodeSettings.PATH_VARIABLE));
     }
 }
--- a/src/test/java/gingerspool/slots/ArrivalRateTest.java
+++ b/src/test/java/gingerspool/slots/ArrivalRateTest.java
@@ -63,12 +63,12 @@
         for (int i = 1; i <= 20; i++) {
             a.add(100 * i, 1);
         }
-        assertEquals(1000 * a.expected(), 10, 1);
+        assertEquals(1000 * a.expectedRate(), 10, 1);
         assertTrue(!a.isKnown());
         for (int i = 0; i < 200; i++) {
             a.add(2000 + 100 * i, 0);
         }
         assertTrue(a.isKnown());
-        assertTrue(1000 * a.expected() < 1, "forgotten at a stated pace");
+        assertTrue(1000 * a.expectedRate() < 1, "forgotten at a stated pace");
     }
 }
