--- a/src/main/java/gingerspool/autoscaler/Autoscaler.java
+++ b/src/main/java/gingerspool/autoscaler/Autoscaler.java
@@ -9,32 +9,34 @@
 import java.util.Map;
 
 /**
- * Holds the instances that are against those that are wanted: starts what is missing, functions
- * that miss most first, and retires what is too much, all within the platform's rate of calls. Does
- * nothing until the hosts and the instances were listed once. Times are milliseconds of a steady
+ * Brings each function to its desired number of instances: starts missing ones, beginning with the
+ * functions that miss the most slots, and retires surplus ones, within the rate of calls that the
+ * platform allows. Does nothing until the platform's hosts and instances have both been listed
+ * once. Owned by the duties of the leader, for one thread. Times are milliseconds of a steady
  * clock.
  */
 public final class Autoscaler {
-    /** The part of the platform's rate of calls that is used. */
+    /** The share of the platform's rate of calls that the autoscaler uses. */
     private static final double CALL_RATE_SHARE = 0.8;
 
-    /** A start that has not shown for so many start times is given up. */
+    /** How long an instance may take to start, in start times, before it no longer counts. */
     private static final double START_TIMEOUT_START_TIMES = 8;
 
     /**
-     * What an autoscaler calls to act. Each start ends with a call of started() or startFailed().
+     * The calls by which the autoscaler acts. Each start must end with a call of started() or
+     * startFailed().
      */
     public interface Actions {
-        /** The same nonce is the same start. */
+        /** The nonce identifies the start, so that a repeated call starts nothing further. */
         void start(Function function, String host, String nonce);
 
         void stop(String instance);
 
-        /** Nothing new may go to this instance. */
+        /** The instance must be given no new requests. */
         void drain(Instance instance);
     }
 
-    /** A start that was asked for and not answered. */
+    /** A start that was requested and has not been answered yet. */
     private record PendingStart(Function function, WorkerHost host) {}
 
     private final SlotAllocator allocator;
@@ -55,11 +57,11 @@
     private boolean instancesKnown;
 
     /**
-     * An autoscaler of one leader's term.
+     * An autoscaler for one term of a leader.
      *
-     * @param callsPerSecond calls of the platform that are allowed
-     * @param listDelay how late the platform's lists are
-     * @param noncePrefix makes this autoscaler's nonces its own
+     * @param callsPerSecond the rate of calls that the platform allows
+     * @param listDelay how far the platform's lists may lag behind, in milliseconds
+     * @param noncePrefix makes the nonces of this autoscaler unique
      */
     public Autoscaler(
             SlotAllocator allocator,
@@ -76,14 +78,14 @@
         callBudget = new TokenBucket(CALL_RATE_SHARE * callsPerSecond / 1000, now);
     }
 
-    // ---- What the platform says ----
+    // ---- Reports from the platform ----
 
-    /** A list of hosts begins: one that is not on it takes no starts. */
+    /** A list of hosts begins. Hosts that are not on it get no starts. */
     public void beginHosts() {
         hosts.values().forEach(host -> host.isReady = false);
     }
 
-    /** One entry of the list; memory is megabytes. */
+    /** Adds one entry of the list of hosts. */
     public void addHost(
             String name, String zone, double memoryMb, double freeMemoryMb, boolean isReady) {
         WorkerHost host = hosts.computeIfAbsent(name, k -> new WorkerHost(name, zone));
@@ -92,7 +94,10 @@
         host.isReady = isReady;
     }
 
-    /** The list is complete. It is late: what was started since is not in it yet. */
+    /**
+     * The list of hosts is complete. Since it lags behind, the memory of instances that were
+     * started recently is deducted here.
+     */
     public void endHosts() {
         hostsKnown = true;
         for (Instance instance : allocator.instances()) {
@@ -107,12 +112,12 @@
         return hosts.computeIfAbsent(name, k -> new WorkerHost(name, ""));
     }
 
-    /** The complete list of instances was read. */
+    /** The list of instances has been read completely. */
     public void instancesListed() {
         instancesKnown = true;
     }
 
-    /** A start was carried out. */
+    /** The platform started an instance. */
     public void started(double time, String nonce, String id, String address) {
         now = time;
         PendingStart start = pendingStarts.remove(nonce);
@@ -129,7 +134,10 @@
         }
     }
 
-    /** A start was rejected, or had no answer; without room nothing more is started there. */
+    /**
+     * A start was rejected or not answered. If the host has no room, nothing more is started there
+     * until it is listed again.
+     */
     public void startFailed(double time, String nonce, boolean hasNoRoom) {
         now = time;
         PendingStart start = pendingStarts.remove(nonce);
@@ -140,9 +148,9 @@
         }
     }
 
-    // ---- The difference ----
+    // ---- Scaling ----
 
-    /** Starts and stops what is due. */
+    /** Starts, drains and stops instances as needed. Called periodically. */
     public void tick(double time) {
         now = time;
         callBudget.refill(now);
@@ -174,7 +182,7 @@
         }
     }
 
-    /** Instances that serve or are expected to, starts that were asked for included. */
+    /** The instances that serve requests or are expected to, including pending starts. */
     private int availableInstances(Function function) {
         int available = 0;
         for (Instance instance : function.instances.values()) {
@@ -195,7 +203,7 @@
         return instance.state == Instance.State.STARTING && now > instance.createdAt + timeout;
     }
 
-    /** Asks for one more instance; false where no host has room. */
+    /** Requests the start of one more instance; false if no host has room. */
     private boolean start(Function function) {
         WorkerHost host = chooseHost(function);
         if (host == null) {
--- a/src/main/java/gingerspool/autoscaler/CapacityPlan.java
+++ b/src/main/java/gingerspool/autoscaler/CapacityPlan.java
@@ -5,29 +5,35 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How many instances the load of each function asks for. */
+/**
+ * Computes how many instances each function needs for its load. Called by the autoscaler. Times are
+ * milliseconds.
+ */
 final class CapacityPlan {
-    /** This share of requests may wait for a slot for longer than their target allows. */
+    /** The share of requests that may wait for a slot for longer than their target allows. */
     private static final double MAX_LATE_SHARE = 0.02;
 
-    /** Few starts take longer than so many times their mean. */
+    /** Few starts take longer than this many mean start times. */
     private static final double SLOW_START_FACTOR = 1.4;
 
-    /** The service time where none was seen of any such function, in parts of the target. */
+    /**
+     * The service time assumed if none was observed in a function's size class, as a share of the
+     * latency target.
+     */
     private static final double DEFAULT_SERVICE_TIME_SHARE = 0.2;
 
-    /** The longest target that the first service time is taken from, in milliseconds. */
+    /** Caps the latency target from which the assumed service time is computed. */
     private static final double DEFAULT_SERVICE_TIME_MAX_TARGET_MS = 1000;
 
-    /** Waiting for a slot may take this part of the latency target. */
-    private static final double MAX_WAIT_SHARE = 0.5;
+    /** The share of the latency target that waiting for a slot and the service time may take. */
+    private static final double MAX_RESPONSE_TIME_SHARE = 0.5;
 
-    /** Mean service time by size of function. */
+    /** The mean service time of the functions of each size class. */
     private final Map<String, Double> meanServiceTimeBySizeClass = new HashMap<>();
 
     /**
-     * Notes the service times seen. Guards first requests of rare functions: until one has run,
-     * others of its size tell how long it takes.
+     * Records the observed service times. Guards the first requests of rare functions: until one
+     * has run, its service time is estimated from other functions of the same size class.
      */
     void observe(Collection<Function> functions) {
         Map<String, Integer> functionsBySizeClass = new HashMap<>();
@@ -44,22 +50,25 @@
         }
     }
 
+    /** Functions with the same memory, concurrency and latency target form a size class. */
     private static String sizeClass(Function function) {
         return function.memoryMb + " " + function.concurrency + " " + function.targetLatency;
     }
 
-    /** Instances that the function should have now. */
+    /** The number of instances that the function should have now. */
     int desiredInstances(Function function) {
         if (!function.isRouted) {
             return 0;
         }
         double serviceTime = estimatedServiceTime(function);
-        double load = function.arrivals.provisioned() * serviceTime;
-        double maxWait = Math.max(0, MAX_WAIT_SHARE * function.targetLatency - serviceTime);
-        // What waits already is to be worked off within the same span.
+        double load = function.arrivals.provisionedRate() * serviceTime;
+        double maxWait =
+                Math.max(0, MAX_RESPONSE_TIME_SHARE * function.targetLatency - serviceTime);
+        // The backlog is to be served within the longest wait.
         double backlogShare = serviceTime / Math.max(serviceTime, maxWait);
         boolean needsWarmInstances = needsWarmInstances(function, serviceTime);
-        // Rare requests are in the rate as well: they are not to be provided for twice.
+        // Without warm instances, the maximum is taken instead of the sum: requests in flight are
+        // part of the arrival rate already, and rare ones must not be counted twice.
         double loadWithBacklog =
                 needsWarmInstances
                         ? load + function.missingSlots() * backlogShare
@@ -80,21 +89,21 @@
         return desired;
     }
 
-    /** Whether too many requests wait for a slot for longer than this, in service times. */
+    /** Whether too many requests wait for a slot for longer than this many service times. */
     private static boolean waitsTooLong(int slots, double load, double maxWaitServiceTimes) {
         return ErlangDelay.probabilityOfWaitOver(slots, load, maxWaitServiceTimes) > MAX_LATE_SHARE;
     }
 
     /**
-     * Where a start is quick enough for the request that needs it, nothing stands ready for chance:
-     * one more instance is worth it where requests would else cause starts at a higher price.
+     * Whether one more instance costs less than the starts that it avoids. Decides for functions
+     * whose target leaves time for a start, so that they need no spare capacity for their latency.
      */
     private static boolean startsTooOften(
             Function function, int slots, double load, double serviceTime) {
         double slowStartTime = SLOW_START_FACTOR * function.startTime;
         double startProbability =
                 ErlangDelay.probabilityOfWaitOver(slots, load, slowStartTime / serviceTime);
-        return function.arrivals.provisioned()
+        return function.arrivals.provisionedRate()
                         * startProbability
                         * StartCost.equivalentIdleTime(function)
                 > 1;
@@ -110,7 +119,7 @@
         return meanServiceTimeBySizeClass.getOrDefault(sizeClass(function), defaultServiceTime);
     }
 
-    /** Whether a start would take too long for the first request. */
+    /** Whether a request that has to wait for a start would miss its latency target. */
     private static boolean needsWarmInstances(Function function, double serviceTime) {
         return function.targetLatency < SLOW_START_FACTOR * function.startTime + serviceTime;
     }
--- a/src/main/java/gingerspool/autoscaler/ErlangDelay.java
+++ b/src/main/java/gingerspool/autoscaler/ErlangDelay.java
@@ -1,18 +1,18 @@
 package gingerspool.autoscaler;
 
 /**
- * How long requests wait for a slot, by Erlang's delay formula (Erlang C) for Poisson arrivals and
- * exponential running times.
+ * The waiting time of requests by Erlang's delay formula (Erlang C), which assumes Poisson arrivals
+ * and exponentially distributed running times.
  */
 final class ErlangDelay {
     private ErlangDelay() {}
 
     /**
-     * The probability that a request waits for longer than a span.
+     * The probability that a request waits for a slot for longer than the given time.
      *
-     * @param slots how many requests run at once
-     * @param load arrivals in one mean running time, that is slots in use on average
-     * @param span the span, in mean running times
+     * @param slots the number of requests that can run at once
+     * @param load the arrivals per mean running time, that is, the mean number of slots in use
+     * @param wait the waiting time, in mean running times
      */
     static double probabilityOfWaitOver(int slots, double load, double wait) {
         if (load >= slots) {
--- a/src/main/java/gingerspool/autoscaler/Placement.java
+++ b/src/main/java/gingerspool/autoscaler/Placement.java
@@ -7,14 +7,15 @@
 import java.util.Map;
 
 /**
- * Chooses the host of a function's next instance: in the zone where most of its requests lack one,
- * there the host with the fewest of it, then the emptiest.
+ * Chooses the host for the next instance of a function. Prefers the zone with the most requests in
+ * flight per instance, then hosts with few instances of the function, then hosts with much free
+ * memory. Used by the autoscaler for a single start.
  */
 final class Placement {
-    /** What one more instance of the function on a host counts against it. */
+    /** Subtracted from a host's score for each instance of the function on it. */
     private static final double SAME_HOST_PENALTY = 0.1;
 
-    /** What an empty host counts more than a full one. */
+    /** Added to a host's score in proportion to its share of free memory. */
     private static final double FREE_MEMORY_BONUS = 0.05;
 
     private final Function function;
@@ -30,13 +31,13 @@
         }
     }
 
-    /** One instance of the function is there, or is to be. */
+    /** Counts an instance of the function that is on this host or being started there. */
     void countInstance(String zone, String host) {
         instancesByZone.merge(zone, 1, Integer::sum);
         instancesByHost.merge(host, 1, Integer::sum);
     }
 
-    /** The best host with room, or null. */
+    /** The best host that is ready and has enough free memory, or null. */
     WorkerHost choose(Collection<WorkerHost> hosts) {
         WorkerHost best = null;
         double bestScore = 0;
--- a/src/main/java/gingerspool/autoscaler/StartCost.java
+++ b/src/main/java/gingerspool/autoscaler/StartCost.java
@@ -2,17 +2,19 @@
 
 import gingerspool.slots.Function;
 
-/** What a start costs, in the time for which an instance might stand idle instead. */
+/**
+ * The cost of starting an instance, expressed as the idle time of an instance that costs as much.
+ */
 final class StartCost {
     /**
-     * A start is worth so many start times of standing idle: the start's own, what the platform
-     * charges for it, and what waiting for it takes from the request.
+     * A start costs as much as an instance that is idle for this many start times: it takes the
+     * start time itself, the platform charges for it, and it delays the request that waits for it.
      */
     private static final double IDLE_START_TIMES = 3;
 
     private StartCost() {}
 
-    /** How long an instance may stand idle for the price of one start, in milliseconds. */
+    /** How long an instance may be idle at the cost of one start, in milliseconds. */
     static double equivalentIdleTime(Function function) {
         return IDLE_START_TIMES * function.startTime;
     }
--- a/src/main/java/gingerspool/autoscaler/SurplusRetirement.java
+++ b/src/main/java/gingerspool/autoscaler/SurplusRetirement.java
@@ -8,36 +8,39 @@
 import java.util.Map;
 
 /**
- * Retires instances beyond those wanted, one after the other. Load is spread over all instances, so
- * that none might ever be idle: the one with the least work is drained, and stops once no scheduler
- * holds a slot of it.
+ * Retires surplus instances of each function, one at a time. Since load is spread over all
+ * instances, none of them might ever become idle. Therefore the one with the fewest granted slots
+ * is drained, and stopped once no scheduler holds a slot of it. Called by the autoscaler. Times are
+ * milliseconds.
  */
 final class SurplusRetirement {
-    /** How long an instance is more than wanted until it retires, in start times. */
+    /** How long a surplus must last until an instance is retired, in start times. */
     private static final double SURPLUS_DELAY_START_TIMES = 2;
 
-    /** The pause between two that retire, in start times. */
+    /** The pause between the retirements of two instances of a function, in start times. */
     private static final double RETIREMENT_PAUSE_START_TIMES = 0.5;
 
-    /** How long schedulers have to return the slots of one that retires, in start times. */
+    /** How long schedulers have to return the slots of a retiring instance, in start times. */
     private static final double DRAIN_TIMEOUT_START_TIMES = 20;
 
     private final Autoscaler.Actions actions;
+
+    /** Since when each function has had a surplus; moved on after each retirement. */
     private final Map<Function, Double> surplusSince = new HashMap<>();
 
-    /** Instances that retire, and since when. */
+    /** When each instance that is draining for retirement was retired. */
     private final Map<Instance, Double> retiringSince = new LinkedHashMap<>();
 
     SurplusRetirement(Autoscaler.Actions actions) {
         this.actions = actions;
     }
 
-    /** The function has as many instances as are wanted, or fewer. */
+    /** The function has no more instances than desired. */
     void onNoSurplus(Function function) {
         surplusSince.remove(function);
     }
 
-    /** The function has so many instances, more than are wanted. */
+    /** The function has more instances than desired; retires one if the surplus lasts. */
     void onSurplus(Function function, int available, double now) {
         double since = surplusSince.computeIfAbsent(function, f -> now);
         double delay = available == 1 ? 0 : SURPLUS_DELAY_START_TIMES * function.startTime;
@@ -53,6 +56,10 @@
         }
     }
 
+    /**
+     * The ready instance with the fewest granted slots, or null. The last instance of a function is
+     * retired only once it has been unused for long enough.
+     */
     private static Instance leastUsedRetirable(Function function, int available, double now) {
         Instance leastUsed = null;
         for (Instance instance : function.instances.values()) {
@@ -69,9 +76,9 @@
     }
 
     /**
-     * How long the last instance of a function is kept unused: for good where the next request is
-     * awaited within the time that a start is worth; else not at all, or for one start time where
-     * the rate isn't known yet.
+     * How long the last instance of a function may be unused before it is retired: without limit if
+     * the next request is expected within the idle time that costs as much as a start. Otherwise
+     * not at all, or for one start time while the arrival rate is not known yet.
      */
     private static double lastInstanceIdleLimit(Function function) {
         if (function.arrivals.expectedRate() * StartCost.equivalentIdleTime(function) > 1) {
@@ -80,7 +87,10 @@
         return function.arrivals.isKnown() ? 0 : function.startTime;
     }
 
-    /** Stops the retired ones of which no scheduler holds a slot, within the platform's rate. */
+    /**
+     * Stops retired instances that have drained or whose drain timeout is over, within the rate of
+     * calls.
+     */
     void stopDrained(double now, TokenBucket callBudget) {
         for (Map.Entry<Instance, Double> entry : List.copyOf(retiringSince.entrySet())) {
             Instance instance = entry.getKey();
--- a/src/main/java/gingerspool/autoscaler/TokenBucket.java
+++ b/src/main/java/gingerspool/autoscaler/TokenBucket.java
@@ -1,6 +1,6 @@
 package gingerspool.autoscaler;
 
-/** A rate limit: tokens come back at a rate, as many as one second brings can be saved up. */
+/** A rate limiter whose burst size is the number of tokens that accrue within one second. */
 final class TokenBucket {
     private final double tokensPerMs;
     private double tokens = 1;
--- a/src/main/java/gingerspool/autoscaler/WorkerHost.java
+++ b/src/main/java/gingerspool/autoscaler/WorkerHost.java
@@ -1,14 +1,15 @@
 package gingerspool.autoscaler;
 
-/** A machine of the platform that instances run on. Memory is megabytes. */
+/** A machine of the platform on which instances run. Memory is in megabytes. */
 final class WorkerHost {
     final String name;
     final String zone;
     double memoryMb;
 
-    /** As the platform listed it, less what was started there since. */
+    /** The free memory that the platform listed, less the memory of instances started since. */
     double freeMemoryMb;
 
+    /** Whether the platform's latest list shows it as ready for starts. */
     boolean isReady;
 
     WorkerHost(String name, String zone) {
--- a/src/main/java/gingerspool/autoscaler/package-info.java
+++ b/src/main/java/gingerspool/autoscaler/package-info.java
@@ -1,8 +1,9 @@
 /**
- * How many instances each function should have, and on which hosts. {@link
- * gingerspool.autoscaler.Autoscaler} owns the starts that were asked for, the hosts and the
- * instances that are to stop; {@link gingerspool.autoscaler.CapacityPlan} says how many are wanted,
- * {@link gingerspool.autoscaler.Placement} where the next one starts. Deciders without I/O, clock
- * or thread, called by the leader's duties only. Times are milliseconds of a steady clock.
+ * Decides how many instances each function has, and on which hosts. {@link
+ * gingerspool.autoscaler.Autoscaler} owns the pending starts, the hosts and the retiring instances;
+ * {@link gingerspool.autoscaler.CapacityPlan} computes the desired number of instances, {@link
+ * gingerspool.autoscaler.Placement} chooses the host of the next start. The classes perform no I/O,
+ * read no clock and start no thread. Only the duties of the leader call them, on one thread. Times
+ * are milliseconds of a steady clock.
  */
 package gingerspool.autoscaler;
--- a/src/main/java/gingerspool/configuration/AcceptedChanges.java
+++ b/src/main/java/gingerspool/configuration/AcceptedChanges.java
@@ -11,27 +11,28 @@
 import java.util.TreeMap;
 
 /**
- * What made each accepted version, as a digest, so that a change that is sent again is known. Kept
- * in blocks: when there are too many, the oldest block goes. The same changes in the same order
- * make the same blocks on every member. See docs/adr/0005-accepted-changes.md for the bound.
+ * The digests of the changes that created the accepted versions, so that a change that is sent
+ * again is recognized. They are kept in blocks; when there are too many, the oldest block is
+ * removed. The same changes in the same order give the same blocks on every member. See
+ * docs/adr/0005-accepted-changes.md for the bound.
  */
 final class AcceptedChanges {
-    /** The most changes that are kept. */
+    /** The maximum number of changes that are kept. */
     static final int MAX_CHANGES = 50_000;
 
     private static final int CHANGES_PER_BLOCK = 256;
 
-    /** The first bytes of a SHA-256 are the digest. */
+    /** The length of a digest, which is a truncated SHA-256 hash. */
     private static final int DIGEST_BYTES = 16;
 
     private static final int RECORD_BYTES = Long.BYTES + DIGEST_BYTES;
 
-    /** By the first version of each block: its records, version and digest, in order. */
+    /** The records (version and digest) of each block in order, by the first version in it. */
     private final TreeMap<Long, byte[]> blocksByFirstVersion = new TreeMap<>();
 
     private int count;
 
-    /** The digest of a change: replace or modify, the version it was made on, and its body. */
+    /** The digest of a change: of its kind, the version that it was made for, and its body. */
     static byte[] digest(boolean isReplacement, long baseVersion, byte[] body) {
         try {
             MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
@@ -43,7 +44,7 @@
         }
     }
 
-    /** Whether this very change made this version. */
+    /** Whether the change with this digest created this version. */
     boolean contains(long version, byte[] digest) {
         Map.Entry<Long, byte[]> block = blocksByFirstVersion.floorEntry(version);
         if (block == null) {
@@ -61,7 +62,7 @@
         return false;
     }
 
-    /** Versions only go up. */
+    /** Adds a change. Its version must be higher than all before. */
     void add(long version, byte[] digest) {
         Map.Entry<Long, byte[]> lastBlock = blocksByFirstVersion.lastEntry();
         boolean hasRoom =
@@ -76,11 +77,12 @@
         }
     }
 
+    /** The number of changes that are kept. */
     int size() {
         return count;
     }
 
-    /** The blocks as text, by their first version. */
+    /** The blocks in Base64, by their first version. */
     Map<String, String> blocks() {
         Map<String, String> encodedBlocks = new TreeMap<>();
         blocksByFirstVersion.forEach(
@@ -90,25 +92,27 @@
         return encodedBlocks;
     }
 
-    /** What blocks() told elsewhere. */
+    /** The inverse of blocks(). */
     static AcceptedChanges fromBlocks(Map<?, ?> blocks) throws InvalidConfigurationException {
         AcceptedChanges changes = new AcceptedChanges();
         for (Map.Entry<?, ?> block : blocks.entrySet()) {
             try {
                 byte[] records = Base64.getDecoder().decode((String) block.getValue());
                 if (records.length == 0 || records.length % RECORD_BYTES != 0) {
-                    throw new InvalidConfigurationException("a block of " + records.length);
+                    throw new InvalidConfigurationException(
+                            "a block of accepted changes has an invalid length: " + records.length);
                 }
                 changes.blocksByFirstVersion.put(Long.parseLong((String) block.getKey()), records);
                 changes.count += records.length / RECORD_BYTES;
             } catch (IllegalArgumentException | ClassCastException exception) {
-                throw new InvalidConfigurationException("a block that can't be read: " + exception);
+                throw new InvalidConfigurationException(
+                        "a block of accepted changes cannot be read: " + exception);
             }
         }
         return changes;
     }
 
-    /** What earlier builds kept: each version, and its whole digest in hexadecimal. */
+    /** Reads the form of earlier builds: the complete hash in hexadecimal, by version. */
     static AcceptedChanges fromLegacyDigests(Map<?, ?> digests) {
         TreeMap<Long, byte[]> sorted = new TreeMap<>();
         digests.forEach(
--- a/src/main/java/gingerspool/configuration/ConfigurationChecksum.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationChecksum.java
@@ -5,18 +5,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * A checksum of a configuration that does not depend on the order of its items: two processes that
- * came to the same version by different ways agree on it. Finds copies that were damaged or made
- * wrongly; no protection against forgery.
+ * A checksum of a configuration that does not depend on the order of its items, so that processes
+ * that reached the same version in different ways agree on it. It detects damaged or wrongly
+ * computed copies, but does not protect against forgery.
  */
 public final class ConfigurationChecksum {
+    // Part of each item's checksum, so that items of different kinds with equal bytes differ.
     private static final int ROUTE_KIND = 1;
     private static final int SERVICE_KIND = 2;
     private static final int LIMITS_KIND = 3;
 
     private ConfigurationChecksum() {}
 
-    /** The checksum of this configuration, read from all of it. */
+    /** Computes the checksum from the complete configuration. */
     public static long of(Configuration configuration) {
         long sum = mix(configuration.getVersion());
         for (Route route : configuration.getRoutesList()) {
@@ -38,7 +39,7 @@
         return mix(crc32c.getValue() << Integer.SIZE | crc32.getValue());
     }
 
-    /** Spreads each bit over all (the finalizer of MurmurHash3), so that sums differ. */
+    /** Lets each input bit affect all bits (the finalizer of MurmurHash3), so that sums differ. */
     private static long mix(long value) {
         long mixed = (value ^ value >>> 33) * 0xff51afd7ed558ccdL;
         mixed = (mixed ^ mixed >>> 33) * 0xc4ceb9fe1a85ec53L;
--- a/src/main/java/gingerspool/configuration/ConfigurationDelta.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationDelta.java
@@ -8,13 +8,13 @@
 import java.util.function.Function;
 
 /**
- * The difference between two versions of the configuration, and its application. Applying a delta
- * gives the version that it was made for, or an error: never a third configuration.
+ * Computes and applies the difference between two versions of the configuration. Applying a delta
+ * gives exactly the version that it was computed for, or an error; never another configuration.
  */
 public final class ConfigurationDelta {
     private ConfigurationDelta() {}
 
-    /** What turns the base into the other version; its checksum is that of the latter. */
+    /** The delta from the base to the target, whose checksum the caller passes. */
     public static ConfigurationChanges between(
             Configuration base, Configuration target, long checksum) {
         ConfigurationChanges.Builder changes =
@@ -38,16 +38,16 @@
     }
 
     /**
-     * The version that results; what has not changed is shared with the base.
+     * Applies a delta. Unchanged items of the result are shared with the base.
      *
-     * @throws DeltaMismatchException if the delta was made for another base, or what results is not
-     *     what it was made for; the caller then needs a complete copy
+     * @throws DeltaMismatchException if the delta was computed for another base, or if the result
+     *     does not have the checksum of the target; the caller then needs a complete copy
      */
     public static Configuration apply(Configuration base, ConfigurationChanges changes)
             throws DeltaMismatchException {
         if (changes.getBase() != base.getVersion()) {
             throw new DeltaMismatchException(
-                    "a delta from version %d met version %d"
+                    "the delta applies to version %d, not to version %d"
                             .formatted(changes.getBase(), base.getVersion()));
         }
         Configuration.Builder builder =
@@ -73,7 +73,7 @@
         Configuration result = builder.build();
         if (ConfigurationChecksum.of(result) != changes.getChecksum()) {
             throw new DeltaMismatchException(
-                    "the delta to version %d does not give what it was made for"
+                    "the checksum does not match after applying the delta to version %d"
                             .formatted(changes.getVersion()));
         }
         return result;
--- a/src/main/java/gingerspool/configuration/ConfigurationHistory.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationHistory.java
@@ -6,24 +6,28 @@
 import java.util.Optional;
 
 /**
- * The newest configuration and the versions before it, from which it can be told as a delta. Holds
- * a bounded number of versions; those that were made by changes share their items. For one thread.
+ * The newest configuration and a bounded number of versions before it, for which deltas to the
+ * newest can be computed. Versions that were created by changes share their unchanged items. Owned
+ * by the configuration publisher, for one thread.
  */
 public final class ConfigurationHistory {
-    /** A process that has missed more versions than these is sent a complete copy. */
+    /** The number of earlier versions kept. Schedulers with older ones are sent a complete copy. */
     private static final int MAX_EARLIER_VERSIONS = 128;
 
-    /** Oldest first. */
+    /** By version, oldest first. */
     private final Map<Long, Configuration> earlierVersions = new LinkedHashMap<>();
 
-    /** Deltas to the newest version by their base, encoded; empty where a copy is smaller. */
+    /** The encoded deltas to the newest version, by base version; empty if there is none to use. */
     private final Map<Long, Optional<byte[]>> deltasByBaseVersion = new LinkedHashMap<>();
 
     private Configuration newest = Configuration.getDefaultInstance();
     private byte[] encodedNewest = new byte[0];
     private long checksum;
 
-    /** A version took effect; one that is no higher than the last makes all before it void. */
+    /**
+     * Adds a version that took effect. A version that is not higher than the newest one means that
+     * the state went back, so all earlier versions are dropped.
+     */
     public void add(Configuration configuration) {
         deltasByBaseVersion.clear();
         if (configuration.getVersion() <= newest.getVersion()) {
@@ -50,19 +54,19 @@
         return newest.getVersion();
     }
 
-    /** The checksum of the newest version, as it was when it took effect. */
+    /** The checksum of the newest version, computed when it took effect. */
     public long checksum() {
         return checksum;
     }
 
-    /** The newest version, complete, as it was when it took effect. The caller must not write. */
+    /** The complete newest version, encoded when it took effect. Must not be modified. */
     public byte[] copy() {
         return encodedNewest;
     }
 
     /**
-     * The delta from a version to the newest; empty where that version is not known any more, or a
-     * complete copy is no larger. The caller must not write to it.
+     * The encoded delta from a version to the newest one. Empty if that version is not kept, or if
+     * a complete copy is not larger. Must not be modified.
      */
     public Optional<byte[]> deltaFrom(long version) {
         return deltasByBaseVersion.computeIfAbsent(version, this::encodeDelta);
--- a/src/main/java/gingerspool/configuration/ConfigurationRules.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationRules.java
@@ -8,18 +8,19 @@
 import java.util.Set;
 
 /**
- * The rules that each accepted configuration keeps; an exception names the item that breaks one.
+ * The rules that a configuration must satisfy to be accepted. Each exception names the item that
+ * violates a rule.
  */
 final class ConfigurationRules {
     private ConfigurationRules() {}
 
-    /** The rules that any configuration keeps. */
+    /** Checks names, references, timeouts and ambiguous routes. */
     static void check(Configuration configuration) throws InvalidConfigurationException {
         Set<String> serviceNames = new HashSet<>();
         for (Service service : configuration.getServicesList()) {
             if (service.getName().isEmpty() || !serviceNames.add(service.getName())) {
                 throw new InvalidConfigurationException(
-                        "Services: \"" + service.getName() + "\" stands twice or has no Name");
+                        "Services: \"" + service.getName() + "\" is a duplicate or has no Name");
             }
         }
         Set<String> routeNames = new HashSet<>();
@@ -27,18 +28,19 @@
         for (Route route : configuration.getRoutesList()) {
             String routeLabel = "Routes: \"" + route.getName() + "\" ";
             if (route.getName().isEmpty() || !routeNames.add(route.getName())) {
-                throw new InvalidConfigurationException(routeLabel + "stands twice or has no Name");
+                throw new InvalidConfigurationException(
+                        routeLabel + "is a duplicate or has no Name");
             }
             if (!serviceNames.contains(route.getService())) {
                 throw new InvalidConfigurationException(
                         routeLabel
-                                + "names Service \""
+                                + "refers to Service \""
                                 + route.getService()
-                                + "\", which isn't there");
+                                + "\", which is not defined");
             }
             if (route.hasTimeout() && route.getTimeout() <= 0) {
                 throw new InvalidConfigurationException(
-                        routeLabel + "has TimeoutMs " + route.getTimeout());
+                        routeLabel + "must have a positive TimeoutMs, not " + route.getTimeout());
             }
             String conflictingRoute =
                     routesByHostAndPrefix.put(
@@ -47,7 +49,7 @@
             if (conflictingRoute != null) {
                 throw new InvalidConfigurationException(
                         routeLabel
-                                + "has the HostName and PathPrefix of \""
+                                + "has the same HostName and PathPrefix as \""
                                 + conflictingRoute
                                 + "\"");
             }
@@ -55,8 +57,9 @@
     }
 
     /**
-     * Where a route is split over a list, the weights in it must not sum to 0. Routes of today's
-     * sites name one service, so no field of our own has weights.
+     * Checks that the weights of a split route do not sum to 0. The schema has no field for
+     * weights, since a route names a single service; therefore every list of an unknown field whose
+     * entries all have a Weight counts as a split.
      */
     static void checkWeights(Map<String, Object> tree) throws InvalidConfigurationException {
         for (Object route : JsonItems.list(tree.get("Routes"), "Routes")) {
--- a/src/main/java/gingerspool/configuration/ConfigurationState.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationState.java
@@ -14,18 +14,23 @@
 import java.util.TreeMap;
 
 /**
- * The configuration in force and the changes accepted lately: the state machine of the log.
+ * The configuration in force and the recently accepted changes: the state machine that the
+ * replicated log drives.
  *
- * <p>Invariants: versions only go up; the same commands in the same order make the same state on
- * every member; the configuration is kept as it was sent, fields that nobody knows included. For
- * one thread; the control node owns it.
+ * <p>Invariants: versions only increase. The same commands in the same order give the same state on
+ * every member. The configuration is kept as it was sent, including unknown fields. Owned by the
+ * control node, for one thread.
  */
 public final class ConfigurationState {
+    // The status codes of a change, which are those of HTTP.
     public static final int ACCEPTED = 200;
     public static final int VERSION_CONFLICT = 412;
     public static final int INVALID = 400;
 
-    /** What became of a change: where it was taken, now or before, the version that it made. */
+    /**
+     * The result of a change: its status code, the reason if it was rejected, and the version that
+     * it created, now or when it was first applied; 0 if it was rejected.
+     */
     public record Verdict(int status, String text, long version) {
         static Verdict accepted(long version) {
             return new Verdict(ACCEPTED, "taken", version);
@@ -36,12 +41,16 @@
         }
     }
 
+    /** The configuration as it was sent. */
     private Map<String, Object> json = Map.of();
+
+    /** The same configuration as a typed message. */
     private Configuration configuration = Configuration.getDefaultInstance();
 
     private final TypedConfiguration typedConfiguration = new TypedConfiguration();
     private AcceptedChanges acceptedChanges = new AcceptedChanges();
 
+    /** The version in force; 0 if there is none yet. */
     public long version() {
         return configuration.getVersion();
     }
@@ -50,20 +59,28 @@
         return configuration;
     }
 
-    /** As operators read it back. */
+    /** The configuration in force as JSON, in the form in which operators read it. */
     public byte[] text() {
         return Json.write(json).getBytes(StandardCharsets.UTF_8);
     }
 
     // ---- Commands ----
 
-    /** A whole configuration, or changes to the one in force, made on a version. */
+    /**
+     * Applies a change. A change that was accepted before is recognized and accepted again, without
+     * any effect.
+     *
+     * @param isReplacement whether the body is a complete configuration, not a set of upserts and
+     *     removals
+     * @param baseVersion the version that the change was made for; it must be in force
+     * @param body JSON
+     */
     public Verdict apply(boolean isReplacement, long baseVersion, byte[] body) {
         byte[] digest = AcceptedChanges.digest(isReplacement, baseVersion, body);
         try {
             Object parsedBody = Json.read(body, 0, body.length);
             if (!(parsedBody instanceof Map<?, ?> fields)) {
-                throw new InvalidConfigurationException("the body is no JSON object");
+                throw new InvalidConfigurationException("the body is not a JSON object");
             }
             long version = version(fields);
             if (acceptedChanges.contains(version, digest)) {
@@ -78,7 +95,10 @@
             ConfigurationRules.checkWeights(nextJson);
             if (version <= version()) {
                 throw new InvalidConfigurationException(
-                        "Version " + version + " is not higher than " + version());
+                        "Version "
+                                + version
+                                + " is not higher than the version in force, "
+                                + version());
             }
             json = nextJson;
             configuration = nextConfiguration;
@@ -93,7 +113,7 @@
         if (!(fields.get("Version") instanceof Number n)
                 || n.doubleValue() != Math.rint(n.doubleValue())
                 || n.doubleValue() < 1) {
-            throw new InvalidConfigurationException("Version is no whole number above 0");
+            throw new InvalidConfigurationException("Version is not an integer greater than 0");
         }
         return n.longValue();
     }
@@ -104,7 +124,7 @@
         return copy;
     }
 
-    /** The configuration in force with some items added, replaced or removed by name. */
+    /** The configuration in force with items upserted and removed by name. */
     private Map<String, Object> withChanges(Map<?, ?> change) throws InvalidConfigurationException {
         Map<String, Object> nextJson = copy(json);
         nextJson.put("Version", change.get("Version"));
@@ -137,8 +157,9 @@
     // ---- Repair ----
 
     /**
-     * All that is kept, as items by key: `F/field`, `N/list` (its length), `L/list/index`,
-     * `T/version` (a block of accepted changes, by its first version).
+     * The complete state as items by key, for comparison with other members: `F/field`, `N/list`
+     * (the length of a list), `L/list/index` (an element) and `T/version` (a block of accepted
+     * changes, by its first version).
      */
     public Map<String, String> items() {
         Map<String, String> all = new TreeMap<>();
@@ -157,7 +178,8 @@
     }
 
     /**
-     * Takes items in place of whatever is known here; what makes no configuration is refused whole.
+     * Replaces the complete state by items of another member. If they are not a valid
+     * configuration, the state stays as it was.
      */
     public void repair(Map<String, String> items) throws InvalidConfigurationException {
         Map<String, Object> nextJson = new LinkedHashMap<>();
@@ -183,7 +205,7 @@
                 | ClassCastException
                 | NumberFormatException
                 | IndexOutOfBoundsException e) {
-            throw new InvalidConfigurationException("items that can't be read: " + e.getMessage());
+            throw new InvalidConfigurationException("the items cannot be read: " + e.getMessage());
         }
         Configuration repaired = typedConfiguration.read(nextJson);
         AcceptedChanges changes = AcceptedChanges.fromBlocks(blocks);
@@ -192,14 +214,18 @@
         acceptedChanges = changes;
     }
 
-    // ---- To and from a snapshot ----
+    // ---- Snapshots ----
 
+    /** The complete state, encoded for a snapshot. */
     public byte[] state() {
         return Json.write(Map.of("tree", json, "accepted", acceptedChanges.blocks()))
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Takes the place of whatever is known here. */
+    /**
+     * Replaces the complete state by that of a snapshot. Also reads snapshots of earlier builds,
+     * which have the key `taken` instead of `accepted`.
+     */
     public void restore(byte[] state) {
         try {
             Object parsedState = Json.read(state, 0, state.length);
@@ -212,7 +238,7 @@
                                     (Map<?, ?>) JsonTree.at(parsedState, "accepted"));
         } catch (BadMessage | InvalidConfigurationException e) {
             throw new IllegalStateException(
-                    "a state that was made here can't be read: " + e.getMessage(), e);
+                    "the state of a snapshot cannot be read: " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/gingerspool/configuration/DeltaMismatchException.java
+++ b/src/main/java/gingerspool/configuration/DeltaMismatchException.java
@@ -1,6 +1,6 @@
 package gingerspool.configuration;
 
-/** A delta does not fit the configuration that it was to be applied to. */
+/** Thrown if a delta cannot be applied to a configuration, or does not give the target version. */
 public final class DeltaMismatchException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/gingerspool/configuration/InvalidConfigurationException.java
+++ b/src/main/java/gingerspool/configuration/InvalidConfigurationException.java
@@ -1,6 +1,6 @@
 package gingerspool.configuration;
 
-/** A configuration that can't be taken; the text names the item. */
+/** Thrown if a configuration or a change to it is invalid. The message names the invalid item. */
 public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gingerspool/configuration/RouteTable.java
+++ b/src/main/java/gingerspool/configuration/RouteTable.java
@@ -8,12 +8,14 @@
 import java.util.Map;
 
 /**
- * Finds a request's route: among those of its host, the one with the longest prefix of its path.
+ * Finds the route of a request: among the routes of its host, the one whose prefix is the longest
+ * that matches its path.
  */
 public final class RouteTable {
+    /** By normalized host; the routes with the longest prefix come first. */
     private final Map<String, List<Route>> routesByHost = new HashMap<>();
 
-    /** The routes of a configuration, which may be empty. */
+    /** Builds the table of a configuration, which may have no routes. */
     public RouteTable(Configuration configuration) {
         for (Route route : configuration.getRoutesList()) {
             routesByHost
@@ -27,13 +29,13 @@
         }
     }
 
-    /** A host as routes name it: in lower case, without a port. */
+    /** The host in lower case and without a port. */
     static String normalizedHost(String text) {
         int colon = text.lastIndexOf(':');
         return (colon < 0 ? text : text.substring(0, colon)).toLowerCase(Locale.ROOT);
     }
 
-    /** The route, or null. */
+    /** The route of a request with this Host header and request target, or null. */
     public Route find(String host, String target) {
         int query = target.indexOf('?');
         String path = query < 0 ? target : target.substring(0, query);
--- a/src/main/java/gingerspool/configuration/TypedConfiguration.java
+++ b/src/main/java/gingerspool/configuration/TypedConfiguration.java
@@ -10,22 +10,24 @@
 import java.util.Map;
 
 /**
- * Configurations in JSON as typed messages. An item that stands in the version before it, too, is
- * the same object in both and is read once: so a change costs what it changes. For one thread.
+ * Converts configurations in JSON to typed messages. An item that the version read before shares is
+ * not converted again, so the cost of a change depends on the number of items that it changes. For
+ * one thread.
  */
 final class TypedConfiguration {
     private static final String ROUTES_FIELD = "Routes";
     private static final String SERVICES_FIELD = "Services";
 
-    /** The typed items of the version read last, by the JSON object that they were read from. */
+    /** The typed items of the version read last, by the identity of their JSON object. */
     private Map<Object, Message> itemsByJson = new IdentityHashMap<>();
 
-    /** Reads a configuration; nothing is kept of one that can't be read. */
+    /** Converts a configuration. One that is invalid leaves the cached items as they were. */
     Configuration read(Map<String, Object> json) throws InvalidConfigurationException {
         try {
             if (!(json.get(ROUTES_FIELD) instanceof List<?> routes)
                     || !(json.get(SERVICES_FIELD) instanceof List<?> services)
-                    // The lists' names in the schema: which of both counts is not decided here.
+                    // A list may also stand under its name in the schema. The parser decides which
+                    // of both counts.
                     || json.containsKey("routes")
                     || json.containsKey("services")) {
                 return merge(json, Configuration.newBuilder()).build();
@@ -51,7 +53,8 @@
     private Message item(Object json, Message.Builder builder, Map<Object, Message> readItems)
             throws InvalidProtocolBufferException, InvalidConfigurationException {
         if (!(json instanceof Map<?, ?>)) {
-            throw new InvalidConfigurationException("an item is no object: " + Json.write(json));
+            throw new InvalidConfigurationException(
+                    "an item is not an object: " + Json.write(json));
         }
         Message knownItem = itemsByJson.get(json);
         boolean isSameType =
--- a/src/main/java/gingerspool/configuration/package-info.java
+++ b/src/main/java/gingerspool/configuration/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' configuration: how it is read, checked, changed, kept, and what it says of a
- * request.
+ * The operators' configuration: reading, checking and changing it, the versions kept of it, and the
+ * route of a request.
  */
 package gingerspool.configuration;
--- a/src/main/java/gingerspool/settings/NodeSettings.java
+++ b/src/main/java/gingerspool/settings/NodeSettings.java
@@ -13,11 +13,11 @@
 import java.util.stream.Collectors;
 
 /**
- * What a process is told in its settings file. Times are milliseconds, rates a second. Keys that
- * aren't asked for are passed over, since new ones may appear.
+ * The settings of a process, read from its settings file. Times are milliseconds, rates are per
+ * second. Unknown keys are ignored, since new ones may be added.
  */
 public final class NodeSettings {
-    /** The variable that holds the file's path. */
+    /** The environment variable that holds the path of the settings file. */
     public static final String PATH_VARIABLE = "GINGERSPOOL_CONFIG";
 
     private static final int MAX_PORT = 65535;
@@ -26,49 +26,55 @@
     public final String ip;
     public final String zone;
 
-    /** In a fixed order, so that each has a number that is the same everywhere. */
+    /** Sorted, so that each zone has the same number in every process. */
     public final List<String> zones;
 
-    /** The port on which our own processes reach each other. */
+    /** The port on which the processes of the platform reach each other. */
     public final int internalPort;
 
-    /** Where machines serve control, by their outer addresses. */
+    /** The addresses of the control nodes that a process contacts first. */
     public final List<InetSocketAddress> seeds;
 
+    /** Whether control nodes that have no stored state found a new cluster with the seeds. */
     public final boolean firstStart;
 
-    /** Each null where it isn't served here. */
+    /** Null if this process does not listen there. */
     public final InetSocketAddress frontAddress;
 
+    /** Null if this process does not listen there. */
     public final InetSocketAddress readinessAddress;
+
+    /** Null if this process does not listen there. */
     public final InetSocketAddress controlAddress;
+
+    /** The limit of open file descriptors. */
     public final int descriptors;
 
-    /** Null where there is no disk. */
+    /** Null if the process has no disk. */
     public final Path dataDirectory;
 
     public final double diskMb;
 
-    /** How many of the machines that count may be lost at once. */
+    /** How many of the voting machines may be lost at once. */
     public final int toleratedLosses;
 
     public final double heartbeatInterval;
     public final double contactTimeout;
     public final double drainTimeout;
 
-    /** How soon an acknowledged configuration must be in force everywhere. */
+    /** The time within which an acknowledged configuration must be in force everywhere. */
     public final double configurationApplyTimeout;
 
     public final double gracePeriod;
 
-    /** Requests that instances of one function may turn away as too many within five seconds. */
+    /** How many requests the instances of a function may reject as too many within five seconds. */
     public final double rejectionAllowance;
 
     public final double retryBudgetRatio;
     public final double retryBudgetWindow;
     public final double retryBudgetSlack;
 
-    /** Null where the platform has no interface. */
+    /** The address of the platform's API; null if there is none. */
     public final InetSocketAddress platformAddress;
 
     public final double platformRate;
@@ -121,7 +127,7 @@
         return section.number(key, defaultValue, 0, 1e9).value();
     }
 
-    /** A text that must be there. */
+    /** A text that is required: its absence is reported as a fault. */
     private static String requiredText(Section section, String key) {
         var setting = section.text(key, null);
         if (setting == null) {
@@ -156,16 +162,17 @@
         return parsedAddresses;
     }
 
-    /** The file that the environment names. */
+    /** Reads the file that the environment variable names. */
     public static NodeSettings read(Map<String, String> environment) throws SettingsException {
         String file = environment.get(PATH_VARIABLE);
         if (file == null || file.isBlank()) {
             throw new SettingsException(
-                    PATH_VARIABLE + " is not set, wanted the path of the settings file");
+                    PATH_VARIABLE + " is not set; it must hold the path of the settings file");
         }
         return read(Path.of(file));
     }
 
+    /** Reads a settings file. The exception lists all faults that were found. */
     public static NodeSettings read(Path file) throws SettingsException {
         List<Diagnostic> faults = new ArrayList<>();
         Layers layers = new Layers(faults);
@@ -182,7 +189,7 @@
         return settings;
     }
 
-    /** The number of a zone, -1 for one that isn't named here. */
+    /** The number of a zone; -1 if the settings do not list it. */
     public int zoneNumber(String zoneName) {
         return zones.indexOf(zoneName);
     }
--- a/src/main/java/gingerspool/settings/SettingsException.java
+++ b/src/main/java/gingerspool/settings/SettingsException.java
@@ -1,6 +1,6 @@
 package gingerspool.settings;
 
-/** The settings file can't be used; the text names each fault with file and line. */
+/** Thrown if the settings file cannot be used. The message lists each fault with file and line. */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gingerspool/settings/package-info.java
+++ b/src/main/java/gingerspool/settings/package-info.java
@@ -1,4 +1,2 @@
-/**
- * What both programs of the platform need: the settings file, the log, a process's start and end.
- */
+/** The settings file of the platform's processes. */
 package gingerspool.settings;
--- a/src/main/java/gingerspool/slots/ArrivalRate.java
+++ b/src/main/java/gingerspool/slots/ArrivalRate.java
@@ -1,23 +1,30 @@
 package gingerspool.slots;
 
 /**
- * How often the requests of one function arrive, over all schedulers: three decayed counts, each
- * with the time that it speaks for. Rates are requests a millisecond, spans milliseconds.
+ * Estimates the arrival rate of one function's requests, summed over all schedulers, from counts
+ * that decay exponentially over a short, a medium and a long window. The allocator feeds it, the
+ * autoscaler reads it. Rates are requests per millisecond, times milliseconds.
  */
 public final class ArrivalRate {
-    /** The window of the medium count, in windows of the short one. */
+    /** The medium window, in short windows. */
     private static final double MEDIUM_WINDOW_FACTOR = 5;
 
-    /** The window of the long count, in windows of the short one. */
+    /** The long window, in short windows. */
     private static final double LONG_WINDOW_FACTOR = 12;
 
-    /** A short rate so many standard deviations above the medium one is a burst. */
+    /**
+     * The short-term rate counts as a burst if it exceeds the medium-term rate by more than this
+     * many standard deviations.
+     */
     private static final double BURST_DEVIATIONS = 2;
 
-    /** So many mean gaps without a request hardly come by chance. */
+    /**
+     * Silence for longer than this many mean interarrival times is unlikely to be chance, so it
+     * lowers the expected rate.
+     */
     private static final double MAX_SILENT_GAPS = 3;
 
-    /** The provisioned rate falls back over so many windows of the short count. */
+    /** The time constant with which the provisioned rate decays after a peak, in short windows. */
     private static final double DECAY_WINDOWS = 5;
 
     private final DecayedCount shortTermCount;
@@ -28,7 +35,7 @@
     private double updatedAt = Double.NaN;
     private double lastArrivalAt = Double.NEGATIVE_INFINITY;
 
-    /** Requests seen and the time they were seen in, both forgotten at the same pace. */
+    /** A count of requests and the time in which they were observed, both decaying alike. */
     private static final class DecayedCount {
         final double window;
         double requests;
@@ -56,7 +63,7 @@
         longTermCount = new DecayedCount(LONG_WINDOW_FACTOR * shortWindow);
     }
 
-    /** So many requests have arrived since the last call, perhaps none. */
+    /** Adds the requests that have arrived since the last call, possibly none. */
     void add(double now, long newRequests) {
         double elapsed = Double.isNaN(updatedAt) ? 0 : now - updatedAt;
         updatedAt = now;
@@ -70,8 +77,8 @@
     }
 
     /**
-     * The rate over the medium window, unless the newest is surely above that. One request alone is
-     * no burst, however rare they are.
+     * The medium-term rate, or the short-term rate during a burst. A single request is never a
+     * burst, however rare requests are.
      */
     private double currentRate() {
         double mediumRate = mediumTermCount.rate(shortWindow);
@@ -83,18 +90,18 @@
                 : mediumRate;
     }
 
-    /** The rate to provide instances for: up at once, down slowly. */
-    public double provisioned() {
+    /** The rate to provide capacity for. It rises at once and falls slowly. */
+    public double provisionedRate() {
         return provisionedRate;
     }
 
-    /** The rate by which the next request is awaited; silence speaks against it. */
+    /** The rate at which further requests are expected: the long-term rate, lower after silence. */
     public double expectedRate() {
         return Math.min(
                 longTermCount.rate(shortWindow), MAX_SILENT_GAPS / (updatedAt - lastArrivalAt));
     }
 
-    /** Whether it was watched for long enough that its expected rate says something. */
+    /** Whether the function has been observed for long enough to rely on the expected rate. */
     public boolean isKnown() {
         return longTermCount.observedTime > longTermCount.window / 2;
     }
--- a/src/main/java/gingerspool/slots/Function.java
+++ b/src/main/java/gingerspool/slots/Function.java
@@ -4,26 +4,28 @@
 import java.util.Map;
 
 /**
- * One service of the configuration, for which the system starts instances: its settings, its
- * instances and its load. Times are milliseconds.
+ * A service of the configuration for which the system starts instances: its settings, its instances
+ * and its load. Owned by the leader's allocator and used on its thread only. Times are
+ * milliseconds.
  */
 public final class Function {
     public final String name;
 
-    /** How long an instance takes to start, on average. */
+    /** The mean time that an instance takes to start. */
     public double startTime;
 
-    /** Requests that one instance runs at once. */
+    /** The number of requests that one instance can run at once. */
     public int concurrency;
 
     public int memoryMb;
 
-    /** The shortest latency target of its routes; infinite where none has one. */
+    /** The shortest latency target of its routes; infinite if no route has one. */
     public double targetLatency;
 
-    /** Whether any route leads to it. */
+    /** Whether any route refers to it. */
     public boolean isRouted;
 
+    /** By identifier. */
     public final Map<String, Instance> instances = new LinkedHashMap<>();
 
     /** By scheduler. */
@@ -31,16 +33,16 @@
 
     public final ArrivalRate arrivals;
 
-    /** Mean running time of a request as schedulers have seen it, 0 if none has. */
+    /** The mean running time of a request as reported by schedulers; 0 if none has reported one. */
     public double serviceTime;
 
-    /** Its newest arrival rate looks back over this span. */
+    /** The rate window is the short window of its arrival rate, in milliseconds. */
     Function(String name, double rateWindow) {
         this.name = name;
         arrivals = new ArrivalRate(rateWindow);
     }
 
-    /** Requests that schedulers hold, waiting or running. */
+    /** The requests that schedulers hold, waiting or running. */
     public int inFlight() {
         int sum = 0;
         for (SchedulerDemand demand : demands.values()) {
@@ -49,7 +51,7 @@
         return sum;
     }
 
-    /** Slots that requests at all schedulers wait for. */
+    /** The slots that requests are waiting for, over all schedulers. */
     public int missingSlots() {
         int sum = 0;
         for (SchedulerDemand demand : demands.values()) {
--- a/src/main/java/gingerspool/slots/FunctionCatalog.java
+++ b/src/main/java/gingerspool/slots/FunctionCatalog.java
@@ -7,17 +7,24 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The functions by name: those of the configuration, and those that still have instances. */
+/**
+ * All known functions by name: those of the configuration, and those that the platform has listed
+ * instances of. Functions are never removed; one that is no longer configured becomes unrouted.
+ * Owned by the allocator and used on its thread only.
+ */
 public final class FunctionCatalog {
     private final Map<String, Function> functions = new LinkedHashMap<>();
     private final double rateWindow;
 
-    /** Arrival rates look back over this span, in milliseconds. */
+    /** The rate window is the short window of the arrival rates, in milliseconds. */
     FunctionCatalog(double rateWindow) {
         this.rateWindow = rateWindow;
     }
 
-    /** Takes the services and routes of a configuration; what it does not name is unrouted. */
+    /**
+     * Updates the functions from the services and routes of a configuration. Functions that no
+     * route refers to are marked unrouted.
+     */
     void configure(Configuration configuration) {
         functions.values().forEach(function -> function.isRouted = false);
         for (Service service : configuration.getServicesList()) {
@@ -35,17 +42,17 @@
         }
     }
 
-    /** All functions, in the order in which they became known. */
+    /** All functions, in the order in which they were added. */
     public Collection<Function> all() {
         return functions.values();
     }
 
-    /** The function of this name, or null. */
+    /** The function with this name, or null. */
     public Function find(String name) {
         return functions.get(name);
     }
 
-    /** The function of this name, made anew where no configuration has named it. */
+    /** The function with this name; added if it is not known yet. */
     public Function findOrAdd(String name) {
         return functions.computeIfAbsent(name, n -> new Function(n, rateWindow));
     }
--- a/src/main/java/gingerspool/slots/Instance.java
+++ b/src/main/java/gingerspool/slots/Instance.java
@@ -3,14 +3,17 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** One instance of a function, as the platform knows it. Facts only. Times are milliseconds. */
+/**
+ * What is known of one instance of a function. It holds data only: the allocator decides. Used on
+ * the allocator's thread only. Times are milliseconds.
+ */
 public final class Instance {
-    /** Its life, as the platform lists it. */
+    /** The lifecycle state of an instance. */
     public enum State {
         STARTING,
         READY,
 
-        /** It gets nothing new; what runs there may end. */
+        /** It is given no new requests; those that run there may finish. */
         DRAINING
     }
 
@@ -21,7 +24,7 @@
     public final String host;
     public final int slots;
 
-    /** When it became known here. */
+    /** When the allocator first learned of it. */
     public final double createdAt;
 
     public State state;
@@ -29,16 +32,16 @@
     /** Granted slots by scheduler. */
     final Map<String, Integer> grantedByScheduler = new LinkedHashMap<>();
 
-    /** When a slot of it was last granted or returned. */
+    /** When one of its slots was last granted or returned. */
     public double lastUsedAt;
 
-    /** Until then it is taken for unreachable. */
+    /** The time until which it is considered unreachable. */
     double suspectUntil;
 
-    /** When the platform's list that last named it was asked for; NaN: never. */
+    /** When the latest platform list that contains it was requested; NaN if none contained it. */
     public double listedAt = Double.NaN;
 
-    /** Since when nothing new goes there; NaN: it may. */
+    /** When it began to drain; NaN while it is not draining. */
     public double drainingSince = Double.NaN;
 
     Instance(
@@ -61,7 +64,7 @@
         lastUsedAt = now;
     }
 
-    /** Slots that schedulers hold. */
+    /** The number of its slots that schedulers hold. */
     public int grantedSlots() {
         int sum = 0;
         for (int granted : grantedByScheduler.values()) {
@@ -70,16 +73,17 @@
         return sum;
     }
 
-    /** Whether schedulers could not reach it lately. */
+    /** Whether a scheduler recently failed to reach it. */
     public boolean isSuspect(double now) {
         return now < suspectUntil;
     }
 
+    /** The slots that may be granted now; 0 while it is draining or suspect. */
     int freeSlots(double now) {
         return state == State.DRAINING || isSuspect(now) ? 0 : Math.max(0, slots - grantedSlots());
     }
 
-    /** How long until it has started, as starts take on average; 0 where it has. */
+    /** The time until it is expected to have started; 0 if it is not starting. */
     double remainingStartTime(double now) {
         return state == State.STARTING ? Math.max(1, createdAt + function.startTime - now) : 0;
     }
--- a/src/main/java/gingerspool/slots/InstanceSelector.java
+++ b/src/main/java/gingerspool/slots/InstanceSelector.java
@@ -1,16 +1,17 @@
 package gingerspool.slots;
 
-/** Chooses the instance of which a scheduler is granted the next slot. */
+/** Chooses the instance whose slot a scheduler is granted next. Called by the allocator. */
 final class InstanceSelector {
-    /** What an instance in the scheduler's own zone is worth, in shares of an empty instance. */
+    /** Added to the score of an instance in the scheduler's zone; an idle instance scores 1. */
     private static final double SAME_ZONE_BONUS = 1;
 
     private InstanceSelector() {}
 
     /**
-     * A started instance with a free slot, near and empty ones first; else the one that starts
-     * soonest, if the scheduler waits for more slots than it holds of starting ones. Null if there
-     * is none.
+     * A started instance with a free slot, preferring those in the scheduler's zone and those with
+     * a large share of free slots. If there is none, the instance that is expected to start first,
+     * provided that the scheduler is missing more slots than it already holds on starting
+     * instances. Null if no instance qualifies.
      */
     static Instance select(Function function, String scheduler, String zone, double now) {
         int missing = function.demands.get(scheduler).missingSlots;
@@ -43,7 +44,7 @@
         return slots;
     }
 
-    /** Always below that of a started one. */
+    /** Always lower than the score of a started instance. */
     private static double scoreOfStarting(Instance instance, double now) {
         return -1 - instance.remainingStartTime(now);
     }
--- a/src/main/java/gingerspool/slots/RecallPolicy.java
+++ b/src/main/java/gingerspool/slots/RecallPolicy.java
@@ -6,13 +6,14 @@
 import java.util.function.Consumer;
 
 /**
- * Guards against schedulers that starve: for each that misses slots, the one that holds most beyond
- * its share of the demand gives one back as it falls free.
+ * Guards against starvation of schedulers: for each scheduler that is missing slots, one slot is
+ * recalled from the scheduler that most exceeds its fair share. That scheduler returns the slot
+ * once it is free. Called by the allocator.
  */
 final class RecallPolicy {
     private RecallPolicy() {}
 
-    /** Notes each recalled slot and tells whom it is recalled from. */
+    /** Counts each recalled slot and passes the scheduler that is to return it to the consumer. */
     static void recall(Function function, Consumer<String> recallFrom) {
         int readySlots = 0;
         Map<String, Integer> grantedByScheduler = new HashMap<>();
@@ -20,7 +21,8 @@
             if (instance.state == Instance.State.READY) {
                 readySlots += instance.slots;
                 instance.grantedByScheduler.forEach(
-                        (s, n) -> grantedByScheduler.merge(s, n, Integer::sum));
+                        (scheduler, granted) ->
+                                grantedByScheduler.merge(scheduler, granted, Integer::sum));
             }
         }
         for (SchedulerDemand starvedDemand : List.copyOf(function.demands.values())) {
@@ -36,7 +38,10 @@
         }
     }
 
-    /** The scheduler that holds most slots beyond its share, by one at least, or null. */
+    /**
+     * The scheduler that most exceeds its fair share, by at least one slot, or null. The fair share
+     * is proportional to the requests in flight; slots already recalled do not count as held.
+     */
     private static String mostOverservedScheduler(
             Function function,
             SchedulerDemand starvedDemand,
--- a/src/main/java/gingerspool/slots/SchedulerDemand.java
+++ b/src/main/java/gingerspool/slots/SchedulerDemand.java
@@ -1,22 +1,22 @@
 package gingerspool.slots;
 
-/** What one scheduler last reported to need of one function, and what it was granted since. */
+/** One scheduler's demand for slots of one function: its latest report, and the grants to it. */
 final class SchedulerDemand {
-    /** Slots at started instances that its requests wait for. */
+    /** The slots of started instances that its requests are waiting for. */
     int missingSlots;
 
-    /** Requests that it holds, waiting or running. */
+    /** The requests that it holds, waiting or running. */
     int inFlight;
 
-    /** Requests that have arrived, on this link. */
+    /** The requests that have arrived at it since its link was established. */
     long arrivals;
 
-    /** Slots of started instances granted to it, on this link. */
+    /** The slots of started instances granted to it since its link was established. */
     long granted;
 
-    /** Since when it has missed slots without being granted one. */
+    /** Since when it has been missing slots without being granted one, in milliseconds. */
     double missingSince;
 
-    /** Slots that were recalled from it and have not come back. */
+    /** The slots that were recalled from it and that it has not returned yet. */
     int recalled;
 }
--- a/src/main/java/gingerspool/slots/SlotAllocator.java
+++ b/src/main/java/gingerspool/slots/SlotAllocator.java
@@ -11,67 +11,79 @@
 import java.util.Objects;
 
 /**
- * Grants each slot of an instance to one scheduler at a time, so that all together never send an
- * instance more than it may run.
+ * Grants each slot of an instance to one scheduler at a time, so that the schedulers together never
+ * send an instance more requests than it can run.
  *
- * <p>Invariant: the slots granted of an instance are never more than it has, as far as its
- * schedulers have registered. A scheduler keeps a slot until it returns it. One whose link broke
- * keeps all for {@link #RECLAIM_HEARTBEATS}; if it has not registered by then they are free again.
- * A new allocator knows only what schedulers report as they register, and grants nothing for {@link
- * #REPORT_HEARTBEATS}.
+ * <p>Invariant: an instance never has more slots granted than it has in total, counting the
+ * schedulers that have registered. A scheduler keeps a slot until it returns it. A scheduler whose
+ * link is lost keeps its slots for {@link #RECLAIM_DELAY_HEARTBEATS}; if it has not registered
+ * again by then, they are free. A new allocator learns the granted slots only from the schedulers
+ * as they register, and therefore grants nothing for {@link #REGISTRATION_GRACE_HEARTBEATS}.
+ *
+ * <p>Owned by the duties of the leader, which pass the current time with each call. For one thread.
  */
 public final class SlotAllocator {
-    /** How long a scheduler's slots stay its own after its link broke, in heartbeat intervals. */
+    /** How long a scheduler keeps its slots after its link is lost, in heartbeat intervals. */
     private static final double RECLAIM_DELAY_HEARTBEATS = 0.5;
 
-    /** How long an instance that was not reached gets no requests, in heartbeat intervals. */
+    /** How long an unreachable instance is granted to no scheduler, in heartbeat intervals. */
     private static final double SUSPECT_HEARTBEATS = 1;
 
-    /** How long schedulers have to report to a new allocator, in heartbeat intervals. */
+    /** How long schedulers have to register with a new allocator, in heartbeat intervals. */
     private static final double REGISTRATION_GRACE_HEARTBEATS = 0.15;
 
-    /** What the newest arrival rates look back over, in heartbeat intervals. */
+    /** The short window of the arrival rates, in heartbeat intervals. */
     private static final double RATE_WINDOW_HEARTBEATS = 0.8;
 
-    /** The weight of a reported service time in the mean is one in so many. */
+    /** A reported service time enters the moving mean with a weight of 1 / this number. */
     private static final double SERVICE_TIME_SAMPLES = 8;
 
-    /** Where an allocator sends its messages. */
+    /** How the allocator sends its messages to schedulers. */
     public interface Messenger {
         void send(String scheduler, Object message);
 
-        /** Whether slots may be granted and recalled now: nobody else may be their allocator. */
+        /**
+         * Whether slots may be granted and recalled now. It must be false whenever another
+         * allocator may be in charge of them.
+         */
         default boolean mayGrant() {
             return true;
         }
     }
 
-    /** A scheduler that has registered, until its slots are reclaimed. */
+    /** The session of a scheduler, from its registration until its slots are reclaimed. */
     private static final class Session {
         String zone = "";
 
-        /** NaN while its link stands. */
+        /** When its link was lost; NaN while it is connected. */
         double disconnectedAt = Double.NaN;
 
-        /** Grants sent on this link. */
+        /** The number of grants sent on this link. */
         long grants;
     }
 
     private final double heartbeatInterval;
     private final Messenger messenger;
     private final FunctionCatalog catalog;
+
+    /** By identifier. */
     private final Map<String, Instance> instances = new LinkedHashMap<>();
+
+    /** By scheduler. */
     private final Map<String, Session> sessions = new LinkedHashMap<>();
 
-    /** By instance, then scheduler: slots reported of instances that no list has named yet. */
+    /**
+     * By instance, then scheduler: the slots that schedulers reported as they registered, of
+     * instances that are not known yet.
+     */
     private final Map<String, Map<String, Integer>> slotsOfUnlistedInstances = new HashMap<>();
 
-    /** Nothing is granted before that. */
+    /** No slot is granted before this time. */
     private final double grantsAllowedFrom;
 
     private double now;
 
-    /** The heartbeat interval is in milliseconds. */
+    /** Times are milliseconds of a steady clock. */
     public SlotAllocator(double heartbeatInterval, double now, Messenger messenger) {
         this.heartbeatInterval = heartbeatInterval;
         this.messenger = messenger;
@@ -84,7 +96,7 @@
         return catalog;
     }
 
-    /** The instance with this id, or null. */
+    /** The instance with this identifier, or null. */
     public Instance instance(String id) {
         return instances.get(id);
     }
@@ -93,12 +105,12 @@
         return List.copyOf(instances.values());
     }
 
-    /** How many schedulers are connected. */
+    /** The number of schedulers that are connected. */
     public int connectedSchedulers() {
         return (int) sessions.values().stream().filter(s -> Double.isNaN(s.disconnectedAt)).count();
     }
 
-    /** Requests in flight by the schedulers' zone. */
+    /** The function's requests in flight, by the zone of the scheduler that holds them. */
     public Map<String, Integer> inFlightByZone(Function function) {
         Map<String, Integer> byZone = new HashMap<>();
         function.demands.forEach(
@@ -111,9 +123,9 @@
         catalog.configure(configuration);
     }
 
-    // ---- Messages of schedulers ----
+    // ---- Messages from schedulers ----
 
-    /** A scheduler registered, perhaps again: what it holds is what it reports. */
+    /** A scheduler registered, possibly again. Its report replaces what was known of its slots. */
     public void onRegister(double time, String scheduler, Messages.Register message) {
         now = time;
         reclaim(scheduler);
@@ -124,7 +136,7 @@
         message.held().forEach((id, slots) -> grantedSlotsOf(id).put(scheduler, slots));
     }
 
-    /** Granted slots of an instance by scheduler, also before a list has named it. */
+    /** The granted slots of an instance by scheduler, also for an instance not known yet. */
     private Map<String, Integer> grantedSlotsOf(String id) {
         Instance instance = instances.get(id);
         return instance != null
@@ -133,9 +145,9 @@
     }
 
     /**
-     * All that a scheduler holds once so many grants had come to it. Where no grant is on its way
-     * this is what is noted here; what differs is repaired from it, since the scheduler knows best.
-     * False where something differed.
+     * A scheduler reports all slots that it holds, and how many grants it had received. If no grant
+     * is in transit, the report must match the allocator's record. The scheduler is authoritative:
+     * a record that differs is replaced by the report. Returns false if anything differed.
      */
     public boolean onHoldings(double time, String scheduler, Messages.SlotHoldings message) {
         now = time;
@@ -156,7 +168,7 @@
         return matches;
     }
 
-    /** A scheduler's link broke. */
+    /** The link to a scheduler was lost. */
     public void onDisconnect(double time, String scheduler) {
         now = time;
         Session session = sessions.get(scheduler);
@@ -166,13 +178,14 @@
         }
     }
 
+    /** Frees all slots of a scheduler and forgets its demand. */
     private void reclaim(String scheduler) {
         instances.values().forEach(instance -> instance.grantedByScheduler.remove(scheduler));
         slotsOfUnlistedInstances.values().forEach(held -> held.remove(scheduler));
         catalog.all().forEach(function -> function.demands.remove(scheduler));
     }
 
-    /** What a scheduler needs of a function now. */
+    /** A scheduler reports its demand for slots of one function. */
     public void onDemand(double time, String scheduler, Messages.SlotDemand message) {
         now = time;
         Function function = catalog.find(message.function());
@@ -189,7 +202,7 @@
     }
 
     private void update(Function function, SchedulerDemand demand, Messages.SlotDemand message) {
-        // Guards against granting twice: what is on its way was not known to the scheduler yet.
+        // Guards against granting twice: the report does not cover grants still in transit.
         long grantsInTransit = Math.max(0, demand.granted - message.granted());
         boolean wasMissingSlots = demand.missingSlots > 0;
         demand.missingSlots = (int) Math.max(0, message.missing() - grantsInTransit);
@@ -207,12 +220,13 @@
         }
     }
 
-    /** A scheduler returns slots, perhaps none, and tells how the instance was. */
+    /** A scheduler returns slots, possibly none, and reports the condition of the instance. */
     public void onReturn(double time, String scheduler, Messages.SlotReturn message) {
         now = time;
         int slots = message.slots();
         Instance instance = instances.get(message.instance());
-        // Guards slots of instances that no list has named yet: else they would be held for ever.
+        // Guards against leaking slots of an instance that is not known yet: without this, slots
+        // returned before it is listed would stay granted for ever.
         Map<String, Integer> grantedSlots =
                 instance != null
                         ? instance.grantedByScheduler
@@ -238,7 +252,7 @@
 
     // ---- Instances ----
 
-    /** An instance became known, by its start or by the platform's list. */
+    /** Adds an instance that was started or that appeared in the platform's list. */
     public Instance addInstance(
             double time,
             String id,
@@ -260,7 +274,7 @@
         return instance;
     }
 
-    /** The platform lists it as ready. */
+    /** The platform listed the instance as ready. */
     public void markReady(double time, Instance instance) {
         now = time;
         if (instance.state == Instance.State.STARTING) {
@@ -269,7 +283,7 @@
         }
     }
 
-    /** It gets nothing new; what runs there goes on. */
+    /** Stops granting slots of the instance. Requests that run there go on. */
     public void markDraining(double time, Instance instance) {
         now = time;
         if (instance.state != Instance.State.DRAINING) {
@@ -278,7 +292,7 @@
         instance.state = Instance.State.DRAINING;
     }
 
-    /** It has ended. */
+    /** The instance no longer exists. */
     public void removeInstance(double time, Instance instance) {
         now = time;
         instance.state = Instance.State.DRAINING;
@@ -286,9 +300,12 @@
         instance.function.instances.remove(instance.id);
     }
 
-    // ---- Time ----
+    // ---- Timer ----
 
-    /** Reclaims the slots of schedulers that stay away, and grants and recalls what is due. */
+    /**
+     * Reclaims the slots of schedulers that have been disconnected for too long, then grants and
+     * recalls slots. Called periodically.
+     */
     public void tick(double time) {
         now = time;
         for (Map.Entry<String, Session> entry : List.copyOf(sessions.entrySet())) {
@@ -320,7 +337,7 @@
         }
     }
 
-    /** One slot to the scheduler that has missed one for longest; false where there is none. */
+    /** Grants one slot to the longest-waiting scheduler; false if none can be granted. */
     private boolean grantOne(Function function) {
         String scheduler = longestWaitingScheduler(function);
         if (scheduler == null) {
@@ -350,7 +367,9 @@
         return true;
     }
 
-    /** The scheduler that has missed a slot for longest, of those that one can be granted to. */
+    /**
+     * Of the schedulers that a slot can be granted to, the one that has waited longest, or null.
+     */
     private String longestWaitingScheduler(Function function) {
         String longestWaiting = null;
         double waitingSince = 0;
@@ -379,12 +398,12 @@
 
     // ---- For operators ----
 
-    /** What all functions have, hold and miss. */
+    /** The slot usage summed over all functions. */
     public SlotUsage usage() {
         return SlotUsage.of(catalog.all());
     }
 
-    /** Lines of the status page: each function that has instances or requests. */
+    /** Lines for the status page: one for each function with instances or requests in flight. */
     public List<String> status() {
         return catalog.all().stream()
                 .filter(function -> !function.instances.isEmpty() || function.inFlight() > 0)
--- a/src/main/java/gingerspool/slots/SlotUsage.java
+++ b/src/main/java/gingerspool/slots/SlotUsage.java
@@ -3,14 +3,14 @@
 import java.util.Collection;
 
 /**
- * What the instances of some functions have, and what schedulers hold and miss of it.
+ * The capacity of one or more functions and how much of it is in use.
  *
- * @param instances how many there are, in any state
- * @param memoryMb what they take on their hosts, in megabytes
- * @param slots requests that they can run at once
- * @param granted slots that schedulers hold
- * @param inFlight requests that schedulers hold, waiting or running
- * @param missing slots that requests wait for
+ * @param instances the number of instances, in any state
+ * @param memoryMb the memory that they take on their hosts, in megabytes
+ * @param slots the requests that they can run at once
+ * @param granted the slots that schedulers hold
+ * @param inFlight the requests that schedulers hold, waiting or running
+ * @param missing the slots that requests are waiting for
  */
 public record SlotUsage(
         int instances, int memoryMb, int slots, int granted, int inFlight, int missing) {
@@ -46,7 +46,7 @@
                 missing + other.missing);
     }
 
-    /** In the form of the log's fields. */
+    /** Formatted as key-value fields of a log line. */
     @Override
     public String toString() {
         return "instances="
--- a/src/test/java/gingerspool/slots/ArrivalRateTest.java
+++ b/src/test/java/gingerspool/slots/ArrivalRateTest.java
@@ -26,7 +26,7 @@
                 next -= Math.log(1 - chance.nextDouble()) * 1000 / perSecond;
             }
             a.add(now, more);
-            sum += 1000 * a.provisioned();
+            sum += 1000 * a.provisionedRate();
             n++;
         }
         return sum / n;
@@ -49,11 +49,11 @@
         ArrivalRate a = new ArrivalRate(SPAN);
         play(a, 0, 10_000, 10, 1);
         play(a, 10_000, 11_000, 40, 2);
-        assertTrue(1000 * a.provisioned() > 22, "provided for " + 1000 * a.provisioned());
+        assertTrue(1000 * a.provisionedRate() > 22, "provided for " + 1000 * a.provisionedRate());
         play(a, 11_000, 12_000, 10, 3);
-        assertTrue(1000 * a.provisioned() > 18, "held for a while");
+        assertTrue(1000 * a.provisionedRate() > 18, "held for a while");
         play(a, 12_000, 30_000, 10, 4);
-        assertTrue(1000 * a.provisioned() < 17, "and let go");
+        assertTrue(1000 * a.provisionedRate() < 17, "and let go");
     }
 
     @Test
