--- a/src/main/java/gingerspool/configuration/ConfigurationRules.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationRules.java
@@ -61,8 +61,8 @@
      * weights, since a route names a single service; therefore every list of an unknown field whose
      * entries all have a Weight counts as a split.
      */
-    static void checkWeights(Map<String, Object> tree) throws InvalidConfigurationException {
-        for (Object route : JsonItems.list(tree.get("Routes"), "Routes")) {
+    static void checkWeights(Map<String, Object> json) throws InvalidConfigurationException {
+        for (Object route : JsonItems.list(json.get("Routes"), "Routes")) {
             if (route instanceof Map<?, ?> fields) {
                 for (Map.Entry<?, ?> field : fields.entrySet()) {
                     if (field.getValue() instanceof List<?> entries
--- a/src/test/java/gingerspool/autoscaler/AutoscalerTest.java
+++ b/src/test/java/gingerspool/autoscaler/AutoscalerTest.java
@@ -25,11 +25,11 @@
     private final List<String> stops = new ArrayList<>();
 
     @BeforeMethod
-    public void begin() {
+    public void setUp() {
         starts.clear();
         nonces.clear();
         stops.clear();
-        allocator = new SlotAllocator(1000, 0, (front, message) -> {});
+        allocator = new SlotAllocator(1000, 0, (scheduler, message) -> {});
         allocator.configure(
                 Configuration.newBuilder()
                         .addServices(
@@ -56,8 +56,8 @@
                         0,
                         new Autoscaler.Actions() {
                             @Override
-                            public void start(Function f, String host, String nonce) {
-                                starts.add(f.name + " on " + host);
+                            public void start(Function function, String host, String nonce) {
+                                starts.add(function.name + " on " + host);
                                 nonces.add(nonce);
                             }
 
@@ -73,39 +73,41 @@
                         });
     }
 
-    private void hosts(double free) {
+    /** Two hosts that are ready and one that is not, with this free memory each. */
+    private void listHosts(double freeMemoryMb) {
         autoscaler.beginHosts();
-        autoscaler.addHost("h1", "za", 4096, free, true);
-        autoscaler.addHost("h2", "zb", 4096, free, true);
-        autoscaler.addHost("h3", "zb", 4096, free, false);
+        autoscaler.addHost("h1", "za", 4096, freeMemoryMb, true);
+        autoscaler.addHost("h2", "zb", 4096, freeMemoryMb, true);
+        autoscaler.addHost("h3", "zb", 4096, freeMemoryMb, false);
         autoscaler.endHosts();
         autoscaler.instancesListed();
     }
 
-    private void demand(String function, int lacks, int inHand, double at) {
-        allocator.onRegister(at, "a", new Messages.Register("a", "zb", 0, Map.of()));
+    /** The only scheduler registers and reports its demand. */
+    private void demand(String function, int missing, int inFlight, double time) {
+        allocator.onRegister(time, "a", new Messages.Register("a", "zb", 0, Map.of()));
         allocator.onDemand(
-                at, "a", new Messages.SlotDemand(function, lacks, 0, inHand, inHand, 60));
+                time, "a", new Messages.SlotDemand(function, missing, 0, inFlight, inFlight, 60));
     }
 
     @Test
     public void startsNothingBeforeTheListsAreKnown() {
         demand("rare", 1, 1, 600);
         autoscaler.tick(600);
-        assertEquals(starts.size(), 0, "instances may be running already");
-        hosts(4096);
+        assertEquals(starts.size(), 0, "instances may be running that are not listed yet");
+        listHosts(4096);
         autoscaler.tick(650);
         assertTrue(
                 starts.contains("rare on h2"),
-                starts + ": the zone of those who lack, a host that is ready");
+                starts + ": expected a ready host in the zone of the scheduler that misses slots");
         assertTrue(
                 starts.stream().anyMatch(s -> s.startsWith("busy")),
-                "its aim is shorter than a start");
+                "its latency target is shorter than a start");
     }
 
     @Test
-    public void startsOnceForWhatIsLackedAndStopsWhatIdles() {
-        hosts(4096);
+    public void startsOneInstanceForAMissingSlotAndStopsItWhenIdle() {
+        listHosts(4096);
         demand("rare", 1, 1, 600);
         for (int i = 0; i < 10; i++) {
             autoscaler.tick(650 + 50 * i);
@@ -116,19 +118,19 @@
         allocator.markReady(1700, allocator.instance("i1"));
         demand("rare", 0, 0, 1710);
         autoscaler.tick(1750);
-        assertEquals(stops.size(), 0, "one task in a second: another may well come soon");
+        assertEquals(stops.size(), 0, "one request within a second: the next one may come soon");
         allocator.tick(2500);
         autoscaler.tick(2500);
         assertEquals(stops, List.of("i1"));
     }
 
     /**
-     * The last instance stays where the next task is awaited within what a start is worth, else it
-     * goes.
+     * The last instance is kept if the next request is expected within the idle time that costs as
+     * much as a start; otherwise it is stopped.
      */
     @Test(dataProvider = "gaps")
-    public void theLastInstanceStaysWhereTheNextTaskIsNear(double gap, boolean stays) {
-        hosts(4096);
+    public void keepsTheLastInstanceIfTheNextRequestIsExpectedSoon(double gap, boolean isKept) {
+        listHosts(4096);
         double now = 600;
         allocator.onRegister(now, "a", new Messages.Register("a", "zb", 0, Map.of()));
         allocator.addInstance(
@@ -140,17 +142,19 @@
                 "h2",
                 1,
                 Instance.State.READY);
-        int came = 0;
-        for (double next = now; now < 20_000; now += 50) {
-            boolean comes = now >= next;
-            came += comes ? 1 : 0;
-            next += comes ? gap : 0;
+        int arrived = 0;
+        for (double nextArrivalAt = now; now < 20_000; now += 50) {
+            boolean arrives = now >= nextArrivalAt;
+            arrived += arrives ? 1 : 0;
+            nextArrivalAt += arrives ? gap : 0;
             allocator.onDemand(
-                    now, "a", new Messages.SlotDemand("rare", 0, came, comes ? 1 : 0, came, 60));
+                    now,
+                    "a",
+                    new Messages.SlotDemand("rare", 0, arrived, arrives ? 1 : 0, arrived, 60));
             allocator.tick(now);
             autoscaler.tick(now);
         }
-        assertEquals(stops.isEmpty(), stays, "a gap of " + gap);
+        assertEquals(stops.isEmpty(), isKept, "interarrival time " + gap);
     }
 
     @DataProvider
@@ -158,10 +162,13 @@
         return new Object[][] {{300, true}, {1000, true}, {3000, false}, {9000, false}};
     }
 
-    /** Load is spread over all instances: one that is too many goes although none is ever idle. */
+    /**
+     * Guards against a surplus that is never retired: load is spread over all instances, so that
+     * none of them is ever idle.
+     */
     @Test
-    public void aSurplusIsRetiredWhereNoneIsIdle() {
-        hosts(4096);
+    public void retiresSurplusEvenIfNoInstanceIsIdle() {
+        listHosts(4096);
         allocator.onRegister(
                 600, "a", new Messages.Register("a", "zb", 0, Map.of("b0", 1, "b1", 1, "b2", 1)));
         for (int i = 0; i < 3; i++) {
@@ -179,13 +186,16 @@
             allocator.tick(now);
             autoscaler.tick(now);
         }
-        List<Instance> leaving =
+        List<Instance> draining =
                 allocator.instances().stream()
                         .filter(i -> i.state == Instance.State.DRAINING)
                         .toList();
-        assertEquals(leaving.size(), 2, "one is wanted, for its aim is shorter than a start");
-        assertEquals(stops.size(), 0, "they have work");
-        Instance first = leaving.get(0);
+        assertEquals(
+                draining.size(),
+                2,
+                "one is kept, since the latency target is shorter than a start");
+        assertEquals(stops.size(), 0, "schedulers still hold slots of them");
+        Instance first = draining.get(0);
         allocator.onReturn(
                 7000,
                 "a",
@@ -195,11 +205,12 @@
     }
 
     /**
-     * What is not known of a function yet, others of its size tell: one start for its first task.
+     * The service time of a function without any completed request is estimated from functions of
+     * the same size class, so that its first request causes a single start.
      */
     @Test
-    public void aFirstTaskOfAFunctionStartsOneInstance() {
-        hosts(4096);
+    public void firstRequestOfAFunctionStartsOneInstance() {
+        listHosts(4096);
         allocator.configure(
                 Configuration.newBuilder()
                         .addServices(
@@ -223,9 +234,9 @@
         assertEquals(starts.stream().filter(s -> s.startsWith("new")).count(), 1);
     }
 
-    /** A single request, though it runs for long, is no reason to have instances for others. */
+    /** A single request, even if it runs for long, is no reason to start further instances. */
     @Test
-    public void aRareSlowRequestStartsOneInstance() {
+    public void rareSlowRequestStartsOneInstance() {
         allocator.configure(
                 Configuration.newBuilder()
                         .addServices(
@@ -236,7 +247,7 @@
                                         .setMemory(128))
                         .addRoutes(Route.newBuilder().setService("slow").setAim(4000))
                         .build());
-        hosts(4096);
+        listHosts(4096);
         allocator.onRegister(600, "a", new Messages.Register("a", "zb", 0, Map.of()));
         for (double now = 0; now < 15_000; now += 50) {
             allocator.tick(now);
@@ -249,13 +260,13 @@
         assertEquals(starts.stream().filter(s -> s.startsWith("slow")).count(), 1);
     }
 
-    /** Frequent requests get instances that stand ready where starts would be dearer. */
+    /** Frequent requests get spare instances if these cost less than the starts they avoid. */
     @Test
-    public void aFrequentFunctionHasSpareSlotsThoughAStartFitsItsAim() {
-        hosts(4096);
+    public void frequentFunctionHasSpareSlotsThoughAStartMeetsItsTarget() {
+        listHosts(4096);
         allocator.onRegister(0, "a", new Messages.Register("a", "zb", 0, Map.of()));
         for (int i = 1; i <= 100; i++) {
-            // Twenty a second that run for 60 ms: 1.2 slots in use.
+            // 20 requests per second with a service time of 60 ms keep 1.2 slots in use.
             allocator.onDemand(50 * i, "a", new Messages.SlotDemand("rare", 0, 0, 1, i, 60));
             allocator.tick(50 * i);
             autoscaler.tick(50 * i);
@@ -265,8 +276,8 @@
     }
 
     @Test
-    public void aHostWithoutRoomIsPassedOverAndTheRateIsKept() {
-        hosts(200);
+    public void skipsFullHostsAndRespectsTheCallRate() {
+        listHosts(200);
         demand("rare", 30, 30, 600);
         autoscaler.tick(650);
         assertEquals(
@@ -275,14 +286,16 @@
                 "one fits on each host");
         autoscaler.startFailed(700, nonces.get(0), true);
         autoscaler.tick(750);
-        assertEquals(starts.size(), 2, "no room was the answer");
-        hosts(4096);
+        assertEquals(starts.size(), 2, "the host has no room");
+        listHosts(4096);
         autoscaler.tick(760);
-        assertTrue(starts.size() <= 2 + 8 + 2, starts.size() + " starts in 110 ms at 80 a second");
+        assertTrue(
+                starts.size() <= 2 + 8 + 2,
+                starts.size() + " starts within 110 ms at 80 calls per second");
     }
 
     @Test
-    public void waitsFollowErlang() {
+    public void waitProbabilitiesFollowErlangC() {
         assertEquals(ErlangDelay.probabilityOfWaitOver(1, 0.5, 0), 0.5, 1e-9);
         assertEquals(ErlangDelay.probabilityOfWaitOver(2, 1, 0), 1.0 / 3, 1e-9);
         assertEquals(ErlangDelay.probabilityOfWaitOver(2, 1, 2), Math.exp(-2) / 3, 1e-9);
--- a/src/test/java/gingerspool/configuration/ConfigurationDeltaTest.java
+++ b/src/test/java/gingerspool/configuration/ConfigurationDeltaTest.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** A delta leads to just the version that it was made for, or to an error. */
+/** Applying a delta gives exactly the version that it was computed for, or an error. */
 public class ConfigurationDeltaTest {
     private static Route route(int name, int timeout) {
         return Route.newBuilder()
@@ -29,56 +29,58 @@
         return Service.newBuilder().setName("s" + name).setBoot(boot).build();
     }
 
-    /** A later version: some items changed, added or removed, in another order. */
-    private static Configuration next(Configuration base, Random chance) {
+    /** A random later version with some items changed, added or removed, in another order. */
+    private static Configuration next(Configuration base, Random random) {
         List<Route> routes = new ArrayList<>(base.getRoutesList());
         List<Service> services = new ArrayList<>(base.getServicesList());
-        routes.removeIf(r -> chance.nextInt(8) == 0);
-        services.removeIf(s -> chance.nextInt(8) == 0);
-        for (int i = 0; i < chance.nextInt(4); i++) {
-            int name = chance.nextInt(20);
+        routes.removeIf(r -> random.nextInt(8) == 0);
+        services.removeIf(s -> random.nextInt(8) == 0);
+        for (int i = 0; i < random.nextInt(4); i++) {
+            int name = random.nextInt(20);
             routes.removeIf(r -> r.getName().equals("r" + name));
             services.removeIf(s -> s.getName().equals("s" + name));
-            routes.add(route(name, 1 + chance.nextInt(3)));
-            services.add(service(name, chance.nextInt(3)));
+            routes.add(route(name, 1 + random.nextInt(3)));
+            services.add(service(name, random.nextInt(3)));
         }
-        Collections.shuffle(routes, chance);
+        Collections.shuffle(routes, random);
         Configuration.Builder next =
                 Configuration.newBuilder()
-                        .setVersion(base.getVersion() + 1 + chance.nextInt(3))
+                        .setVersion(base.getVersion() + 1 + random.nextInt(3))
                         .addAllRoutes(routes)
                         .addAllServices(services);
-        if (chance.nextInt(3) > 0) {
-            next.setLimits(Limits.newBuilder().setBodyBytes(chance.nextInt(3)));
+        if (random.nextInt(3) > 0) {
+            next.setLimits(Limits.newBuilder().setBodyBytes(random.nextInt(3)));
         }
         return next.build();
     }
 
-    private static ConfigurationChanges delta(Configuration base, Configuration newest) {
-        return ConfigurationDelta.between(base, newest, ConfigurationChecksum.of(newest));
+    private static ConfigurationChanges delta(Configuration base, Configuration target) {
+        return ConfigurationDelta.between(base, target, ConfigurationChecksum.of(target));
     }
 
     @Test
-    public void leadsFromAnyVersionToAnyLaterOne() throws Exception {
+    public void deltaLeadsFromAnyVersionToALaterOne() throws Exception {
         for (int seed = 0; seed < 100; seed++) {
-            Random chance = new Random(seed);
+            Random random = new Random(seed);
             List<Configuration> versions = new ArrayList<>();
             versions.add(Configuration.getDefaultInstance());
             for (int i = 0; i < 12; i++) {
-                versions.add(next(versions.get(i), chance));
+                versions.add(next(versions.get(i), random));
             }
-            Configuration newest = versions.get(12);
+            Configuration target = versions.get(12);
             for (Configuration base : versions) {
-                Configuration made = ConfigurationDelta.apply(base, delta(base, newest));
-                assertEquals(made.getVersion(), newest.getVersion());
-                assertEquals(ConfigurationChecksum.of(made), ConfigurationChecksum.of(newest));
+                Configuration result = ConfigurationDelta.apply(base, delta(base, target));
+                assertEquals(result.getVersion(), target.getVersion());
+                assertEquals(ConfigurationChecksum.of(result), ConfigurationChecksum.of(target));
                 assertEquals(
-                        List.copyOf(sorted(made)), List.copyOf(sorted(newest)), "seed " + seed);
+                        List.copyOf(sortedItems(result)),
+                        List.copyOf(sortedItems(target)),
+                        "seed " + seed);
             }
         }
     }
 
-    private static List<String> sorted(Configuration configuration) {
+    private static List<String> sortedItems(Configuration configuration) {
         List<String> items = new ArrayList<>();
         configuration.getRoutesList().forEach(r -> items.add(r.toString()));
         configuration.getServicesList().forEach(s -> items.add(s.toString()));
@@ -87,13 +89,13 @@
         return items;
     }
 
-    /** Onto another version, or onto a copy that is damaged. */
+    /** The delta is applied to another version, or to a damaged copy of its base. */
     @Test
-    public void anotherBaseIsAnError() {
-        Random chance = new Random(1);
-        Configuration first = next(next(Configuration.getDefaultInstance(), chance), chance);
-        Configuration second = next(first, chance);
-        Configuration third = next(second, chance);
+    public void deltaForAnotherBaseIsRejected() {
+        Random random = new Random(1);
+        Configuration first = next(next(Configuration.getDefaultInstance(), random), random);
+        Configuration second = next(first, random);
+        Configuration third = next(second, random);
         assertThrows(
                 DeltaMismatchException.class,
                 () -> ConfigurationDelta.apply(first, delta(second, third)));
@@ -103,56 +105,58 @@
                 () -> ConfigurationDelta.apply(damaged, delta(first, third)));
     }
 
-    /** Whatever is lost or changed on its way, what is applied is what was sent. */
+    /** The delta is truncated at each byte, and each of its bits is flipped. */
     @Test
-    public void aDeltaThatIsCutOrChangedAtAnyByteNeverMakesAThirdConfiguration() {
-        Random chance = new Random(2);
-        Configuration base = next(next(Configuration.getDefaultInstance(), chance), chance);
-        Configuration newest = next(base, chance);
-        byte[] sent = delta(base, newest).toByteArray();
+    public void corruptedDeltaNeverGivesAnotherConfiguration() {
+        Random random = new Random(2);
+        Configuration base = next(next(Configuration.getDefaultInstance(), random), random);
+        Configuration target = next(base, random);
+        byte[] sent = delta(base, target).toByteArray();
         assertTrue(sent.length > 20);
-        for (int at = 0; at < sent.length; at++) {
-            check(base, newest, Arrays.copyOf(sent, at));
+        for (int position = 0; position < sent.length; position++) {
+            assertTargetOrError(base, target, Arrays.copyOf(sent, position));
             for (int bit = 0; bit < Byte.SIZE; bit++) {
                 byte[] changed = sent.clone();
-                changed[at] ^= (byte) (1 << bit);
-                check(base, newest, changed);
+                changed[position] ^= (byte) (1 << bit);
+                assertTargetOrError(base, target, changed);
             }
         }
     }
 
-    private static void check(Configuration base, Configuration newest, byte[] received) {
+    private static void assertTargetOrError(
+            Configuration base, Configuration target, byte[] received) {
         try {
-            Configuration made =
+            Configuration result =
                     ConfigurationDelta.apply(base, ConfigurationChanges.parseFrom(received));
-            assertEquals(made.getVersion(), newest.getVersion());
-            assertEquals(sorted(made), sorted(newest));
+            assertEquals(result.getVersion(), target.getVersion());
+            assertEquals(sortedItems(result), sortedItems(target));
         } catch (InvalidProtocolBufferException | DeltaMismatchException e) {
-            // The scheduler then asks for a complete copy.
+            // Allowed: the scheduler then requests a complete copy.
         }
     }
 
     @Test
-    public void aChecksumKnowsEachItemButNotTheirOrder() {
-        Configuration some =
+    public void checksumDependsOnTheItemsButNotOnTheirOrder() {
+        Configuration original =
                 Configuration.newBuilder()
                         .setVersion(3)
                         .addRoutes(route(1, 1))
                         .addRoutes(route(2, 1))
                         .build();
-        Configuration turned =
-                some.toBuilder().setRoutes(0, route(2, 1)).setRoutes(1, route(1, 1)).build();
-        Configuration other = some.toBuilder().setRoutes(1, route(2, 2)).build();
-        long checksum = ConfigurationChecksum.of(some);
-        assertEquals(ConfigurationChecksum.of(turned), checksum);
+        Configuration reordered =
+                original.toBuilder().setRoutes(0, route(2, 1)).setRoutes(1, route(1, 1)).build();
+        Configuration other = original.toBuilder().setRoutes(1, route(2, 2)).build();
+        long checksum = ConfigurationChecksum.of(original);
+        assertEquals(ConfigurationChecksum.of(reordered), checksum);
         assertNotEquals(ConfigurationChecksum.of(other), checksum);
-        assertNotEquals(ConfigurationChecksum.of(some.toBuilder().setVersion(4).build()), checksum);
+        assertNotEquals(
+                ConfigurationChecksum.of(original.toBuilder().setVersion(4).build()), checksum);
     }
 
     @Test
-    public void aHistoryTellsDeltasFromWhatItKnowsAndCopiesElse() throws Exception {
+    public void historyGivesDeltasFromKeptVersionsOnly() throws Exception {
         ConfigurationHistory history = new ConfigurationHistory();
-        Random chance = new Random(3);
+        Random random = new Random(3);
         Configuration.Builder large = Configuration.newBuilder().setVersion(1);
         for (int i = 0; i < 200; i++) {
             large.addRoutes(route(i, 5)).addServices(service(i, 5));
@@ -163,26 +167,27 @@
             versions.add(
                     last.toBuilder()
                             .setVersion(last.getVersion() + 2)
-                            .setRoutes(chance.nextInt(200), route(1000 + i, 1))
+                            .setRoutes(random.nextInt(200), route(1000 + i, 1))
                             .build());
         }
         versions.forEach(history::add);
-        Configuration newest = versions.get(300);
-        assertEquals(history.version(), newest.getVersion());
-        assertEquals(Configuration.parseFrom(history.copy()), newest);
-        Configuration known = versions.get(299);
-        byte[] delta = history.deltaFrom(known.getVersion()).orElseThrow();
+        Configuration target = versions.get(300);
+        assertEquals(history.version(), target.getVersion());
+        assertEquals(Configuration.parseFrom(history.copy()), target);
+        Configuration knownVersion = versions.get(299);
+        byte[] delta = history.deltaFrom(knownVersion.getVersion()).orElseThrow();
         assertTrue(delta.length < history.copy().length / 20, delta.length + " bytes");
         assertEquals(
                 ConfigurationChecksum.of(
-                        ConfigurationDelta.apply(known, ConfigurationChanges.parseFrom(delta))),
+                        ConfigurationDelta.apply(
+                                knownVersion, ConfigurationChanges.parseFrom(delta))),
                 history.checksum());
         assertTrue(history.deltaFrom(versions.get(200).getVersion()).isPresent());
         assertTrue(history.deltaFrom(1).isEmpty(), "too old");
-        assertTrue(history.deltaFrom(2).isEmpty(), "never taken");
+        assertTrue(history.deltaFrom(2).isEmpty(), "never added");
         history.add(versions.get(250));
         assertTrue(
                 history.deltaFrom(versions.get(249).getVersion()).isEmpty(),
-                "a state that went back makes what was known void");
+                "earlier versions are dropped if the state went back");
     }
 }
--- a/src/test/java/gingerspool/configuration/ConfigurationStateTest.java
+++ b/src/test/java/gingerspool/configuration/ConfigurationStateTest.java
@@ -39,7 +39,7 @@
                 + "\"}";
     }
 
-    private static String whole(int version, String routes) {
+    private static String configurationJson(int version, String routes) {
         return "{\"Version\":"
                 + version
                 + ",\"Routes\":["
@@ -54,23 +54,27 @@
     }
 
     @Test
-    public void takesOneOfTwoOnAVersionAndKnowsWhatComesAgain() {
-        String first = whole(3, route("r", "/a/", "s", 100));
+    public void acceptsOneChangePerVersionAndRecognizesRepeats() {
+        String first = configurationJson(3, route("r", "/a/", "s", 100));
         assertEquals(replace(0, first).status(), 200);
-        assertEquals(replace(0, whole(5, "")).status(), 412);
-        String second = whole(7, route("r", "/b/", "s", 100));
+        assertEquals(replace(0, configurationJson(5, "")).status(), 412);
+        String second = configurationJson(7, route("r", "/b/", "s", 100));
         assertEquals(replace(3, second).status(), 200);
-        assertEquals(replace(3, second).status(), 200, "the same again");
-        assertEquals(replace(0, first).status(), 200, "taken before, though no longer in force");
-        assertEquals(replace(3, whole(7, "")).status(), 412, "another under the same number");
+        assertEquals(replace(3, second).status(), 200, "a repeat");
+        assertEquals(replace(0, first).status(), 200, "accepted before, but no longer in force");
+        assertEquals(
+                replace(3, configurationJson(7, "")).status(),
+                412,
+                "another change with the same version");
         assertEquals(configurationState.version(), 7);
     }
 
     /**
-     * A repeat may come after a long cut, hundreds of versions later, from wherever the state is.
+     * Guards operators who repeat a change after a long interruption, hundreds of versions later:
+     * members recognize it, also if they restored a snapshot or were repaired meanwhile.
      */
     @Test
-    public void knowsARepeatAfterHundredsOfVersionsASnapshotAndARepair() throws Exception {
+    public void recognizesRepeatsAfterManyVersionsASnapshotAndARepair() throws Exception {
         ConfigurationState first = new ConfigurationState();
         for (int version = 1; version <= 700; version++) {
             assertEquals(change(first, version).status(), 200);
@@ -82,90 +86,99 @@
         Map<String, String> items = first.items();
         for (ConfigurationState state : new ConfigurationState[] {first, restored, repaired}) {
             for (int version = 1; version <= 700; version++) {
-                ConfigurationState.Verdict v = change(state, version);
-                assertEquals(v.status(), 200, "version " + version);
-                assertEquals(v.version(), version, "the version that it made");
+                ConfigurationState.Verdict result = change(state, version);
+                assertEquals(result.status(), 200, "version " + version);
+                assertEquals(result.version(), version, "the version that it created");
             }
             assertEquals(state.version(), 700);
             assertEquals(state.items(), items);
             assertEquals(
-                    state.apply(true, 8, bytes(whole(9, route("x", "/x/", "s", 1)))).status(),
+                    state.apply(true, 8, bytes(configurationJson(9, route("x", "/x/", "s", 1))))
+                            .status(),
                     412,
-                    "another under a number that was taken");
+                    "another change with a version that exists already");
             assertEquals(
-                    state.apply(true, 7, bytes(whole(9, ""))).status(),
+                    state.apply(true, 7, bytes(configurationJson(9, ""))).status(),
                     412,
-                    "the same content on another version");
+                    "the same body for another base version");
             assertEquals(change(state, 701).status(), 200);
         }
     }
 
     private static ConfigurationState.Verdict change(ConfigurationState state, int version) {
-        return state.apply(true, version - 1, bytes(whole(version, "")));
+        return state.apply(true, version - 1, bytes(configurationJson(version, "")));
     }
 
     @Test
     public void readsTheStateOfAnEarlierBuild() throws Exception {
-        byte[] change = bytes(whole(3, ""));
-        byte[] before = bytes("true 0 ");
-        byte[] digested = Arrays.copyOf(before, before.length + change.length);
-        System.arraycopy(change, 0, digested, before.length, change.length);
+        byte[] change = bytes(configurationJson(3, ""));
+        byte[] digestPrefix = bytes("true 0 ");
+        byte[] digested = Arrays.copyOf(digestPrefix, digestPrefix.length + change.length);
+        System.arraycopy(change, 0, digested, digestPrefix.length, change.length);
         String digest =
                 HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(digested));
         ConfigurationState state = new ConfigurationState();
         state.restore(
-                bytes("{\"tree\":%s,\"taken\":{\"3\":\"%s\"}}".formatted(whole(3, ""), digest)));
+                bytes(
+                        "{\"tree\":%s,\"taken\":{\"3\":\"%s\"}}"
+                                .formatted(configurationJson(3, ""), digest)));
         assertEquals(state.apply(true, 0, change).version(), 3);
     }
 
     @Test
-    public void remembersSoManyAndForgetsTheOldestFirst() throws Exception {
-        AcceptedChanges all = new AcceptedChanges();
+    public void keepsABoundedNumberOfChangesAndDropsTheOldest() throws Exception {
+        AcceptedChanges changes = new AcceptedChanges();
         int added = AcceptedChanges.MAX_CHANGES + 1000;
         for (int version = 1; version <= added; version++) {
-            all.add(2L * version, AcceptedChanges.digest(true, version, new byte[0]));
+            changes.add(2L * version, AcceptedChanges.digest(true, version, new byte[0]));
         }
         assertTrue(
-                all.size() <= AcceptedChanges.MAX_CHANGES && all.size() > added - 1300,
-                "" + all.size());
-        AcceptedChanges copy = AcceptedChanges.fromBlocks(all.blocks());
-        for (int back = 0; back < all.size(); back += 97) {
-            int version = added - back;
+                changes.size() <= AcceptedChanges.MAX_CHANGES && changes.size() > added - 1300,
+                "" + changes.size());
+        AcceptedChanges copy = AcceptedChanges.fromBlocks(changes.blocks());
+        for (int age = 0; age < changes.size(); age += 97) {
+            int version = added - age;
             byte[] digest = AcceptedChanges.digest(true, version, new byte[0]);
-            assertTrue(copy.contains(2L * version, digest), "" + back);
+            assertTrue(copy.contains(2L * version, digest), "" + age);
             assertFalse(copy.contains(2L * version + 1, digest));
         }
         assertFalse(copy.contains(2, AcceptedChanges.digest(true, 1, new byte[0])));
-        assertEquals(copy.blocks(), all.blocks());
+        assertEquals(copy.blocks(), changes.blocks());
     }
 
     @DataProvider
     Object[][] invalid() {
         return new Object[][] {
             {"{\"Version\":9,\"Routes\":[", "wanted"},
-            {whole(9, route("r", "/a/", "s", 1)).substring(0, 80), "wanted"},
+            {configurationJson(9, route("r", "/a/", "s", 1)).substring(0, 80), "wanted"},
             {"", "wanted"},
             {"[]", "object"},
-            {whole(2, ""), "Version 2"},
-            {whole(0, ""), "Version"},
-            {whole(9, route("r", "/a/", "s", -1)), "TimeoutMs"},
-            {whole(9, route("r", "/a/", "", 1)), "Service"},
-            {whole(9, split(0, 0)), "weights"},
-            {whole(3, ""), "Version 3"},
+            {configurationJson(2, ""), "Version 2"},
+            {configurationJson(0, ""), "Version"},
+            {configurationJson(9, route("r", "/a/", "s", -1)), "TimeoutMs"},
+            {configurationJson(9, route("r", "/a/", "", 1)), "Service"},
+            {configurationJson(9, splitRoute(0, 0)), "weights"},
+            {configurationJson(3, ""), "Version 3"},
             {"{\"Routes\":[]}", "Version"},
             {"{\"Version\":9,\"Routes\":7}", "outes"},
-            {whole(9, route("r", "/a/", "none", 1)), "none"},
-            {whole(9, route("r", "/a/", "s", 0)), "TimeoutMs"},
-            {whole(9, route("r", "/a/", "s", 1) + "," + route("q", "/a/", "s", 1)), "\"r\""},
-            {whole(9, route("r", "/a/", "s", 1) + "," + route("r", "/b/", "s", 1)), "\"r\""}
+            {configurationJson(9, route("r", "/a/", "none", 1)), "none"},
+            {configurationJson(9, route("r", "/a/", "s", 0)), "TimeoutMs"},
+            {
+                configurationJson(9, route("r", "/a/", "s", 1) + "," + route("q", "/a/", "s", 1)),
+                "\"r\""
+            },
+            {
+                configurationJson(9, route("r", "/a/", "s", 1) + "," + route("r", "/b/", "s", 1)),
+                "\"r\""
+            }
         };
     }
 
-    private static String split(int one, int other) {
+    private static String splitRoute(int firstWeight, int secondWeight) {
         return ("{\"Name\":\"w\",\"HostName\":\"h\",\"PathPrefix\":\"/w/\",\"Service\":\"s\","
                         + "\"Split\":[{\"Service\":\"s\",\"Weight\":%d},"
                         + "{\"Service\":\"s\",\"Weight\":%d}]}")
-                .formatted(one, other);
+                .formatted(firstWeight, secondWeight);
     }
 
     @DataProvider
@@ -173,95 +186,105 @@
         String noTimeout =
                 "{\"Name\":\"r\",\"HostName\":\"h\",\"PathPrefix\":\"/\",\"Service\":\"s\"}";
         return new Object[][] {
-            {whole(9, "")},
-            {whole(4, route("r", "/a/", "s", 1))},
-            {whole(1_000_000_007, route("r", "/a/", "s", 1))},
-            {whole(9, noTimeout)},
-            {whole(9, route("r", "/a/", "s", 1) + "," + route("q", "/a/b/", "s", 1))},
-            {whole(9, split(0, 3))},
+            {configurationJson(9, "")},
+            {configurationJson(4, route("r", "/a/", "s", 1))},
+            {configurationJson(1_000_000_007, route("r", "/a/", "s", 1))},
+            {configurationJson(9, noTimeout)},
+            {configurationJson(9, route("r", "/a/", "s", 1) + "," + route("q", "/a/b/", "s", 1))},
+            {configurationJson(9, splitRoute(0, 3))},
             {"{\"Version\":9}"},
             {"{\"Version\":9,\"Routes\":null,\"Services\":[],\"New\":[{\"Weight\":0}]}"},
-            {whole(9, route("r", "/a/", "s", 1).replace("}", ",\"Tags\":[],\"Odd\":[1,2]}"))}
+            {
+                configurationJson(
+                        9, route("r", "/a/", "s", 1).replace("}", ",\"Tags\":[],\"Odd\":[1,2]}"))
+            }
         };
     }
 
     @Test(dataProvider = "valid")
-    public void takesWhateverIsValid(String text) {
+    public void acceptsValidConfigurations(String text) {
         ConfigurationState fresh = new ConfigurationState();
-        fresh.apply(true, 0, bytes(whole(3, route("keep", "/k/", "s", 5))));
-        ConfigurationState.Verdict v = fresh.apply(true, 3, bytes(text));
-        assertEquals(v.status(), 200, v.text());
+        fresh.apply(true, 0, bytes(configurationJson(3, route("keep", "/k/", "s", 5))));
+        ConfigurationState.Verdict result = fresh.apply(true, 3, bytes(text));
+        assertEquals(result.status(), 200, result.text());
     }
 
     @Test(dataProvider = "invalid")
-    public void refusesWithTheItemsName(String text, String named) {
+    public void rejectsInvalidConfigurationsAndNamesTheItem(String text, String expectedText) {
         ConfigurationState fresh = new ConfigurationState();
-        fresh.apply(true, 0, bytes(whole(3, route("keep", "/k/", "s", 5))));
+        fresh.apply(true, 0, bytes(configurationJson(3, route("keep", "/k/", "s", 5))));
         byte[] before = fresh.text();
-        ConfigurationState.Verdict v = fresh.apply(true, 3, bytes(text));
-        assertEquals(v.status(), 400);
-        assertTrue(v.text().contains(named), v.text());
-        assertEquals(fresh.text(), before, "nothing of it is taken");
+        ConfigurationState.Verdict result = fresh.apply(true, 3, bytes(text));
+        assertEquals(result.status(), 400);
+        assertTrue(result.text().contains(expectedText), result.text());
+        assertEquals(fresh.text(), before, "the configuration is unchanged");
     }
 
     @Test
-    public void changesItemsByNameAndKeepsWhatItDoesNotKnow() throws Exception {
-        ConfigurationState a = new ConfigurationState();
-        a.apply(
+    public void changesItemsByNameAndKeepsUnknownFields() throws Exception {
+        ConfigurationState original = new ConfigurationState();
+        original.apply(
                 true,
                 0,
-                bytes(whole(3, route("r", "/a/", "s", 100) + "," + route("old", "/o/", "s", 1))));
+                bytes(
+                        configurationJson(
+                                3,
+                                route("r", "/a/", "s", 100) + "," + route("old", "/o/", "s", 1))));
         String change =
                 "{\"Version\":4,\"Upserts\":{\"Routes\":["
                         + route("r", "/a/", "s", 50)
                         + ","
                         + route("n", "/a/b/", "s", 60)
                         + "]},\"Removals\":{\"Routes\":[\"old\"]}}";
-        assertEquals(a.apply(false, 3, bytes(change)).status(), 200);
-        RouteTable t = new RouteTable(a.configuration());
-        assertEquals(t.find("a.EXAMPLE:80", "/a/x").getTimeout(), 50);
+        assertEquals(original.apply(false, 3, bytes(change)).status(), 200);
+        RouteTable routeTable = new RouteTable(original.configuration());
+        assertEquals(routeTable.find("a.EXAMPLE:80", "/a/x").getTimeout(), 50);
         assertEquals(
-                t.find("a.example", "/a/b/c?d=/o/").getName(), "n", "the longest prefix counts");
-        assertNull(t.find("a.example", "/o/x"));
-        assertNull(t.find("b.example", "/a/x"));
-        ConfigurationState b = new ConfigurationState();
-        b.restore(a.state());
-        Object read = Json.read(b.text(), 0, b.text().length);
+                routeTable.find("a.example", "/a/b/c?d=/o/").getName(),
+                "n",
+                "the longest prefix wins");
+        assertNull(routeTable.find("a.example", "/o/x"));
+        assertNull(routeTable.find("b.example", "/a/x"));
+        ConfigurationState copyOfOriginal = new ConfigurationState();
+        copyOfOriginal.restore(original.state());
+        Object read = Json.read(copyOfOriginal.text(), 0, copyOfOriginal.text().length);
         assertEquals(
                 JsonTree.at(((java.util.List<?>) JsonTree.at(read, "Services")).get(0), "Odd", "x")
                         .toString(),
                 "[1.0]");
         assertEquals(
-                b.apply(false, 3, bytes(change)).status(), 200, "known again after a snapshot");
-        assertEquals(b.version(), 4);
+                copyOfOriginal.apply(false, 3, bytes(change)).status(),
+                200,
+                "recognized after a snapshot");
+        assertEquals(copyOfOriginal.version(), 4);
     }
 
     /**
-     * A copy goes as items and comes back the same; items that make no configuration leave all as
-     * it was.
+     * A state converted to items and back is the same. Items that are not a valid configuration
+     * leave the state unchanged.
      */
     @Test
-    public void aCopyIsMadeOfItsItems() throws Exception {
-        ConfigurationState whole = new ConfigurationState();
+    public void repairReproducesTheStateFromItsItems() throws Exception {
+        ConfigurationState original = new ConfigurationState();
         byte[] sent =
                 ("{\"Version\":3,\"Extra/field\":{\"a\":[1,null]},\"Routes\":["
                                 + "{\"Name\":\"r\",\"Service\":\"s\","
                                 + "\"PathPrefix\":\"/\",\"HostName\":\"h\"}],\"Services\":[{\"Name\":\"s\"}],\"Empty\":[]}")
                         .getBytes(StandardCharsets.UTF_8);
-        assertEquals(whole.apply(true, 0, sent).status(), ConfigurationState.ACCEPTED);
+        assertEquals(original.apply(true, 0, sent).status(), ConfigurationState.ACCEPTED);
         ConfigurationState copy = new ConfigurationState();
-        copy.repair(whole.items());
-        assertEquals(copy.items(), whole.items());
+        copy.repair(original.items());
+        assertEquals(copy.items(), original.items());
         assertEquals(
                 Json.read(new String(copy.text(), StandardCharsets.UTF_8)),
                 Json.read(new String(sent, StandardCharsets.UTF_8)));
         assertEquals(
                 copy.apply(true, 0, sent).status(),
                 ConfigurationState.ACCEPTED,
-                "it knows what made its version");
-        Map<String, String> lacking = new HashMap<>(whole.items());
-        lacking.remove("L/Routes/0");
-        assertThrows(InvalidConfigurationException.class, () -> copy.repair(lacking));
-        assertEquals(copy.items(), whole.items());
+                "the copy recognizes the change that created its version");
+        Map<String, String> incompleteItems = new HashMap<>(original.items());
+        incompleteItems.remove("L/Routes/0");
+        assertThrows(InvalidConfigurationException.class, () -> copy.repair(incompleteItems));
+        assertEquals(copy.items(), original.items());
     }
 }
--- a/src/test/java/gingerspool/settings/SettingsTest.java
+++ b/src/test/java/gingerspool/settings/SettingsTest.java
@@ -11,7 +11,8 @@
 import org.testng.annotations.Test;
 
 public class SettingsTest {
-    static final String SOUND =
+    /** A valid settings file, with a key that is not known. */
+    static final String VALID =
             """
         NodeName = "front-a-1"
         IpAddress = "10.1.0.3"
@@ -36,13 +37,13 @@
     }
 
     @Test
-    public void readsAndPassesNewKeysOver() throws Exception {
-        NodeSettings s = read(SOUND);
-        assertEquals(s.internalPort, 7400);
-        assertEquals(s.zones.toString(), "[a, b]");
-        assertEquals(s.gracePeriod, 6000.0);
-        assertEquals(s.frontAddress.getPort(), 8241);
-        assertTrue(s.firstStart);
+    public void readsSettingsAndIgnoresUnknownKeys() throws Exception {
+        NodeSettings settings = read(VALID);
+        assertEquals(settings.internalPort, 7400);
+        assertEquals(settings.zones.toString(), "[a, b]");
+        assertEquals(settings.gracePeriod, 6000.0);
+        assertEquals(settings.frontAddress.getPort(), 8241);
+        assertTrue(settings.firstStart);
     }
 
     @DataProvider
@@ -58,16 +59,17 @@
     }
 
     @Test(dataProvider = "faults")
-    public void namesFileLineAndKey(String from, String to, String named) {
-        SettingsException e =
-                expectThrows(SettingsException.class, () -> read(SOUND.replace(from, to)));
-        assertTrue(e.getMessage().contains(named), e.getMessage());
+    public void faultNamesFileLineAndKey(String original, String replacement, String expectedText) {
+        SettingsException exception =
+                expectThrows(
+                        SettingsException.class, () -> read(VALID.replace(original, replacement)));
+        assertTrue(exception.getMessage().contains(expectedText), exception.getMessage());
     }
 
     @Test
-    public void saysWhichVariableIsMissing() {
-        SettingsException e =
+    public void namesTheMissingVariable() {
+        SettingsException exception =
                 expectThrows(SettingsException.class, () -> NodeSettings.read(Map.of()));
-        assertTrue(e.getMessage().contains(NodeSettings.PATH_VARIABLE));
+        assertTrue(exception.getMessage().contains(NodeSettings.PATH_VARIABLE));
     }
 }
--- a/src/test/java/gingerspool/slots/ArrivalRateTest.java
+++ b/src/test/java/gingerspool/slots/ArrivalRateTest.java
@@ -7,68 +7,76 @@
 import org.testng.annotations.Test;
 
 public class ArrivalRateTest {
-    private static final double SPAN = 1000;
+    private static final double SHORT_WINDOW_MS = 1000;
 
     /**
-     * Plays Poisson arrivals at so many a second and returns the mean of what was to be provided
-     * for.
+     * Feeds Poisson arrivals to the estimate and returns the mean provisioned rate in requests per
+     * second. Times are milliseconds.
      */
-    private static double play(
-            ArrivalRate a, double from, double until, double perSecond, long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
+    private static double simulateArrivals(
+            ArrivalRate arrivalRate,
+            double from,
+            double until,
+            double requestsPerSecond,
+            long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
         double sum = 0;
-        int n = 0;
-        double next = from;
+        int samples = 0;
+        double nextArrivalAt = from;
         for (double now = from; now < until; now += 50) {
-            int more = 0;
-            while (next <= now) {
-                more++;
-                next -= Math.log(1 - chance.nextDouble()) * 1000 / perSecond;
+            int newRequests = 0;
+            while (nextArrivalAt <= now) {
+                newRequests++;
+                nextArrivalAt -= Math.log(1 - random.nextDouble()) * 1000 / requestsPerSecond;
             }
-            a.add(now, more);
-            sum += 1000 * a.provisionedRate();
-            n++;
+            arrivalRate.add(now, newRequests);
+            sum += 1000 * arrivalRate.provisionedRate();
+            samples++;
         }
-        return sum / n;
+        return sum / samples;
     }
 
-    /** Chance alone is provided for only a little: a peak is a burst where it is surely one. */
+    /** Random peaks of a constant arrival rate raise the provisioned rate only a little. */
     @Test
-    public void chanceAloneIsNoBurst() {
+    public void randomVariationIsNotABurst() {
         for (long seed = 1; seed <= 20; seed++) {
-            ArrivalRate a = new ArrivalRate(SPAN);
-            play(a, 0, 10_000, 8, seed);
-            double mean = play(a, 10_000, 40_000, 8, seed + 100);
+            ArrivalRate arrivalRate = new ArrivalRate(SHORT_WINDOW_MS);
+            simulateArrivals(arrivalRate, 0, 10_000, 8, seed);
+            double mean = simulateArrivals(arrivalRate, 10_000, 40_000, 8, seed + 100);
             assertTrue(
-                    mean > 7 && mean < 13, "provided for " + mean + " of 8 a second, seed " + seed);
+                    mean > 7 && mean < 13,
+                    "provisioned rate " + mean + " for 8 requests per second, seed " + seed);
         }
     }
 
     @Test
-    public void aBurstIsSeenWithinItsFirstSecondAndHeld() {
-        ArrivalRate a = new ArrivalRate(SPAN);
-        play(a, 0, 10_000, 10, 1);
-        play(a, 10_000, 11_000, 40, 2);
-        assertTrue(1000 * a.provisionedRate() > 22, "provided for " + 1000 * a.provisionedRate());
-        play(a, 11_000, 12_000, 10, 3);
-        assertTrue(1000 * a.provisionedRate() > 18, "held for a while");
-        play(a, 12_000, 30_000, 10, 4);
-        assertTrue(1000 * a.provisionedRate() < 17, "and let go");
+    public void burstRaisesTheProvisionedRateWithinOneSecond() {
+        ArrivalRate arrivalRate = new ArrivalRate(SHORT_WINDOW_MS);
+        simulateArrivals(arrivalRate, 0, 10_000, 10, 1);
+        simulateArrivals(arrivalRate, 10_000, 11_000, 40, 2);
+        assertTrue(
+                1000 * arrivalRate.provisionedRate() > 22,
+                "provisioned rate " + 1000 * arrivalRate.provisionedRate());
+        simulateArrivals(arrivalRate, 11_000, 12_000, 10, 3);
+        assertTrue(
+                1000 * arrivalRate.provisionedRate() > 18, "the rate falls slowly after the burst");
+        simulateArrivals(arrivalRate, 12_000, 30_000, 10, 4);
+        assertTrue(1000 * arrivalRate.provisionedRate() < 17, "the burst no longer counts");
     }
 
     @Test
-    public void theUsualRateCountsOnlyTheTimeThatWasWatched() {
-        ArrivalRate a = new ArrivalRate(SPAN);
-        a.add(0, 0);
+    public void expectedRateCoversOnlyTheObservedTime() {
+        ArrivalRate arrivalRate = new ArrivalRate(SHORT_WINDOW_MS);
+        arrivalRate.add(0, 0);
         for (int i = 1; i <= 20; i++) {
-            a.add(100 * i, 1);
+            arrivalRate.add(100 * i, 1);
         }
-        assertEquals(1000 * a.expectedRate(), 10, 1);
-        assertTrue(!a.isKnown());
+        assertEquals(1000 * arrivalRate.expectedRate(), 10, 1);
+        assertTrue(!arrivalRate.isKnown());
         for (int i = 0; i < 200; i++) {
-            a.add(2000 + 100 * i, 0);
+            arrivalRate.add(2000 + 100 * i, 0);
         }
-        assertTrue(a.isKnown());
-        assertTrue(1000 * a.expectedRate() < 1, "forgotten at a stated pace");
+        assertTrue(arrivalRate.isKnown());
+        assertTrue(1000 * arrivalRate.expectedRate() < 1, "the expected rate falls in silence");
     }
 }
--- a/src/test/java/gingerspool/slots/SlotAllocatorTest.java
+++ b/src/test/java/gingerspool/slots/SlotAllocatorTest.java
@@ -15,22 +15,25 @@
 import org.testng.annotations.Test;
 
 public class SlotAllocatorTest {
-    private static final double HEARTBEAT = 1000;
+    private static final double HEARTBEAT_MS = 1000;
     private final List<Messages.SlotGrant> grants = new ArrayList<>();
     private final List<String> recalled = new ArrayList<>();
     private final Map<String, Integer> held = new HashMap<>();
     private final Map<String, Long> granted = new HashMap<>();
     private final SlotAllocator allocator =
             new SlotAllocator(
-                    HEARTBEAT,
+                    HEARTBEAT_MS,
                     0,
-                    (front, message) -> {
-                        if (message instanceof Messages.SlotGrant g) {
-                            grants.add(g);
-                            held.merge(front + " " + g.instance(), g.slots(), Integer::sum);
-                            granted.merge(front, 1L, Long::sum);
+                    (scheduler, message) -> {
+                        if (message instanceof Messages.SlotGrant grant) {
+                            grants.add(grant);
+                            held.merge(
+                                    scheduler + " " + grant.instance(),
+                                    grant.slots(),
+                                    Integer::sum);
+                            granted.merge(scheduler, 1L, Long::sum);
                         } else {
-                            recalled.add(front);
+                            recalled.add(scheduler);
                         }
                     });
 
@@ -49,20 +52,21 @@
                                         .setMemory(128))
                         .addRoutes(Route.newBuilder().setService("f").setAim(1000))
                         .build());
-        for (String front : List.of("a", "b", "c")) {
-            allocator.onRegister(0, front, new Messages.Register(front, "z" + front, 0, Map.of()));
+        for (String scheduler : List.of("a", "b", "c")) {
+            allocator.onRegister(
+                    0, scheduler, new Messages.Register(scheduler, "z" + scheduler, 0, Map.of()));
         }
     }
 
-    private static Messages.SlotDemand want(int lacks, long granted, int inHand) {
-        return new Messages.SlotDemand("f", lacks, granted, inHand, 0, 50);
+    private static Messages.SlotDemand demand(int missing, long granted, int inFlight) {
+        return new Messages.SlotDemand("f", missing, granted, inFlight, 0, 50);
     }
 
-    /** Whatever schedulers ask and give back, no instance has more slots in hands than it has. */
+    /** For random demands and returns, schedulers never hold more slots than an instance has. */
     @Test
-    public void neverGivesASlotTwice() {
+    public void neverGrantsASlotTwice() {
         prepare();
-        SplittableRandom chance = new SplittableRandom(7);
+        SplittableRandom random = new SplittableRandom(7);
         for (int i = 0; i < 3; i++) {
             allocator.addInstance(
                     600,
@@ -76,40 +80,41 @@
         }
         for (int step = 0; step < 20_000; step++) {
             double now = 600 + step;
-            String front = List.of("a", "b", "c").get(chance.nextInt(3));
-            int before = grants.size();
-            if (chance.nextBoolean()) {
-                // What it says of grants may be old: some were still on their way to it.
-                long knows = Math.max(0, granted.getOrDefault(front, 0L) - chance.nextInt(2));
-                allocator.onDemand(now, front, want(chance.nextInt(4), knows, 3));
+            String scheduler = List.of("a", "b", "c").get(random.nextInt(3));
+            int grantsBefore = grants.size();
+            if (random.nextBoolean()) {
+                // The scheduler may not know its latest grant yet, which is still in transit.
+                long reportedGrants =
+                        Math.max(0, granted.getOrDefault(scheduler, 0L) - random.nextInt(2));
+                allocator.onDemand(now, scheduler, demand(random.nextInt(4), reportedGrants, 3));
             } else {
-                String id = "i" + chance.nextInt(3);
-                int has = held.getOrDefault(front + " " + id, 0);
-                int some = Math.min(has, 1 + chance.nextInt(2));
-                held.put(front + " " + id, has - some);
+                String instanceId = "i" + random.nextInt(3);
+                int heldSlots = held.getOrDefault(scheduler + " " + instanceId, 0);
+                int returnedSlots = Math.min(heldSlots, 1 + random.nextInt(2));
+                held.put(scheduler + " " + instanceId, heldSlots - returnedSlots);
                 allocator.onReturn(
                         now,
-                        front,
-                        new Messages.SlotReturn(id, some, Messages.InstanceCondition.HEALTHY));
+                        scheduler,
+                        new Messages.SlotReturn(
+                                instanceId, returnedSlots, Messages.InstanceCondition.HEALTHY));
             }
-            for (Messages.SlotGrant g : grants.subList(before, grants.size())) {
-                assertEquals(g.slots(), 1);
+            for (Messages.SlotGrant grant : grants.subList(grantsBefore, grants.size())) {
+                assertEquals(grant.slots(), 1);
             }
             for (int i = 0; i < 3; i++) {
                 int sum = 0;
-                for (String f : List.of("a", "b", "c")) {
-                    sum += held.getOrDefault(f + " i" + i, 0);
+                for (String name : List.of("a", "b", "c")) {
+                    sum += held.getOrDefault(name + " i" + i, 0);
                 }
                 assertTrue(
-                        sum <= 2,
-                        "instance " + i + " has " + sum + " slots in hands at step " + step);
+                        sum <= 2, "instance " + i + " has " + sum + " held slots at step " + step);
             }
         }
         assertTrue(grants.size() > 1000);
     }
 
     @Test
-    public void aNewKeeperWaitsForWhatIsHeldAndRecallsForThoseWhoLack() {
+    public void allocatorWaitsForRegistrationsAndRecallsSlots() {
         prepare();
         allocator.onRegister(1, "a", new Messages.Register("a", "za", 0, Map.of("i0", 2)));
         allocator.addInstance(
@@ -121,11 +126,11 @@
                 "h",
                 2,
                 Instance.State.READY);
-        allocator.onDemand(3, "b", want(1, 0, 1));
-        assertEquals(grants.size(), 0, "nothing before schedulers had the time to enrol");
+        allocator.onDemand(3, "b", demand(1, 0, 1));
+        assertEquals(grants.size(), 0, "no grants before schedulers had time to register");
         allocator.tick(600);
-        assertEquals(grants.size(), 0, "both slots are a's");
-        allocator.onDemand(601, "a", want(0, 0, 0));
+        assertEquals(grants.size(), 0, "scheduler a holds both slots");
+        allocator.onDemand(601, "a", demand(0, 0, 0));
         allocator.tick(650);
         assertEquals(recalled, List.of("a"));
         allocator.onReturn(
@@ -134,10 +139,11 @@
     }
 
     /**
-     * A new keeper is told of a slot, and gets it back, before it has read the list of instances.
+     * Guards against slots that are never freed: a new allocator learns of slots from a scheduler,
+     * and gets them back, before it knows their instance.
      */
     @Test
-    public void whatComesBackBeforeItsInstanceIsKnownIsNotHeldForEver() {
+    public void slotsReturnedBeforeTheirInstanceIsKnownAreFree() {
         prepare();
         allocator.onRegister(1, "a", new Messages.Register("a", "za", 0, Map.of("i0", 2)));
         allocator.onReturn(
@@ -153,12 +159,12 @@
                 "h",
                 2,
                 Instance.State.READY);
-        allocator.onDemand(601, "b", want(2, 0, 2));
+        allocator.onDemand(601, "b", demand(2, 0, 2));
         assertEquals(grants.size(), 2);
     }
 
     @Test
-    public void wantsThatCrossGrantsAreNotServedTwice() {
+    public void repeatedDemandIsNotServedTwice() {
         prepare();
         allocator.addInstance(
                 600,
@@ -169,15 +175,15 @@
                 "h",
                 2,
                 Instance.State.READY);
-        allocator.onDemand(601, "a", want(1, 0, 1));
-        allocator.onDemand(602, "a", want(1, 0, 1));
-        assertEquals(grants.size(), 1, "said before the grant had come");
-        allocator.onDemand(603, "a", want(1, 1, 2));
+        allocator.onDemand(601, "a", demand(1, 0, 1));
+        allocator.onDemand(602, "a", demand(1, 0, 1));
+        assertEquals(grants.size(), 1, "the demand was sent before the grant arrived");
+        allocator.onDemand(603, "a", demand(1, 1, 2));
         assertEquals(grants.size(), 2);
     }
 
     @Test
-    public void aStartingInstanceIsKnockedAtByWhoLacksAndThenOpenToAll() {
+    public void grantsFollowTheConditionOfAnInstance() {
         prepare();
         allocator.addInstance(
                 600,
@@ -188,18 +194,21 @@
                 "h",
                 2,
                 Instance.State.STARTING);
-        allocator.onDemand(601, "a", want(1, 0, 1));
+        allocator.onDemand(601, "a", demand(1, 0, 1));
         assertEquals(grants.size(), 1);
         assertTrue(grants.get(0).startsIn() > 400);
         allocator.onReturn(
                 1100, "a", new Messages.SlotReturn("i0", 0, Messages.InstanceCondition.STARTED));
-        allocator.onDemand(1101, "b", want(1, 0, 1));
+        allocator.onDemand(1101, "b", demand(1, 0, 1));
         assertEquals(grants.get(1).startsIn(), 0.0);
         allocator.onReturn(
                 1200,
                 "b",
                 new Messages.SlotReturn("i0", 1, Messages.InstanceCondition.UNREACHABLE));
-        allocator.onDemand(1201, "c", want(1, 0, 1));
-        assertEquals(grants.size(), 2, "nobody is sent to one that was not reached just now");
+        allocator.onDemand(1201, "c", demand(1, 0, 1));
+        assertEquals(
+                grants.size(),
+                2,
+                "no slot is granted of an instance that was recently unreachable");
     }
 }
