--- a/src/main/java/gingerspool/autoscaler/Autoscaler.java
+++ b/src/main/java/gingerspool/autoscaler/Autoscaler.java
@@ -46,6 +46,8 @@
     private final CapacityPlan plan = new CapacityPlan();
     private final SurplusRetirement retirement;
     private final TokenBucket callBudget;
+
+    /** By name. */
     private final Map<String, WorkerHost> hosts = new LinkedHashMap<>();
 
     /** By nonce. */
--- a/src/main/java/gingerspool/autoscaler/SurplusRetirement.java
+++ b/src/main/java/gingerspool/autoscaler/SurplusRetirement.java
@@ -25,7 +25,10 @@
 
     private final Autoscaler.Actions actions;
 
-    /** Since when each function has had a surplus; moved on after each retirement. */
+    /**
+     * Since when each function has had a surplus. After a retirement it is set so that the next one
+     * follows after the pause.
+     */
     private final Map<Function, Double> surplusSince = new HashMap<>();
 
     /** When each instance that is draining for retirement was retired. */
--- a/src/main/java/gingerspool/settings/NodeSettings.java
+++ b/src/main/java/gingerspool/settings/NodeSettings.java
@@ -53,6 +53,7 @@
     /** Null if the process has no disk. */
     public final Path dataDirectory;
 
+    /** The disk space that the process may use, in megabytes. */
     public final double diskMb;
 
     /** How many of the voting machines may be lost at once. */
@@ -65,20 +66,30 @@
     /** The time within which an acknowledged configuration must be in force everywhere. */
     public final double configurationApplyTimeout;
 
+    /** The time that a process has to stop after a signal. */
     public final double gracePeriod;
 
     /** How many requests the instances of a function may reject as too many within five seconds. */
     public final double rejectionAllowance;
 
+    /** Retries allowed per request, besides the slack. */
     public final double retryBudgetRatio;
+
     public final double retryBudgetWindow;
+
+    /** Retries allowed per window however few the requests are. */
     public final double retryBudgetSlack;
 
     /** The address of the platform's API; null if there is none. */
     public final InetSocketAddress platformAddress;
 
+    /** The rate at which the platform's lists may be read. */
     public final double platformRate;
+
+    /** How far the platform's lists may lag behind. */
     public final double platformListDelay;
+
+    /** The rate at which instances may be started and stopped. */
     public final double startStopRate;
 
     private NodeSettings(Section root) {
--- a/src/main/java/gingerspool/slots/SlotAllocator.java
+++ b/src/main/java/gingerspool/slots/SlotAllocator.java
@@ -26,7 +26,7 @@
     /** How long a scheduler keeps its slots after its link is lost, in heartbeat intervals. */
     private static final double RECLAIM_DELAY_HEARTBEATS = 0.5;
 
-    /** How long an unreachable instance is granted to no scheduler, in heartbeat intervals. */
+    /** How long no slot of an unreachable instance is granted, in heartbeat intervals. */
     private static final double SUSPECT_HEARTBEATS = 1;
 
     /** How long schedulers have to register with a new allocator, in heartbeat intervals. */
@@ -201,6 +201,7 @@
         }
     }
 
+    /** Updates the demand from a report, as well as the function's arrivals and service time. */
     private void update(Function function, SchedulerDemand demand, Messages.SlotDemand message) {
         // Guards against granting twice: the report does not cover grants still in transit.
         long grantsInTransit = Math.max(0, demand.granted - message.granted());
--- a/src/test/java/gingerspool/configuration/ConfigurationDeltaTest.java
+++ b/src/test/java/gingerspool/configuration/ConfigurationDeltaTest.java
@@ -114,16 +114,16 @@
         byte[] sent = delta(base, target).toByteArray();
         assertTrue(sent.length > 20);
         for (int position = 0; position < sent.length; position++) {
-            assertTargetOrError(base, target, Arrays.copyOf(sent, position));
+            verifyTargetOrError(base, target, Arrays.copyOf(sent, position));
             for (int bit = 0; bit < Byte.SIZE; bit++) {
                 byte[] changed = sent.clone();
                 changed[position] ^= (byte) (1 << bit);
-                assertTargetOrError(base, target, changed);
+                verifyTargetOrError(base, target, changed);
             }
         }
     }
 
-    private static void assertTargetOrError(
+    private static void verifyTargetOrError(
             Configuration base, Configuration target, byte[] received) {
         try {
             Configuration result =
