--- a/src/test/java/gingerspool/slots/ArrivalRateTest.java
+++ b/src/test/java/gingerspool/slots/ArrivalRateTest.java
@@ -65,7 +65,7 @@
     }
 
     @Test
-    public void expectedRateCoversOnlyTheObservedTime() {
+    public void onlyObservedTimeCountsForTheExpectedRate() {
         ArrivalRate arrivalRate = new ArrivalRate(SHORT_WINDOW_MS);
         arrivalRate.add(0, 0);
         for (int i = 1; i <= 20; i++) {
