--- a/src/main/java/gingerspool/autoscaler/Autoscaler.java
+++ b/src/main/java/gingerspool/autoscaler/Autoscaler.java
@@ -9,32 +9,34 @@
 import java.util.Map;
 
 /**
- * Holds the instances that are against those that are wanted: starts what is missing, functions
- * that miss most first, and retires what is too much, all within the platform's rate of calls. Does
- * nothing until the hosts and the instances were listed once. Times are milliseconds of a steady
+ * Brings each function to its desired number of instances: starts missing ones, beginning with the
+ * functions that miss the most slots, and retires surplus ones, within the rate of calls that the
+ * platform allows. Does nothing until the platform's hosts and instances have both been listed
+ * once. Owned by the duties of the leader, for one thread. Times are milliseconds of a steady
  * clock.
  */
 public final class Autoscaler {
-    /** The part of the platform's rate of calls that is used. */
-    private static final double RATE_PART = 0.8;
+    /** The share of the platform's rate of calls that the autoscaler uses. */
+    private static final double CALL_RATE_SHARE = 0.8;
 
-    /** A start that has not shown for so many start times is given up. */
+    /** How long an instance may take to start, in start times, before it no longer counts. */
     private static final double START_TIMEOUT_START_TIMES = 8;
 
     /**
-     * What an autoscaler calls to act. Each start ends with a call of started() or startFailed().
+     * The calls by which the autoscaler acts. Each start must end with a call of started() or
+     * startFailed().
      */
     public interface Actions {
-        /** The same nonce is the same start. */
+        /** The nonce identifies the start, so that a repeated call starts nothing further. */
         void start(Function function, String host, String nonce);
 
         void stop(String instance);
 
-        /** Nothing new may go to this instance. */
+        /** The instance must be given no new requests. */
         void drain(Instance instance);
     }
 
-    /** A start that was asked for and not answered. */
+    /** A start that was requested and has not been answered yet. */
     private record PendingStart(Function function, WorkerHost host) {}
 
     private final SlotAllocator allocator;
@@ -43,23 +45,25 @@
     private final Actions actions;
     private final CapacityPlan plan = new CapacityPlan();
     private final SurplusRetirement retirement;
-    private final TokenBucket calls;
+    private final TokenBucket callBudget;
+
+    /** By name. */
     private final Map<String, WorkerHost> hosts = new LinkedHashMap<>();
 
     /** By nonce. */
     private final Map<String, PendingStart> pendingStarts = new LinkedHashMap<>();
 
-    private long nonces;
+    private long lastNonceNumber;
     private double now;
     private boolean hostsKnown;
     private boolean instancesKnown;
 
     /**
-     * An autoscaler of one leader's term.
+     * An autoscaler for one term of a leader.
      *
-     * @param callsPerSecond calls of the platform that are allowed
-     * @param listDelay how late the platform's lists are
-     * @param noncePrefix makes this autoscaler's nonces its own
+     * @param callsPerSecond the rate of calls that the platform allows
+     * @param listDelay how far the platform's lists may lag behind, in milliseconds
+     * @param noncePrefix makes the nonces of this autoscaler unique
      */
     public Autoscaler(
             SlotAllocator allocator,
@@ -73,17 +77,17 @@
         this.noncePrefix = noncePrefix;
         this.actions = actions;
         retirement = new SurplusRetirement(actions);
-        calls = new TokenBucket(RATE_PART * callsPerSecond / 1000, now);
+        callBudget = new TokenBucket(CALL_RATE_SHARE * callsPerSecond / 1000, now);
     }
 
-    // ---- What the platform says ----
+    // ---- Reports from the platform ----
 
-    /** A list of hosts begins: one that is not on it takes no starts. */
+    /** A list of hosts begins. Hosts that are not on it get no starts. */
     public void beginHosts() {
         hosts.values().forEach(host -> host.isReady = false);
     }
 
-    /** One entry of the list; memory is megabytes. */
+    /** Adds one entry of the list of hosts. */
     public void addHost(
             String name, String zone, double memoryMb, double freeMemoryMb, boolean isReady) {
         WorkerHost host = hosts.computeIfAbsent(name, k -> new WorkerHost(name, zone));
@@ -92,29 +96,32 @@
         host.isReady = isReady;
     }
 
-    /** The list is complete. It is late: what was started since is not in it yet. */
+    /**
+     * The list of hosts is complete. Since it lags behind, the memory of instances that were
+     * started recently is deducted here.
+     */
     public void endHosts() {
         hostsKnown = true;
         for (Instance instance : allocator.instances()) {
             if (instance.state == Instance.State.STARTING && now < instance.createdAt + listDelay) {
-                hostOf(instance.host).freeMemoryMb -= instance.function.memoryMb;
+                findOrAddHost(instance.host).freeMemoryMb -= instance.function.memoryMb;
             }
         }
         pendingStarts.values().forEach(start -> start.host.freeMemoryMb -= start.function.memoryMb);
     }
 
-    private WorkerHost hostOf(String name) {
+    private WorkerHost findOrAddHost(String name) {
         return hosts.computeIfAbsent(name, k -> new WorkerHost(name, ""));
     }
 
-    /** The complete list of instances was read. */
+    /** The list of instances has been read completely. */
     public void instancesListed() {
         instancesKnown = true;
     }
 
-    /** A start was carried out. */
-    public void started(double at, String nonce, String id, String address) {
-        now = at;
+    /** The platform started an instance. */
+    public void started(double time, String nonce, String id, String address) {
+        now = time;
         PendingStart start = pendingStarts.remove(nonce);
         if (start != null && allocator.instance(id) == null) {
             allocator.addInstance(
@@ -129,9 +136,12 @@
         }
     }
 
-    /** A start was rejected, or had no answer; without room nothing more is started there. */
-    public void startFailed(double at, String nonce, boolean hasNoRoom) {
-        now = at;
+    /**
+     * A start was rejected or not answered. If the host has no room, nothing more is started there
+     * until it is listed again.
+     */
+    public void startFailed(double time, String nonce, boolean hasNoRoom) {
+        now = time;
         PendingStart start = pendingStarts.remove(nonce);
         if (start != null && hasNoRoom) {
             start.host.freeMemoryMb = 0;
@@ -140,47 +150,47 @@
         }
     }
 
-    // ---- The difference ----
+    // ---- Scaling ----
 
-    /** Starts and stops what is due. */
-    public void tick(double at) {
-        now = at;
-        calls.fill(now);
+    /** Starts, drains and stops instances as needed. Called periodically. */
+    public void tick(double time) {
+        now = time;
+        callBudget.refill(now);
         if (!hostsKnown || !instancesKnown) {
             return;
         }
         plan.observe(allocator.catalog().all());
-        List<Function> byNeed = new ArrayList<>(allocator.catalog().all());
-        byNeed.sort((a, b) -> Integer.compare(b.missingSlots(), a.missingSlots()));
-        byNeed.forEach(this::startMissing);
-        byNeed.forEach(this::retireSurplus);
-        retirement.stopDrained(now, calls);
+        List<Function> functionsByMissingSlots = new ArrayList<>(allocator.catalog().all());
+        functionsByMissingSlots.sort((a, b) -> Integer.compare(b.missingSlots(), a.missingSlots()));
+        functionsByMissingSlots.forEach(this::startMissingInstances);
+        functionsByMissingSlots.forEach(this::retireSurplusInstances);
+        retirement.stopDrained(now, callBudget);
     }
 
-    private void startMissing(Function function) {
-        int wanted = plan.wantedInstances(function);
+    private void startMissingInstances(Function function) {
+        int desired = plan.desiredInstances(function);
         int available = availableInstances(function);
-        while (available < wanted && calls.hasToken() && start(function)) {
+        while (available < desired && callBudget.hasToken() && start(function)) {
             available++;
         }
     }
 
-    private void retireSurplus(Function function) {
+    private void retireSurplusInstances(Function function) {
         int available = availableInstances(function);
-        if (available <= plan.wantedInstances(function)) {
-            retirement.noSurplus(function);
+        if (available <= plan.desiredInstances(function)) {
+            retirement.onNoSurplus(function);
         } else {
-            retirement.surplus(function, available, now);
+            retirement.onSurplus(function, available, now);
         }
     }
 
-    /** Instances that serve or are expected to, starts that were asked for included. */
+    /** The instances that serve requests or are expected to, including pending starts. */
     private int availableInstances(Function function) {
         int available = 0;
         for (Instance instance : function.instances.values()) {
             boolean isUsable =
                     instance.state != Instance.State.DRAINING
-                            && !isOverdue(instance)
+                            && !hasStartTimedOut(instance)
                             && !instance.isSuspect(now);
             available += isUsable ? 1 : 0;
         }
@@ -190,30 +200,30 @@
         return available;
     }
 
-    private boolean isOverdue(Instance instance) {
+    private boolean hasStartTimedOut(Instance instance) {
         double timeout = START_TIMEOUT_START_TIMES * instance.function.startTime + listDelay;
         return instance.state == Instance.State.STARTING && now > instance.createdAt + timeout;
     }
 
-    /** Asks for one more instance; false where no host has room. */
+    /** Requests the start of one more instance; false if no host has room. */
     private boolean start(Function function) {
-        WorkerHost host = place(function);
+        WorkerHost host = chooseHost(function);
         if (host == null) {
             return false;
         }
-        calls.take();
+        callBudget.take();
         host.freeMemoryMb -= function.memoryMb;
-        String nonce = noncePrefix + ++nonces;
+        String nonce = noncePrefix + ++lastNonceNumber;
         pendingStarts.put(nonce, new PendingStart(function, host));
         actions.start(function, host.name, nonce);
         return true;
     }
 
-    private WorkerHost place(Function function) {
+    private WorkerHost chooseHost(Function function) {
         Placement placement = new Placement(function, allocator.inFlightByZone(function));
         for (PendingStart start : pendingStarts.values()) {
             if (start.function == function) {
-                placement.count(start.host.zone, start.host.name);
+                placement.countInstance(start.host.zone, start.host.name);
             }
         }
         return placement.choose(hosts.values());
--- a/src/main/java/gingerspool/autoscaler/TokenBucket.java
+++ b/src/main/java/gingerspool/autoscaler/TokenBucket.java
@@ -1,19 +1,19 @@
 package gingerspool.autoscaler;
 
-/** A rate limit: tokens come back at a rate, as many as one second brings can be saved up. */
+/** A rate limiter whose burst size is the number of tokens that accrue within one second. */
 final class TokenBucket {
     private final double tokensPerMs;
     private double tokens = 1;
-    private double filledAt;
+    private double refilledAt;
 
     TokenBucket(double tokensPerMs, double now) {
         this.tokensPerMs = tokensPerMs;
-        filledAt = now;
+        refilledAt = now;
     }
 
-    void fill(double now) {
-        tokens = Math.min(tokensPerMs * 1000, tokens + (now - filledAt) * tokensPerMs);
-        filledAt = now;
+    void refill(double now) {
+        tokens = Math.min(tokensPerMs * 1000, tokens + (now - refilledAt) * tokensPerMs);
+        refilledAt = now;
     }
 
     boolean hasToken() {
--- a/src/main/java/gingerspool/configuration/ConfigurationDelta.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationDelta.java
@@ -8,94 +8,96 @@
 import java.util.function.Function;
 
 /**
- * The difference between two versions of the configuration, and its application. Applying a delta
- * gives the version that it was made for, or an error: never a third configuration.
+ * Computes and applies the difference between two versions of the configuration. Applying a delta
+ * gives exactly the version that it was computed for, or an error; never another configuration.
  */
 public final class ConfigurationDelta {
     private ConfigurationDelta() {}
 
-    /** What turns the base into the other version; its checksum is that of the latter. */
+    /** The delta from the base to the target, whose checksum the caller passes. */
     public static ConfigurationChanges between(
-            Configuration base, Configuration newest, long checksum) {
+            Configuration base, Configuration target, long checksum) {
         ConfigurationChanges.Builder changes =
                 ConfigurationChanges.newBuilder()
                         .setBase(base.getVersion())
-                        .setVersion(newest.getVersion())
+                        .setVersion(target.getVersion())
                         .setChecksum(checksum);
-        Map<String, Route> routes = byName(base.getRoutesList(), Route::getName);
-        changes.addAllRoutes(changed(routes, newest.getRoutesList(), Route::getName))
-                .addAllRemovedRoutes(removed(routes, newest.getRoutesList(), Route::getName));
-        Map<String, Service> services = byName(base.getServicesList(), Service::getName);
-        changes.addAllServices(changed(services, newest.getServicesList(), Service::getName))
+        Map<String, Route> baseRoutes = byName(base.getRoutesList(), Route::getName);
+        changes.addAllRoutes(changedItems(baseRoutes, target.getRoutesList(), Route::getName))
+                .addAllRemovedRoutes(
+                        removedNames(baseRoutes, target.getRoutesList(), Route::getName));
+        Map<String, Service> baseServices = byName(base.getServicesList(), Service::getName);
+        changes.addAllServices(
+                        changedItems(baseServices, target.getServicesList(), Service::getName))
                 .addAllRemovedServices(
-                        removed(services, newest.getServicesList(), Service::getName));
-        if (!newest.getLimits().equals(base.getLimits())) {
-            changes.setLimits(newest.getLimits());
+                        removedNames(baseServices, target.getServicesList(), Service::getName));
+        if (!target.getLimits().equals(base.getLimits())) {
+            changes.setLimits(target.getLimits());
         }
         return changes.build();
     }
 
     /**
-     * The version that results; what has not changed is shared with the base.
+     * Applies a delta. Unchanged items of the result are shared with the base.
      *
-     * @throws DeltaMismatchException if the delta was made for another base, or what results is not
-     *     what it was made for; the caller then needs a complete copy
+     * @throws DeltaMismatchException if the delta was computed for another base, or if the result
+     *     does not have the checksum of the target; the caller then needs a complete copy
      */
     public static Configuration apply(Configuration base, ConfigurationChanges changes)
             throws DeltaMismatchException {
         if (changes.getBase() != base.getVersion()) {
             throw new DeltaMismatchException(
-                    "a delta from version %d met version %d"
+                    "the delta applies to version %d, not to version %d"
                             .formatted(changes.getBase(), base.getVersion()));
         }
-        Configuration.Builder next =
+        Configuration.Builder builder =
                 Configuration.newBuilder()
                         .setVersion(changes.getVersion())
                         .addAllRoutes(
-                                applied(
+                                updatedItems(
                                         base.getRoutesList(),
                                         changes.getRemovedRoutesList(),
                                         changes.getRoutesList(),
                                         Route::getName))
                         .addAllServices(
-                                applied(
+                                updatedItems(
                                         base.getServicesList(),
                                         changes.getRemovedServicesList(),
                                         changes.getServicesList(),
                                         Service::getName));
         if (changes.hasLimits()) {
-            next.setLimits(changes.getLimits());
+            builder.setLimits(changes.getLimits());
         } else if (base.hasLimits()) {
-            next.setLimits(base.getLimits());
+            builder.setLimits(base.getLimits());
         }
-        Configuration result = next.build();
+        Configuration result = builder.build();
         if (ConfigurationChecksum.of(result) != changes.getChecksum()) {
             throw new DeltaMismatchException(
-                    "the delta to version %d does not give what it was made for"
+                    "the checksum does not match after applying the delta to version %d"
                             .formatted(changes.getVersion()));
         }
         return result;
     }
 
     private static <T> Map<String, T> byName(List<T> items, Function<T, String> name) {
-        Map<String, T> all = new LinkedHashMap<>();
-        items.forEach(item -> all.put(name.apply(item), item));
-        return all;
+        Map<String, T> itemsByName = new LinkedHashMap<>();
+        items.forEach(item -> itemsByName.put(name.apply(item), item));
+        return itemsByName;
     }
 
-    private static <T> List<T> changed(
-            Map<String, T> base, List<T> newest, Function<T, String> name) {
-        return newest.stream().filter(item -> !item.equals(base.get(name.apply(item)))).toList();
+    private static <T> List<T> changedItems(
+            Map<String, T> base, List<T> target, Function<T, String> name) {
+        return target.stream().filter(item -> !item.equals(base.get(name.apply(item)))).toList();
     }
 
-    private static <T> List<String> removed(
-            Map<String, T> base, List<T> newest, Function<T, String> name) {
-        Set<String> gone = new HashSet<>(base.keySet());
-        newest.forEach(item -> gone.remove(name.apply(item)));
-        return gone.stream().sorted().toList();
+    private static <T> List<String> removedNames(
+            Map<String, T> base, List<T> target, Function<T, String> name) {
+        Set<String> removed = new HashSet<>(base.keySet());
+        target.forEach(item -> removed.remove(name.apply(item)));
+        return removed.stream().sorted().toList();
     }
 
-    private static <T> Iterable<T> applied(
+    private static <T> Iterable<T> updatedItems(
             List<T> base, List<String> removed, List<T> changed, Function<T, String> name) {
         Map<String, T> items = byName(base, name);
         removed.forEach(items::remove);
--- a/src/main/java/gingerspool/configuration/ConfigurationRules.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationRules.java
@@ -8,54 +8,65 @@
 import java.util.Set;
 
 /**
- * The rules that each accepted configuration keeps; an exception names the item that breaks one.
+ * The rules that a configuration must satisfy to be accepted. Each exception names the item that
+ * violates a rule.
  */
 final class ConfigurationRules {
     private ConfigurationRules() {}
 
-    /** The rules that any configuration keeps. */
+    /** Checks names, references, timeouts and ambiguous routes. */
     static void check(Configuration configuration) throws InvalidConfigurationException {
-        Set<String> services = new HashSet<>();
+        Set<String> serviceNames = new HashSet<>();
         for (Service service : configuration.getServicesList()) {
-            if (service.getName().isEmpty() || !services.add(service.getName())) {
+            if (service.getName().isEmpty() || !serviceNames.add(service.getName())) {
                 throw new InvalidConfigurationException(
-                        "Services: \"" + service.getName() + "\" stands twice or has no Name");
+                        "Services: \"" + service.getName() + "\" is a duplicate or has no Name");
             }
         }
-        Set<String> names = new HashSet<>();
-        Map<String, String> places = new HashMap<>();
+        Set<String> routeNames = new HashSet<>();
+        Map<String, String> routesByHostAndPrefix = new HashMap<>();
         for (Route route : configuration.getRoutesList()) {
-            String at = "Routes: \"" + route.getName() + "\" ";
-            if (route.getName().isEmpty() || !names.add(route.getName())) {
-                throw new InvalidConfigurationException(at + "stands twice or has no Name");
+            String routeLabel = "Routes: \"" + route.getName() + "\" ";
+            if (route.getName().isEmpty() || !routeNames.add(route.getName())) {
+                throw new InvalidConfigurationException(
+                        routeLabel + "is a duplicate or has no Name");
             }
-            if (!services.contains(route.getService())) {
+            if (!serviceNames.contains(route.getService())) {
                 throw new InvalidConfigurationException(
-                        at + "names Service \"" + route.getService() + "\", which isn't there");
+                        routeLabel
+                                + "refers to Service \""
+                                + route.getService()
+                                + "\", which is not defined");
             }
             if (route.hasTimeout() && route.getTimeout() <= 0) {
-                throw new InvalidConfigurationException(at + "has TimeoutMs " + route.getTimeout());
+                throw new InvalidConfigurationException(
+                        routeLabel + "must have a positive TimeoutMs, not " + route.getTimeout());
             }
-            String other =
-                    places.put(
-                            RouteTable.host(route.getHost()) + " " + route.getPrefix(),
+            String conflictingRoute =
+                    routesByHostAndPrefix.put(
+                            RouteTable.normalizedHost(route.getHost()) + " " + route.getPrefix(),
                             route.getName());
-            if (other != null) {
+            if (conflictingRoute != null) {
                 throw new InvalidConfigurationException(
-                        at + "has the HostName and PathPrefix of \"" + other + "\"");
+                        routeLabel
+                                + "has the same HostName and PathPrefix as \""
+                                + conflictingRoute
+                                + "\"");
             }
         }
     }
 
     /**
-     * Where a route is split over a list, the weights in it must not sum to 0. Routes of today's
-     * sites name one service, so no field of our own has weights.
+     * Checks that the weights of a split route do not sum to 0. The schema has no field for
+     * weights, since a route names a single service; therefore every list of an unknown field whose
+     * entries all have a Weight counts as a split.
      */
-    static void checkWeights(Map<String, Object> tree) throws InvalidConfigurationException {
-        for (Object route : JsonItems.list(tree.get("Routes"), "Routes")) {
+    static void checkWeights(Map<String, Object> json) throws InvalidConfigurationException {
+        for (Object route : JsonItems.list(json.get("Routes"), "Routes")) {
             if (route instanceof Map<?, ?> fields) {
                 for (Map.Entry<?, ?> field : fields.entrySet()) {
-                    if (field.getValue() instanceof List<?> parts && weighsNothing(parts)) {
+                    if (field.getValue() instanceof List<?> entries
+                            && hasZeroTotalWeight(entries)) {
                         throw new InvalidConfigurationException(
                                 "Routes: \"%s\" has weights in %s that sum to 0"
                                         .formatted(fields.get("Name"), field.getKey()));
@@ -65,14 +76,14 @@
         }
     }
 
-    private static boolean weighsNothing(List<?> parts) {
+    private static boolean hasZeroTotalWeight(List<?> entries) {
         double sum = 0;
-        for (Object part : parts) {
-            if (!(JsonTree.at(part, "Weight") instanceof Number weight)) {
+        for (Object entry : entries) {
+            if (!(JsonTree.at(entry, "Weight") instanceof Number weight)) {
                 return false;
             }
             sum += weight.doubleValue();
         }
-        return !parts.isEmpty() && sum <= 0;
+        return !entries.isEmpty() && sum <= 0;
     }
 }
--- a/src/main/java/gingerspool/configuration/ConfigurationState.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationState.java
@@ -14,34 +14,43 @@
 import java.util.TreeMap;
 
 /**
- * The configuration in force and the changes accepted lately: the state machine of the log.
+ * The configuration in force and the recently accepted changes: the state machine that the
+ * replicated log drives.
  *
- * <p>Invariants: versions only go up; the same commands in the same order make the same state on
- * every member; the configuration is kept as it was sent, fields that nobody knows included. For
- * one thread; the control node owns it.
+ * <p>Invariants: versions only increase. The same commands in the same order give the same state on
+ * every member. The configuration is kept as it was sent, including unknown fields. Owned by the
+ * control node, for one thread.
  */
 public final class ConfigurationState {
+    // The status codes of a change, which are those of HTTP.
     public static final int ACCEPTED = 200;
     public static final int VERSION_CONFLICT = 412;
     public static final int INVALID = 400;
 
-    /** What became of a change: where it was taken, now or before, the version that it made. */
+    /**
+     * The result of a change: its status code, the reason if it was rejected, and the version that
+     * it created, now or when it was first applied; 0 if it was rejected.
+     */
     public record Verdict(int status, String text, long version) {
         static Verdict accepted(long version) {
             return new Verdict(ACCEPTED, "taken", version);
         }
 
-        static Verdict rejected(int status, String why) {
-            return new Verdict(status, why, 0);
+        static Verdict rejected(int status, String message) {
+            return new Verdict(status, message, 0);
         }
     }
 
-    private Map<String, Object> tree = Map.of();
+    /** The configuration as it was sent. */
+    private Map<String, Object> json = Map.of();
+
+    /** The same configuration as a typed message. */
     private Configuration configuration = Configuration.getDefaultInstance();
 
-    private final TypedConfiguration typed = new TypedConfiguration();
-    private AcceptedChanges accepted = new AcceptedChanges();
+    private final TypedConfiguration typedConfiguration = new TypedConfiguration();
+    private AcceptedChanges acceptedChanges = new AcceptedChanges();
 
+    /** The version in force; 0 if there is none yet. */
     public long version() {
         return configuration.getVersion();
     }
@@ -50,129 +59,145 @@
         return configuration;
     }
 
-    /** As operators read it back. */
+    /** The configuration in force as JSON, in the form in which operators read it. */
     public byte[] text() {
-        return Json.write(tree).getBytes(StandardCharsets.UTF_8);
+        return Json.write(json).getBytes(StandardCharsets.UTF_8);
     }
 
     // ---- Commands ----
 
-    /** A whole configuration, or changes to the one in force, made on a version. */
-    public Verdict apply(boolean whole, long on, byte[] body) {
-        byte[] digest = AcceptedChanges.digest(whole, on, body);
+    /**
+     * Applies a change. A change that was accepted before is recognized and accepted again, without
+     * any effect.
+     *
+     * @param isReplacement whether the body is a complete configuration, not a set of upserts and
+     *     removals
+     * @param baseVersion the version that the change was made for; it must be in force
+     * @param body JSON
+     */
+    public Verdict apply(boolean isReplacement, long baseVersion, byte[] body) {
+        byte[] digest = AcceptedChanges.digest(isReplacement, baseVersion, body);
         try {
-            Object sent = Json.read(body, 0, body.length);
-            if (!(sent instanceof Map<?, ?> said)) {
-                throw new InvalidConfigurationException("the body is no JSON object");
+            Object parsedBody = Json.read(body, 0, body.length);
+            if (!(parsedBody instanceof Map<?, ?> fields)) {
+                throw new InvalidConfigurationException("the body is not a JSON object");
             }
-            long version = version(said);
-            if (accepted.contains(version, digest)) {
+            long version = version(fields);
+            if (acceptedChanges.contains(version, digest)) {
                 return Verdict.accepted(version);
             }
-            if (on != version()) {
+            if (baseVersion != version()) {
                 return Verdict.rejected(VERSION_CONFLICT, "the version in force is " + version());
             }
-            Map<String, Object> next = whole ? copy(said) : changed(said);
-            Configuration changed = typed.read(next);
-            ConfigurationRules.check(changed);
-            ConfigurationRules.checkWeights(next);
+            Map<String, Object> nextJson = isReplacement ? copy(fields) : withChanges(fields);
+            Configuration nextConfiguration = typedConfiguration.read(nextJson);
+            ConfigurationRules.check(nextConfiguration);
+            ConfigurationRules.checkWeights(nextJson);
             if (version <= version()) {
                 throw new InvalidConfigurationException(
-                        "Version " + version + " is not higher than " + version());
+                        "Version "
+                                + version
+                                + " is not higher than the version in force, "
+                                + version());
             }
-            tree = next;
-            configuration = changed;
-            accepted.add(version, digest);
+            json = nextJson;
+            configuration = nextConfiguration;
+            acceptedChanges.add(version, digest);
             return Verdict.accepted(version);
         } catch (BadMessage | InvalidConfigurationException e) {
             return Verdict.rejected(INVALID, e.getMessage());
         }
     }
 
-    private static long version(Map<?, ?> said) throws InvalidConfigurationException {
-        if (!(said.get("Version") instanceof Number n)
+    private static long version(Map<?, ?> fields) throws InvalidConfigurationException {
+        if (!(fields.get("Version") instanceof Number n)
                 || n.doubleValue() != Math.rint(n.doubleValue())
                 || n.doubleValue() < 1) {
-            throw new InvalidConfigurationException("Version is no whole number above 0");
+            throw new InvalidConfigurationException("Version is not an integer greater than 0");
         }
         return n.longValue();
     }
 
-    private static Map<String, Object> copy(Map<?, ?> said) {
-        Map<String, Object> all = new LinkedHashMap<>();
-        said.forEach((k, v) -> all.put((String) k, v));
-        return all;
+    private static Map<String, Object> copy(Map<?, ?> fields) {
+        Map<String, Object> copy = new LinkedHashMap<>();
+        fields.forEach((name, value) -> copy.put((String) name, value));
+        return copy;
     }
 
-    /** The configuration in force with some items added, replaced or removed by name. */
-    private Map<String, Object> changed(Map<?, ?> said) throws InvalidConfigurationException {
-        Map<String, Object> next = copy(tree);
-        next.put("Version", said.get("Version"));
-        Set<Object> lists = new HashSet<>(JsonItems.table(said, "Upserts").keySet());
-        lists.addAll(JsonItems.table(said, "Removals").keySet());
-        for (Object list : lists) {
+    /** The configuration in force with items upserted and removed by name. */
+    private Map<String, Object> withChanges(Map<?, ?> change) throws InvalidConfigurationException {
+        Map<String, Object> nextJson = copy(json);
+        nextJson.put("Version", change.get("Version"));
+        Set<Object> changedLists = new HashSet<>(JsonItems.object(change, "Upserts").keySet());
+        changedLists.addAll(JsonItems.object(change, "Removals").keySet());
+        for (Object list : changedLists) {
             Map<Object, Object> byName = new LinkedHashMap<>();
-            for (Object item : JsonItems.list(next.get(list), String.valueOf(list))) {
+            for (Object item : JsonItems.list(nextJson.get(list), String.valueOf(list))) {
                 byName.put(JsonTree.at(item, "Name"), item);
             }
             for (Object name :
                     JsonItems.list(
-                            JsonItems.table(said, "Removals").get(list), "Removals." + list)) {
+                            JsonItems.object(change, "Removals").get(list), "Removals." + list)) {
                 byName.remove(name);
             }
             for (Object item :
-                    JsonItems.list(JsonItems.table(said, "Upserts").get(list), "Upserts." + list)) {
+                    JsonItems.list(
+                            JsonItems.object(change, "Upserts").get(list), "Upserts." + list)) {
                 if (JsonTree.text(null, item, "Name") == null) {
                     throw new InvalidConfigurationException(
                             "an item of Upserts." + list + " has no Name");
                 }
                 byName.put(JsonTree.at(item, "Name"), item);
             }
-            next.put(String.valueOf(list), new ArrayList<>(byName.values()));
+            nextJson.put(String.valueOf(list), new ArrayList<>(byName.values()));
         }
-        return next;
+        return nextJson;
     }
 
     // ---- Repair ----
 
     /**
-     * All that is kept, as items by key: `F/field`, `N/list` (its length), `L/list/index`,
-     * `T/version` (a block of accepted changes, by its first version).
+     * The complete state as items by key, for comparison with other members: `F/field`, `N/list`
+     * (the length of a list), `L/list/index` (an element) and `T/version` (a block of accepted
+     * changes, by its first version).
      */
     public Map<String, String> items() {
         Map<String, String> all = new TreeMap<>();
-        tree.forEach(
+        json.forEach(
                 (field, value) -> {
-                    if (value instanceof List<?> l) {
-                        JsonItems.putList(all, field, l);
+                    if (value instanceof List<?> list) {
+                        JsonItems.putList(all, field, list);
                     } else {
                         all.put("F/" + field, Json.write(Arrays.asList(value)));
                     }
                 });
-        accepted.blocks()
+        acceptedChanges
+                .blocks()
                 .forEach((first, block) -> all.put("T/" + first, Json.write(List.of(block))));
         return all;
     }
 
     /**
-     * Takes items in place of whatever is known here; what makes no configuration is refused whole.
+     * Replaces the complete state by items of another member. If they are not a valid
+     * configuration, the state stays as it was.
      */
     public void repair(Map<String, String> items) throws InvalidConfigurationException {
-        Map<String, Object> next = new LinkedHashMap<>();
+        Map<String, Object> nextJson = new LinkedHashMap<>();
         Map<String, Object> blocks = new TreeMap<>();
         try {
-            for (Map.Entry<String, String> e : items.entrySet()) {
-                String name = e.getKey().substring(2);
-                switch (e.getKey().charAt(0)) {
-                    case 'T' -> blocks.put(name, JsonItems.value(e.getValue()));
-                    case 'F' -> next.put(name, JsonItems.value(e.getValue()));
+            for (Map.Entry<String, String> item : items.entrySet()) {
+                String name = item.getKey().substring(2);
+                switch (item.getKey().charAt(0)) {
+                    case 'T' -> blocks.put(name, JsonItems.readValue(item.getValue()));
+                    case 'F' -> nextJson.put(name, JsonItems.readValue(item.getValue()));
                     case 'N' ->
-                            next.put(
+                            nextJson.put(
                                     name,
                                     JsonItems.readList(
                                             items,
                                             name,
-                                            ((Number) JsonItems.value(e.getValue())).intValue()));
+                                            ((Number) JsonItems.readValue(item.getValue()))
+                                                    .intValue()));
                     default -> {}
                 }
             }
@@ -180,35 +205,40 @@
                 | ClassCastException
                 | NumberFormatException
                 | IndexOutOfBoundsException e) {
-            throw new InvalidConfigurationException("items that can't be read: " + e.getMessage());
+            throw new InvalidConfigurationException("the items cannot be read: " + e.getMessage());
         }
-        Configuration repaired = typed.read(next);
-        AcceptedChanges changes = AcceptedChanges.of(blocks);
-        tree = next;
+        Configuration repaired = typedConfiguration.read(nextJson);
+        AcceptedChanges changes = AcceptedChanges.fromBlocks(blocks);
+        json = nextJson;
         configuration = repaired;
-        accepted = changes;
+        acceptedChanges = changes;
     }
 
-    // ---- To and from a snapshot ----
+    // ---- Snapshots ----
 
+    /** The complete state, encoded for a snapshot. */
     public byte[] state() {
-        return Json.write(Map.of("tree", tree, "accepted", accepted.blocks()))
+        return Json.write(Map.of("tree", json, "accepted", acceptedChanges.blocks()))
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Takes the place of whatever is known here. */
+    /**
+     * Replaces the complete state by that of a snapshot. Also reads snapshots of earlier builds,
+     * which have the key `taken` instead of `accepted`.
+     */
     public void restore(byte[] state) {
         try {
-            Object all = Json.read(state, 0, state.length);
-            tree = copy((Map<?, ?>) JsonTree.at(all, "tree"));
-            configuration = typed.read(tree);
-            accepted =
-                    JsonTree.at(all, "taken") instanceof Map<?, ?> earlier
-                            ? AcceptedChanges.ofEarlierForm(earlier)
-                            : AcceptedChanges.of((Map<?, ?>) JsonTree.at(all, "accepted"));
+            Object parsedState = Json.read(state, 0, state.length);
+            json = copy((Map<?, ?>) JsonTree.at(parsedState, "tree"));
+            configuration = typedConfiguration.read(json);
+            acceptedChanges =
+                    JsonTree.at(parsedState, "taken") instanceof Map<?, ?> earlier
+                            ? AcceptedChanges.fromLegacyDigests(earlier)
+                            : AcceptedChanges.fromBlocks(
+                                    (Map<?, ?>) JsonTree.at(parsedState, "accepted"));
         } catch (BadMessage | InvalidConfigurationException e) {
             throw new IllegalStateException(
-                    "a state that was made here can't be read: " + e.getMessage(), e);
+                    "the state of a snapshot cannot be read: " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/gingerspool/settings/NodeSettings.java
+++ b/src/main/java/gingerspool/settings/NodeSettings.java
@@ -13,153 +13,177 @@
 import java.util.stream.Collectors;
 
 /**
- * What a process is told in its settings file. Times are milliseconds, rates a second. Keys that
- * aren't asked for are passed over, since new ones may appear.
+ * The settings of a process, read from its settings file. Times are milliseconds, rates are per
+ * second. Unknown keys are ignored, since new ones may be added.
  */
 public final class NodeSettings {
-    /** The variable that holds the file's path. */
-    public static final String VARIABLE = "GINGERSPOOL_CONFIG";
+    /** The environment variable that holds the path of the settings file. */
+    public static final String PATH_VARIABLE = "GINGERSPOOL_CONFIG";
 
-    private static final int PORT_MOST = 65535;
+    private static final int MAX_PORT = 65535;
 
     public final String name;
     public final String ip;
     public final String zone;
 
-    /** In a fixed order, so that each has a number that is the same everywhere. */
+    /** Sorted, so that each zone has the same number in every process. */
     public final List<String> zones;
 
-    /** The port on which our own processes reach each other. */
+    /** The port on which the processes of the platform reach each other. */
     public final int internalPort;
 
-    /** Where machines serve control, by their outer addresses. */
+    /** The addresses of the control nodes that a process contacts first. */
     public final List<InetSocketAddress> seeds;
 
+    /** Whether control nodes that have no stored state found a new cluster with the seeds. */
     public final boolean firstStart;
 
-    /** Each null where it isn't served here. */
+    /** Null if this process does not listen there. */
     public final InetSocketAddress frontAddress;
 
+    /** Null if this process does not listen there. */
     public final InetSocketAddress readinessAddress;
+
+    /** Null if this process does not listen there. */
     public final InetSocketAddress controlAddress;
+
+    /** The limit of open file descriptors. */
     public final int descriptors;
 
-    /** Null where there is no disk. */
+    /** Null if the process has no disk. */
     public final Path dataDirectory;
 
+    /** The disk space that the process may use, in megabytes. */
     public final double diskMb;
 
-    /** How many of the machines that count may be lost at once. */
+    /** How many of the voting machines may be lost at once. */
     public final int toleratedLosses;
 
     public final double heartbeatInterval;
     public final double contactTimeout;
     public final double drainTimeout;
 
-    /** How soon an acknowledged configuration must be in force everywhere. */
+    /** The time within which an acknowledged configuration must be in force everywhere. */
     public final double configurationApplyTimeout;
 
+    /** The time that a process has to stop after a signal. */
     public final double gracePeriod;
 
-    /** Requests that instances of one function may turn away as too many within five seconds. */
+    /** How many requests the instances of a function may reject as too many within five seconds. */
     public final double rejectionAllowance;
 
+    /** Retries allowed per request, besides the slack. */
     public final double retryBudgetRatio;
+
     public final double retryBudgetWindow;
+
+    /** Retries allowed per window however few the requests are. */
     public final double retryBudgetSlack;
 
-    /** Null where the platform has no interface. */
+    /** The address of the platform's API; null if there is none. */
     public final InetSocketAddress platformAddress;
 
+    /** The rate at which the platform's lists may be read. */
     public final double platformRate;
+
+    /** How far the platform's lists may lag behind. */
     public final double platformListDelay;
+
+    /** The rate at which instances may be started and stopped. */
     public final double startStopRate;
 
-    private NodeSettings(Section s) {
-        name = s.text("NodeName", null).value();
-        ip = text(s, "IpAddress");
-        zone = text(s, "Zone");
-        zones = s.section("Zones").keys().stream().sorted().toList();
-        List<Integer> ports = s.wholes("InternalPortRange", 1, PORT_MOST);
+    private NodeSettings(Section root) {
+        name = root.text("NodeName", null).value();
+        ip = requiredText(root, "IpAddress");
+        zone = requiredText(root, "Zone");
+        zones = root.section("Zones").keys().stream().sorted().toList();
+        List<Integer> ports = root.wholes("InternalPortRange", 1, MAX_PORT);
         if (ports.isEmpty()) {
-            s.fault("InternalPortRange", "is missing or empty, wanted the first and the last port");
+            root.fault(
+                    "InternalPortRange", "is missing or empty, wanted the first and the last port");
         }
         internalPort = ports.isEmpty() ? 0 : ports.get(0);
-        seeds = addresses(s, "SeedNodes", s.texts("SeedNodes", List.of()));
-        firstStart = s.mark("FirstStart", false).value();
-        Section listen = s.section("ListenAddresses");
+        seeds = addresses(root, "SeedNodes", root.texts("SeedNodes", List.of()));
+        firstStart = root.mark("FirstStart", false).value();
+        Section listen = root.section("ListenAddresses");
         frontAddress = address(listen, "FrontAddress");
         readinessAddress = address(listen, "ReadinessAddress");
         controlAddress = address(listen, "ControlAddress");
         descriptors =
-                s.section("Limits").whole("FileDescriptors", 1024, 64, Integer.MAX_VALUE).value();
-        diskMb = s.section("Limits").number("DiskMb", 0.0, 0, 1e9).value();
-        var dir = s.text("DataDirectory", null);
-        dataDirectory = dir == null ? null : Path.of(dir.value());
-        toleratedLosses = s.section("ToleratedLosses").whole("Machines", 0, 0, 1000).value();
-        heartbeatInterval = s.number("HeartbeatIntervalMs", 1000.0, 10, 60_000).value();
-        Section bounds = s.section("Bounds");
-        contactTimeout = figure(bounds, "ContactMs", 4000);
-        drainTimeout = figure(bounds, "DrainMs", 3000);
-        configurationApplyTimeout = figure(bounds, "ConfigApplyMs", 3000);
-        gracePeriod = 1000 * figure(bounds, "GracePeriodS", 6);
-        rejectionAllowance = figure(bounds, "LimitSlack", 10);
-        retryBudgetRatio = figure(bounds, "RetryBudgetRatio", 0.2);
-        retryBudgetWindow = 1000 * figure(bounds, "BudgetWindowS", 10);
-        retryBudgetSlack = figure(bounds, "RetryBudgetSlack", 0);
-        Section platform = s.section("Cloud");
+                root.section("Limits")
+                        .whole("FileDescriptors", 1024, 64, Integer.MAX_VALUE)
+                        .value();
+        diskMb = root.section("Limits").number("DiskMb", 0.0, 0, 1e9).value();
+        var directory = root.text("DataDirectory", null);
+        dataDirectory = directory == null ? null : Path.of(directory.value());
+        toleratedLosses = root.section("ToleratedLosses").whole("Machines", 0, 0, 1000).value();
+        heartbeatInterval = root.number("HeartbeatIntervalMs", 1000.0, 10, 60_000).value();
+        Section bounds = root.section("Bounds");
+        contactTimeout = nonNegativeNumber(bounds, "ContactMs", 4000);
+        drainTimeout = nonNegativeNumber(bounds, "DrainMs", 3000);
+        configurationApplyTimeout = nonNegativeNumber(bounds, "ConfigApplyMs", 3000);
+        gracePeriod = 1000 * nonNegativeNumber(bounds, "GracePeriodS", 6);
+        rejectionAllowance = nonNegativeNumber(bounds, "LimitSlack", 10);
+        retryBudgetRatio = nonNegativeNumber(bounds, "RetryBudgetRatio", 0.2);
+        retryBudgetWindow = 1000 * nonNegativeNumber(bounds, "BudgetWindowS", 10);
+        retryBudgetSlack = nonNegativeNumber(bounds, "RetryBudgetSlack", 0);
+        Section platform = root.section("Cloud");
         platformAddress = address(platform, "Address");
-        platformRate = figure(platform, "RatePerS", 5);
-        platformListDelay = figure(platform, "LagMs", 1000);
-        startStopRate = figure(platform, "DutyPerS", 10);
+        platformRate = nonNegativeNumber(platform, "RatePerS", 5);
+        platformListDelay = nonNegativeNumber(platform, "LagMs", 1000);
+        startStopRate = nonNegativeNumber(platform, "DutyPerS", 10);
     }
 
-    private static double figure(Section s, String key, double other) {
-        return s.number(key, other, 0, 1e9).value();
+    private static double nonNegativeNumber(Section section, String key, double defaultValue) {
+        return section.number(key, defaultValue, 0, 1e9).value();
     }
 
-    /** A text that must be there. */
-    private static String text(Section s, String key) {
-        var said = s.text(key, null);
-        if (said == null) {
-            s.fault(key, "is missing");
+    /** A text that is required: its absence is reported as a fault. */
+    private static String requiredText(Section section, String key) {
+        var setting = section.text(key, null);
+        if (setting == null) {
+            section.fault(key, "is missing");
         }
-        return said == null ? "" : said.value();
+        return setting == null ? "" : setting.value();
     }
 
-    private static InetSocketAddress address(Section s, String key) {
-        var said = s.text(key, null);
-        return said == null || said.value() == null
+    private static InetSocketAddress address(Section section, String key) {
+        var setting = section.text(key, null);
+        return setting == null || setting.value() == null
                 ? null
-                : addresses(s, key, List.of(said.value())).stream().findFirst().orElse(null);
+                : addresses(section, key, List.of(setting.value())).stream()
+                        .findFirst()
+                        .orElse(null);
     }
 
-    private static List<InetSocketAddress> addresses(Section s, String key, List<String> texts) {
-        List<InetSocketAddress> all = new ArrayList<>();
+    private static List<InetSocketAddress> addresses(
+            Section section, String key, List<String> texts) {
+        List<InetSocketAddress> parsedAddresses = new ArrayList<>();
         for (String text : texts) {
             try {
-                all.add(Address.read(text));
+                parsedAddresses.add(Address.read(text));
             } catch (BadMessage e) {
-                s.fault(
+                section.fault(
                         key,
                         "holds \""
                                 + text
                                 + "\", wanted a numeric address and port such as 10.0.0.1:8080");
             }
         }
-        return all;
+        return parsedAddresses;
     }
 
-    /** The file that the environment names. */
+    /** Reads the file that the environment variable names. */
     public static NodeSettings read(Map<String, String> environment) throws SettingsException {
-        String file = environment.get(VARIABLE);
+        String file = environment.get(PATH_VARIABLE);
         if (file == null || file.isBlank()) {
             throw new SettingsException(
-                    VARIABLE + " is not set, wanted the path of the settings file");
+                    PATH_VARIABLE + " is not set; it must hold the path of the settings file");
         }
         return read(Path.of(file));
     }
 
+    /** Reads a settings file. The exception lists all faults that were found. */
     public static NodeSettings read(Path file) throws SettingsException {
         List<Diagnostic> faults = new ArrayList<>();
         Layers layers = new Layers(faults);
@@ -168,16 +192,16 @@
         if (faults.isEmpty() && !section.has("NodeName")) {
             section.fault("NodeName", "is missing");
         }
-        NodeSettings made = faults.isEmpty() ? new NodeSettings(section) : null;
+        NodeSettings settings = faults.isEmpty() ? new NodeSettings(section) : null;
         if (!faults.isEmpty()) {
             throw new SettingsException(
                     faults.stream().map(Diagnostic::toString).collect(Collectors.joining("; ")));
         }
-        return made;
+        return settings;
     }
 
-    /** The number of a zone, -1 for one that isn't named here. */
-    public int zoneNumber(String of) {
-        return zones.indexOf(of);
+    /** The number of a zone; -1 if the settings do not list it. */
+    public int zoneNumber(String zoneName) {
+        return zones.indexOf(zoneName);
     }
 }
--- a/src/main/java/gingerspool/slots/RecallPolicy.java
+++ b/src/main/java/gingerspool/slots/RecallPolicy.java
@@ -6,51 +6,62 @@
 import java.util.function.Consumer;
 
 /**
- * Guards against schedulers that starve: for each that misses slots, the one that holds most beyond
- * its share of the demand gives one back as it falls free.
+ * Guards against starvation of schedulers: for each scheduler that is missing slots, one slot is
+ * recalled from the scheduler that most exceeds its fair share. That scheduler returns the slot
+ * once it is free. Called by the allocator.
  */
 final class RecallPolicy {
     private RecallPolicy() {}
 
-    /** Notes each recalled slot and tells whom it is recalled from. */
+    /** Counts each recalled slot and passes the scheduler that is to return it to the consumer. */
     static void recall(Function function, Consumer<String> recallFrom) {
-        int slots = 0;
-        Map<String, Integer> granted = new HashMap<>();
+        int readySlots = 0;
+        Map<String, Integer> grantedByScheduler = new HashMap<>();
         for (Instance instance : function.instances.values()) {
             if (instance.state == Instance.State.READY) {
-                slots += instance.slots;
-                instance.grantedByScheduler.forEach((s, n) -> granted.merge(s, n, Integer::sum));
+                readySlots += instance.slots;
+                instance.grantedByScheduler.forEach(
+                        (scheduler, granted) ->
+                                grantedByScheduler.merge(scheduler, granted, Integer::sum));
             }
         }
-        for (SchedulerDemand poor : List.copyOf(function.demands.values())) {
-            if (poor.missingSlots > 0) {
-                String rich = mostBeyondShare(function, poor, slots, granted);
-                if (rich != null) {
-                    function.demands.get(rich).recalled++;
-                    recallFrom.accept(rich);
+        for (SchedulerDemand starvedDemand : List.copyOf(function.demands.values())) {
+            if (starvedDemand.missingSlots > 0) {
+                String overservedScheduler =
+                        mostOverservedScheduler(
+                                function, starvedDemand, readySlots, grantedByScheduler);
+                if (overservedScheduler != null) {
+                    function.demands.get(overservedScheduler).recalled++;
+                    recallFrom.accept(overservedScheduler);
                 }
             }
         }
     }
 
-    /** The scheduler that holds most slots beyond its share, by one at least, or null. */
-    private static String mostBeyondShare(
-            Function function, SchedulerDemand poor, int slots, Map<String, Integer> granted) {
+    /**
+     * The scheduler that most exceeds its fair share, by at least one slot, or null. The fair share
+     * is proportional to the requests in flight; slots already recalled do not count as held.
+     */
+    private static String mostOverservedScheduler(
+            Function function,
+            SchedulerDemand starvedDemand,
+            int readySlots,
+            Map<String, Integer> grantedByScheduler) {
         int inFlight = Math.max(1, function.inFlight());
-        String rich = null;
-        double most = 0;
-        for (Map.Entry<String, Integer> entry : granted.entrySet()) {
+        String overservedScheduler = null;
+        double largestExcess = 0;
+        for (Map.Entry<String, Integer> entry : grantedByScheduler.entrySet()) {
             SchedulerDemand demand = function.demands.get(entry.getKey());
-            if (demand == null || demand == poor) {
+            if (demand == null || demand == starvedDemand) {
                 continue;
             }
-            double share = (double) slots * demand.inFlight / inFlight;
-            double beyond = entry.getValue() - share - demand.recalled;
-            if (beyond > most && beyond >= 1) {
-                rich = entry.getKey();
-                most = beyond;
+            double fairShare = (double) readySlots * demand.inFlight / inFlight;
+            double excess = entry.getValue() - fairShare - demand.recalled;
+            if (excess > largestExcess && excess >= 1) {
+                overservedScheduler = entry.getKey();
+                largestExcess = excess;
             }
         }
-        return rich;
+        return overservedScheduler;
     }
 }
--- a/src/main/java/gingerspool/slots/SlotAllocator.java
+++ b/src/main/java/gingerspool/slots/SlotAllocator.java
@@ -11,80 +11,92 @@
 import java.util.Objects;
 
 /**
- * Grants each slot of an instance to one scheduler at a time, so that all together never send an
- * instance more than it may run.
+ * Grants each slot of an instance to one scheduler at a time, so that the schedulers together never
+ * send an instance more requests than it can run.
  *
- * <p>Invariant: the slots granted of an instance are never more than it has, as far as its
- * schedulers have registered. A scheduler keeps a slot until it returns it. One whose link broke
- * keeps all for {@link #RECLAIM_HEARTBEATS}; if it has not registered by then they are free again.
- * A new allocator knows only what schedulers report as they register, and grants nothing for {@link
- * #REPORT_HEARTBEATS}.
+ * <p>Invariant: an instance never has more slots granted than it has in total, counting the
+ * schedulers that have registered. A scheduler keeps a slot until it returns it. A scheduler whose
+ * link is lost keeps its slots for {@link #RECLAIM_DELAY_HEARTBEATS}; if it has not registered
+ * again by then, they are free. A new allocator learns the granted slots only from the schedulers
+ * as they register, and therefore grants nothing for {@link #REGISTRATION_GRACE_HEARTBEATS}.
+ *
+ * <p>Owned by the duties of the leader, which pass the current time with each call. For one thread.
  */
 public final class SlotAllocator {
-    /** How long a scheduler's slots stay its own after its link broke, in heartbeat intervals. */
-    private static final double RECLAIM_HEARTBEATS = 0.5;
+    /** How long a scheduler keeps its slots after its link is lost, in heartbeat intervals. */
+    private static final double RECLAIM_DELAY_HEARTBEATS = 0.5;
 
-    /** How long an instance that was not reached gets no requests, in heartbeat intervals. */
+    /** How long no slot of an unreachable instance is granted, in heartbeat intervals. */
     private static final double SUSPECT_HEARTBEATS = 1;
 
-    /** How long schedulers have to report to a new allocator, in heartbeat intervals. */
-    private static final double REPORT_HEARTBEATS = 0.15;
+    /** How long schedulers have to register with a new allocator, in heartbeat intervals. */
+    private static final double REGISTRATION_GRACE_HEARTBEATS = 0.15;
 
-    /** What the newest arrival rates look back over, in heartbeat intervals. */
+    /** The short window of the arrival rates, in heartbeat intervals. */
     private static final double RATE_WINDOW_HEARTBEATS = 0.8;
 
-    /** The weight of a reported service time in the mean is one in so many. */
+    /** A reported service time enters the moving mean with a weight of 1 / this number. */
     private static final double SERVICE_TIME_SAMPLES = 8;
 
-    /** Where an allocator sends its messages. */
+    /** How the allocator sends its messages to schedulers. */
     public interface Messenger {
         void send(String scheduler, Object message);
 
-        /** Whether slots may be granted and recalled now: nobody else may be their allocator. */
+        /**
+         * Whether slots may be granted and recalled now. It must be false whenever another
+         * allocator may be in charge of them.
+         */
         default boolean mayGrant() {
             return true;
         }
     }
 
-    /** A scheduler that has registered, until its slots are reclaimed. */
+    /** The session of a scheduler, from its registration until its slots are reclaimed. */
     private static final class Session {
         String zone = "";
 
-        /** NaN while its link stands. */
+        /** When its link was lost; NaN while it is connected. */
         double disconnectedAt = Double.NaN;
 
-        /** Grants sent on this link. */
+        /** The number of grants sent on this link. */
         long grants;
     }
 
-    private final double heartbeat;
+    private final double heartbeatInterval;
     private final Messenger messenger;
     private final FunctionCatalog catalog;
+
+    /** By identifier. */
     private final Map<String, Instance> instances = new LinkedHashMap<>();
+
+    /** By scheduler. */
     private final Map<String, Session> sessions = new LinkedHashMap<>();
 
-    /** By instance, then scheduler: slots reported of instances that no list has named yet. */
-    private final Map<String, Map<String, Integer>> reportedBeforeListed = new HashMap<>();
+    /**
+     * By instance, then scheduler: the slots that schedulers reported as they registered, of
+     * instances that are not known yet.
+     */
+    private final Map<String, Map<String, Integer>> slotsOfUnlistedInstances = new HashMap<>();
 
-    /** Nothing is granted before that. */
-    private final double grantsFrom;
+    /** No slot is granted before this time. */
+    private final double grantsAllowedFrom;
 
     private double now;
 
-    /** The heartbeat interval is in milliseconds. */
-    public SlotAllocator(double heartbeat, double now, Messenger messenger) {
-        this.heartbeat = heartbeat;
+    /** Times are milliseconds of a steady clock. */
+    public SlotAllocator(double heartbeatInterval, double now, Messenger messenger) {
+        this.heartbeatInterval = heartbeatInterval;
         this.messenger = messenger;
         this.now = now;
-        catalog = new FunctionCatalog(RATE_WINDOW_HEARTBEATS * heartbeat);
-        grantsFrom = now + REPORT_HEARTBEATS * heartbeat;
+        catalog = new FunctionCatalog(RATE_WINDOW_HEARTBEATS * heartbeatInterval);
+        grantsAllowedFrom = now + REGISTRATION_GRACE_HEARTBEATS * heartbeatInterval;
     }
 
     public FunctionCatalog catalog() {
         return catalog;
     }
 
-    /** The instance with this id, or null. */
+    /** The instance with this identifier, or null. */
     public Instance instance(String id) {
         return instances.get(id);
     }
@@ -93,12 +105,12 @@
         return List.copyOf(instances.values());
     }
 
-    /** How many schedulers are connected. */
+    /** The number of schedulers that are connected. */
     public int connectedSchedulers() {
         return (int) sessions.values().stream().filter(s -> Double.isNaN(s.disconnectedAt)).count();
     }
 
-    /** Requests in flight by the schedulers' zone. */
+    /** The function's requests in flight, by the zone of the scheduler that holds them. */
     public Map<String, Integer> inFlightByZone(Function function) {
         Map<String, Integer> byZone = new HashMap<>();
         function.demands.forEach(
@@ -111,54 +123,54 @@
         catalog.configure(configuration);
     }
 
-    // ---- Messages of schedulers ----
+    // ---- Messages from schedulers ----
 
-    /** A scheduler registered, perhaps again: what it holds is what it reports. */
-    public void onRegister(double at, String scheduler, Messages.Register message) {
-        now = at;
+    /** A scheduler registered, possibly again. Its report replaces what was known of its slots. */
+    public void onRegister(double time, String scheduler, Messages.Register message) {
+        now = time;
         reclaim(scheduler);
         Session session = sessions.computeIfAbsent(scheduler, name -> new Session());
         session.zone = message.zone();
         session.disconnectedAt = Double.NaN;
         session.grants = 0;
-        message.held().forEach((id, slots) -> heldSlots(id).put(scheduler, slots));
+        message.held().forEach((id, slots) -> grantedSlotsOf(id).put(scheduler, slots));
     }
 
-    /** Granted slots of an instance by scheduler, also before a list has named it. */
-    private Map<String, Integer> heldSlots(String id) {
+    /** The granted slots of an instance by scheduler, also for an instance not known yet. */
+    private Map<String, Integer> grantedSlotsOf(String id) {
         Instance instance = instances.get(id);
         return instance != null
                 ? instance.grantedByScheduler
-                : reportedBeforeListed.computeIfAbsent(id, k -> new HashMap<>());
+                : slotsOfUnlistedInstances.computeIfAbsent(id, k -> new HashMap<>());
     }
 
     /**
-     * All that a scheduler holds once so many grants had come to it. Where no grant is on its way
-     * this is what is noted here; what differs is repaired from it, since the scheduler knows best.
-     * False where something differed.
+     * A scheduler reports all slots that it holds, and how many grants it had received. If no grant
+     * is in transit, the report must match the allocator's record. The scheduler is authoritative:
+     * a record that differs is replaced by the report. Returns false if anything differed.
      */
-    public boolean onHoldings(double at, String scheduler, Messages.SlotHoldings message) {
-        now = at;
+    public boolean onHoldings(double time, String scheduler, Messages.SlotHoldings message) {
+        now = time;
         Session session = sessions.get(scheduler);
         if (session == null || session.grants != message.grants()) {
             return true;
         }
         boolean matches = true;
         for (Instance instance : instances.values()) {
-            Map<String, Integer> granted = instance.grantedByScheduler;
+            Map<String, Integer> grantedSlots = instance.grantedByScheduler;
             Integer reported = message.held().get(instance.id);
-            if (!Objects.equals(granted.get(scheduler), reported)) {
+            if (!Objects.equals(grantedSlots.get(scheduler), reported)) {
                 matches = false;
-                granted.put(scheduler, reported);
-                granted.values().removeIf(Objects::isNull);
+                grantedSlots.put(scheduler, reported);
+                grantedSlots.values().removeIf(Objects::isNull);
             }
         }
         return matches;
     }
 
-    /** A scheduler's link broke. */
-    public void onDisconnect(double at, String scheduler) {
-        now = at;
+    /** The link to a scheduler was lost. */
+    public void onDisconnect(double time, String scheduler) {
+        now = time;
         Session session = sessions.get(scheduler);
         if (session != null) {
             session.disconnectedAt = now;
@@ -166,15 +178,16 @@
         }
     }
 
+    /** Frees all slots of a scheduler and forgets its demand. */
     private void reclaim(String scheduler) {
         instances.values().forEach(instance -> instance.grantedByScheduler.remove(scheduler));
-        reportedBeforeListed.values().forEach(held -> held.remove(scheduler));
+        slotsOfUnlistedInstances.values().forEach(held -> held.remove(scheduler));
         catalog.all().forEach(function -> function.demands.remove(scheduler));
     }
 
-    /** What a scheduler needs of a function now. */
-    public void onDemand(double at, String scheduler, Messages.SlotDemand message) {
-        now = at;
+    /** A scheduler reports its demand for slots of one function. */
+    public void onDemand(double time, String scheduler, Messages.SlotDemand message) {
+        now = time;
         Function function = catalog.find(message.function());
         if (function == null || !sessions.containsKey(scheduler)) {
             return;
@@ -188,12 +201,13 @@
         }
     }
 
+    /** Updates the demand from a report, as well as the function's arrivals and service time. */
     private void update(Function function, SchedulerDemand demand, Messages.SlotDemand message) {
-        // Guards against granting twice: what is on its way was not known to the scheduler yet.
-        long onItsWay = Math.max(0, demand.granted - message.granted());
-        boolean missedBefore = demand.missingSlots > 0;
-        demand.missingSlots = (int) Math.max(0, message.missing() - onItsWay);
-        demand.missingSince = missedBefore ? demand.missingSince : now;
+        // Guards against granting twice: the report does not cover grants still in transit.
+        long grantsInTransit = Math.max(0, demand.granted - message.granted());
+        boolean wasMissingSlots = demand.missingSlots > 0;
+        demand.missingSlots = (int) Math.max(0, message.missing() - grantsInTransit);
+        demand.missingSince = wasMissingSlots ? demand.missingSince : now;
         demand.inFlight = message.inFlight();
         function.arrivals.add(now, Math.max(0, message.arrivals() - demand.arrivals));
         demand.arrivals = message.arrivals();
@@ -207,17 +221,19 @@
         }
     }
 
-    /** A scheduler returns slots, perhaps none, and tells how the instance was. */
-    public void onReturn(double at, String scheduler, Messages.SlotReturn message) {
-        now = at;
+    /** A scheduler returns slots, possibly none, and reports the condition of the instance. */
+    public void onReturn(double time, String scheduler, Messages.SlotReturn message) {
+        now = time;
         int slots = message.slots();
         Instance instance = instances.get(message.instance());
-        // Guards slots of instances that no list has named yet: else they would be held for ever.
-        Map<String, Integer> held =
+        // Guards against leaking slots of an instance that is not known yet: without this, slots
+        // returned before it is listed would stay granted for ever.
+        Map<String, Integer> grantedSlots =
                 instance != null
                         ? instance.grantedByScheduler
-                        : reportedBeforeListed.getOrDefault(message.instance(), new HashMap<>());
-        held.computeIfPresent(scheduler, (name, n) -> n > slots ? n - slots : null);
+                        : slotsOfUnlistedInstances.getOrDefault(
+                                message.instance(), new HashMap<>());
+        grantedSlots.computeIfPresent(scheduler, (name, n) -> n > slots ? n - slots : null);
         if (instance == null) {
             return;
         }
@@ -230,16 +246,16 @@
                 && instance.state == Instance.State.STARTING) {
             instance.state = Instance.State.READY;
         } else if (message.condition() == InstanceCondition.UNREACHABLE) {
-            instance.suspectUntil = now + SUSPECT_HEARTBEATS * heartbeat;
+            instance.suspectUntil = now + SUSPECT_HEARTBEATS * heartbeatInterval;
         }
         grant(instance.function);
     }
 
     // ---- Instances ----
 
-    /** An instance became known, by its start or by the platform's list. */
+    /** Adds an instance that was started or that appeared in the platform's list. */
     public Instance addInstance(
-            double at,
+            double time,
             String id,
             Function function,
             String address,
@@ -247,11 +263,11 @@
             String host,
             int slots,
             Instance.State state) {
-        now = at;
+        now = time;
         Instance instance = new Instance(id, function, address, zone, host, slots, state, now);
         instances.put(id, instance);
         function.instances.put(id, instance);
-        Map<String, Integer> reported = reportedBeforeListed.remove(id);
+        Map<String, Integer> reported = slotsOfUnlistedInstances.remove(id);
         if (reported != null) {
             instance.grantedByScheduler.putAll(reported);
         }
@@ -259,39 +275,44 @@
         return instance;
     }
 
-    /** The platform lists it as ready. */
-    public void markReady(double at, Instance instance) {
-        now = at;
+    /** The platform listed the instance as ready. */
+    public void markReady(double time, Instance instance) {
+        now = time;
         if (instance.state == Instance.State.STARTING) {
             instance.state = Instance.State.READY;
             grant(instance.function);
         }
     }
 
-    /** It gets nothing new; what runs there goes on. */
-    public void markDraining(double at, Instance instance) {
-        now = at;
+    /** Stops granting slots of the instance. Requests that run there go on. */
+    public void markDraining(double time, Instance instance) {
+        now = time;
         if (instance.state != Instance.State.DRAINING) {
             instance.drainingSince = now;
         }
         instance.state = Instance.State.DRAINING;
     }
 
-    /** It has ended. */
-    public void removeInstance(double at, Instance instance) {
-        now = at;
+    /** The instance no longer exists. */
+    public void removeInstance(double time, Instance instance) {
+        now = time;
         instance.state = Instance.State.DRAINING;
         instances.remove(instance.id);
         instance.function.instances.remove(instance.id);
     }
 
-    // ---- Time ----
+    // ---- Timer ----
 
-    /** Reclaims the slots of schedulers that stay away, and grants and recalls what is due. */
-    public void tick(double at) {
-        now = at;
+    /**
+     * Reclaims the slots of schedulers that have been disconnected for too long, then grants and
+     * recalls slots. Called periodically.
+     */
+    public void tick(double time) {
+        now = time;
         for (Map.Entry<String, Session> entry : List.copyOf(sessions.entrySet())) {
-            if (now > entry.getValue().disconnectedAt + RECLAIM_HEARTBEATS * heartbeat) {
+            if (now
+                    > entry.getValue().disconnectedAt
+                            + RECLAIM_DELAY_HEARTBEATS * heartbeatInterval) {
                 reclaim(entry.getKey());
                 sessions.remove(entry.getKey());
             }
@@ -308,7 +329,7 @@
     // ---- Granting ----
 
     private boolean mayGrant() {
-        return now >= grantsFrom && messenger.mayGrant();
+        return now >= grantsAllowedFrom && messenger.mayGrant();
     }
 
     private void grant(Function function) {
@@ -317,9 +338,9 @@
         }
     }
 
-    /** One slot to the scheduler that has missed one for longest; false where there is none. */
+    /** Grants one slot to the longest-waiting scheduler; false if none can be granted. */
     private boolean grantOne(Function function) {
-        String scheduler = longestMissing(function);
+        String scheduler = longestWaitingScheduler(function);
         if (scheduler == null) {
             return false;
         }
@@ -347,19 +368,23 @@
         return true;
     }
 
-    /** The scheduler that has missed a slot for longest, of those that one can be granted to. */
-    private String longestMissing(Function function) {
-        String longest = null;
-        double since = 0;
+    /**
+     * Of the schedulers that a slot can be granted to, the one that has waited longest, or null.
+     */
+    private String longestWaitingScheduler(Function function) {
+        String longestWaiting = null;
+        double waitingSince = 0;
         for (Map.Entry<String, SchedulerDemand> entry : function.demands.entrySet()) {
             SchedulerDemand demand = entry.getValue();
-            boolean isLonger = longest == null || demand.missingSince < since;
-            if (demand.missingSlots > 0 && isLonger && select(function, entry.getKey()) != null) {
-                longest = entry.getKey();
-                since = demand.missingSince;
+            boolean hasWaitedLonger = longestWaiting == null || demand.missingSince < waitingSince;
+            if (demand.missingSlots > 0
+                    && hasWaitedLonger
+                    && select(function, entry.getKey()) != null) {
+                longestWaiting = entry.getKey();
+                waitingSince = demand.missingSince;
             }
         }
-        return longest;
+        return longestWaiting;
     }
 
     private Instance select(Function function, String scheduler) {
@@ -374,16 +399,16 @@
 
     // ---- For operators ----
 
-    /** What all functions have, hold and miss. */
+    /** The slot usage summed over all functions. */
     public SlotUsage usage() {
         return SlotUsage.of(catalog.all());
     }
 
-    /** Lines of the status page: each function that has instances or requests. */
+    /** Lines for the status page: one for each function with instances or requests in flight. */
     public List<String> status() {
         return catalog.all().stream()
-                .filter(f -> !f.instances.isEmpty() || f.inFlight() > 0)
-                .map(f -> f.name + " " + SlotUsage.of(f))
+                .filter(function -> !function.instances.isEmpty() || function.inFlight() > 0)
+                .map(function -> function.name + " " + SlotUsage.of(function))
                 .toList();
     }
 }
