--- a/src/main/java/gingerspool/cli/Platforms.java
+++ b/src/main/java/gingerspool/cli/Platforms.java
@@ -99,13 +99,13 @@
 
         @Override
         public Integer call() throws IOException {
-            ConfigurationState.Verdict v =
+            ConfigurationState.ChangeResult v =
                     new ConfigurationState().apply(true, 0, Files.readAllBytes(file));
             if (v.status() == ConfigurationState.ACCEPTED) {
                 spec.commandLine().getOut().println(file + ": can be taken");
                 return 0;
             }
-            spec.commandLine().getErr().println(file + ": " + v.text());
+            spec.commandLine().getErr().println(file + ": " + v.message());
             return 2;
         }
     }
--- a/src/main/java/gingerspool/configuration/ConfigurationState.java
+++ b/src/main/java/gingerspool/configuration/ConfigurationState.java
@@ -31,13 +31,13 @@
      * The result of a change: its status code, the reason if it was rejected, and the version that
      * it created, now or when it was first applied; 0 if it was rejected.
      */
-    public record Verdict(int status, String text, long version) {
-        static Verdict accepted(long version) {
-            return new Verdict(ACCEPTED, "taken", version);
+    public record ChangeResult(int status, String message, long version) {
+        static ChangeResult accepted(long version) {
+            return new ChangeResult(ACCEPTED, "taken", version);
         }
 
-        static Verdict rejected(int status, String message) {
-            return new Verdict(status, message, 0);
+        static ChangeResult rejected(int status, String message) {
+            return new ChangeResult(status, message, 0);
         }
     }
 
@@ -60,7 +60,7 @@
     }
 
     /** The configuration in force as JSON, in the form in which operators read it. */
-    public byte[] text() {
+    public byte[] toJson() {
         return Json.write(json).getBytes(StandardCharsets.UTF_8);
     }
 
@@ -75,7 +75,7 @@
      * @param baseVersion the version that the change was made for; it must be in force
      * @param body JSON
      */
-    public Verdict apply(boolean isReplacement, long baseVersion, byte[] body) {
+    public ChangeResult apply(boolean isReplacement, long baseVersion, byte[] body) {
         byte[] digest = AcceptedChanges.digest(isReplacement, baseVersion, body);
         try {
             Object parsedBody = Json.read(body, 0, body.length);
@@ -84,10 +84,11 @@
             }
             long version = version(fields);
             if (acceptedChanges.contains(version, digest)) {
-                return Verdict.accepted(version);
+                return ChangeResult.accepted(version);
             }
             if (baseVersion != version()) {
-                return Verdict.rejected(VERSION_CONFLICT, "the version in force is " + version());
+                return ChangeResult.rejected(
+                        VERSION_CONFLICT, "the version in force is " + version());
             }
             Map<String, Object> nextJson = isReplacement ? copy(fields) : withChanges(fields);
             Configuration nextConfiguration = typedConfiguration.read(nextJson);
@@ -103,9 +104,9 @@
             json = nextJson;
             configuration = nextConfiguration;
             acceptedChanges.add(version, digest);
-            return Verdict.accepted(version);
+            return ChangeResult.accepted(version);
         } catch (BadMessage | InvalidConfigurationException e) {
-            return Verdict.rejected(INVALID, e.getMessage());
+            return ChangeResult.rejected(INVALID, e.getMessage());
         }
     }
 
@@ -217,7 +218,7 @@
     // ---- Snapshots ----
 
     /** The complete state, encoded for a snapshot. */
-    public byte[] state() {
+    public byte[] snapshot() {
         return Json.write(Map.of("tree", json, "accepted", acceptedChanges.blocks()))
                 .getBytes(StandardCharsets.UTF_8);
     }
--- a/src/main/java/gingerspool/controlplane/CoreMember.java
+++ b/src/main/java/gingerspool/controlplane/CoreMember.java
@@ -270,7 +270,7 @@
         try {
             Messages.ChangeCommand change = (Messages.ChangeCommand) node.codec().read(command);
             long before = state.version();
-            ConfigurationState.Verdict verdict =
+            ConfigurationState.ChangeResult verdict =
                     state.apply(change.whole(), change.on(), change.body());
             if (state.version() != before) {
                 LOG.info("config.committed version={} index={}", state.version(), index);
@@ -291,7 +291,7 @@
 
     @Override
     public byte[] snapshotState() {
-        return node.configurationState().state();
+        return node.configurationState().snapshot();
     }
 
     // ---- For operators ----
--- a/src/main/java/gingerspool/controlplane/OperatorCalls.java
+++ b/src/main/java/gingerspool/controlplane/OperatorCalls.java
@@ -100,7 +100,7 @@
         if (state.version() == 0) {
             answerError(call, 404, "there is no configuration yet");
         } else {
-            answer(call, 200, state.text());
+            answer(call, 200, state.toJson());
         }
     }
 
@@ -126,7 +126,7 @@
     }
 
     /** A command was committed and applied. */
-    void applied(long id, ConfigurationState.Verdict verdict) {
+    void applied(long id, ConfigurationState.ChangeResult verdict) {
         boolean isTaken = verdict.status() == ConfigurationState.ACCEPTED;
         refused += isTaken ? 0 : 1;
         OperatorCall.Change call = pending.remove(id);
@@ -134,7 +134,7 @@
             String body = "{\"Version\":" + verdict.version() + "}";
             answer(call, verdict.status(), body.getBytes(StandardCharsets.UTF_8));
         } else if (call != null) {
-            answerError(call, verdict.status(), verdict.text());
+            answerError(call, verdict.status(), verdict.message());
         }
     }
 
--- a/src/main/java/gingerspool/dataplane/SchedulerNode.java
+++ b/src/main/java/gingerspool/dataplane/SchedulerNode.java
@@ -84,8 +84,8 @@
                         loop,
                         CONNECT_TIMEOUT_HEARTBEATS * settings.heartbeatInterval,
                         POOL_IDLE_TIMEOUT_MS,
-                        (int) (INSTANCE_DESCRIPTOR_FRACTION * settings.descriptors));
-        maxClients = (int) (CLIENT_DESCRIPTOR_FRACTION * settings.descriptors);
+                        (int) (INSTANCE_DESCRIPTOR_FRACTION * settings.maxFileDescriptors));
+        maxClients = (int) (CLIENT_DESCRIPTOR_FRACTION * settings.maxFileDescriptors);
         controlLinks = new ControlLinks(loop, settings, this::registration, this::onMessage);
         readiness = new ReadinessEndpoint(loop, settings.readinessAddress, this::isReady);
         listener = new Listener(loop, settings.frontAddress, this);
--- a/src/main/java/gingerspool/settings/NodeSettings.java
+++ b/src/main/java/gingerspool/settings/NodeSettings.java
@@ -48,7 +48,7 @@
     public final InetSocketAddress controlAddress;
 
     /** The limit of open file descriptors. */
-    public final int descriptors;
+    public final int maxFileDescriptors;
 
     /** Null if the process has no disk. */
     public final Path dataDirectory;
@@ -109,7 +109,7 @@
         frontAddress = address(listen, "FrontAddress");
         readinessAddress = address(listen, "ReadinessAddress");
         controlAddress = address(listen, "ControlAddress");
-        descriptors =
+        maxFileDescriptors =
                 root.section("Limits")
                         .whole("FileDescriptors", 1024, 64, Integer.MAX_VALUE)
                         .value();
--- a/src/test/java/gingerspool/configuration/ConfigurationStateTest.java
+++ b/src/test/java/gingerspool/configuration/ConfigurationStateTest.java
@@ -49,7 +49,7 @@
                 + "]}";
     }
 
-    private ConfigurationState.Verdict replace(long on, String text) {
+    private ConfigurationState.ChangeResult replace(long on, String text) {
         return configurationState.apply(true, on, bytes(text));
     }
 
@@ -80,13 +80,13 @@
             assertEquals(change(first, version).status(), 200);
         }
         ConfigurationState restored = new ConfigurationState();
-        restored.restore(first.state());
+        restored.restore(first.snapshot());
         ConfigurationState repaired = new ConfigurationState();
         repaired.repair(first.items());
         Map<String, String> items = first.items();
         for (ConfigurationState state : new ConfigurationState[] {first, restored, repaired}) {
             for (int version = 1; version <= 700; version++) {
-                ConfigurationState.Verdict result = change(state, version);
+                ConfigurationState.ChangeResult result = change(state, version);
                 assertEquals(result.status(), 200, "version " + version);
                 assertEquals(result.version(), version, "the version that it created");
             }
@@ -105,7 +105,7 @@
         }
     }
 
-    private static ConfigurationState.Verdict change(ConfigurationState state, int version) {
+    private static ConfigurationState.ChangeResult change(ConfigurationState state, int version) {
         return state.apply(true, version - 1, bytes(configurationJson(version, "")));
     }
 
@@ -205,19 +205,19 @@
     public void acceptsValidConfigurations(String text) {
         ConfigurationState fresh = new ConfigurationState();
         fresh.apply(true, 0, bytes(configurationJson(3, route("keep", "/k/", "s", 5))));
-        ConfigurationState.Verdict result = fresh.apply(true, 3, bytes(text));
-        assertEquals(result.status(), 200, result.text());
+        ConfigurationState.ChangeResult result = fresh.apply(true, 3, bytes(text));
+        assertEquals(result.status(), 200, result.message());
     }
 
     @Test(dataProvider = "invalid")
     public void rejectsInvalidConfigurationsAndNamesTheItem(String text, String expectedText) {
         ConfigurationState fresh = new ConfigurationState();
         fresh.apply(true, 0, bytes(configurationJson(3, route("keep", "/k/", "s", 5))));
-        byte[] before = fresh.text();
-        ConfigurationState.Verdict result = fresh.apply(true, 3, bytes(text));
+        byte[] before = fresh.toJson();
+        ConfigurationState.ChangeResult result = fresh.apply(true, 3, bytes(text));
         assertEquals(result.status(), 400);
-        assertTrue(result.text().contains(expectedText), result.text());
-        assertEquals(fresh.text(), before, "the configuration is unchanged");
+        assertTrue(result.message().contains(expectedText), result.message());
+        assertEquals(fresh.toJson(), before, "the configuration is unchanged");
     }
 
     @Test
@@ -246,8 +246,8 @@
         assertNull(routeTable.find("a.example", "/o/x"));
         assertNull(routeTable.find("b.example", "/a/x"));
         ConfigurationState copyOfOriginal = new ConfigurationState();
-        copyOfOriginal.restore(original.state());
-        Object read = Json.read(copyOfOriginal.text(), 0, copyOfOriginal.text().length);
+        copyOfOriginal.restore(original.snapshot());
+        Object read = Json.read(copyOfOriginal.toJson(), 0, copyOfOriginal.toJson().length);
         assertEquals(
                 JsonTree.at(((java.util.List<?>) JsonTree.at(read, "Services")).get(0), "Odd", "x")
                         .toString(),
@@ -276,7 +276,7 @@
         copy.repair(original.items());
         assertEquals(copy.items(), original.items());
         assertEquals(
-                Json.read(new String(copy.text(), StandardCharsets.UTF_8)),
+                Json.read(new String(copy.toJson(), StandardCharsets.UTF_8)),
                 Json.read(new String(sent, StandardCharsets.UTF_8)));
         assertEquals(
                 copy.apply(true, 0, sent).status(),
--- a/src/test/java/gingerspool/controlplane/CoreModel.java
+++ b/src/test/java/gingerspool/controlplane/CoreModel.java
@@ -197,7 +197,7 @@
 
         @Override
         public byte[] snapshotState() {
-            return state.state();
+            return state.snapshot();
         }
     }
 
--- a/src/test/java/gingerspool/simulation/RealConfiguration.java
+++ b/src/test/java/gingerspool/simulation/RealConfiguration.java
@@ -30,7 +30,7 @@
 
     @Override
     public long content() {
-        Matcher content = CONTENT.matcher(new String(state.text(), StandardCharsets.UTF_8));
+        Matcher content = CONTENT.matcher(new String(state.toJson(), StandardCharsets.UTF_8));
         return content.find() ? Long.parseLong(content.group(1)) : 0;
     }
 
@@ -38,13 +38,13 @@
     @Override
     public boolean has(Order order) {
         RealConfiguration other = new RealConfiguration();
-        other.restore(state.state());
+        other.restore(state.snapshot());
         return other.take(order) == TAKEN && other.version() == version();
     }
 
     @Override
     public byte[] state() {
-        return state.state();
+        return state.snapshot();
     }
 
     @Override
--- a/src/test/java/gingerspool/storage/StoredCore.java
+++ b/src/test/java/gingerspool/storage/StoredCore.java
@@ -39,7 +39,7 @@
         private final DurableLog log;
         private final List<LogWrite> writes = new ArrayList<>();
         Replica replica;
-        ConfigurationState.Verdict verdict;
+        ConfigurationState.ChangeResult verdict;
 
         Node(int number, Path folder, boolean firstStart) throws StorageException {
             ip = "10.0.0." + number;
@@ -108,7 +108,7 @@
 
         @Override
         public byte[] snapshotState() {
-            return state.state();
+            return state.snapshot();
         }
     }
 
@@ -165,7 +165,8 @@
     }
 
     /** Has a change agreed on, and tells what became of it. */
-    ConfigurationState.Verdict change(boolean whole, long on, byte[] body) throws StorageException {
+    ConfigurationState.ChangeResult change(boolean whole, long on, byte[] body)
+            throws StorageException {
         Node leader = leader();
         leader.verdict = null;
         leader.replica.propose(
--- a/src/test/java/gingerspool/storage/StoredDiskTest.java
+++ b/src/test/java/gingerspool/storage/StoredDiskTest.java
@@ -90,7 +90,7 @@
                     leader.replica.members().stream().map(m -> m.ip()).sorted().toList(),
                     List.of("10.0.0.0", "10.0.0.1", "10.0.0.3"));
             for (long version : new long[] {LAST, 1, 40}) {
-                ConfigurationState.Verdict again =
+                ConfigurationState.ChangeResult again =
                         core.change(version == 1, version - 1, StoredCore.body(version));
                 assertEquals(again.status(), ConfigurationState.ACCEPTED);
                 assertEquals(again.version(), version);
@@ -108,7 +108,7 @@
             core.leader();
             for (StoredCore.Node node : core.nodes.values()) {
                 assertEquals(node.state.version(), LAST + 1);
-                String text = new String(node.state.text(), StandardCharsets.UTF_8);
+                String text = new String(node.state.toJson(), StandardCharsets.UTF_8);
                 assertTrue(text.contains("\"Unknown\":{\"a\":1.5}"), text);
                 assertTrue(text.contains("\"Kept\":[1,\"x\"]"), text);
             }
