--- a/src/main/java/gingerspool/handover/Acknowledgements.java
+++ b/src/main/java/gingerspool/handover/Acknowledgements.java
@@ -13,48 +13,48 @@
 final class Acknowledgements {
     private static final Logger LOG = LoggerFactory.getLogger(Acknowledgements.class);
 
-    private final String what;
+    private final String call;
     private final Consumer<Boolean> done;
 
     /** One more than are told, until all of them are. */
-    private int peers = 1;
+    private int pendingAnswers = 1;
 
-    private boolean isWritten = true;
-    private boolean good = true;
-    private boolean isOver;
+    private boolean isFileWritten = true;
+    private boolean allAcknowledged = true;
+    private boolean isDone;
 
-    Acknowledgements(String what, Consumer<Boolean> done) {
-        this.what = what;
+    Acknowledgements(String call, Consumer<Boolean> done) {
+        this.call = call;
         this.done = done;
     }
 
     void addPeer() {
-        peers++;
+        pendingAnswers++;
     }
 
     void addFile() {
-        isWritten = false;
+        isFileWritten = false;
     }
 
-    void written() {
-        isWritten = true;
-        endIfComplete();
+    void fileWritten() {
+        isFileWritten = true;
+        finishIfComplete();
     }
 
-    void peerAnswered(boolean well) {
-        good &= well;
-        peers--;
-        endIfComplete();
+    void peerAnswered(boolean acknowledged) {
+        allAcknowledged &= acknowledged;
+        pendingAnswers--;
+        finishIfComplete();
     }
 
     /** All that are to be told have been. */
-    void allTold() {
+    void sendingEnded() {
         peerAnswered(true);
     }
 
-    private void endIfComplete() {
-        if (peers == 0 && isWritten) {
-            end(good);
+    private void finishIfComplete() {
+        if (pendingAnswers == 0 && isFileWritten) {
+            finish(allAcknowledged);
         }
     }
 
@@ -62,21 +62,21 @@
      * It takes too long. A process that has not answered makes it a no; a file that is not written
      * yet does not, as one that can't be written does not.
      */
-    void giveUp() {
-        if (!isOver) {
+    void timeOut() {
+        if (!isDone) {
             LOG.atWarn()
-                    .addKeyValue("call", what)
-                    .addKeyValue("unanswered", peers)
-                    .addKeyValue("written", isWritten)
+                    .addKeyValue("call", call)
+                    .addKeyValue("unanswered", pendingAnswers)
+                    .addKeyValue("written", isFileWritten)
                     .log("handover.notification_late");
-            end(good && peers == 0);
+            finish(allAcknowledged && pendingAnswers == 0);
         }
     }
 
-    private void end(boolean well) {
-        if (!isOver) {
-            isOver = true;
-            done.accept(well);
+    private void finish(boolean acknowledged) {
+        if (!isDone) {
+            isDone = true;
+            done.accept(acknowledged);
         }
     }
 }
--- a/src/main/java/gingerspool/handover/CallBackForwarding.java
+++ b/src/main/java/gingerspool/handover/CallBackForwarding.java
@@ -11,7 +11,7 @@
  */
 final class CallBackForwarding {
     /** How long the other process may take over a call-back, in milliseconds. */
-    private static final double PATIENCE = CommandPropagation.PATIENCE;
+    private static final double CALL_TIMEOUT_MS = CommandPropagation.CALL_TIMEOUT_MS;
 
     private final HandoverPeers peers;
 
@@ -20,37 +20,43 @@
     }
 
     /** Tells all but the named one; then says with which status the call-back is answered. */
-    void forward(byte[] callBack, String except, IntConsumer answer) {
+    void forward(byte[] callBack, String origin, IntConsumer answer) {
         // Whoever can't be asked and is not gone may own it: the worker then tells it again.
-        Acknowledgements all =
+        Acknowledgements acknowledgements =
                 new Acknowledgements(
                         "callback",
-                        heard -> answer.accept(heard ? CallStatus.OK : CallStatus.UNAVAILABLE));
-        for (Peer peer : receivers(except)) {
-            all.addPeer();
+                        allAnswered ->
+                                answer.accept(
+                                        allAnswered ? CallStatus.OK : CallStatus.UNAVAILABLE));
+        for (Peer peer : receivers(origin)) {
+            acknowledgements.addPeer();
             peer.callBacks.call(
                     "callback",
                     callBack,
-                    PATIENCE,
-                    (status, none) -> all.peerAnswered(isHeard(status) || peers.isGone(peer)));
+                    CALL_TIMEOUT_MS,
+                    (status, ignored) ->
+                            acknowledgements.peerAnswered(
+                                    isAnswered(status) || peers.isGone(peer)));
         }
-        all.allTold();
+        acknowledgements.sendingEnded();
     }
 
-    private static boolean isHeard(int status) {
+    private static boolean isAnswered(int status) {
         return status != CallStatus.NO_ANSWER && status != CallStatus.UNAVAILABLE;
     }
 
-    private List<Peer> receivers(String except) {
+    private List<Peer> receivers(String origin) {
         List<Peer> receivers = new ArrayList<>();
         Succession succession = peers.succession();
-        if (peers.before() != null
-                && !peers.isBefore(except)
-                && succession.before() != Succession.Before.ASKED) {
-            receivers.add(peers.before());
+        if (peers.predecessor() != null
+                && !peers.isPredecessor(origin)
+                && succession.predecessorState() != Succession.PredecessorState.STATE_REQUESTED) {
+            receivers.add(peers.predecessor());
         }
-        if (peers.after() != null && !peers.isAfter(except) && peers.isSucceeded()) {
-            receivers.add(peers.after());
+        if (peers.successor() != null
+                && !peers.isSuccessor(origin)
+                && peers.hasSuccessorTakenOver()) {
+            receivers.add(peers.successor());
         }
         return receivers;
     }
--- a/src/main/java/gingerspool/handover/CommandPropagation.java
+++ b/src/main/java/gingerspool/handover/CommandPropagation.java
@@ -18,33 +18,33 @@
     private static final Logger LOG = LoggerFactory.getLogger(CommandPropagation.class);
 
     /** How long the other process may take over a command, in milliseconds. */
-    static final double PATIENCE = 700;
+    static final double CALL_TIMEOUT_MS = 700;
 
     /** Others have so long to acknowledge a command that was read in time, in milliseconds. */
-    private static final double ANSWER_WITHIN = 800;
+    private static final double ACKNOWLEDGE_TIMEOUT_MS = 800;
 
     /**
      * A process that has the state and acknowledges no command in this part of the time that there
      * is for it is the successor no more.
      */
-    private static final double JOINED_PART = 0.5;
+    private static final double JOINED_TIMEOUT_FRACTION = 0.5;
 
     /**
      * The end of another process is seen so soon after a call to it has broken, in milliseconds.
      */
-    private static final double GONE_SEEN_WITHIN = 100;
+    private static final double DISCONNECT_GRACE_MS = 100;
 
     /** An operator has the answer so long after the call, in milliseconds: 1 s is owed. */
-    private static final double OWED_WITHIN = 900;
+    private static final double OPERATOR_TIMEOUT_MS = 900;
 
     /** Others have so long at the least, in milliseconds, however late the call was read. */
-    private static final double LEAST_PATIENCE = ANSWER_WITHIN / 2;
+    private static final double MIN_ACKNOWLEDGE_TIMEOUT_MS = ACKNOWLEDGE_TIMEOUT_MS / 2;
 
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_BODY = {};
 
     private final EventLoop loop;
     private final HandoverPeers peers;
-    private final CommandsSinceState sinceState;
+    private final CommandsSinceState commandsSinceState;
     private final HandoverFileWriter fileWriter;
     private final HandoverOwner owner;
     private final Consumer<String> successorGone;
@@ -53,13 +53,13 @@
     CommandPropagation(
             EventLoop loop,
             HandoverPeers peers,
-            CommandsSinceState sinceState,
+            CommandsSinceState commandsSinceState,
             HandoverFileWriter fileWriter,
             HandoverOwner owner,
             Consumer<String> successorGone) {
         this.loop = loop;
         this.peers = peers;
-        this.sinceState = sinceState;
+        this.commandsSinceState = commandsSinceState;
         this.fileWriter = fileWriter;
         this.owner = owner;
         this.successorGone = successorGone;
@@ -69,9 +69,12 @@
      * Tells the other processes and the file; then says whether all have it. The operator may have
      * called since `calledFrom`, in milliseconds on the loop's clock.
      */
-    void propagate(String command, String worker, double calledFrom, Consumer<Boolean> done) {
-        double left = Math.min(ANSWER_WITHIN, calledFrom + OWED_WITHIN - loop.now());
-        propagate(command, worker, "", Patience.untilOwed(left), done);
+    void propagate(String command, String worker, double earliestCallTime, Consumer<Boolean> done) {
+        double remainingMs =
+                Math.min(
+                        ACKNOWLEDGE_TIMEOUT_MS,
+                        earliestCallTime + OPERATOR_TIMEOUT_MS - loop.now());
+        propagate(command, worker, "", Timeouts.forRemaining(remainingMs), done);
     }
 
     /**
@@ -80,12 +83,14 @@
      * @param ofAll whoever is needed for a yes
      * @param ofJoined a process that has the state, which a yes can do without once it is dropped
      */
-    private record Patience(double ofAll, double ofJoined) {
-        static final Patience USUAL = untilOwed(ANSWER_WITHIN);
+    private record Timeouts(double allMs, double joinedMs) {
+        static final Timeouts DEFAULT = forRemaining(ACKNOWLEDGE_TIMEOUT_MS);
 
         /** With so much left until the operator is to have the answer. */
-        static Patience untilOwed(double left) {
-            return new Patience(Math.max(LEAST_PATIENCE, left), JOINED_PART * Math.max(0, left));
+        static Timeouts forRemaining(double remainingMs) {
+            return new Timeouts(
+                    Math.max(MIN_ACKNOWLEDGE_TIMEOUT_MS, remainingMs),
+                    JOINED_TIMEOUT_FRACTION * Math.max(0, remainingMs));
         }
     }
 
@@ -93,83 +98,90 @@
     private void propagate(
             String command,
             String worker,
-            String except,
-            Patience patience,
+            String origin,
+            Timeouts timeouts,
             Consumer<Boolean> done) {
-        Acknowledgements all = new Acknowledgements(command, done);
-        loop.schedule(patience.ofAll, all::giveUp);
-        if (peers.after() != null
-                && !peers.isAfter(except)
-                && peers.succession().commandToldAfter()) {
-            all.addPeer();
-            tell(peers.after(), command, worker, patience.ofJoined, all);
+        Acknowledgements acknowledgements = new Acknowledgements(command, done);
+        loop.schedule(timeouts.allMs, acknowledgements::timeOut);
+        if (peers.successor() != null
+                && !peers.isSuccessor(origin)
+                && peers.succession().countCommandForSuccessor()) {
+            acknowledgements.addPeer();
+            send(peers.successor(), command, worker, timeouts.joinedMs, acknowledgements);
         }
-        if (peers.isBesideBefore() && !peers.isBefore(except)) {
-            all.addPeer();
-            tell(peers.before(), command, worker, patience.ofJoined, all);
+        if (peers.hasRetiredPredecessor() && !peers.isPredecessor(origin)) {
+            acknowledgements.addPeer();
+            send(peers.predecessor(), command, worker, timeouts.joinedMs, acknowledgements);
         }
-        if (!peers.isSucceeded()) {
-            all.addFile();
-            fileWriter.write(all::written);
+        if (!peers.hasSuccessorTakenOver()) {
+            acknowledgements.addFile();
+            fileWriter.write(acknowledgements::fileWritten);
         }
-        all.allTold();
+        acknowledgements.sendingEnded();
     }
 
-    private void tell(
-            Peer peer, String command, String worker, double joinedWithin, Acknowledgements all) {
+    private void send(
+            Peer peer,
+            String command,
+            String worker,
+            double joinedTimeoutMs,
+            Acknowledgements acknowledgements) {
         HandoverMessages.Command message =
-                new HandoverMessages.Command(command, worker, ++peer.told, peer.ask);
+                new HandoverMessages.Command(
+                        command, worker, ++peer.commandsSent, peer.stateRequestNumber);
         double sentAt = loop.now();
-        boolean hasJoined = hasJoined(peer);
-        Future<?> tooLate = loop.schedule(joinedWithin, () -> dropJoined(peer));
-        peer.commands.call(
+        boolean wasJoinedSuccessor = isJoinedSuccessor(peer);
+        Future<?> dropTimer = loop.schedule(joinedTimeoutMs, () -> dropJoinedSuccessor(peer));
+        peer.ordered.call(
                 "word",
                 message.bytes(),
-                PATIENCE,
-                (status, none) -> {
-                    tooLate.cancel(false);
-                    answered(peer, command, status, sentAt);
-                    if (hasJoined && peers.isGone(peer)) {
-                        all.peerAnswered(true);
+                CALL_TIMEOUT_MS,
+                (status, ignored) -> {
+                    dropTimer.cancel(false);
+                    commandAnswered(peer, command, status, sentAt);
+                    if (wasJoinedSuccessor && peers.isGone(peer)) {
+                        acknowledgements.peerAnswered(true);
                     } else {
-                        acknowledge(peer, status, all);
+                        acknowledge(peer, status, acknowledgements);
                     }
                 });
     }
 
-    private void answered(Peer peer, String command, int status, double sentAt) {
+    private void commandAnswered(Peer peer, String command, int status, double sentAt) {
         if (status != CallStatus.OK) {
             LOG.atWarn()
                     .addKeyValue("word", command)
                     .addKeyValue("status", status)
                     .log("handover.notification_failed");
-            dropJoined(peer);
+            dropJoinedSuccessor(peer);
         }
-        if (status == CallStatus.NO_ANSWER && loop.now() < sentAt + PATIENCE) {
-            refusedBy(peer);
+        if (status == CallStatus.NO_ANSWER && loop.now() < sentAt + CALL_TIMEOUT_MS) {
+            checkSuccessorLives(peer);
         }
     }
 
-    private void acknowledge(Peer peer, int status, Acknowledgements all) {
+    private void acknowledge(Peer peer, int status, Acknowledgements acknowledgements) {
         if (status == CallStatus.NO_ANSWER) {
-            loop.schedule(GONE_SEEN_WITHIN, () -> all.peerAnswered(peers.isGone(peer)));
+            loop.schedule(
+                    DISCONNECT_GRACE_MS, () -> acknowledgements.peerAnswered(peers.isGone(peer)));
         } else {
-            all.peerAnswered(status == CallStatus.OK || peers.isGone(peer));
+            acknowledgements.peerAnswered(status == CallStatus.OK || peers.isGone(peer));
         }
     }
 
     /** Whether it has the state and has not taken over: it does nothing yet. */
-    private boolean hasJoined(Peer peer) {
-        return peer == peers.after() && peers.succession().after() == Succession.After.JOINED;
+    private boolean isJoinedSuccessor(Peer peer) {
+        return peer == peers.successor()
+                && peers.succession().successorState() == Succession.SuccessorState.JOINED;
     }
 
     /**
      * No connection to it comes up, so nobody listens there. A successor that has taken over and
      * does not hold its call open yet has ended: nothing else would tell of it for a while.
      */
-    private void refusedBy(Peer peer) {
-        if (peer == peers.after() && !peer.holds) {
-            successorGone.accept(peer.name());
+    private void checkSuccessorLives(Peer peer) {
+        if (peer == peers.successor() && !peer.holdsCall) {
+            successorGone.accept(peer.address());
         }
     }
 
@@ -179,44 +191,53 @@
      * refused for want of it. One that was only slow may not take over then, and asks for the state
      * again.
      */
-    private void dropJoined(Peer peer) {
-        if (!hasJoined(peer)) {
+    private void dropJoinedSuccessor(Peer peer) {
+        if (!isJoinedSuccessor(peer)) {
             return;
         }
-        LOG.atWarn().addKeyValue("successor", peer.name()).log("handover.successor_dropped");
-        peers.succession().successorGone(peer.name());
-        peers.dropAfter();
+        LOG.atWarn().addKeyValue("successor", peer.address()).log("handover.successor_dropped");
+        peers.succession().successorGone(peer.address());
+        peers.dropSuccessor();
     }
 
     /** Another process tells a command; it is answered once all others have it as well. */
-    void received(Inbound from, String teller, HandoverMessages.Command message) {
-        boolean fromBefore = peers.isBefore(teller);
-        if (fromBefore && !peers.succession().isServing() && !sinceState.follows(message.ask())) {
+    void onCommand(Inbound from, String sender, HandoverMessages.Command message) {
+        boolean fromPredecessor = peers.isPredecessor(sender);
+        if (fromPredecessor
+                && !peers.succession().isServing()
+                && !commandsSinceState.isLatestRequest(message.ask())) {
             // Guards what is said later: the state that was asked for since has this command in it.
-            from.answer(CallStatus.OK, List.of(), NOTHING);
+            from.answer(CallStatus.OK, List.of(), EMPTY_BODY);
             return;
         }
-        Runnable carryOut = () -> carryOut(from, teller, message, fromBefore);
-        if (fromBefore && peers.succession().before() == Succession.Before.ASKED) {
-            sinceState.waitForState(carryOut);
+        Runnable application = () -> apply(from, sender, message, fromPredecessor);
+        if (fromPredecessor
+                && peers.succession().predecessorState()
+                        == Succession.PredecessorState.STATE_REQUESTED) {
+            commandsSinceState.defer(application);
         } else {
-            carryOut.run();
+            application.run();
         }
     }
 
-    private void carryOut(
-            Inbound from, String teller, HandoverMessages.Command message, boolean fromBefore) {
+    private void apply(
+            Inbound from,
+            String sender,
+            HandoverMessages.Command message,
+            boolean fromPredecessor) {
         owner.carryOut(message.command(), message.worker());
-        if (fromBefore) {
-            sinceState.carriedOut(message.number());
+        if (fromPredecessor) {
+            commandsSinceState.applied(message.number());
         }
         propagate(
                 message.command(),
                 message.worker(),
-                teller,
-                Patience.USUAL,
-                all ->
+                sender,
+                Timeouts.DEFAULT,
+                allAcknowledged ->
                         from.answer(
-                                all ? CallStatus.OK : CallStatus.UNAVAILABLE, List.of(), NOTHING));
+                                allAcknowledged ? CallStatus.OK : CallStatus.UNAVAILABLE,
+                                List.of(),
+                                EMPTY_BODY));
     }
 }
--- a/src/main/java/gingerspool/handover/CommandsSinceState.java
+++ b/src/main/java/gingerspool/handover/CommandsSinceState.java
@@ -10,38 +10,38 @@
  * <p>Thread: the event loop.
  */
 final class CommandsSinceState {
-    private final List<Runnable> waiting = new ArrayList<>();
-    private long asks;
-    private long lastNumber;
+    private final List<Runnable> deferred = new ArrayList<>();
+    private long requestCount;
+    private long lastAppliedNumber;
 
     /** The state is asked for, again or for the first time; returns which time it is. */
-    long asked() {
-        waiting.clear();
-        lastNumber = 0;
-        return ++asks;
+    long stateRequested() {
+        deferred.clear();
+        lastAppliedNumber = 0;
+        return ++requestCount;
     }
 
     /** Whether a command follows the latest request for the state. */
-    boolean follows(long ask) {
-        return ask == asks;
+    boolean isLatestRequest(long requestNumber) {
+        return requestNumber == requestCount;
     }
 
-    void waitForState(Runnable command) {
-        waiting.add(command);
+    void defer(Runnable command) {
+        deferred.add(command);
     }
 
-    void carriedOut(long number) {
-        lastNumber = number;
+    void applied(long number) {
+        lastAppliedNumber = number;
     }
 
     /** The number of the last one that was carried out. */
-    long lastNumber() {
-        return lastNumber;
+    long lastAppliedNumber() {
+        return lastAppliedNumber;
     }
 
-    void carryOutWaiting() {
-        List<Runnable> all = List.copyOf(waiting);
-        waiting.clear();
-        all.forEach(Runnable::run);
+    void applyDeferred() {
+        List<Runnable> commands = List.copyOf(deferred);
+        deferred.clear();
+        commands.forEach(Runnable::run);
     }
 }
--- a/src/main/java/gingerspool/handover/Handover.java
+++ b/src/main/java/gingerspool/handover/Handover.java
@@ -26,15 +26,15 @@
     private static final Logger LOG = LoggerFactory.getLogger(Handover.class);
 
     /** How long the other process may take to retire, in milliseconds. */
-    private static final double PATIENCE_RETIRE = 1000;
+    private static final double RETIRE_TIMEOUT_MS = 1000;
 
     /** A successor that has taken over holds a call open from then on, in milliseconds. */
-    private static final double HELD_WITHIN = 2000;
+    private static final double HOLD_CALL_TIMEOUT_MS = 2000;
 
     /** How often the process before this one is asked what it holds, in milliseconds. */
-    private static final double SHARE_EVERY = 100;
+    private static final double HOLDINGS_POLL_INTERVAL_MS = 100;
 
-    private static final double PATIENCE = CommandPropagation.PATIENCE;
+    private static final double CALL_TIMEOUT_MS = CommandPropagation.CALL_TIMEOUT_MS;
 
     /**
      * Operators are told yes once all new connections come here: the process before this one may be
@@ -42,19 +42,19 @@
      * after this process serves where starting took longer; 6 s from the start are allowed. In
      * milliseconds.
      */
-    private static final double READY_AFTER_START = 4500;
+    private static final double READY_AFTER_START_MS = 4500;
 
-    private static final double READY_AFTER_SERVING = 1000;
+    private static final double READY_AFTER_SERVING_MS = 1000;
 
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_BODY = {};
 
     private final EventLoop loop;
-    private final InetSocketAddress own;
-    private final double connectWithin;
+    private final InetSocketAddress ownAddress;
+    private final double connectTimeoutMs;
     private final HandoverOwner owner;
     private final HandoverPeers peers = new HandoverPeers();
     private final Succession succession = peers.succession();
-    private final CommandsSinceState sinceState = new CommandsSinceState();
+    private final CommandsSinceState commandsSinceState = new CommandsSinceState();
     private final PredecessorSearch search;
     private final HandoverFileWriter fileWriter;
     private final CommandPropagation propagation;
@@ -65,16 +65,16 @@
     private final double startedAt = processStart();
 
     /** The listener number of the process before this one, as it said. */
-    private int listenerBefore = ConnectionSteering.UNKNOWN;
+    private int predecessorListener = ConnectionSteering.UNKNOWN;
 
     /** The process is to end. */
-    private boolean ending;
+    private boolean stopRequested;
 
     /** It is to end before it has taken over. */
-    private boolean leaving;
+    private boolean stoppedBeforeServing;
 
     /** New connections still go to the process before this one as well, and it is not too late. */
-    private boolean claiming;
+    private boolean claimPending;
 
     /**
      * Reads the hand-over file in the folder at once. Files are written by `files`, whose ends are
@@ -82,37 +82,38 @@
      */
     public Handover(
             EventLoop loop,
-            Executor files,
-            Executor anyThread,
+            Executor fileExecutor,
+            Executor loopExecutor,
             Path folder,
-            String name,
-            InetSocketAddress own,
-            double connectWithin,
+            String schedulerName,
+            InetSocketAddress ownAddress,
+            double connectTimeoutMs,
             HandoverOwner owner) {
         this.loop = loop;
-        this.own = own;
-        this.connectWithin = connectWithin;
+        this.ownAddress = ownAddress;
+        this.connectTimeoutMs = connectTimeoutMs;
         this.owner = owner;
-        Path file = HandoverFile.path(folder, name);
-        String token = HandoverEndpoint.freshToken();
-        endpoint = new HandoverEndpoint(token, this::called);
-        fileWriter = new HandoverFileWriter(file, own, token, files, anyThread, owner);
+        Path file = HandoverFile.path(folder, schedulerName);
+        String token = HandoverEndpoint.generateToken();
+        endpoint = new HandoverEndpoint(token, this::onCall);
+        fileWriter =
+                new HandoverFileWriter(file, ownAddress, token, fileExecutor, loopExecutor, owner);
         search =
                 new PredecessorSearch(
                         loop,
-                        files,
-                        anyThread,
+                        fileExecutor,
+                        loopExecutor,
                         file,
-                        own,
+                        ownAddress,
                         token,
                         startedAt,
-                        connectWithin,
+                        connectTimeoutMs,
                         peers,
-                        sinceState,
-                        new SearchOwner());
+                        commandsSinceState,
+                        new SearchListener());
         propagation =
                 new CommandPropagation(
-                        loop, peers, sinceState, fileWriter, owner, this::successorGone);
+                        loop, peers, commandsSinceState, fileWriter, owner, this::successorGone);
     }
 
     private static double processStart() {
@@ -125,19 +126,19 @@
 
     /** The workers under a ban that a state tells of. */
     public static List<String> suspended(Object state) throws BadMessage {
-        return HandoverFile.names(state);
+        return HandoverFile.readSuspendedWorkers(state);
     }
 
     /**
      * Whether the processes before and after this one both live: they reach each other through it.
      */
     public boolean standsBetween() {
-        return peers.before() != null && peers.after() != null;
+        return peers.predecessor() != null && peers.successor() != null;
     }
 
     /** Whether the process before this one still lives, as far as is known. */
     public boolean hasBefore() {
-        return peers.before() != null;
+        return peers.predecessor() != null;
     }
 
     /** Whether a file names a process before this one. */
@@ -151,22 +152,22 @@
      * before: operators end it as soon as this one is ready.
      */
     public boolean isSettled() {
-        return fileWriter.isAnnounced() && !claiming;
+        return fileWriter.isAnnounced() && !claimPending;
     }
 
     /** Looks for the process that serves. */
     public void begin() {
         search.begin();
-        act(succession.begin());
+        perform(succession.begin());
     }
 
     /** The process is to end: one that does not serve yet takes nothing over any more. */
     public void leave() {
-        ending = true;
+        stopRequested = true;
         if (!succession.isServing()) {
-            leaving = true;
+            stoppedBeforeServing = true;
             search.stop();
-            dropBefore();
+            dropPredecessor();
         }
     }
 
@@ -175,8 +176,8 @@
      * The operator may have called since `calledFrom`, in milliseconds on the loop's clock.
      */
     public void propagate(
-            String command, String worker, double calledFrom, Consumer<Boolean> done) {
-        propagation.propagate(command, worker, calledFrom, done);
+            String command, String worker, double earliestCallTime, Consumer<Boolean> done) {
+        propagation.propagate(command, worker, earliestCallTime, done);
     }
 
     /**
@@ -188,49 +189,50 @@
 
     /** Whether this request to the management address is for us; it is then answered. */
     public boolean takes(Inbound from, Message request) {
-        return endpoint.takes(from, request);
+        return endpoint.tryHandle(from, request);
     }
 
-    private void act(Succession.Action action) {
-        if (leaving) {
+    private void perform(Succession.Action action) {
+        if (stoppedBeforeServing) {
             return;
         }
         switch (action) {
-            case ASK -> search.ask();
+            case REQUEST_STATE -> search.requestState();
             case SERVE_ALONE -> serveAlone();
-            case TAKE -> askToRetire();
-            case SERVE -> serveAfter();
-            case TAKE_BACK -> takeBack();
+            case REQUEST_RETIREMENT -> requestRetirement();
+            case SERVE -> serveBesidePredecessor();
+            case RESUME_SERVING -> resumeServing();
             default -> {}
         }
     }
 
     // ---- Taking over from the process before ----
 
-    private final class SearchOwner implements PredecessorSearch.Owner {
+    private final class SearchListener implements PredecessorSearch.Listener {
         @Override
-        public void stateCame(byte[] state) throws BadMessage {
+        public void stateReceived(byte[] state) throws BadMessage {
             owner.adoptState(HandoverMessages.State.read(state));
             LOG.atInfo().addKeyValue("bytes", state.length).log("handover.state");
-            act(succession.stateCame());
+            perform(succession.stateReceived());
         }
 
         @Override
-        public void nobodyFound() {
-            act(succession.stateFailed());
+        public void noPredecessorFound() {
+            perform(succession.stateUnavailable());
         }
 
         @Override
-        public void overtaken() {
+        public void newerProcessFound() {
             owner.fail("a process that started later serves");
         }
     }
 
     private void serveAlone() {
-        dropBefore();
-        HandoverFile last = search.lastAsked();
+        dropPredecessor();
+        HandoverFile lastTarget = search.lastTarget();
         owner.adoptBans(
-                last == null ? List.of() : last.suspended(), last != null && last.drained());
+                lastTarget == null ? List.of() : lastTarget.suspendedWorkers(),
+                lastTarget != null && lastTarget.drained());
         if (bind()) {
             serve();
         }
@@ -249,31 +251,34 @@
     }
 
     private void serve() {
-        sinceState.carryOutWaiting();
+        commandsSinceState.applyDeferred();
         owner.serve();
         fileWriter.announce();
     }
 
     /** It goes on taking who comes to it until this one listens too, so nobody is refused. */
-    private void askToRetire() {
-        sinceState.carryOutWaiting();
-        HandoverMessages.Take take = new HandoverMessages.Take(sinceState.lastNumber());
-        peers.before().commands.call("take", take.bytes(), PATIENCE_RETIRE, this::retireAnswered);
+    private void requestRetirement() {
+        commandsSinceState.applyDeferred();
+        HandoverMessages.Take take =
+                new HandoverMessages.Take(commandsSinceState.lastAppliedNumber());
+        peers.predecessor()
+                .ordered
+                .call("take", take.bytes(), RETIRE_TIMEOUT_MS, this::onRetireAnswer);
     }
 
-    private void retireAnswered(int status, byte[] body) {
-        if (leaving) {
+    private void onRetireAnswer(int status, byte[] body) {
+        if (stoppedBeforeServing) {
             return;
         }
         if (status == CallStatus.OK) {
             predecessorRetired(body);
         } else if (status == CallStatus.CONFLICT) {
-            act(succession.refused());
+            perform(succession.retirementRefused());
         } else {
             LOG.atWarn().addKeyValue("status", status).log("handover.not_retired");
-            Succession.Action next = succession.beforeGone();
-            dropBefore();
-            act(next);
+            Succession.Action next = succession.predecessorGone();
+            dropPredecessor();
+            perform(next);
         }
     }
 
@@ -282,51 +287,52 @@
                 new HandoverMessages.Holdings(0, ConnectionSteering.UNKNOWN);
         HandoverMessages.Holdings holdings = HandoverMessages.Holdings.read(body, unknown);
         owner.sharesWith(holdings.descriptors());
-        listenerBefore = holdings.listener();
-        peers.before().held.call("hold", NOTHING, 0, (ended, none) -> predecessorGone());
-        loop.schedule(SHARE_EVERY, this::askHoldings);
-        act(succession.retired());
+        predecessorListener = holdings.listener();
+        peers.predecessor().hold.call("hold", EMPTY_BODY, 0, (status, none) -> predecessorGone());
+        loop.schedule(HOLDINGS_POLL_INTERVAL_MS, this::pollHoldings);
+        perform(succession.predecessorRetired());
     }
 
     /**
      * Asks again what the one before holds. Guards the clients: it gives up a connection with each
      * answer, and what it held at first would leave this one few for long.
      */
-    private void askHoldings() {
-        if (peers.before() != null) {
-            peers.before().commands.call("held", NOTHING, PATIENCE, this::holdingsAnswered);
+    private void pollHoldings() {
+        if (peers.predecessor() != null) {
+            peers.predecessor().ordered.call("held", EMPTY_BODY, CALL_TIMEOUT_MS, this::onHoldings);
         }
     }
 
-    private void holdingsAnswered(int status, byte[] body) {
-        if (status == CallStatus.OK && peers.before() != null) {
-            HandoverMessages.Holdings none = new HandoverMessages.Holdings(0, listenerBefore);
+    private void onHoldings(int status, byte[] body) {
+        if (status == CallStatus.OK && peers.predecessor() != null) {
+            HandoverMessages.Holdings none = new HandoverMessages.Holdings(0, predecessorListener);
             owner.sharesWith(HandoverMessages.Holdings.read(body, none).descriptors());
         }
-        loop.schedule(SHARE_EVERY, this::askHoldings);
+        loop.schedule(HOLDINGS_POLL_INTERVAL_MS, this::pollHoldings);
     }
 
     /** Serves, and has the one before listen no more once all new connections come here. */
-    private void serveAfter() {
+    private void serveBesidePredecessor() {
         if (!bind()) {
             return;
         }
         serve();
-        if (peers.before() != null) {
-            claim(listenerBefore);
+        if (peers.predecessor() != null) {
+            claimConnections(predecessorListener);
         }
     }
 
-    private void claim(int others) {
-        claiming = true;
-        double tooLate = Math.max(startedAt + READY_AFTER_START, loop.now() + READY_AFTER_SERVING);
-        loop.schedule(tooLate - loop.now(), this::claimTakesLong);
-        owner.claim(others, this::claimed);
+    private void claimConnections(int defaultListener) {
+        claimPending = true;
+        double deadline =
+                Math.max(startedAt + READY_AFTER_START_MS, loop.now() + READY_AFTER_SERVING_MS);
+        loop.schedule(deadline - loop.now(), this::onClaimTimeout);
+        owner.claim(defaultListener, this::onClaimEnd);
     }
 
-    private void claimTakesLong() {
-        if (claiming) {
-            claiming = false;
+    private void onClaimTimeout() {
+        if (claimPending) {
+            claimPending = false;
             LOG.atWarn().log("handover.claim_late");
         }
     }
@@ -334,115 +340,118 @@
     /**
      * A process that was succeeded meanwhile leaves it to its successor, which tells of its own.
      */
-    private void claimed(boolean all) {
-        claiming = false;
-        if (peers.before() != null && !peers.isSucceeded()) {
-            LOG.atInfo().addKeyValue("all", all).log("handover.claimed");
-            tellBound(all);
+    private void onClaimEnd(boolean allClaimed) {
+        claimPending = false;
+        if (peers.predecessor() != null && !peers.hasSuccessorTakenOver()) {
+            LOG.atInfo().addKeyValue("all", allClaimed).log("handover.claimed");
+            notifyPredecessorBound(allClaimed);
         }
     }
 
     /** The process before this one may stop listening once none of its clients go there. */
-    private void tellBound(boolean all) {
-        if (peers.before() != null) {
-            byte[] bound = new HandoverMessages.Bound(all).bytes();
-            peers.before().commands.call("bound", bound, PATIENCE, (status, none) -> {});
+    private void notifyPredecessorBound(boolean allClaimed) {
+        if (peers.predecessor() != null) {
+            byte[] bound = new HandoverMessages.Bound(allClaimed).bytes();
+            peers.predecessor().ordered.call("bound", bound, CALL_TIMEOUT_MS, (status, none) -> {});
         }
     }
 
     private void predecessorGone() {
-        if (peers.before() != null) {
+        if (peers.predecessor() != null) {
             LOG.atInfo().log("handover.alone");
-            claiming = false;
-            dropBefore();
+            claimPending = false;
+            dropPredecessor();
             owner.predecessorGone();
-            act(succession.beforeGone());
+            perform(succession.predecessorGone());
         }
     }
 
-    private void dropBefore() {
-        if (peers.before() != null) {
-            peers.dropBefore();
+    private void dropPredecessor() {
+        if (peers.predecessor() != null) {
+            peers.dropPredecessor();
             owner.sharesWith(0);
         }
     }
 
     // ---- Handing over to the process after ----
 
-    private void called(Inbound from, String caller, String name, byte[] body) throws BadMessage {
+    private void onCall(Inbound from, String caller, String name, byte[] body) throws BadMessage {
         switch (name) {
-            case "join" -> joined(from, caller, HandoverMessages.Join.read(body, startedAt));
-            case "take" -> take(from, caller, HandoverMessages.Take.read(body));
-            case "bound" -> bound(from, caller, HandoverMessages.Bound.read(body));
+            case "join" -> onJoin(from, caller, HandoverMessages.Join.read(body, startedAt));
+            case "take" -> onTake(from, caller, HandoverMessages.Take.read(body));
+            case "bound" -> onBound(from, caller, HandoverMessages.Bound.read(body));
             case "held" -> from.answer(CallStatus.OK, List.of(), holdings().bytes());
-            case "hold" -> hold(from, caller);
-            case "word" -> propagation.received(from, caller, HandoverMessages.Command.read(body));
-            case "callback" -> callBackCame(from, caller, body);
+            case "hold" -> onHold(from, caller);
+            case "word" -> propagation.onCommand(from, caller, HandoverMessages.Command.read(body));
+            case "callback" -> onCallBack(from, caller, body);
             default -> from.answer(CallStatus.NOT_FOUND, List.of(), "no such path\n");
         }
     }
 
-    private void joined(Inbound from, String caller, HandoverMessages.Join join) throws BadMessage {
+    private void onJoin(Inbound from, String caller, HandoverMessages.Join join) throws BadMessage {
         if (join.startedAt() < startedAt) {
             // Guards the order of starts: whoever starts a process ends the ones before it.
             from.answer(CallStatus.GONE, List.of(), "started before this one\n");
             return;
         }
-        Peer successor = new Peer(loop, Address.read(caller), join.token(), own, connectWithin);
-        if (succession.asked(caller) != Succession.Action.TELL) {
+        Peer successor =
+                new Peer(loop, Address.read(caller), join.token(), ownAddress, connectTimeoutMs);
+        if (succession.stateRequested(caller) != Succession.Action.SEND_STATE) {
             from.answer(CallStatus.CONFLICT, List.of(), servingProcess().bytes());
             return;
         }
-        peers.replaceAfter(successor);
-        successor.ask = join.ask();
-        byte[] state = HandoverMessages.State.of(owner);
+        peers.replaceSuccessor(successor);
+        successor.stateRequestNumber = join.requestNumber();
+        byte[] state = HandoverMessages.State.write(owner);
         LOG.atInfo().addKeyValue("successor", caller).log("handover.joined");
         from.answer(CallStatus.OK, List.of(), state);
     }
 
     /** Where the process is called that has the clients, as far as this one knows. */
     private HandoverMessages.ServingProcess servingProcess() {
-        return peers.isSucceeded()
-                ? new HandoverMessages.ServingProcess(peers.after().name(), peers.after().token())
+        return peers.hasSuccessorTakenOver()
+                ? new HandoverMessages.ServingProcess(
+                        peers.successor().address(), peers.successor().token())
                 : HandoverMessages.ServingProcess.UNKNOWN;
     }
 
-    private void take(Inbound from, String caller, HandoverMessages.Take take) {
-        if (succession.hasTaken(caller)) {
+    private void onTake(Inbound from, String caller, HandoverMessages.Take take) {
+        if (succession.hasTakenOver(caller)) {
             from.answer(CallStatus.OK, List.of(), holdings().bytes());
             return;
         }
-        if (succession.asksToTake(caller, take.commands()) != Succession.Action.RETIRE) {
+        if (succession.retirementRequested(caller, take.commandsApplied())
+                != Succession.Action.RETIRE) {
             from.answer(CallStatus.CONFLICT, List.of(), "not yet\n");
             return;
         }
         LOG.atInfo().addKeyValue("successor", caller).log("handover.retired");
         owner.retire();
         from.answer(CallStatus.OK, List.of(), holdings().bytes());
-        Peer successor = peers.after();
-        loop.schedule(HELD_WITHIN, () -> checkHeld(successor));
+        Peer successor = peers.successor();
+        loop.schedule(HOLD_CALL_TIMEOUT_MS, () -> checkHoldCall(successor));
     }
 
-    private void checkHeld(Peer successor) {
-        if (successor == peers.after() && !successor.holds) {
-            successorGone(successor.name());
+    private void checkHoldCall(Peer successor) {
+        if (successor == peers.successor() && !successor.holdsCall) {
+            successorGone(successor.address());
         }
     }
 
-    private void hold(Inbound from, String caller) {
-        if (peers.isAfter(caller)) {
-            peers.after().holds = true;
+    private void onHold(Inbound from, String caller) {
+        if (peers.isSuccessor(caller)) {
+            peers.successor().holdsCall = true;
             from.whenGone(() -> successorGone(caller));
         } else {
             from.answer(CallStatus.CONFLICT, List.of(), "not the successor\n");
         }
     }
 
-    private void bound(Inbound from, String caller, HandoverMessages.Bound bound) {
-        if (succession.bound(caller) == Succession.Action.CLOSE) {
-            owner.closeListener(bound.claimed());
-            tellBound(bound.claimed());
-            from.answer(CallStatus.OK, List.of(), NOTHING);
+    private void onBound(Inbound from, String caller, HandoverMessages.Bound bound) {
+        if (succession.successorListening(caller) == Succession.Action.CLOSE_LISTENER) {
+            owner.closeListener(bound.allClaimed());
+            notifyPredecessorBound(bound.allClaimed());
+            from.answer(CallStatus.OK, List.of(), EMPTY_BODY);
         } else {
             from.answer(CallStatus.CONFLICT, List.of(), "not the successor\n");
         }
@@ -452,32 +461,32 @@
         return new HandoverMessages.Holdings(owner.descriptors(), owner.listenerNumber());
     }
 
-    private void callBackCame(Inbound from, String caller, byte[] callBack) throws BadMessage {
+    private void onCallBack(Inbound from, String caller, byte[] callBack) throws BadMessage {
         if (owner.callBackCame(callBack)) {
-            from.answer(CallStatus.OK, List.of(), NOTHING);
+            from.answer(CallStatus.OK, List.of(), EMPTY_BODY);
         } else {
-            forwarding.forward(callBack, caller, status -> answerNotOurs(from, status));
+            forwarding.forward(callBack, caller, status -> answerUnknownTask(from, status));
         }
     }
 
     /** A call-back that all have seen and none took is about no task that is known. */
-    private static void answerNotOurs(Inbound from, int status) {
-        int answer = status == CallStatus.OK ? CallStatus.NOT_FOUND : status;
-        from.answer(answer, List.of(), NOTHING);
+    private static void answerUnknownTask(Inbound from, int status) {
+        int answerStatus = status == CallStatus.OK ? CallStatus.NOT_FOUND : status;
+        from.answer(answerStatus, List.of(), EMPTY_BODY);
     }
 
-    private void successorGone(String name) {
-        act(succession.successorGone(name));
+    private void successorGone(String address) {
+        perform(succession.successorGone(address));
     }
 
-    private void takeBack() {
-        peers.dropAfter();
+    private void resumeServing() {
+        peers.dropSuccessor();
         LOG.atWarn().log("handover.successor_gone");
         owner.takeBack();
-        if (peers.before() != null) {
-            claim(owner.listenerNumber());
+        if (peers.predecessor() != null) {
+            claimConnections(owner.listenerNumber());
         }
-        if (!ending) {
+        if (!stopRequested) {
             fileWriter.announce();
         }
     }
--- a/src/main/java/gingerspool/handover/HandoverEndpoint.java
+++ b/src/main/java/gingerspool/handover/HandoverEndpoint.java
@@ -19,13 +19,13 @@
  */
 final class HandoverEndpoint {
     private static final Logger LOG = LoggerFactory.getLogger(HandoverEndpoint.class);
-    private static final String PATH = "/v1/link/";
+    private static final String PATH_PREFIX = "/v1/link/";
     private static final int TOKEN_BYTES = 16;
 
     /** Who answers a call. */
     interface Handler {
         /** Who calls is told by its address. */
-        void called(Inbound from, String caller, String name, byte[] body) throws BadMessage;
+        void handle(Inbound from, String caller, String name, byte[] body) throws BadMessage;
     }
 
     private final String token;
@@ -37,37 +37,37 @@
     }
 
     /** A token that nobody guesses. */
-    static String freshToken() {
+    static String generateToken() {
         byte[] secret = new byte[TOKEN_BYTES];
         new SecureRandom().nextBytes(secret);
         return HexFormat.of().formatHex(secret);
     }
 
     /** Whether this request to the management address is such a call; it is then answered. */
-    boolean takes(Inbound from, Message request) {
-        if (!request.target().startsWith(PATH)) {
+    boolean tryHandle(Inbound from, Message request) {
+        if (!request.target().startsWith(PATH_PREFIX)) {
             return false;
         }
-        if (!isToken(request.field("x-token"))) {
+        if (!isOwnToken(request.field("x-token"))) {
             LOG.atWarn().addKeyValue("path", request.target()).log("handover.unknown_caller");
             from.endAfterAnswer(true);
             from.answer(CallStatus.NOT_FOUND, List.of(), "no such path\n");
             return true;
         }
         String caller = request.field("x-from") == null ? "" : request.field("x-from");
-        String name = request.target().substring(PATH.length());
+        String name = request.target().substring(PATH_PREFIX.length());
         try {
-            handler.called(from, caller, name, request.body());
+            handler.handle(from, caller, name, request.body());
         } catch (BadMessage e) {
             from.answer(CallStatus.BAD_REQUEST, List.of(), e.getMessage() + "\n");
         }
         return true;
     }
 
-    private boolean isToken(String said) {
-        return said != null
+    private boolean isOwnToken(String candidate) {
+        return candidate != null
                 && MessageDigest.isEqual(
-                        said.getBytes(StandardCharsets.ISO_8859_1),
+                        candidate.getBytes(StandardCharsets.ISO_8859_1),
                         token.getBytes(StandardCharsets.ISO_8859_1));
     }
 }
--- a/src/main/java/gingerspool/handover/HandoverFile.java
+++ b/src/main/java/gingerspool/handover/HandoverFile.java
@@ -23,13 +23,14 @@
  * the workers that are under a ban, which hold even if it can't be called any more. Written whole,
  * then renamed.
  */
-record HandoverFile(String at, String token, List<String> suspended, boolean drained) {
+record HandoverFile(String address, String token, List<String> suspendedWorkers, boolean drained) {
     private static final Logger LOG = LoggerFactory.getLogger(HandoverFile.class);
     static final int VERSION = 1;
-    private static final long MOST = 1024 * 1024;
+    private static final long MAX_BYTES = 1024 * 1024;
 
-    static Path path(Path folder, String name) {
-        return folder.resolve("gingerspool-" + name.replaceAll("[^A-Za-z0-9_.-]", "_") + ".json");
+    static Path path(Path folder, String schedulerName) {
+        return folder.resolve(
+                "gingerspool-" + schedulerName.replaceAll("[^A-Za-z0-9_.-]", "_") + ".json");
     }
 
     /**
@@ -38,8 +39,8 @@
      */
     static HandoverFile read(Path file) {
         try {
-            if (Files.size(file) > MOST) {
-                throw new BadMessage(400, "longer than " + MOST + " bytes");
+            if (Files.size(file) > MAX_BYTES) {
+                throw new BadMessage(400, "longer than " + MAX_BYTES + " bytes");
             }
             return read(Files.readString(file, StandardCharsets.UTF_8));
         } catch (NoSuchFileException e) {
@@ -54,8 +55,8 @@
     }
 
     /** The same bans, told by a process that is called elsewhere. */
-    HandoverFile calledAt(String address, String secret) {
-        return new HandoverFile(address, secret, suspended, drained);
+    HandoverFile withAddress(String newAddress, String newToken) {
+        return new HandoverFile(newAddress, newToken, suspendedWorkers, drained);
     }
 
     static HandoverFile read(String text) throws BadMessage {
@@ -66,19 +67,19 @@
         return new HandoverFile(
                 JsonTree.text("", tree, "at"),
                 JsonTree.text("", tree, "token"),
-                names(tree),
+                readSuspendedWorkers(tree),
                 JsonTree.mark(tree, "drained"));
     }
 
     /** The names under `suspended`, of a file or a state. */
-    static List<String> names(Object tree) throws BadMessage {
+    static List<String> readSuspendedWorkers(Object tree) throws BadMessage {
         List<String> names = new ArrayList<>();
         if (JsonTree.at(tree, "suspended") instanceof List<?> list) {
-            for (Object o : list) {
-                if (!(o instanceof String s)) {
+            for (Object entry : list) {
+                if (!(entry instanceof String name)) {
                     throw new BadMessage(400, "suspended holds something that is no name");
                 }
-                names.add(s);
+                names.add(name);
             }
         } else {
             throw new BadMessage(400, "suspended is not a list");
@@ -86,12 +87,12 @@
         return names;
     }
 
-    String text() {
+    String toJson() {
         Map<String, Object> tree = new LinkedHashMap<>();
         tree.put("v", VERSION);
-        tree.put("at", at);
+        tree.put("at", address);
         tree.put("token", token);
-        tree.put("suspended", suspended);
+        tree.put("suspended", suspendedWorkers);
         tree.put("drained", drained);
         return Json.write(tree) + "\n";
     }
@@ -100,14 +101,18 @@
      * Guards against a reader that meets half of it, and against others who would call in our name.
      */
     void write(Path file) throws IOException {
-        Path fresh = file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
-        Files.deleteIfExists(fresh);
+        Path temporary =
+                file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
+        Files.deleteIfExists(temporary);
         Files.createFile(
-                fresh,
+                temporary,
                 PosixFilePermissions.asFileAttribute(
                         Set.copyOf(PosixFilePermissions.fromString("rw-------"))));
-        Files.writeString(fresh, text(), StandardCharsets.UTF_8);
+        Files.writeString(temporary, toJson(), StandardCharsets.UTF_8);
         Files.move(
-                fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                temporary,
+                file,
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/src/main/java/gingerspool/handover/HandoverFileWriter.java
+++ b/src/main/java/gingerspool/handover/HandoverFileWriter.java
@@ -19,25 +19,25 @@
     private final Path file;
     private final String ownAddress;
     private final String token;
-    private final Executor files;
-    private final Executor anyThread;
+    private final Executor fileExecutor;
+    private final Executor loopExecutor;
     private final HandoverOwner owner;
 
     /** Announcements that are on their way to the disk. */
-    private int unannounced;
+    private int pendingAnnouncements;
 
     HandoverFileWriter(
             Path file,
-            InetSocketAddress own,
+            InetSocketAddress ownSocketAddress,
             String token,
-            Executor files,
-            Executor anyThread,
+            Executor fileExecutor,
+            Executor loopExecutor,
             HandoverOwner owner) {
         this.file = file;
-        ownAddress = Address.text(own);
+        ownAddress = Address.text(ownSocketAddress);
         this.token = token;
-        this.files = files;
-        this.anyThread = anyThread;
+        this.fileExecutor = fileExecutor;
+        this.loopExecutor = loopExecutor;
         this.owner = owner;
     }
 
@@ -47,23 +47,23 @@
      * then.
      */
     void announce() {
-        unannounced++;
-        write(() -> unannounced--);
+        pendingAnnouncements++;
+        write(() -> pendingAnnouncements--);
     }
 
     /** Whether the next process finds this one, or can't since the file could not be written. */
     boolean isAnnounced() {
-        return unannounced == 0;
+        return pendingAnnouncements == 0;
     }
 
     /** Writes beside the loop; what can't be written is logged, and holds nothing up. */
-    void write(Runnable written) {
+    void write(Runnable onWritten) {
         HandoverFile content =
                 new HandoverFile(ownAddress, token, owner.suspended(), owner.isDrained());
-        files.execute(
+        fileExecutor.execute(
                 () -> {
                     write(content);
-                    anyThread.execute(written);
+                    loopExecutor.execute(onWritten);
                 });
     }
 
--- a/src/main/java/gingerspool/handover/HandoverMessages.java
+++ b/src/main/java/gingerspool/handover/HandoverMessages.java
@@ -18,13 +18,13 @@
         return Json.write(tree).getBytes(StandardCharsets.UTF_8);
     }
 
-    private static Object tree(byte[] body) throws BadMessage {
+    private static Object parse(byte[] body) throws BadMessage {
         return Json.read(body, 0, body.length);
     }
 
     /** Fails where what was read is of another version. */
-    private static Object versioned(byte[] body) throws BadMessage {
-        Object tree = tree(body);
+    private static Object parseVersioned(byte[] body) throws BadMessage {
+        Object tree = parse(body);
         if (JsonTree.number(0, tree, "v") != HandoverFile.VERSION) {
             throw new BadMessage(400, "v is not " + HandoverFile.VERSION);
         }
@@ -38,20 +38,20 @@
      * @param ask how often it has asked
      * @param startedAt when it started, in milliseconds of Unix time
      */
-    record Join(String token, long ask, double startedAt) {
-        static Join read(byte[] body, double startedOtherwise) throws BadMessage {
-            Object tree = versioned(body);
+    record Join(String token, long requestNumber, double startedAt) {
+        static Join read(byte[] body, double defaultStartedAt) throws BadMessage {
+            Object tree = parseVersioned(body);
             return new Join(
                     JsonTree.text("", tree, "token"),
                     (long) JsonTree.number(0, tree, "ask"),
-                    JsonTree.number(startedOtherwise, tree, "started"));
+                    JsonTree.number(defaultStartedAt, tree, "started"));
         }
 
         byte[] bytes() {
             Map<String, Object> tree = new LinkedHashMap<>();
             tree.put("v", HandoverFile.VERSION);
             tree.put("token", token);
-            tree.put("ask", ask);
+            tree.put("ask", requestNumber);
             tree.put("started", startedAt);
             return HandoverMessages.bytes(tree);
         }
@@ -61,7 +61,7 @@
     static final class State {
         private State() {}
 
-        static byte[] of(HandoverOwner owner) {
+        static byte[] write(HandoverOwner owner) {
             Map<String, Object> tree = new LinkedHashMap<>();
             tree.put("v", HandoverFile.VERSION);
             tree.put("suspended", owner.suspended());
@@ -71,17 +71,17 @@
         }
 
         static Object read(byte[] body) throws BadMessage {
-            return versioned(body);
+            return parseVersioned(body);
         }
     }
 
     /** Why no state is told: another process serves, or none that is known. */
-    record ServingProcess(String at, String token) {
+    record ServingProcess(String address, String token) {
         static final ServingProcess UNKNOWN = new ServingProcess(UNKNOWN_ADDRESS, "");
 
         static ServingProcess read(byte[] body) {
             try {
-                Object tree = tree(body);
+                Object tree = parse(body);
                 return new ServingProcess(
                         JsonTree.text(UNKNOWN_ADDRESS, tree, "at"),
                         JsonTree.text("", tree, "token"));
@@ -91,37 +91,38 @@
         }
 
         boolean isKnown() {
-            return !at.equals(UNKNOWN_ADDRESS);
+            return !address.equals(UNKNOWN_ADDRESS);
         }
 
         byte[] bytes() {
-            return HandoverMessages.bytes(isKnown() ? Map.of("at", at, "token", token) : Map.of());
+            return HandoverMessages.bytes(
+                    isKnown() ? Map.of("at", address, "token", token) : Map.of());
         }
     }
 
     /** Asks to take over, having carried out so many commands since the state. */
-    record Take(long commands) {
-        private static final long NONE_NAMED = -1;
+    record Take(long commandsApplied) {
+        private static final long UNSPECIFIED = -1;
 
         static Take read(byte[] body) throws BadMessage {
-            return new Take((long) JsonTree.number(NONE_NAMED, tree(body), "n"));
+            return new Take((long) JsonTree.number(UNSPECIFIED, parse(body), "n"));
         }
 
         byte[] bytes() {
-            return HandoverMessages.bytes(Map.of("n", commands));
+            return HandoverMessages.bytes(Map.of("n", commandsApplied));
         }
     }
 
     /** The descriptors that a process holds, and its listener's number. */
     record Holdings(int descriptors, int listener) {
-        static Holdings read(byte[] body, Holdings otherwise) {
+        static Holdings read(byte[] body, Holdings fallback) {
             try {
-                Object tree = tree(body);
+                Object tree = parse(body);
                 return new Holdings(
-                        (int) JsonTree.number(otherwise.descriptors, tree, "descriptors"),
-                        (int) JsonTree.number(otherwise.listener, tree, "listener"));
+                        (int) JsonTree.number(fallback.descriptors, tree, "descriptors"),
+                        (int) JsonTree.number(fallback.listener, tree, "listener"));
             } catch (BadMessage e) {
-                return otherwise;
+                return fallback;
             }
         }
 
@@ -134,13 +135,13 @@
     }
 
     /** The process that has taken over listens; whether all new connections go there. */
-    record Bound(boolean claimed) {
+    record Bound(boolean allClaimed) {
         static Bound read(byte[] body) throws BadMessage {
-            return new Bound(JsonTree.mark(tree(body), "all"));
+            return new Bound(JsonTree.mark(parse(body), "all"));
         }
 
         byte[] bytes() {
-            return HandoverMessages.bytes(Map.of("all", claimed));
+            return HandoverMessages.bytes(Map.of("all", allClaimed));
         }
     }
 
@@ -153,15 +154,15 @@
      * @param ask which of the receiver's requests for the state it follows
      */
     record Command(String command, String worker, long number, long ask) {
-        private static final long NONE = 0;
+        private static final long UNSPECIFIED = 0;
 
         static Command read(byte[] body) throws BadMessage {
-            Object tree = tree(body);
+            Object tree = parse(body);
             return new Command(
                     JsonTree.text("", tree, "do"),
                     JsonTree.text("", tree, "worker"),
-                    (long) JsonTree.number(NONE, tree, "n"),
-                    (long) JsonTree.number(NONE, tree, "ask"));
+                    (long) JsonTree.number(UNSPECIFIED, tree, "n"),
+                    (long) JsonTree.number(UNSPECIFIED, tree, "ask"));
         }
 
         byte[] bytes() {
--- a/src/main/java/gingerspool/handover/HandoverOwner.java
+++ b/src/main/java/gingerspool/handover/HandoverOwner.java
@@ -15,7 +15,7 @@
     void adoptState(Object state) throws BadMessage;
 
     /** What the hand-over file says where no state could be had. */
-    void adoptBans(List<String> suspended, boolean drained);
+    void adoptBans(List<String> suspendedWorkers, boolean drained);
 
     /** Listens for clients, beside the other process; serves them only from serve() on. */
     void bind() throws IOException;
@@ -26,7 +26,7 @@
      * Has all new connections come to this process; then tells whether they do. Until then they go
      * to the listener of this number, that of the process before it.
      */
-    void claim(int before, Consumer<Boolean> done);
+    void claim(int predecessorListener, Consumer<Boolean> done);
 
     /** The number of this process's listener, for the next one's claim. */
     int listenerNumber();
@@ -41,7 +41,7 @@
      * That process listens: stop once no connection comes here any more. Tells whether all new ones
      * go there.
      */
-    void closeListener(boolean claimed);
+    void closeListener(boolean allClaimed);
 
     /** That process is gone: takes clients again. */
     void takeBack();
@@ -63,5 +63,5 @@
     boolean callBackCame(byte[] callBack) throws BadMessage;
 
     /** It can't go on. */
-    void fail(String why);
+    void fail(String reason);
 }
--- a/src/main/java/gingerspool/handover/HandoverPeers.java
+++ b/src/main/java/gingerspool/handover/HandoverPeers.java
@@ -8,52 +8,52 @@
  */
 final class HandoverPeers {
     private final Succession succession = new Succession();
-    private Peer before;
-    private Peer after;
+    private Peer predecessor;
+    private Peer successor;
 
     Succession succession() {
         return succession;
     }
 
     /** Null while there is none. */
-    Peer before() {
-        return before;
+    Peer predecessor() {
+        return predecessor;
     }
 
     /** Null while there is none. */
-    Peer after() {
-        return after;
+    Peer successor() {
+        return successor;
     }
 
-    boolean isBefore(String name) {
-        return before != null && before.name().equals(name);
+    boolean isPredecessor(String address) {
+        return predecessor != null && predecessor.address().equals(address);
     }
 
-    boolean isAfter(String name) {
-        return after != null && after.name().equals(name);
+    boolean isSuccessor(String address) {
+        return successor != null && successor.address().equals(address);
     }
 
-    void setBefore(Peer peer) {
-        before = peer;
+    void setPredecessor(Peer peer) {
+        predecessor = peer;
     }
 
     /** Takes the place of the one before it, if there is one. */
-    void replaceAfter(Peer peer) {
-        dropAfter();
-        after = peer;
+    void replaceSuccessor(Peer peer) {
+        dropSuccessor();
+        successor = peer;
     }
 
-    void dropBefore() {
-        Peer dropped = before;
-        before = null;
+    void dropPredecessor() {
+        Peer dropped = predecessor;
+        predecessor = null;
         if (dropped != null) {
             dropped.close();
         }
     }
 
-    void dropAfter() {
-        Peer dropped = after;
-        after = null;
+    void dropSuccessor() {
+        Peer dropped = successor;
+        successor = null;
         if (dropped != null) {
             dropped.close();
         }
@@ -64,16 +64,17 @@
      * end may be seen a little after the end of a call to it.
      */
     boolean isGone(Peer peer) {
-        return peer != before && peer != after;
+        return peer != predecessor && peer != successor;
     }
 
     /** Whether the process before this one has retired and lives on beside it. */
-    boolean isBesideBefore() {
-        return before != null && succession.before() == Succession.Before.BESIDE;
+    boolean hasRetiredPredecessor() {
+        return predecessor != null
+                && succession.predecessorState() == Succession.PredecessorState.RETIRED;
     }
 
     /** Whether a process after this one has the clients. */
-    boolean isSucceeded() {
-        return succession.after() == Succession.After.SUCCEEDED;
+    boolean hasSuccessorTakenOver() {
+        return succession.successorState() == Succession.SuccessorState.TAKEN_OVER;
     }
 }
--- a/src/main/java/gingerspool/handover/Peer.java
+++ b/src/main/java/gingerspool/handover/Peer.java
@@ -19,76 +19,76 @@
  */
 final class Peer {
     /** A line at rest is closed sooner than the other side closes it, in milliseconds. */
-    private static final double REST = 1000;
+    private static final double IDLE_TIMEOUT_MS = 1000;
 
-    private static final int MOST_WAITING = 2000;
+    private static final int MAX_QUEUED_CALLS = 2000;
 
     /** What an answer may hold at the most, in bytes. */
-    private static final int ANSWER_MOST = 8 * 1024 * 1024;
+    private static final int MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 
     /** How a call ended: its status and body, or status 0 where there was no answer. */
-    interface Reply {
-        void came(int status, byte[] body);
+    interface Completion {
+        void completed(int status, byte[] body);
     }
 
-    private final InetSocketAddress at;
+    private final InetSocketAddress socketAddress;
     private final String token;
-    private final String own;
+    private final String ownAddress;
 
     /** Commands told to it so far. */
-    long told;
+    long commandsSent;
 
     /** Which of its requests for the state these commands follow. */
-    long ask;
+    long stateRequestNumber;
 
     /** It keeps a call open, whose end tells its own. */
-    boolean holds;
+    boolean holdsCall;
 
     private final EventLoop loop;
-    private final double connectWithin;
+    private final double connectTimeoutMs;
     private boolean closed;
 
     /** Commands in their order, and call-backs, which need none. */
-    final Line commands = new Line(1);
+    final CallQueue ordered = new CallQueue(1);
 
-    final Line callBacks = new Line(2);
-    final Line held = new Line(1);
-    private final Set<Outbound> open = new HashSet<>();
+    final CallQueue callBacks = new CallQueue(2);
+    final CallQueue hold = new CallQueue(1);
+    private final Set<Outbound> openConnections = new HashSet<>();
 
     /** Own is where this process itself is called. */
     Peer(
             EventLoop loop,
-            InetSocketAddress at,
+            InetSocketAddress socketAddress,
             String token,
-            InetSocketAddress own,
-            double connectWithin) {
+            InetSocketAddress ownAddress,
+            double connectTimeoutMs) {
         this.loop = loop;
-        this.at = at;
+        this.socketAddress = socketAddress;
         this.token = token;
-        this.own = Address.text(own);
-        this.connectWithin = connectWithin;
+        this.ownAddress = Address.text(ownAddress);
+        this.connectTimeoutMs = connectTimeoutMs;
     }
 
-    private record Call(byte[] request, double patience, Reply reply) {}
+    private record Call(byte[] request, double timeoutMs, Completion completion) {}
 
     private byte[] request(String path, byte[] body) {
         return Inbound.joined(
                 "POST /v1/link/"
                         + path
                         + " HTTP/1.1\r\nHost: "
-                        + Address.text(at)
+                        + Address.text(socketAddress)
                         + "\r\nX-Token: "
                         + token
                         + "\r\nX-From: "
-                        + own
+                        + ownAddress
                         + "\r\nContent-Length: "
                         + body.length
                         + "\r\n\r\n",
                 body);
     }
 
-    String name() {
-        return Address.text(at);
+    String address() {
+        return Address.text(socketAddress);
     }
 
     /** What calls to it must carry. */
@@ -97,31 +97,31 @@
     }
 
     /** Calls that go out in turn on a few connections. */
-    final class Line {
-        private final int most;
-        private final Deque<Call> waiting = new ArrayDeque<>();
-        private final Deque<Outbound> free = new ArrayDeque<>();
-        private int busy;
-
-        Line(int most) {
-            this.most = most;
+    final class CallQueue {
+        private final int maxConnections;
+        private final Deque<Call> queued = new ArrayDeque<>();
+        private final Deque<Outbound> idle = new ArrayDeque<>();
+        private int inFlight;
+
+        CallQueue(int maxConnections) {
+            this.maxConnections = maxConnections;
         }
 
         /** Patience 0: the answer may take for ever, which only its connection's end ends. */
-        void call(String path, byte[] body, double patience, Reply reply) {
-            if (closed || waiting.size() >= MOST_WAITING) {
-                loop.execute(() -> reply.came(0, new byte[0]));
+        void call(String path, byte[] body, double timeoutMs, Completion completion) {
+            if (closed || queued.size() >= MAX_QUEUED_CALLS) {
+                loop.execute(() -> completion.completed(0, new byte[0]));
                 return;
             }
-            waiting.add(new Call(request(path, body), patience, reply));
-            next();
+            queued.add(new Call(request(path, body), timeoutMs, completion));
+            sendNext();
         }
 
-        private void next() {
-            while (!closed && busy < most && !waiting.isEmpty()) {
-                Call call = waiting.poll();
-                busy++;
-                begin(call, true);
+        private void sendNext() {
+            while (!closed && inFlight < maxConnections && !queued.isEmpty()) {
+                Call call = queued.poll();
+                inFlight++;
+                send(call, true);
             }
         }
 
@@ -129,87 +129,87 @@
          * All calls may be made twice, so one that breaks on a connection that had rested goes once
          * more.
          */
-        private void begin(Call call, boolean onRested) {
-            Outbound connection = onRested ? free.poll() : null;
-            boolean rested = connection != null;
+        private void send(Call call, boolean mayReuse) {
+            Outbound connection = mayReuse ? idle.poll() : null;
+            boolean reused = connection != null;
             try {
-                connection = rested ? connection : open(this);
+                connection = reused ? connection : openConnection(this);
             } catch (IOException e) {
-                loop.execute(() -> ended(call, 0, new byte[0]));
+                loop.execute(() -> completed(call, 0, new byte[0]));
                 return;
             }
             ByteArrayOutputStream body = new ByteArrayOutputStream();
-            double patience = call.patience > 0 ? call.patience + connectWithin : 0;
+            double timeoutMs = call.timeoutMs > 0 ? call.timeoutMs + connectTimeoutMs : 0;
             connection.ask(
                     call.request,
-                    patience,
+                    timeoutMs,
                     new Outbound.Caller() {
                         @Override
                         public void answered(Message answer) {
-                            ended(call, answer.status(), body.toByteArray());
+                            completed(call, answer.status(), body.toByteArray());
                         }
 
                         @Override
                         public void broke(boolean allWritten) {
-                            if (rested && !closed) {
-                                begin(call, false);
+                            if (reused && !closed) {
+                                send(call, false);
                             } else {
-                                ended(call, 0, new byte[0]);
+                                completed(call, 0, new byte[0]);
                             }
                         }
                     },
-                    (b, from, to) -> {
-                        if (body.size() + to - from > ANSWER_MOST) {
+                    (bytes, from, to) -> {
+                        if (body.size() + to - from > MAX_ANSWER_BYTES) {
                             throw new BadMessage(400, "an answer too long");
                         }
-                        body.write(b, from, to - from);
+                        body.write(bytes, from, to - from);
                     });
         }
 
-        private void ended(Call call, int status, byte[] body) {
-            busy--;
-            call.reply.came(status, body);
-            next();
+        private void completed(Call call, int status, byte[] body) {
+            inFlight--;
+            call.completion.completed(status, body);
+            sendNext();
         }
     }
 
-    private Outbound open(Line line) throws IOException {
-        Outbound made =
+    private Outbound openConnection(CallQueue queue) throws IOException {
+        Outbound connection =
                 Outbound.open(
                         loop,
-                        at,
-                        connectWithin,
+                        socketAddress,
+                        connectTimeoutMs,
                         new Outbound.Owner() {
                             @Override
                             public void free(Outbound connection) {
                                 if (closed) {
                                     connection.close();
                                 } else {
-                                    line.free.push(connection);
-                                    connection.closeAfter(REST);
+                                    queue.idle.push(connection);
+                                    connection.closeAfter(IDLE_TIMEOUT_MS);
                                 }
                             }
 
                             @Override
-                            public void brokeAfterRest(double rested) {}
+                            public void brokeAfterRest(double idleMs) {}
 
                             @Override
                             public void closed(Outbound connection) {
-                                open.remove(connection);
-                                line.free.remove(connection);
+                                openConnections.remove(connection);
+                                queue.idle.remove(connection);
                             }
                         });
-        open.add(made);
-        return made;
+        openConnections.add(connection);
+        return connection;
     }
 
     /** Ends all connections to it; calls under way end without an answer. */
     void close() {
         closed = true;
-        Set.copyOf(open).forEach(Outbound::close);
-        for (Line line : new Line[] {commands, callBacks, held}) {
-            for (Call c = line.waiting.poll(); c != null; c = line.waiting.poll()) {
-                c.reply.came(0, new byte[0]);
+        Set.copyOf(openConnections).forEach(Outbound::close);
+        for (CallQueue queue : new CallQueue[] {ordered, callBacks, hold}) {
+            for (Call call = queue.queued.poll(); call != null; call = queue.queued.poll()) {
+                call.completion.completed(0, new byte[0]);
             }
         }
     }
--- a/src/main/java/gingerspool/handover/PredecessorSearch.java
+++ b/src/main/java/gingerspool/handover/PredecessorSearch.java
@@ -20,90 +20,90 @@
     private static final Logger LOG = LoggerFactory.getLogger(PredecessorSearch.class);
 
     /** How long the other process may take to tell its state, in milliseconds. */
-    private static final double PATIENCE_STATE = 2000;
+    private static final double STATE_TIMEOUT_MS = 2000;
 
     /**
      * A process that has a successor under way, or is not serving yet, is asked again this soon, in
      * milliseconds.
      */
-    private static final double ASK_AGAIN = 50;
+    private static final double RETRY_DELAY_MS = 50;
 
     /** The process that serves is looked for so long; then this one serves alone. */
-    private static final double SEARCH_WITHIN = 2 * PATIENCE_STATE;
+    private static final double SEARCH_TIMEOUT_MS = 2 * STATE_TIMEOUT_MS;
 
     /** Who is told how the search ends. */
-    interface Owner {
+    interface Listener {
         /** The state came; one that can't be used counts as none. */
-        void stateCame(byte[] state) throws BadMessage;
+        void stateReceived(byte[] state) throws BadMessage;
 
         /** Nobody told a state, and no other process serves alone. */
-        void nobodyFound();
+        void noPredecessorFound();
 
         /** A process that started later than this one serves. */
-        void overtaken();
+        void newerProcessFound();
     }
 
     private final EventLoop loop;
-    private final Executor files;
-    private final Executor anyThread;
+    private final Executor fileExecutor;
+    private final Executor loopExecutor;
     private final Path file;
-    private final InetSocketAddress own;
+    private final InetSocketAddress ownAddress;
     private final String ownToken;
     private final double startedAt;
-    private final double connectWithin;
+    private final double connectTimeoutMs;
     private final HandoverPeers peers;
-    private final CommandsSinceState commands;
-    private final Owner owner;
-    private final HandoverFile found;
-    private final SoleStartLock soleStart;
+    private final CommandsSinceState commandsSinceState;
+    private final Listener listener;
+    private final HandoverFile initialFile;
+    private final SoleStartLock soleStartLock;
 
     /** The process that is asked for its state: the one of the file, or one that came after it. */
-    private HandoverFile asked;
+    private HandoverFile target;
 
-    private double searchedFrom;
+    private double searchStartedAt;
     private boolean stopped;
 
     /** Reads the file at once. */
     PredecessorSearch(
             EventLoop loop,
-            Executor files,
-            Executor anyThread,
+            Executor fileExecutor,
+            Executor loopExecutor,
             Path file,
-            InetSocketAddress own,
+            InetSocketAddress ownAddress,
             String ownToken,
             double startedAt,
-            double connectWithin,
+            double connectTimeoutMs,
             HandoverPeers peers,
-            CommandsSinceState commands,
-            Owner owner) {
+            CommandsSinceState commandsSinceState,
+            Listener listener) {
         this.loop = loop;
-        this.files = files;
-        this.anyThread = anyThread;
+        this.fileExecutor = fileExecutor;
+        this.loopExecutor = loopExecutor;
         this.file = file;
-        this.own = own;
+        this.ownAddress = ownAddress;
         this.ownToken = ownToken;
         this.startedAt = startedAt;
-        this.connectWithin = connectWithin;
+        this.connectTimeoutMs = connectTimeoutMs;
         this.peers = peers;
-        this.commands = commands;
-        this.owner = owner;
-        found = HandoverFile.read(file);
-        asked = found;
-        soleStart = new SoleStartLock(file);
+        this.commandsSinceState = commandsSinceState;
+        this.listener = listener;
+        initialFile = HandoverFile.read(file);
+        target = initialFile;
+        soleStartLock = new SoleStartLock(file);
     }
 
     /** Whether the file names a process before this one. */
     boolean hasFile() {
-        return found != null;
+        return initialFile != null;
     }
 
     /** What is known of the process that was asked last; null where there was no file. */
-    HandoverFile lastAsked() {
-        return asked;
+    HandoverFile lastTarget() {
+        return target;
     }
 
     void begin() {
-        searchedFrom = loop.now();
+        searchStartedAt = loop.now();
     }
 
     /** The process takes nothing over any more. */
@@ -113,55 +113,61 @@
 
     /** Lets the next process that finds nobody go on; behind the files that are on their way. */
     void releaseLock() {
-        files.execute(soleStart::release);
+        fileExecutor.execute(soleStartLock::release);
     }
 
     /** Asks whom the file names; without a file nobody is known who could be asked. */
-    void ask() {
+    void requestState() {
         if (stopped) {
             return;
         }
-        if (asked == null) {
-            failed("no file");
+        if (target == null) {
+            attemptSoleStart("no file");
             return;
         }
-        if (asked.at().equals(Address.text(own))) {
-            failed("it was called where this one is, so it has ended");
+        if (target.address().equals(Address.text(ownAddress))) {
+            attemptSoleStart("it was called where this one is, so it has ended");
             return;
         }
         try {
-            if (peers.before() == null) {
-                peers.setBefore(
+            if (peers.predecessor() == null) {
+                peers.setPredecessor(
                         new Peer(
-                                loop, Address.read(asked.at()), asked.token(), own, connectWithin));
+                                loop,
+                                Address.read(target.address()),
+                                target.token(),
+                                ownAddress,
+                                connectTimeoutMs));
             }
         } catch (BadMessage e) {
-            failed("its address is " + e.getMessage());
+            attemptSoleStart("its address is " + e.getMessage());
             return;
         }
         HandoverMessages.Join join =
-                new HandoverMessages.Join(ownToken, commands.asked(), startedAt);
-        peers.before().commands.call("join", join.bytes(), PATIENCE_STATE, this::answered);
+                new HandoverMessages.Join(ownToken, commandsSinceState.stateRequested(), startedAt);
+        peers.predecessor()
+                .ordered
+                .call("join", join.bytes(), STATE_TIMEOUT_MS, this::stateAnswered);
     }
 
-    private void answered(int status, byte[] body) {
+    private void stateAnswered(int status, byte[] body) {
         if (stopped) {
             return;
         }
         switch (status) {
-            case CallStatus.OK -> stateCame(body);
-            case CallStatus.CONFLICT -> lookFurther(body);
-            case CallStatus.GONE -> owner.overtaken();
-            case CallStatus.NO_ANSWER -> readFileAgain();
-            default -> failed("status " + status);
+            case CallStatus.OK -> stateReceived(body);
+            case CallStatus.CONFLICT -> followReferral(body);
+            case CallStatus.GONE -> listener.newerProcessFound();
+            case CallStatus.NO_ANSWER -> rereadFile();
+            default -> attemptSoleStart("status " + status);
         }
     }
 
-    private void stateCame(byte[] body) {
+    private void stateReceived(byte[] body) {
         try {
-            owner.stateCame(body);
+            listener.stateReceived(body);
         } catch (BadMessage e) {
-            failed("the state is " + e.getMessage());
+            attemptSoleStart("the state is " + e.getMessage());
         }
     }
 
@@ -170,53 +176,53 @@
      * itself yet. Guards against a second process that serves beside that one and knows nothing of
      * it.
      */
-    private void lookFurther(byte[] refusal) {
-        if (isLate()) {
-            failed("nobody told a state within " + Math.round(SEARCH_WITHIN) + " ms");
+    private void followReferral(byte[] refusal) {
+        if (isTimedOut()) {
+            attemptSoleStart("nobody told a state within " + Math.round(SEARCH_TIMEOUT_MS) + " ms");
             return;
         }
         HandoverMessages.ServingProcess next = HandoverMessages.ServingProcess.read(refusal);
         if (!next.isKnown()) {
-            loop.schedule(ASK_AGAIN, this::ask);
+            loop.schedule(RETRY_DELAY_MS, this::requestState);
             return;
         }
         LOG.atInfo()
-                .addKeyValue("of", asked.at())
-                .addKeyValue("at", next.at())
+                .addKeyValue("of", target.address())
+                .addKeyValue("at", next.address())
                 .log("handover.next");
-        askInstead(asked.calledAt(next.at(), next.token()), 0);
+        switchTarget(target.withAddress(next.address(), next.token()), 0);
     }
 
-    private boolean isLate() {
-        return loop.now() > searchedFrom + SEARCH_WITHIN;
+    private boolean isTimedOut() {
+        return loop.now() > searchStartedAt + SEARCH_TIMEOUT_MS;
     }
 
-    private void askInstead(HandoverFile next, double pause) {
-        peers.dropBefore();
-        asked = next;
-        loop.schedule(pause, this::ask);
+    private void switchTarget(HandoverFile next, double delayMs) {
+        peers.dropPredecessor();
+        target = next;
+        loop.schedule(delayMs, this::requestState);
     }
 
     /**
      * It is gone, perhaps since another one has taken over after the file was read: the file then
      * names that one by now.
      */
-    private void readFileAgain() {
-        files.execute(
+    private void rereadFile() {
+        fileExecutor.execute(
                 () -> {
                     HandoverFile newest = HandoverFile.read(file);
-                    anyThread.execute(() -> fileRead(newest));
+                    loopExecutor.execute(() -> fileReread(newest));
                 });
     }
 
-    private void fileRead(HandoverFile newest) {
+    private void fileReread(HandoverFile newest) {
         if (stopped) {
             return;
         }
-        if (isAnother(newest) && !isLate()) {
-            askInstead(newest, ASK_AGAIN);
+        if (isDifferentProcess(newest) && !isTimedOut()) {
+            switchTarget(newest, RETRY_DELAY_MS);
         } else {
-            failed("no answer");
+            attemptSoleStart("no answer");
         }
     }
 
@@ -225,36 +231,36 @@
      * was none: both would find nobody and serve beside each other. The one that gets the lock
      * serves alone; the other one then finds it in the file.
      */
-    private void failed(String why) {
-        files.execute(
+    private void attemptSoleStart(String reason) {
+        fileExecutor.execute(
                 () -> {
-                    boolean isSole = soleStart.tryAcquire();
+                    boolean isSole = soleStartLock.tryAcquire();
                     HandoverFile newest = isSole ? HandoverFile.read(file) : null;
-                    anyThread.execute(() -> lockTried(isSole, newest, why));
+                    loopExecutor.execute(() -> soleStartAttempted(isSole, newest, reason));
                 });
     }
 
-    private void lockTried(boolean isSole, HandoverFile newest, String why) {
+    private void soleStartAttempted(boolean isSole, HandoverFile newest, String reason) {
         if (stopped) {
             return;
         }
-        if (!isSole && !isLate()) {
-            loop.schedule(ASK_AGAIN, () -> failed(why));
-        } else if (isSole && !isLate() && isAnother(newest)) {
+        if (!isSole && !isTimedOut()) {
+            loop.schedule(RETRY_DELAY_MS, () -> attemptSoleStart(reason));
+        } else if (isSole && !isTimedOut() && isDifferentProcess(newest)) {
             releaseLock();
-            askInstead(newest, 0);
+            switchTarget(newest, 0);
         } else {
-            if (asked != null) {
+            if (target != null) {
                 LOG.atWarn()
-                        .addKeyValue("why", why)
-                        .addKeyValue("bans", asked.suspended().size())
+                        .addKeyValue("why", reason)
+                        .addKeyValue("bans", target.suspendedWorkers().size())
                         .log("handover.no_state");
             }
-            owner.nobodyFound();
+            listener.noPredecessorFound();
         }
     }
 
-    private boolean isAnother(HandoverFile newest) {
-        return newest != null && (asked == null || !newest.at().equals(asked.at()));
+    private boolean isDifferentProcess(HandoverFile newest) {
+        return newest != null && (target == null || !newest.address().equals(target.address()));
     }
 }
--- a/src/main/java/gingerspool/handover/SoleStartLock.java
+++ b/src/main/java/gingerspool/handover/SoleStartLock.java
@@ -39,19 +39,19 @@
         try {
             FileChannel opened =
                     FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-            if (isLocked(opened)) {
+            if (tryLock(opened)) {
                 channel = opened;
                 return true;
             }
             opened.close();
             return false;
         } catch (IOException e) {
-            failed(e);
+            logFailure(e);
             return true;
         }
     }
 
-    private static boolean isLocked(FileChannel opened) throws IOException {
+    private static boolean tryLock(FileChannel opened) throws IOException {
         try {
             return opened.tryLock() != null;
         } catch (OverlappingFileLockException e) {
@@ -68,15 +68,15 @@
         try {
             channel.close();
         } catch (IOException e) {
-            failed(e);
+            logFailure(e);
         }
         channel = null;
     }
 
-    private void failed(IOException why) {
+    private void logFailure(IOException error) {
         LOG.atWarn()
                 .addKeyValue("file", file)
-                .addKeyValue("why", why.toString())
+                .addKeyValue("why", error.toString())
                 .log("handover.lock_failed");
     }
 }
--- a/src/main/java/gingerspool/handover/Succession.java
+++ b/src/main/java/gingerspool/handover/Succession.java
@@ -9,18 +9,18 @@
     /**
      * Towards the process before: no such, asked for its state, asked to retire, lives on beside.
      */
-    enum Before {
+    enum PredecessorState {
         NONE,
-        ASKED,
-        TAKING,
-        BESIDE
+        STATE_REQUESTED,
+        RETIREMENT_REQUESTED,
+        RETIRED
     }
 
     /** Towards the one after: no such, it has the state, it has the clients. */
-    enum After {
+    enum SuccessorState {
         NONE,
         JOINED,
-        SUCCEEDED
+        TAKEN_OVER
     }
 
     /** What is to be done. */
@@ -28,9 +28,9 @@
         /** Nothing. */
         NONE,
         /** Ask the process before this one for its state. */
-        ASK,
+        REQUEST_STATE,
         /** Use the state that came, and ask the one before to retire. */
-        TAKE,
+        REQUEST_RETIREMENT,
         /** Use the file's bans, bind and serve. */
         SERVE_ALONE,
         /**
@@ -39,32 +39,32 @@
          */
         SERVE,
         /** Tell the process after this one the state. */
-        TELL,
+        SEND_STATE,
         /** The process after this one has the clients, and is about to listen. */
         RETIRE,
         /** The process after this one listens: stop once no connection comes here any more. */
-        CLOSE,
+        CLOSE_LISTENER,
         /** Take clients again: the process after this one is gone. */
-        TAKE_BACK,
+        RESUME_SERVING,
         /** Say no: it has not had every command, or is not the latest to ask. */
         REFUSE
     }
 
-    private Before before = Before.NONE;
-    private After after = After.NONE;
+    private PredecessorState predecessorState = PredecessorState.NONE;
+    private SuccessorState successorState = SuccessorState.NONE;
     private boolean serving;
 
     /** Commands told to the process after this one since it had the state. */
-    private long told;
+    private long commandsSent;
 
-    private String successor = "";
+    private String successorAddress = "";
 
-    Before before() {
-        return before;
+    PredecessorState predecessorState() {
+        return predecessorState;
     }
 
-    After after() {
-        return after;
+    SuccessorState successorState() {
+        return successorState;
     }
 
     boolean isServing() {
@@ -73,113 +73,117 @@
 
     /** The process starts, perhaps after another one. */
     Action begin() {
-        before = Before.ASKED;
-        return Action.ASK;
+        predecessorState = PredecessorState.STATE_REQUESTED;
+        return Action.REQUEST_STATE;
     }
 
     /** The state came from the one before. */
-    Action stateCame() {
-        if (before != Before.ASKED) {
+    Action stateReceived() {
+        if (predecessorState != PredecessorState.STATE_REQUESTED) {
             return Action.NONE;
         }
-        before = Before.TAKING;
-        return Action.TAKE;
+        predecessorState = PredecessorState.RETIREMENT_REQUESTED;
+        return Action.REQUEST_RETIREMENT;
     }
 
     /** The one before has no state to tell, or none in time. */
-    Action stateFailed() {
-        if (before != Before.ASKED) {
+    Action stateUnavailable() {
+        if (predecessorState != PredecessorState.STATE_REQUESTED) {
             return Action.NONE;
         }
-        before = Before.NONE;
+        predecessorState = PredecessorState.NONE;
         serving = true;
         return Action.SERVE_ALONE;
     }
 
     /** The one before has retired. */
-    Action retired() {
-        if (before != Before.TAKING) {
+    Action predecessorRetired() {
+        if (predecessorState != PredecessorState.RETIREMENT_REQUESTED) {
             return Action.NONE;
         }
-        before = Before.BESIDE;
+        predecessorState = PredecessorState.RETIRED;
         serving = true;
         return Action.SERVE;
     }
 
     /** The one before will not retire yet: commands have passed since the state was told. */
-    Action refused() {
-        if (before != Before.TAKING) {
+    Action retirementRefused() {
+        if (predecessorState != PredecessorState.RETIREMENT_REQUESTED) {
             return Action.NONE;
         }
-        before = Before.ASKED;
-        return Action.ASK;
+        predecessorState = PredecessorState.STATE_REQUESTED;
+        return Action.REQUEST_STATE;
     }
 
     /** The one before has ended, or says nothing any more. */
-    Action beforeGone() {
-        Before was = before;
-        before = Before.NONE;
-        boolean first = !serving;
+    Action predecessorGone() {
+        PredecessorState previous = predecessorState;
+        predecessorState = PredecessorState.NONE;
+        boolean wasNotServing = !serving;
         serving = true;
-        return was == Before.TAKING && first
+        return previous == PredecessorState.RETIREMENT_REQUESTED && wasNotServing
                 ? Action.SERVE
-                : was == Before.ASKED ? Action.SERVE_ALONE : Action.NONE;
+                : previous == PredecessorState.STATE_REQUESTED ? Action.SERVE_ALONE : Action.NONE;
     }
 
     /** Another process asks for the state; the latest to ask is the successor. */
-    Action asked(String who) {
-        if (!serving || after == After.SUCCEEDED) {
+    Action stateRequested(String address) {
+        if (!serving || successorState == SuccessorState.TAKEN_OVER) {
             return Action.REFUSE;
         }
-        after = After.JOINED;
-        successor = who;
-        told = 0;
-        return Action.TELL;
+        successorState = SuccessorState.JOINED;
+        successorAddress = address;
+        commandsSent = 0;
+        return Action.SEND_STATE;
     }
 
     /**
      * An operator's command came that the successor must have; tells whether there is one to tell.
      */
-    boolean commandToldAfter() {
-        if (after == After.NONE) {
+    boolean countCommandForSuccessor() {
+        if (successorState == SuccessorState.NONE) {
             return false;
         }
-        told++;
+        commandsSent++;
         return true;
     }
 
     /** The successor asks us to retire; it has had so many commands since the state. */
-    Action asksToTake(String who, long commands) {
-        if (after != After.JOINED || !who.equals(successor) || !counted(commands)) {
+    Action retirementRequested(String address, long commands) {
+        if (successorState != SuccessorState.JOINED
+                || !address.equals(successorAddress)
+                || !hasSent(commands)) {
             return Action.REFUSE;
         }
-        after = After.SUCCEEDED;
+        successorState = SuccessorState.TAKEN_OVER;
         return Action.RETIRE;
     }
 
     /** Whether this one has the clients already: its call was made twice, as any call may be. */
-    boolean hasTaken(String who) {
-        return after == After.SUCCEEDED && who.equals(successor);
+    boolean hasTakenOver(String address) {
+        return successorState == SuccessorState.TAKEN_OVER && address.equals(successorAddress);
     }
 
     /** The successor listens for clients. */
-    Action bound(String who) {
-        return after == After.SUCCEEDED && who.equals(successor) ? Action.CLOSE : Action.NONE;
+    Action successorListening(String address) {
+        return successorState == SuccessorState.TAKEN_OVER && address.equals(successorAddress)
+                ? Action.CLOSE_LISTENER
+                : Action.NONE;
     }
 
     /** Whether just so many commands were told. */
-    boolean counted(long commands) {
-        return commands == told;
+    boolean hasSent(long commands) {
+        return commands == commandsSent;
     }
 
     /** The successor is gone. */
-    Action successorGone(String who) {
-        if (after == After.NONE || !who.equals(successor)) {
+    Action successorGone(String address) {
+        if (successorState == SuccessorState.NONE || !address.equals(successorAddress)) {
             return Action.NONE;
         }
-        boolean had = after == After.SUCCEEDED;
-        after = After.NONE;
-        successor = "";
-        return had ? Action.TAKE_BACK : Action.NONE;
+        boolean hadTakenOver = successorState == SuccessorState.TAKEN_OVER;
+        successorState = SuccessorState.NONE;
+        successorAddress = "";
+        return hadTakenOver ? Action.RESUME_SERVING : Action.NONE;
     }
 }
--- a/src/test/java/gingerspool/handover/HandoverFileTest.java
+++ b/src/test/java/gingerspool/handover/HandoverFileTest.java
@@ -12,21 +12,21 @@
 import org.testng.annotations.Test;
 
 public class HandoverFileTest {
-    private static final HandoverFile NOTE =
+    private static final HandoverFile FILE =
             new HandoverFile(
                     "127.0.0.1:9", "0badcafe", List.of("s-1", "odd \"name\"\n\u00e9"), true);
 
     @Test
-    public void whatIsWrittenIsReadAndIsTheOwnersAlone() throws Exception {
-        Path folder = Files.createTempDirectory("note");
+    public void writtenFileIsReadBackAndPrivateToOwner() throws Exception {
+        Path folder = Files.createTempDirectory("handover-file");
         Path file = HandoverFile.path(folder, "n/1");
-        NOTE.write(file);
-        NOTE.write(file);
-        assertEquals(HandoverFile.read(file), NOTE);
+        FILE.write(file);
+        FILE.write(file);
+        assertEquals(HandoverFile.read(file), FILE);
         assertEquals(
                 PosixFilePermissions.toString(Files.getPosixFilePermissions(file)), "rw-------");
         try (var all = Files.list(folder)) {
-            assertEquals(all.count(), 1, "nothing is left beside it");
+            assertEquals(all.count(), 1, "no temporary file is left");
         }
         Folders.remove(folder);
     }
@@ -36,11 +36,11 @@
      * nothing.
      */
     @Test
-    public void whatCannotBeUsedIsNoNote() throws Exception {
-        Path folder = Files.createTempDirectory("note");
+    public void unusableFilesAreIgnored() throws Exception {
+        Path folder = Files.createTempDirectory("handover-file");
         Path file = HandoverFile.path(folder, "n1");
         assertNull(HandoverFile.read(file));
-        byte[] whole = NOTE.text().getBytes(java.nio.charset.StandardCharsets.UTF_8);
+        byte[] whole = FILE.toJson().getBytes(java.nio.charset.StandardCharsets.UTF_8);
         for (int i = 0; i < whole.length - 1; i++) {
             Files.write(file, java.util.Arrays.copyOf(whole, i));
             assertNull(HandoverFile.read(file), "cut after " + i);
@@ -62,7 +62,7 @@
     }
 
     @Test(expectedExceptions = BadMessage.class)
-    public void theVersionComesFirst() throws BadMessage {
+    public void unknownVersionIsRejected() throws BadMessage {
         HandoverFile.read("{\"v\":3}");
     }
 }
--- a/src/test/java/gingerspool/handover/SuccessionTest.java
+++ b/src/test/java/gingerspool/handover/SuccessionTest.java
@@ -14,86 +14,86 @@
 public class SuccessionTest {
     /** Inputs in order, and what the last of them has done. */
     @DataProvider
-    public Object[][] table() {
+    public Object[][] transitions() {
         return new Object[][] {
             {"alone", Action.SERVE_ALONE},
-            {"named", Action.ASK},
-            {"named state", Action.TAKE},
-            {"named nostate", Action.SERVE_ALONE},
-            {"named state nostate", Action.NONE},
-            {"named state retired", Action.SERVE},
-            {"named state refused", Action.ASK},
-            {"named state refused state", Action.TAKE},
-            {"named retired", Action.NONE},
-            {"named refused", Action.NONE},
-            {"named gone", Action.SERVE_ALONE},
-            {"named state gone", Action.SERVE},
-            {"named state refused gone", Action.SERVE_ALONE},
-            {"named state retired gone", Action.NONE},
-            {"named state retired gone gone", Action.NONE},
-            {"named state gone retired", Action.NONE},
-            {"named nostate state", Action.NONE},
+            {"begin", Action.REQUEST_STATE},
+            {"begin state", Action.REQUEST_RETIREMENT},
+            {"begin nostate", Action.SERVE_ALONE},
+            {"begin state nostate", Action.NONE},
+            {"begin state retired", Action.SERVE},
+            {"begin state refused", Action.REQUEST_STATE},
+            {"begin state refused state", Action.REQUEST_RETIREMENT},
+            {"begin retired", Action.NONE},
+            {"begin refused", Action.NONE},
+            {"begin gone", Action.SERVE_ALONE},
+            {"begin state gone", Action.SERVE},
+            {"begin state refused gone", Action.SERVE_ALONE},
+            {"begin state retired gone", Action.NONE},
+            {"begin state retired gone gone", Action.NONE},
+            {"begin state gone retired", Action.NONE},
+            {"begin nostate state", Action.NONE},
             {"alone state", Action.NONE},
             {"alone retired", Action.NONE},
             {"alone gone", Action.NONE},
-            {"named ask:b", Action.REFUSE},
-            {"named state ask:b", Action.REFUSE},
-            {"named state retired ask:b", Action.TELL},
-            {"alone ask:b", Action.TELL},
-            {"alone ask:b ask:b", Action.TELL},
-            {"alone ask:b ask:c", Action.TELL},
+            {"begin join:b", Action.REFUSE},
+            {"begin state join:b", Action.REFUSE},
+            {"begin state retired join:b", Action.SEND_STATE},
+            {"alone join:b", Action.SEND_STATE},
+            {"alone join:b join:b", Action.SEND_STATE},
+            {"alone join:b join:c", Action.SEND_STATE},
             {"alone take:b:0", Action.REFUSE},
-            {"alone ask:b take:b:0", Action.RETIRE},
-            {"alone ask:b take:c:0", Action.REFUSE},
-            {"alone ask:b take:b:1", Action.REFUSE},
-            {"alone ask:b word take:b:0", Action.REFUSE},
-            {"alone ask:b word take:b:1", Action.RETIRE},
-            {"alone ask:b word ask:b take:b:0", Action.RETIRE},
-            {"alone word ask:b take:b:0", Action.RETIRE},
-            {"alone ask:b ask:c take:b:0", Action.REFUSE},
-            {"alone ask:b take:b:0 take:b:0", Action.REFUSE},
-            {"alone ask:b take:b:0 ask:c", Action.REFUSE},
-            {"alone heirgone:b", Action.NONE},
-            {"alone ask:b heirgone:b", Action.NONE},
-            {"alone ask:b heirgone:b take:b:0", Action.REFUSE},
-            {"alone ask:b take:b:0 heirgone:c", Action.NONE},
-            {"alone ask:b take:b:0 heirgone:b", Action.TAKE_BACK},
-            {"alone ask:b take:b:0 heirgone:b ask:c", Action.TELL},
+            {"alone join:b take:b:0", Action.RETIRE},
+            {"alone join:b take:c:0", Action.REFUSE},
+            {"alone join:b take:b:1", Action.REFUSE},
+            {"alone join:b command take:b:0", Action.REFUSE},
+            {"alone join:b command take:b:1", Action.RETIRE},
+            {"alone join:b command join:b take:b:0", Action.RETIRE},
+            {"alone command join:b take:b:0", Action.RETIRE},
+            {"alone join:b join:c take:b:0", Action.REFUSE},
+            {"alone join:b take:b:0 take:b:0", Action.REFUSE},
+            {"alone join:b take:b:0 join:c", Action.REFUSE},
+            {"alone successorgone:b", Action.NONE},
+            {"alone join:b successorgone:b", Action.NONE},
+            {"alone join:b successorgone:b take:b:0", Action.REFUSE},
+            {"alone join:b take:b:0 successorgone:c", Action.NONE},
+            {"alone join:b take:b:0 successorgone:b", Action.RESUME_SERVING},
+            {"alone join:b take:b:0 successorgone:b join:c", Action.SEND_STATE},
         };
     }
 
-    private static Action input(Succession s, String input) {
-        String[] part = input.split(":");
-        return switch (part[0]) {
+    private static Action applyInput(Succession succession, String input) {
+        String[] parts = input.split(":");
+        return switch (parts[0]) {
             case "alone" -> {
-                s.begin();
-                yield s.stateFailed();
+                succession.begin();
+                yield succession.stateUnavailable();
             }
-            case "named" -> s.begin();
-            case "state" -> s.stateCame();
-            case "nostate" -> s.stateFailed();
-            case "retired" -> s.retired();
-            case "refused" -> s.refused();
-            case "gone" -> s.beforeGone();
-            case "ask" -> s.asked(part[1]);
-            case "take" -> s.asksToTake(part[1], Long.parseLong(part[2]));
-            case "heirgone" -> s.successorGone(part[1]);
-            case "word" -> {
-                s.commandToldAfter();
+            case "begin" -> succession.begin();
+            case "state" -> succession.stateReceived();
+            case "nostate" -> succession.stateUnavailable();
+            case "retired" -> succession.predecessorRetired();
+            case "refused" -> succession.retirementRefused();
+            case "gone" -> succession.predecessorGone();
+            case "join" -> succession.stateRequested(parts[1]);
+            case "take" -> succession.retirementRequested(parts[1], Long.parseLong(parts[2]));
+            case "successorgone" -> succession.successorGone(parts[1]);
+            case "command" -> {
+                succession.countCommandForSuccessor();
                 yield Action.NONE;
             }
             default -> throw new IllegalArgumentException(input);
         };
     }
 
-    @Test(dataProvider = "table")
-    public void eachInputDoesInEachStateWhatTheRulesSay(String inputs, Action last) {
-        Succession s = new Succession();
-        Action act = Action.NONE;
+    @Test(dataProvider = "transitions")
+    public void inputsYieldTheExpectedAction(String inputs, Action expected) {
+        Succession succession = new Succession();
+        Action action = Action.NONE;
         for (String input : inputs.split(" ")) {
-            act = input(s, input);
+            action = applyInput(succession, input);
         }
-        assertEquals(act, last);
+        assertEquals(action, expected);
     }
 
     // ---- Two processes and a link that delays, refuses and breaks, against an independent check
@@ -102,13 +102,13 @@
     /** One process as the check sees it: what it was told to do, not what it thinks. */
     private static final class Process {
         final String name;
-        final Succession s = new Succession();
-        final List<Integer> bans = new ArrayList<>();
-        final List<Integer> early = new ArrayList<>();
-        boolean listens;
+        final Succession succession = new Succession();
+        final List<Integer> suspensions = new ArrayList<>();
+        final List<Integer> deferred = new ArrayList<>();
+        boolean serving;
         boolean dead;
-        long heard;
-        int asks;
+        long commandsApplied;
+        int stateRequests;
 
         Process(String name) {
             this.name = name;
@@ -116,203 +116,222 @@
     }
 
     /** Words go on a line of their own: order holds on a line only. */
-    private record Sent(Process to, boolean word, Runnable what) {}
+    private record Delivery(Process receiver, boolean isCommand, Runnable handler) {}
 
     /**
      * Plays one random run; returns what the check found, or null. With a guard out (words that are
      * not counted) it is to find something.
      */
-    private static String play(long seed, boolean countsWords) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        Process old = new Process("a");
+    private static String simulate(long seed, boolean countsCommands) {
+        SplittableRandom random = new SplittableRandom(seed);
+        Process predecessor = new Process("a");
         Process successor = new Process("b");
-        List<Sent> link = new ArrayList<>();
-        List<Integer> said = new ArrayList<>();
-        old.s.begin();
-        old.s.stateFailed();
-        old.listens = true;
-        class Acts {
-            void act(Process p, Action act) {
-                switch (act) {
-                    case ASK -> {
-                        int ask = ++successor.asks;
-                        successor.early.clear();
-                        link.add(
-                                new Sent(
-                                        old,
+        List<Delivery> network = new ArrayList<>();
+        List<Integer> acknowledged = new ArrayList<>();
+        predecessor.succession.begin();
+        predecessor.succession.stateUnavailable();
+        predecessor.serving = true;
+        class Actions {
+            void perform(Process process, Action action) {
+                switch (action) {
+                    case REQUEST_STATE -> {
+                        int requestNumber = ++successor.stateRequests;
+                        successor.deferred.clear();
+                        network.add(
+                                new Delivery(
+                                        predecessor,
                                         false,
                                         () -> {
-                                            if (old.s.asked("b") == Action.TELL) {
-                                                old.asks = ask;
-                                                List<Integer> state = List.copyOf(old.bans);
-                                                link.add(
-                                                        new Sent(
+                                            if (predecessor.succession.stateRequested("b")
+                                                    == Action.SEND_STATE) {
+                                                predecessor.stateRequests = requestNumber;
+                                                List<Integer> state =
+                                                        List.copyOf(predecessor.suspensions);
+                                                network.add(
+                                                        new Delivery(
                                                                 successor,
                                                                 false,
                                                                 () -> {
-                                                                    successor.bans.clear();
-                                                                    successor.bans.addAll(state);
-                                                                    successor.heard = 0;
-                                                                    Action then =
-                                                                            successor.s.stateCame();
-                                                                    List<Integer> early =
+                                                                    successor.suspensions.clear();
+                                                                    successor.suspensions.addAll(
+                                                                            state);
+                                                                    successor.commandsApplied = 0;
+                                                                    Action nextAction =
+                                                                            successor.succession
+                                                                                    .stateReceived();
+                                                                    List<Integer> deferred =
                                                                             List.copyOf(
                                                                                     successor
-                                                                                            .early);
-                                                                    successor.early.clear();
-                                                                    early.forEach(
-                                                                            b ->
-                                                                                    hear(
+                                                                                            .deferred);
+                                                                    successor.deferred.clear();
+                                                                    deferred.forEach(
+                                                                            suspension ->
+                                                                                    receiveCommand(
                                                                                             successor,
-                                                                                            b,
+                                                                                            suspension,
                                                                                             successor
-                                                                                                    .asks));
-                                                                    act(successor, then);
+                                                                                                    .stateRequests));
+                                                                    perform(successor, nextAction);
                                                                 }));
                                             } else {
-                                                link.add(
-                                                        new Sent(
+                                                network.add(
+                                                        new Delivery(
                                                                 successor,
                                                                 false,
                                                                 () ->
-                                                                        act(
+                                                                        perform(
                                                                                 successor,
-                                                                                successor.s
-                                                                                        .stateFailed())));
+                                                                                successor.succession
+                                                                                        .stateUnavailable())));
                                             }
                                         }));
                     }
-                    case TAKE -> {
-                        long heard = successor.heard;
-                        link.add(
-                                new Sent(
-                                        old,
+                    case REQUEST_RETIREMENT -> {
+                        long commandsApplied = successor.commandsApplied;
+                        network.add(
+                                new Delivery(
+                                        predecessor,
                                         false,
                                         () -> {
-                                            Action then =
-                                                    old.s.asksToTake(
-                                                            "b", countsWords ? heard : told(old));
-                                            if (then == Action.RETIRE) {
-                                                old.listens = false;
-                                                link.add(
-                                                        new Sent(
+                                            Action nextAction =
+                                                    predecessor.succession.retirementRequested(
+                                                            "b",
+                                                            countsCommands
+                                                                    ? commandsApplied
+                                                                    : countCommandsSent(
+                                                                            predecessor));
+                                            if (nextAction == Action.RETIRE) {
+                                                predecessor.serving = false;
+                                                network.add(
+                                                        new Delivery(
                                                                 successor,
                                                                 false,
                                                                 () ->
-                                                                        act(
+                                                                        perform(
                                                                                 successor,
-                                                                                successor.s
-                                                                                        .retired())));
+                                                                                successor.succession
+                                                                                        .predecessorRetired())));
                                             } else {
-                                                link.add(
-                                                        new Sent(
+                                                network.add(
+                                                        new Delivery(
                                                                 successor,
                                                                 false,
                                                                 () ->
-                                                                        act(
+                                                                        perform(
                                                                                 successor,
-                                                                                successor.s
-                                                                                        .refused())));
+                                                                                successor.succession
+                                                                                        .retirementRefused())));
                                             }
                                         }));
                     }
-                    case SERVE, SERVE_ALONE, TAKE_BACK -> p.listens = true;
+                    case SERVE, SERVE_ALONE, RESUME_SERVING -> process.serving = true;
                     default -> {}
                 }
             }
         }
-        Acts acts = new Acts();
-        int bans = 0;
-        boolean begun = false;
+        Actions actions = new Actions();
+        int suspensions = 0;
+        boolean successorStarted = false;
         for (int step = 0; step < 60; step++) {
-            switch (chance.nextInt(8)) {
+            switch (random.nextInt(8)) {
                 case 0 -> {
-                    if (!begun) {
-                        begun = true;
-                        acts.act(successor, successor.s.begin());
+                    if (!successorStarted) {
+                        successorStarted = true;
+                        actions.perform(successor, successor.succession.begin());
                     }
                 }
                 case 1 -> {
                     // An operator's word at the process that serves: at the other too, before the
                     // yes.
-                    Process at = old.listens && !old.dead ? old : null;
-                    if (at != null) {
-                        int ban = ++bans;
-                        at.bans.add(ban);
-                        if (at.s.commandToldAfter()) {
-                            int ask = old.asks;
-                            link.add(new Sent(successor, true, () -> hear(successor, ban, ask)));
+                    Process serving = predecessor.serving && !predecessor.dead ? predecessor : null;
+                    if (serving != null) {
+                        int suspension = ++suspensions;
+                        serving.suspensions.add(suspension);
+                        if (serving.succession.countCommandForSuccessor()) {
+                            int requestNumber = predecessor.stateRequests;
+                            network.add(
+                                    new Delivery(
+                                            successor,
+                                            true,
+                                            () ->
+                                                    receiveCommand(
+                                                            successor, suspension, requestNumber)));
                         }
-                        said.add(ban);
+                        acknowledged.add(suspension);
                     }
                 }
                 case 2 -> {
-                    if (begun && chance.nextInt(6) == 0 && !successor.dead) {
+                    if (successorStarted && random.nextInt(6) == 0 && !successor.dead) {
                         successor.dead = true;
-                        successor.listens = false;
-                        link.removeIf(m -> m.to() == successor);
-                        if (!old.dead) {
-                            acts.act(old, old.s.successorGone("b"));
+                        successor.serving = false;
+                        network.removeIf(delivery -> delivery.receiver() == successor);
+                        if (!predecessor.dead) {
+                            actions.perform(predecessor, predecessor.succession.successorGone("b"));
                         }
                     }
                 }
                 default -> {
-                    if (!link.isEmpty()) {
+                    if (!network.isEmpty()) {
                         // Calls on one line keep their order; the lines don't.
-                        Sent one = link.get(chance.nextInt(link.size()));
-                        Process to = one.to();
-                        Sent next =
-                                link.stream()
-                                        .filter(m -> m.to() == to && m.word() == one.word())
+                        Delivery chosen = network.get(random.nextInt(network.size()));
+                        Process receiver = chosen.receiver();
+                        Delivery next =
+                                network.stream()
+                                        .filter(
+                                                delivery ->
+                                                        delivery.receiver() == receiver
+                                                                && delivery.isCommand()
+                                                                        == chosen.isCommand())
                                         .findFirst()
                                         .orElseThrow();
-                        link.remove(next);
-                        if (!to.dead) {
-                            next.what().run();
+                        network.remove(next);
+                        if (!receiver.dead) {
+                            next.handler().run();
                         }
                     }
                 }
             }
-            if (successor.listens && old.listens) {
-                return seed + ": both take clients";
+            if (successor.serving && predecessor.serving) {
+                return seed + ": both processes serve clients";
             }
-            if (successor.listens && !successor.bans.containsAll(said)) {
-                return seed + ": the successor serves without a ban that was said";
+            if (successor.serving && !successor.suspensions.containsAll(acknowledged)) {
+                return seed + ": the successor serves without an acknowledged suspension";
             }
         }
-        while (!link.isEmpty()) {
-            Sent next = link.remove(0);
-            if (!next.to().dead) {
-                next.what().run();
+        while (!network.isEmpty()) {
+            Delivery next = network.remove(0);
+            if (!next.receiver().dead) {
+                next.handler().run();
             }
         }
-        if (!successor.listens && !old.listens) {
-            return seed + ": nobody takes clients";
+        if (!successor.serving && !predecessor.serving) {
+            return seed + ": neither process serves clients";
         }
-        return successor.listens && !successor.bans.containsAll(said)
-                ? seed + ": a ban was lost"
+        return successor.serving && !successor.suspensions.containsAll(acknowledged)
+                ? seed + ": a suspension was lost"
                 : null;
     }
 
     /** A word that comes before the state waits for it. */
-    private static void hear(Process successor, int ban, int ask) {
-        if (!successor.s.isServing() && ask != successor.asks) {
+    private static void receiveCommand(Process successor, int suspension, int requestNumber) {
+        if (!successor.succession.isServing() && requestNumber != successor.stateRequests) {
             return;
         }
-        if (successor.s.before() == Succession.Before.ASKED) {
-            successor.early.add(ban);
+        if (successor.succession.predecessorState()
+                == Succession.PredecessorState.STATE_REQUESTED) {
+            successor.deferred.add(suspension);
         } else {
-            successor.bans.add(ban);
-            successor.heard++;
+            successor.suspensions.add(suspension);
+            successor.commandsApplied++;
         }
     }
 
     /**
      * What the old process has counted itself, as if it asked nobody what the successor has heard.
      */
-    private static long told(Process old) {
+    private static long countCommandsSent(Process predecessor) {
         for (long n = 0; n < 100; n++) {
-            if (old.s.counted(n)) {
+            if (predecessor.succession.hasSent(n)) {
                 return n;
             }
         }
@@ -320,20 +339,21 @@
     }
 
     @Test
-    public void inNoOrderOfEventsDoBothOrNeitherServeOrIsABanLost() {
+    public void randomInterleavingsKeepOneServerAndLoseNoSuspension() {
         for (long seed = 0; seed < 20_000; seed++) {
-            assertEquals(play(seed, true), null);
+            assertEquals(simulate(seed, true), null);
         }
     }
 
     /** The check above can fail: where words on their way are not counted, bans get lost. */
     @Test
-    public void withoutTheCountOfWordsTheCheckFindsALostBan() {
-        Predicate<String> found = f -> f != null && f.contains("ban");
-        int finds = 0;
+    public void simulationDetectsLostSuspensionWithoutCommandCount() {
+        Predicate<String> isLostSuspension =
+                violation -> violation != null && violation.contains("suspension");
+        int findings = 0;
         for (long seed = 0; seed < 20_000; seed++) {
-            finds += found.test(play(seed, false)) ? 1 : 0;
+            findings += isLostSuspension.test(simulate(seed, false)) ? 1 : 0;
         }
-        assertTrue(finds > 0);
+        assertTrue(findings > 0);
     }
 }
