--- a/src/main/java/gingerspool/handover/Acknowledgements.java
+++ b/src/main/java/gingerspool/handover/Acknowledgements.java
@@ -5,8 +5,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Waits for the other processes that are told of something, and for the file that is written; then
- * says once whether all have it.
+ * Collects the answers of the processes that one notification was sent to, and the end of writing
+ * the hand-over file; then reports once whether all peers acknowledged. Used by {@link
+ * CommandPropagation} and {@link CallBackForwarding}, a new one for each notification.
  *
  * <p>Thread: the event loop.
  */
@@ -16,7 +17,7 @@
     private final String call;
     private final Consumer<Boolean> done;
 
-    /** One more than are told, until all of them are. */
+    /** Peers that have not answered, plus one until {@link #sendingEnded}. */
     private int pendingAnswers = 1;
 
     private boolean isFileWritten = true;
@@ -47,7 +48,7 @@
         finishIfComplete();
     }
 
-    /** All that are to be told have been. */
+    /** The notification was sent to all peers; no {@link #addPeer} follows. */
     void sendingEnded() {
         peerAnswered(true);
     }
@@ -59,8 +60,8 @@
     }
 
     /**
-     * It takes too long. A process that has not answered makes it a no; a file that is not written
-     * yet does not, as one that can't be written does not.
+     * Ends the wait. A peer that has not answered counts as a refusal; a file that is not written
+     * yet does not, just as a file that can't be written does not.
      */
     void timeOut() {
         if (!isDone) {
--- a/src/main/java/gingerspool/handover/CallBackForwarding.java
+++ b/src/main/java/gingerspool/handover/CallBackForwarding.java
@@ -5,12 +5,12 @@
 import java.util.function.IntConsumer;
 
 /**
- * Passes call-backs for no task of this process to those that may have it.
+ * Forwards workers' call-backs about tasks that this process does not have to the predecessor and
+ * the successor, which may have them. Used by {@link Handover}.
  *
  * <p>Thread: the event loop.
  */
 final class CallBackForwarding {
-    /** How long the other process may take over a call-back, in milliseconds. */
     private static final double CALL_TIMEOUT_MS = CommandPropagation.CALL_TIMEOUT_MS;
 
     private final HandoverPeers peers;
@@ -19,9 +19,15 @@
         this.peers = peers;
     }
 
-    /** Tells all but the named one; then says with which status the call-back is answered. */
+    /**
+     * Forwards a call-back to all peers but the one that sent it, then passes on the status to
+     * answer it with.
+     *
+     * @param origin the address of the peer that sent it, empty if a worker did
+     */
     void forward(byte[] callBack, String origin, IntConsumer answer) {
-        // Whoever can't be asked and is not gone may own it: the worker then tells it again.
+        // A peer that can't be reached but has not ended may have the task: on the resulting 503
+        // the worker repeats the call-back.
         Acknowledgements acknowledgements =
                 new Acknowledgements(
                         "callback",
--- a/src/main/java/gingerspool/handover/CallStatus.java
+++ b/src/main/java/gingerspool/handover/CallStatus.java
@@ -1,8 +1,8 @@
 package gingerspool.handover;
 
-/** How calls between two processes end, as HTTP statuses. */
+/** HTTP statuses with which hand-over calls between two processes end. */
 final class CallStatus {
-    /** Stands for no answer. */
+    /** No HTTP status: the call failed or was not answered in time. */
     static final int NO_ANSWER = 0;
 
     static final int OK = 200;
--- a/src/main/java/gingerspool/handover/CommandPropagation.java
+++ b/src/main/java/gingerspool/handover/CommandPropagation.java
@@ -9,35 +9,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells operators' commands to the processes before and after this one and to the hand-over file,
- * and carries out those that the other processes tell.
+ * Sends operators' commands to the predecessor, to the successor and to the hand-over file, and
+ * applies the commands that those processes send. Used by {@link Handover}.
  *
  * <p>Thread: the event loop.
  */
 final class CommandPropagation {
     private static final Logger LOG = LoggerFactory.getLogger(CommandPropagation.class);
 
-    /** How long the other process may take over a command, in milliseconds. */
+    /** Time-out of one call to another process. */
     static final double CALL_TIMEOUT_MS = 700;
 
-    /** Others have so long to acknowledge a command that was read in time, in milliseconds. */
+    /** How long the peers have to acknowledge a command that was read without delay. */
     private static final double ACKNOWLEDGE_TIMEOUT_MS = 800;
 
     /**
-     * A process that has the state and acknowledges no command in this part of the time that there
-     * is for it is the successor no more.
+     * A joined successor that does not acknowledge a command within this fraction of the remaining
+     * time is dropped.
      */
     private static final double JOINED_TIMEOUT_FRACTION = 0.5;
 
-    /**
-     * The end of another process is seen so soon after a call to it has broken, in milliseconds.
-     */
+    /** How long after a failed call the end of the other process may still be noticed. */
     private static final double DISCONNECT_GRACE_MS = 100;
 
-    /** An operator has the answer so long after the call, in milliseconds: 1 s is owed. */
+    /** An operator's call is answered within this time; 1 s is promised. */
     private static final double OPERATOR_TIMEOUT_MS = 900;
 
-    /** Others have so long at the least, in milliseconds, however late the call was read. */
+    /** The peers have at least this long, however late the operator's call was read. */
     private static final double MIN_ACKNOWLEDGE_TIMEOUT_MS = ACKNOWLEDGE_TIMEOUT_MS / 2;
 
     private static final byte[] EMPTY_BODY = {};
@@ -49,7 +47,9 @@
     private final HandoverOwner owner;
     private final Consumer<String> successorGone;
 
-    /** The last one is told the address of a successor that has ended after it took over. */
+    /**
+     * @param successorGone is passed the address of a successor that has ended after taking over
+     */
     CommandPropagation(
             EventLoop loop,
             HandoverPeers peers,
@@ -66,8 +66,12 @@
     }
 
     /**
-     * Tells the other processes and the file; then says whether all have it. The operator may have
-     * called since `calledFrom`, in milliseconds on the loop's clock.
+     * Sends a command to the peers and writes the file; then passes on whether all peers
+     * acknowledged it.
+     *
+     * @param worker the worker that the command is about, empty for the scheduler
+     * @param earliestCallTime when the operator may have called at the earliest, in milliseconds on
+     *     the loop's clock
      */
     void propagate(String command, String worker, double earliestCallTime, Consumer<Boolean> done) {
         double remainingMs =
@@ -78,15 +82,15 @@
     }
 
     /**
-     * How long the other processes have to acknowledge a command, in milliseconds.
+     * How long the peers have to acknowledge a command.
      *
-     * @param ofAll whoever is needed for a yes
-     * @param ofJoined a process that has the state, which a yes can do without once it is dropped
+     * @param allMs for all peers, after which the command has failed
+     * @param joinedMs for a joined successor, after which it is dropped and no longer needed
      */
     private record Timeouts(double allMs, double joinedMs) {
         static final Timeouts DEFAULT = forRemaining(ACKNOWLEDGE_TIMEOUT_MS);
 
-        /** With so much left until the operator is to have the answer. */
+        /** The time-outs if the operator must have the answer within `remainingMs`. */
         static Timeouts forRemaining(double remainingMs) {
             return new Timeouts(
                     Math.max(MIN_ACKNOWLEDGE_TIMEOUT_MS, remainingMs),
@@ -94,7 +98,7 @@
         }
     }
 
-    /** All but the one that it came from are told. */
+    /** Sends to all peers but the one whose address is `origin`. */
     private void propagate(
             String command,
             String worker,
@@ -169,15 +173,16 @@
         }
     }
 
-    /** Whether it has the state and has not taken over: it does nothing yet. */
+    /** Whether this is the successor and it has the state but has not taken over yet. */
     private boolean isJoinedSuccessor(Peer peer) {
         return peer == peers.successor()
                 && peers.succession().successorState() == Succession.SuccessorState.JOINED;
     }
 
     /**
-     * No connection to it comes up, so nobody listens there. A successor that has taken over and
-     * does not hold its call open yet has ended: nothing else would tell of it for a while.
+     * A call failed before its time-out, so no process listens at the address. A successor that has
+     * taken over but has not opened its `hold` call yet has ended; nothing else would show that for
+     * a while.
      */
     private void checkSuccessorLives(Peer peer) {
         if (peer == peers.successor() && !peer.holdsCall) {
@@ -186,9 +191,9 @@
     }
 
     /**
-     * A process that has the state but has not taken over does not acknowledge a command: it is
-     * forgotten. Guards operators' calls: no call tells when such a process ends, and each would be
-     * refused for want of it. One that was only slow may not take over then, and asks for the state
+     * Drops a joined successor that has not acknowledged a command. Guards against refusing every
+     * operator's call after such a process has ended: before it takes over, no open call shows its
+     * end. If it was only slow, its request to take over is refused and it requests the state
      * again.
      */
     private void dropJoinedSuccessor(Peer peer) {
@@ -200,13 +205,14 @@
         peers.dropSuccessor();
     }
 
-    /** Another process tells a command; it is answered once all others have it as well. */
+    /** Handles a command from a peer; answers once all other peers have acknowledged it. */
     void onCommand(Inbound from, String sender, HandoverMessages.Command message) {
         boolean fromPredecessor = peers.isPredecessor(sender);
         if (fromPredecessor
                 && !peers.succession().isServing()
                 && !commandsSinceState.isLatestRequest(message.ask())) {
-            // Guards what is said later: the state that was asked for since has this command in it.
+            // The state requested since contains this command; applying it once more could undo a
+            // later one.
             from.answer(CallStatus.OK, List.of(), EMPTY_BODY);
             return;
         }
--- a/src/main/java/gingerspool/handover/CommandsSinceState.java
+++ b/src/main/java/gingerspool/handover/CommandsSinceState.java
@@ -4,24 +4,25 @@
 import java.util.List;
 
 /**
- * The commands that the process before this one told since it was asked for its state: they are
- * later than the state, so they wait for it.
+ * Tracks the operators' commands that the predecessor has sent since this process last requested
+ * its state. They are newer than the state, so they are deferred until it has been adopted.
  *
- * <p>Thread: the event loop.
+ * <p>Thread: the event loop. Used by {@link Handover}, {@link PredecessorSearch} and {@link
+ * CommandPropagation}.
  */
 final class CommandsSinceState {
     private final List<Runnable> deferred = new ArrayList<>();
     private long requestCount;
     private long lastAppliedNumber;
 
-    /** The state is asked for, again or for the first time; returns which time it is. */
+    /** The state is requested, for the first time or again; returns the number of the request. */
     long stateRequested() {
         deferred.clear();
         lastAppliedNumber = 0;
         return ++requestCount;
     }
 
-    /** Whether a command follows the latest request for the state. */
+    /** Whether this is the number of the latest state request. */
     boolean isLatestRequest(long requestNumber) {
         return requestNumber == requestCount;
     }
@@ -34,7 +35,7 @@
         lastAppliedNumber = number;
     }
 
-    /** The number of the last one that was carried out. */
+    /** The number of the last command applied since the state request, 0 if none was. */
     long lastAppliedNumber() {
         return lastAppliedNumber;
     }
--- a/src/main/java/gingerspool/handover/Handover.java
+++ b/src/main/java/gingerspool/handover/Handover.java
@@ -17,30 +17,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out what {@link Succession} decides: takes over from the process before this one, and
- * hands over to the one after it.
+ * Carries out what {@link Succession} decides: takes over from the predecessor of this process, and
+ * hands over to its successor. Created and called by the daemon, which implements {@link
+ * HandoverOwner}.
  *
  * <p>Thread: the event loop.
  */
 public final class Handover {
     private static final Logger LOG = LoggerFactory.getLogger(Handover.class);
 
-    /** How long the other process may take to retire, in milliseconds. */
+    /** How long the predecessor may take to retire. */
     private static final double RETIRE_TIMEOUT_MS = 1000;
 
-    /** A successor that has taken over holds a call open from then on, in milliseconds. */
+    /** A successor that has not opened its `hold` call this long after taking over is gone. */
     private static final double HOLD_CALL_TIMEOUT_MS = 2000;
 
-    /** How often the process before this one is asked what it holds, in milliseconds. */
+    /** How often the predecessor is asked for its holdings. */
     private static final double HOLDINGS_POLL_INTERVAL_MS = 100;
 
     private static final double CALL_TIMEOUT_MS = CommandPropagation.CALL_TIMEOUT_MS;
 
     /**
-     * Operators are told yes once all new connections come here: the process before this one may be
-     * ended as soon as they have it. They have it so long after the start at the latest, or so long
-     * after this process serves where starting took longer; 6 s from the start are allowed. In
-     * milliseconds.
+     * Operators may end the predecessor as soon as this process reports ready, so it does so only
+     * once it gets all new connections, but at the latest this long after its start (6 s are
+     * allowed) or {@link #READY_AFTER_SERVING_MS} after it began to serve, whichever is later.
      */
     private static final double READY_AFTER_START_MS = 4500;
 
@@ -61,24 +61,26 @@
     private final CallBackForwarding forwarding = new CallBackForwarding(peers);
     private final HandoverEndpoint endpoint;
 
-    /** When this process started, in milliseconds of Unix time. */
+    /** In milliseconds of Unix time. */
     private final double startedAt = processStart();
 
-    /** The listener number of the process before this one, as it said. */
+    /** The number of the predecessor's listener, as it reported. */
     private int predecessorListener = ConnectionSteering.UNKNOWN;
 
-    /** The process is to end. */
     private boolean stopRequested;
 
-    /** It is to end before it has taken over. */
+    /** The process was asked to stop before it served; it takes nothing over any more. */
     private boolean stoppedBeforeServing;
 
-    /** New connections still go to the process before this one as well, and it is not too late. */
+    /** New connections may still go to the predecessor, and the ready deadline has not passed. */
     private boolean claimPending;
 
     /**
-     * Reads the hand-over file in the folder at once. Files are written by `files`, whose ends are
-     * told by `anyThread`; own is where this process is called.
+     * Reads the hand-over file in the folder, on the calling thread.
+     *
+     * @param fileExecutor the one thread for blocking file operations
+     * @param loopExecutor runs a task on the event loop, from any thread
+     * @param ownAddress the management address of this process
      */
     public Handover(
             EventLoop loop,
@@ -124,44 +126,42 @@
                 .orElse(0.0);
     }
 
-    /** The workers under a ban that a state tells of. */
+    /** The suspended workers that a state lists. */
     public static List<String> suspended(Object state) throws BadMessage {
         return HandoverFile.readSuspendedWorkers(state);
     }
 
-    /**
-     * Whether the processes before and after this one both live: they reach each other through it.
-     */
+    /** Whether predecessor and successor both run: they reach each other only through this one. */
     public boolean standsBetween() {
         return peers.predecessor() != null && peers.successor() != null;
     }
 
-    /** Whether the process before this one still lives, as far as is known. */
+    /** Whether the predecessor still runs, as far as is known. */
     public boolean hasBefore() {
         return peers.predecessor() != null;
     }
 
-    /** Whether a file names a process before this one. */
+    /** Whether a hand-over file was found at the start. */
     public boolean hasFile() {
         return search.hasFile();
     }
 
     /**
-     * Whether the next process will find this one, or can't since the file could not be written;
-     * and new connections all come here, or can't be had in time. Guards clients of the process
-     * before: operators end it as soon as this one is ready.
+     * Whether the hand-over file names this process (or can't be written) and all new connections
+     * come here (or can't be claimed in time). Guards the predecessor's clients: operators end it
+     * as soon as this process is ready.
      */
     public boolean isSettled() {
         return fileWriter.isAnnounced() && !claimPending;
     }
 
-    /** Looks for the process that serves. */
+    /** Starts the search for the serving process. */
     public void begin() {
         search.begin();
         perform(succession.begin());
     }
 
-    /** The process is to end: one that does not serve yet takes nothing over any more. */
+    /** The process is to end; if it does not serve yet, it stops taking over. */
     public void leave() {
         stopRequested = true;
         if (!succession.isServing()) {
@@ -172,22 +172,23 @@
     }
 
     /**
-     * Tells an operator's command to the other processes and the file; then whether all have it.
-     * The operator may have called since `calledFrom`, in milliseconds on the loop's clock.
+     * Sends an operator's command to the peers and writes the file, then passes on whether all
+     * peers acknowledged it.
+     *
+     * @param earliestCallTime when the operator may have called, in milliseconds on the loop's
+     *     clock
      */
     public void propagate(
             String command, String worker, double earliestCallTime, Consumer<Boolean> done) {
         propagation.propagate(command, worker, earliestCallTime, done);
     }
 
-    /**
-     * A call-back for no task of ours: the status to answer it with, once the others have seen it.
-     */
+    /** Forwards a worker's call-back for an unknown task; passes on the status to answer with. */
     public void callBack(byte[] callBack, IntConsumer answer) {
         forwarding.forward(callBack, "", answer);
     }
 
-    /** Whether this request to the management address is for us; it is then answered. */
+    /** Handles a management request if it is a hand-over call; returns whether it was. */
     public boolean takes(Inbound from, Message request) {
         return endpoint.tryHandle(from, request);
     }
@@ -206,7 +207,7 @@
         }
     }
 
-    // ---- Taking over from the process before ----
+    // ---- Taking over from the predecessor ----
 
     private final class SearchListener implements PredecessorSearch.Listener {
         @Override
@@ -223,7 +224,7 @@
 
         @Override
         public void newerProcessFound() {
-            owner.fail("a process that started later serves");
+            owner.fail("a process that started later is already serving");
         }
     }
 
@@ -236,7 +237,7 @@
         if (bind()) {
             serve();
         }
-        // Behind the file that names this process, which is on its way to the disk.
+        // Takes effect after the write of the file that names this process.
         search.releaseLock();
     }
 
@@ -256,7 +257,7 @@
         fileWriter.announce();
     }
 
-    /** It goes on taking who comes to it until this one listens too, so nobody is refused. */
+    /** Until this process listens, the predecessor accepts clients, so that none is refused. */
     private void requestRetirement() {
         commandsSinceState.applyDeferred();
         HandoverMessages.Take take =
@@ -294,8 +295,8 @@
     }
 
     /**
-     * Asks again what the one before holds. Guards the clients: it gives up a connection with each
-     * answer, and what it held at first would leave this one few for long.
+     * Asks the predecessor again what it holds. It closes a connection with each response to a
+     * client; its first figure would leave this process only few connections for a long time.
      */
     private void pollHoldings() {
         if (peers.predecessor() != null) {
@@ -311,7 +312,7 @@
         loop.schedule(HOLDINGS_POLL_INTERVAL_MS, this::pollHoldings);
     }
 
-    /** Serves, and has the one before listen no more once all new connections come here. */
+    /** Serves and claims all new connections, after which the predecessor stops listening. */
     private void serveBesidePredecessor() {
         if (!bind()) {
             return;
@@ -337,9 +338,7 @@
         }
     }
 
-    /**
-     * A process that was succeeded meanwhile leaves it to its successor, which tells of its own.
-     */
+    /** After a successor has taken over, the report of its own claim is passed on instead. */
     private void onClaimEnd(boolean allClaimed) {
         claimPending = false;
         if (peers.predecessor() != null && !peers.hasSuccessorTakenOver()) {
@@ -348,7 +347,7 @@
         }
     }
 
-    /** The process before this one may stop listening once none of its clients go there. */
+    /** The predecessor stops listening once it gets no more connections. */
     private void notifyPredecessorBound(boolean allClaimed) {
         if (peers.predecessor() != null) {
             byte[] bound = new HandoverMessages.Bound(allClaimed).bytes();
@@ -373,7 +372,7 @@
         }
     }
 
-    // ---- Handing over to the process after ----
+    // ---- Handing over to the successor ----
 
     private void onCall(Inbound from, String caller, String name, byte[] body) throws BadMessage {
         switch (name) {
@@ -390,8 +389,8 @@
 
     private void onJoin(Inbound from, String caller, HandoverMessages.Join join) throws BadMessage {
         if (join.startedAt() < startedAt) {
-            // Guards the order of starts: whoever starts a process ends the ones before it.
-            from.answer(CallStatus.GONE, List.of(), "started before this one\n");
+            // The process that started last must serve: operators end those started before.
+            from.answer(CallStatus.GONE, List.of(), "caller started before this process\n");
             return;
         }
         Peer successor =
@@ -407,7 +406,7 @@
         from.answer(CallStatus.OK, List.of(), state);
     }
 
-    /** Where the process is called that has the clients, as far as this one knows. */
+    /** The process that serves the clients instead of this one, as far as is known. */
     private HandoverMessages.ServingProcess servingProcess() {
         return peers.hasSuccessorTakenOver()
                 ? new HandoverMessages.ServingProcess(
@@ -422,7 +421,10 @@
         }
         if (succession.retirementRequested(caller, take.commandsApplied())
                 != Succession.Action.RETIRE) {
-            from.answer(CallStatus.CONFLICT, List.of(), "not yet\n");
+            from.answer(
+                    CallStatus.CONFLICT,
+                    List.of(),
+                    "not the latest process to join, or commands are missing\n");
             return;
         }
         LOG.atInfo().addKeyValue("successor", caller).log("handover.retired");
@@ -469,7 +471,7 @@
         }
     }
 
-    /** A call-back that all have seen and none took is about no task that is known. */
+    /** A call-back that all peers have answered and none accepted is about an unknown task. */
     private static void answerUnknownTask(Inbound from, int status) {
         int answerStatus = status == CallStatus.OK ? CallStatus.NOT_FOUND : status;
         from.answer(answerStatus, List.of(), EMPTY_BODY);
--- a/src/main/java/gingerspool/handover/HandoverEndpoint.java
+++ b/src/main/java/gingerspool/handover/HandoverEndpoint.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes the calls of the other processes from the management address: those that carry this
- * process's token.
+ * Server side of the hand-over calls: accepts the requests to the management address that other
+ * processes send with this process's token, and passes them to its handler, {@link Handover}.
  *
  * <p>Thread: the event loop.
  */
@@ -22,9 +22,12 @@
     private static final String PATH_PREFIX = "/v1/link/";
     private static final int TOKEN_BYTES = 16;
 
-    /** Who answers a call. */
+    /** Answers the calls. */
     interface Handler {
-        /** Who calls is told by its address. */
+        /**
+         * @param caller the management address of the calling process
+         * @param name the call, such as `join`
+         */
         void handle(Inbound from, String caller, String name, byte[] body) throws BadMessage;
     }
 
@@ -36,14 +39,14 @@
         this.handler = handler;
     }
 
-    /** A token that nobody guesses. */
+    /** A token that can't be guessed. */
     static String generateToken() {
         byte[] secret = new byte[TOKEN_BYTES];
         new SecureRandom().nextBytes(secret);
         return HexFormat.of().formatHex(secret);
     }
 
-    /** Whether this request to the management address is such a call; it is then answered. */
+    /** Handles the request if it is a hand-over call; returns whether it was. */
     boolean tryHandle(Inbound from, Message request) {
         if (!request.target().startsWith(PATH_PREFIX)) {
             return false;
--- a/src/main/java/gingerspool/handover/HandoverFile.java
+++ b/src/main/java/gingerspool/handover/HandoverFile.java
@@ -19,9 +19,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The file by which the next process finds this one: where it can be called, with which token, and
- * the workers that are under a ban, which hold even if it can't be called any more. Written whole,
- * then renamed.
+ * Content of the hand-over file, by which the next process finds the serving one. The suspensions
+ * in it hold even if that process can no longer be called.
+ *
+ * @param address the management address of the serving process
+ * @param token the token that calls to it must carry
+ * @param suspendedWorkers the workers that operators have suspended
+ * @param drained whether operators have drained the scheduler
  */
 record HandoverFile(String address, String token, List<String> suspendedWorkers, boolean drained) {
     private static final Logger LOG = LoggerFactory.getLogger(HandoverFile.class);
@@ -33,10 +37,7 @@
                 "gingerspool-" + schedulerName.replaceAll("[^A-Za-z0-9_.-]", "_") + ".json");
     }
 
-    /**
-     * What the file holds; null if there is none, or none that can be used, which is told in the
-     * log.
-     */
+    /** Reads the file; null if there is none, or if it is unusable, which is logged. */
     static HandoverFile read(Path file) {
         try {
             if (Files.size(file) > MAX_BYTES) {
@@ -54,7 +55,7 @@
         }
     }
 
-    /** The same bans, told by a process that is called elsewhere. */
+    /** The same suspensions, held by a process with another address and token. */
     HandoverFile withAddress(String newAddress, String newToken) {
         return new HandoverFile(newAddress, newToken, suspendedWorkers, drained);
     }
@@ -71,13 +72,13 @@
                 JsonTree.mark(tree, "drained"));
     }
 
-    /** The names under `suspended`, of a file or a state. */
+    /** Reads the worker names under `suspended` from a parsed file or state. */
     static List<String> readSuspendedWorkers(Object tree) throws BadMessage {
         List<String> names = new ArrayList<>();
         if (JsonTree.at(tree, "suspended") instanceof List<?> list) {
             for (Object entry : list) {
                 if (!(entry instanceof String name)) {
-                    throw new BadMessage(400, "suspended holds something that is no name");
+                    throw new BadMessage(400, "suspended has an entry that is not a string");
                 }
                 names.add(name);
             }
@@ -98,7 +99,8 @@
     }
 
     /**
-     * Guards against a reader that meets half of it, and against others who would call in our name.
+     * Writes a temporary file and renames it, so that no reader sees it half written. Only the
+     * owner may read it: whoever has the token can make hand-over calls.
      */
     void write(Path file) throws IOException {
         Path temporary =
--- a/src/main/java/gingerspool/handover/HandoverFileWriter.java
+++ b/src/main/java/gingerspool/handover/HandoverFileWriter.java
@@ -9,9 +9,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the file by which the next process finds this one.
+ * Writes the hand-over file, by which the next process finds this one. Used by {@link Handover}
+ * when this process starts to serve and by {@link CommandPropagation} after each command.
  *
- * <p>Thread: the event loop; the file itself is written by the thread of files.
+ * <p>Thread: the event loop; the file itself is written on the file executor.
  */
 final class HandoverFileWriter {
     private static final Logger LOG = LoggerFactory.getLogger(HandoverFileWriter.class);
@@ -23,7 +24,7 @@
     private final Executor loopExecutor;
     private final HandoverOwner owner;
 
-    /** Announcements that are on their way to the disk. */
+    /** Announcements that are not written yet. */
     private int pendingAnnouncements;
 
     HandoverFileWriter(
@@ -42,21 +43,24 @@
     }
 
     /**
-     * Guards against a next process that reads the file of the one before: while ours is on its way
-     * to the disk, it would find nobody there and serve beside us. Nobody is told to start it until
-     * then.
+     * Writes the file that names this process. Guards against a next process that still reads the
+     * predecessor's file, finds no process at that address and serves beside this one: until the
+     * write has ended, this process does not report ready, so operators don't start the next one.
      */
     void announce() {
         pendingAnnouncements++;
         write(() -> pendingAnnouncements--);
     }
 
-    /** Whether the next process finds this one, or can't since the file could not be written. */
+    /** Whether no announcement is being written; one that failed counts as written. */
     boolean isAnnounced() {
         return pendingAnnouncements == 0;
     }
 
-    /** Writes beside the loop; what can't be written is logged, and holds nothing up. */
+    /**
+     * Writes the present suspensions on the file executor, then runs `onWritten` on the loop. A
+     * failure is only logged; `onWritten` runs all the same.
+     */
     void write(Runnable onWritten) {
         HandoverFile content =
                 new HandoverFile(ownAddress, token, owner.suspended(), owner.isDrained());
--- a/src/main/java/gingerspool/handover/HandoverMessages.java
+++ b/src/main/java/gingerspool/handover/HandoverMessages.java
@@ -7,9 +7,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What two processes of one scheduler tell each other, each message a JSON object. */
+/**
+ * The messages that two processes of one scheduler exchange during a hand-over, each a JSON object.
+ */
 final class HandoverMessages {
-    /** A serving process that refuses to tell its state may not know who else serves. */
+    /** Stands in a refusal for an unknown address: the process may not know which one serves. */
     private static final String UNKNOWN_ADDRESS = "";
 
     private HandoverMessages() {}
@@ -22,7 +24,7 @@
         return Json.read(body, 0, body.length);
     }
 
-    /** Fails where what was read is of another version. */
+    /** Fails if the message is of another version of the format. */
     private static Object parseVersioned(byte[] body) throws BadMessage {
         Object tree = parse(body);
         if (JsonTree.number(0, tree, "v") != HandoverFile.VERSION) {
@@ -32,11 +34,11 @@
     }
 
     /**
-     * Asks for the state.
+     * Requests the state; body of a `join` call.
      *
-     * @param token what calls to the asking process carry
-     * @param ask how often it has asked
-     * @param startedAt when it started, in milliseconds of Unix time
+     * @param token the token that calls to the requesting process must carry
+     * @param requestNumber counts the state requests of that process
+     * @param startedAt when that process started, in milliseconds of Unix time
      */
     record Join(String token, long requestNumber, double startedAt) {
         static Join read(byte[] body, double defaultStartedAt) throws BadMessage {
@@ -57,7 +59,7 @@
         }
     }
 
-    /** The state of the process that serves. */
+    /** The state of the serving process; the answer to a `join` call. */
     static final class State {
         private State() {}
 
@@ -75,7 +77,7 @@
         }
     }
 
-    /** Why no state is told: another process serves, or none that is known. */
+    /** Names the process that serves instead, if it is known; refuses a `join` call. */
     record ServingProcess(String address, String token) {
         static final ServingProcess UNKNOWN = new ServingProcess(UNKNOWN_ADDRESS, "");
 
@@ -100,7 +102,11 @@
         }
     }
 
-    /** Asks to take over, having carried out so many commands since the state. */
+    /**
+     * Asks the serving process to retire; body of a `take` call.
+     *
+     * @param commandsApplied how many commands the caller has applied since it received the state
+     */
     record Take(long commandsApplied) {
         private static final long UNSPECIFIED = -1;
 
@@ -113,7 +119,7 @@
         }
     }
 
-    /** The descriptors that a process holds, and its listener's number. */
+    /** The number of descriptors that a process holds, and the number of its listener. */
     record Holdings(int descriptors, int listener) {
         static Holdings read(byte[] body, Holdings fallback) {
             try {
@@ -134,7 +140,11 @@
         }
     }
 
-    /** The process that has taken over listens; whether all new connections go there. */
+    /**
+     * The successor listens; body of a `bound` call.
+     *
+     * @param allClaimed whether all new connections go to the successor
+     */
     record Bound(boolean allClaimed) {
         static Bound read(byte[] body) throws BadMessage {
             return new Bound(JsonTree.mark(parse(body), "all"));
@@ -146,12 +156,12 @@
     }
 
     /**
-     * An operator's command.
+     * An operator's command; body of a `word` call.
      *
      * @param command suspend, resume, drain or activate
-     * @param worker which worker, empty for the scheduler
-     * @param number counts those told since the state was
-     * @param ask which of the receiver's requests for the state it follows
+     * @param worker the worker that it is about, empty for the scheduler
+     * @param number counts the commands sent to the receiver since it was sent the state
+     * @param ask the number of the receiver's state request that the command follows
      */
     record Command(String command, String worker, long number, long ask) {
         private static final long UNSPECIFIED = 0;
--- a/src/main/java/gingerspool/handover/HandoverOwner.java
+++ b/src/main/java/gingerspool/handover/HandoverOwner.java
@@ -6,62 +6,73 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The process that a {@link Handover} belongs to. All calls come from the event loop. */
+/** The scheduler process that a {@link Handover} acts for. All calls come from the event loop. */
 public interface HandoverOwner {
-    /** All that the next process is to know. */
+    /** The state for the successor, beside the suspensions: values that can be written as JSON. */
     Map<String, Object> state();
 
-    /** The state that the process before this one told, whole. */
+    /** Adopts the state that the predecessor sent. */
     void adoptState(Object state) throws BadMessage;
 
-    /** What the hand-over file says where no state could be had. */
+    /** Adopts what the hand-over file says, if no state could be obtained. */
     void adoptBans(List<String> suspendedWorkers, boolean drained);
 
-    /** Listens for clients, beside the other process; serves them only from serve() on. */
+    /** Opens the listener beside the predecessor's; accepts clients only from {@link #serve} on. */
     void bind() throws IOException;
 
     void serve();
 
     /**
-     * Has all new connections come to this process; then tells whether they do. Until then they go
-     * to the listener of this number, that of the process before it.
+     * Directs all new connections to this process, then passes on whether that succeeded. Until
+     * then they go to the predecessor's listener.
+     *
+     * @param predecessorListener the number of that listener
      */
     void claim(int predecessorListener, Consumer<Boolean> done);
 
-    /** The number of this process's listener, for the next one's claim. */
+    /** The number of this process's listener, for the successor's claim. */
     int listenerNumber();
 
-    /** The process before this one is gone: nobody listens beside it. */
+    /** The predecessor is gone: it no longer listens beside this process. */
     void predecessorGone();
 
-    /** Another process has the clients; who still comes here is served all the same. */
+    /** The successor takes over; clients that still connect here are served all the same. */
     void retire();
 
     /**
-     * That process listens: stop once no connection comes here any more. Tells whether all new ones
-     * go there.
+     * The successor listens: closes the listener once no more connections arrive.
+     *
+     * @param allClaimed whether all new connections go to the successor
      */
     void closeListener(boolean allClaimed);
 
-    /** That process is gone: takes clients again. */
+    /** The successor is gone: serves clients again. */
     void takeBack();
 
-    /** The other process holds so many descriptors of those that both share. */
+    /** The predecessor holds this many of the descriptors that both processes share. */
     void sharesWith(int descriptors);
 
+    /** The number of descriptors that this process holds. */
     int descriptors();
 
-    /** The workers under a ban, and whether the scheduler is drained. */
+    /** The names of the workers that operators have suspended. */
     List<String> suspended();
 
     boolean isDrained();
 
-    /** An operator's command from the other process: suspend, resume, drain or activate. */
+    /**
+     * Applies an operator's command that a peer sent.
+     *
+     * @param command suspend, resume, drain or activate
+     * @param worker the worker that it is about, empty for the scheduler
+     */
     void carryOut(String command, String worker);
 
-    /** A call-back that came to the other process; tells whether it is about a task of this one. */
+    /**
+     * Handles a call-back that a peer forwarded; returns whether it was about a task of this one.
+     */
     boolean callBackCame(byte[] callBack) throws BadMessage;
 
-    /** It can't go on. */
+    /** The process can't serve and has to end. */
     void fail(String reason);
 }
--- a/src/main/java/gingerspool/handover/HandoverPeers.java
+++ b/src/main/java/gingerspool/handover/HandoverPeers.java
@@ -1,8 +1,9 @@
 package gingerspool.handover;
 
 /**
- * The processes before and after this one, as long as they are known to live, and which of the
- * three has the clients.
+ * The predecessor and the successor of this process, as long as neither is known to have ended, and
+ * the {@link Succession} that says which of the three serves the clients. Shared by the classes of
+ * this package.
  *
  * <p>Thread: the event loop.
  */
@@ -15,12 +16,12 @@
         return succession;
     }
 
-    /** Null while there is none. */
+    /** Null if there is none. */
     Peer predecessor() {
         return predecessor;
     }
 
-    /** Null while there is none. */
+    /** Null if there is none. */
     Peer successor() {
         return successor;
     }
@@ -37,7 +38,7 @@
         predecessor = peer;
     }
 
-    /** Takes the place of the one before it, if there is one. */
+    /** Closes the calls to the former successor, if there is one. */
     void replaceSuccessor(Peer peer) {
         dropSuccessor();
         successor = peer;
@@ -60,20 +61,21 @@
     }
 
     /**
-     * Guards against a no for want of a process that is gone: what it had, it takes with it. Its
-     * end may be seen a little after the end of a call to it.
+     * Whether this peer has been dropped. Guards against refusing a call because a process that has
+     * ended did not acknowledge it: its tasks ended with it. Its end may be noticed a little after
+     * a call to it has failed.
      */
     boolean isGone(Peer peer) {
         return peer != predecessor && peer != successor;
     }
 
-    /** Whether the process before this one has retired and lives on beside it. */
+    /** Whether the predecessor has retired and still runs. */
     boolean hasRetiredPredecessor() {
         return predecessor != null
                 && succession.predecessorState() == Succession.PredecessorState.RETIRED;
     }
 
-    /** Whether a process after this one has the clients. */
+    /** Whether this process has retired and its successor serves the clients. */
     boolean hasSuccessorTakenOver() {
         return succession.successorState() == Succession.SuccessorState.TAKEN_OVER;
     }
--- a/src/main/java/gingerspool/handover/Peer.java
+++ b/src/main/java/gingerspool/handover/Peer.java
@@ -15,18 +15,23 @@
 import java.util.Set;
 
 /**
- * The other process: calls on its management address, in order on each line, each with its token.
+ * Client for the hand-over calls of one other process, the predecessor or the successor. Calls go
+ * to its management address and carry its token; each {@link CallQueue} sends its calls in order.
+ *
+ * <p>Thread: the event loop.
  */
 final class Peer {
-    /** A line at rest is closed sooner than the other side closes it, in milliseconds. */
+    /** Idle connections are closed before the other side closes them. */
     private static final double IDLE_TIMEOUT_MS = 1000;
 
     private static final int MAX_QUEUED_CALLS = 2000;
 
-    /** What an answer may hold at the most, in bytes. */
     private static final int MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 
-    /** How a call ended: its status and body, or status 0 where there was no answer. */
+    /**
+     * Called once when a call has ended: with status and body of the answer, or with {@link
+     * CallStatus#NO_ANSWER} and an empty body.
+     */
     interface Completion {
         void completed(int status, byte[] body);
     }
@@ -35,27 +40,35 @@
     private final String token;
     private final String ownAddress;
 
-    /** Commands told to it so far. */
+    /** Number of operators' commands sent to it so far. */
     long commandsSent;
 
-    /** Which of its requests for the state these commands follow. */
+    /** The number of its state request that these commands follow; 0 for a predecessor. */
     long stateRequestNumber;
 
-    /** It keeps a call open, whose end tells its own. */
+    /** Whether it keeps a `hold` call open; the end of that call shows that the process ended. */
     boolean holdsCall;
 
     private final EventLoop loop;
     private final double connectTimeoutMs;
     private boolean closed;
 
-    /** Commands in their order, and call-backs, which need none. */
+    /** All calls whose order matters, commands among them. */
     final CallQueue ordered = new CallQueue(1);
 
+    /** Workers' call-backs, which need no order. */
     final CallQueue callBacks = new CallQueue(2);
+
+    /** The one call that stays open until the other process ends. */
     final CallQueue hold = new CallQueue(1);
+
     private final Set<Outbound> openConnections = new HashSet<>();
 
-    /** Own is where this process itself is called. */
+    /**
+     * @param token the token that the other process requires on calls
+     * @param ownAddress the management address of this process, by which the other one calls back
+     * @param connectTimeoutMs added to the time-out of each call
+     */
     Peer(
             EventLoop loop,
             InetSocketAddress socketAddress,
@@ -91,12 +104,12 @@
         return Address.text(socketAddress);
     }
 
-    /** What calls to it must carry. */
+    /** The token that calls to the other process must carry. */
     String token() {
         return token;
     }
 
-    /** Calls that go out in turn on a few connections. */
+    /** Sends calls in order over a limited number of connections. */
     final class CallQueue {
         private final int maxConnections;
         private final Deque<Call> queued = new ArrayDeque<>();
@@ -107,7 +120,10 @@
             this.maxConnections = maxConnections;
         }
 
-        /** Patience 0: the answer may take for ever, which only its connection's end ends. */
+        /**
+         * Queues a call. With time-out 0 the call stays open until it is answered or its connection
+         * ends. Ends without an answer if the peer was closed or too many calls are queued.
+         */
         void call(String path, byte[] body, double timeoutMs, Completion completion) {
             if (closed || queued.size() >= MAX_QUEUED_CALLS) {
                 loop.execute(() -> completion.completed(0, new byte[0]));
@@ -126,8 +142,8 @@
         }
 
         /**
-         * All calls may be made twice, so one that breaks on a connection that had rested goes once
-         * more.
+         * Sends the call; if it fails on a reused idle connection, sends it once more on a new one.
+         * All calls are safe to repeat.
          */
         private void send(Call call, boolean mayReuse) {
             Outbound connection = mayReuse ? idle.poll() : null;
@@ -160,7 +176,7 @@
                     },
                     (bytes, from, to) -> {
                         if (body.size() + to - from > MAX_ANSWER_BYTES) {
-                            throw new BadMessage(400, "an answer too long");
+                            throw new BadMessage(400, "answer body too long");
                         }
                         body.write(bytes, from, to - from);
                     });
@@ -203,7 +219,7 @@
         return connection;
     }
 
-    /** Ends all connections to it; calls under way end without an answer. */
+    /** Closes all connections; calls queued or in flight complete without an answer. */
     void close() {
         closed = true;
         Set.copyOf(openConnections).forEach(Outbound::close);
--- a/src/main/java/gingerspool/handover/PredecessorSearch.java
+++ b/src/main/java/gingerspool/handover/PredecessorSearch.java
@@ -10,36 +10,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Looks for the process that serves and asks it for its state: first the one that the hand-over
- * file names, then whom that one or a newer file names. Ends with the state, or with the lock that
- * lets this process serve alone.
+ * Searches for the serving process and requests its state: first from the process that the
+ * hand-over file names, then from those that this one or a newer file refers to. Ends with the
+ * state, or with the lock that lets this process serve alone. Used by {@link Handover}.
  *
- * <p>Thread: the event loop; files are read and locked by the thread of files.
+ * <p>Thread: the event loop; files are read and locked on the file executor.
  */
 final class PredecessorSearch {
     private static final Logger LOG = LoggerFactory.getLogger(PredecessorSearch.class);
 
-    /** How long the other process may take to tell its state, in milliseconds. */
+    /** How long another process may take to send its state. */
     private static final double STATE_TIMEOUT_MS = 2000;
 
     /**
-     * A process that has a successor under way, or is not serving yet, is asked again this soon, in
-     * milliseconds.
+     * Delay before the next request to a process that does not serve yet, and before the next
+     * attempt to get the lock or to call a process that a newer file names.
      */
     private static final double RETRY_DELAY_MS = 50;
 
-    /** The process that serves is looked for so long; then this one serves alone. */
+    /** After this time without a state, this process serves alone. */
     private static final double SEARCH_TIMEOUT_MS = 2 * STATE_TIMEOUT_MS;
 
-    /** Who is told how the search ends. */
+    /** Is notified of the end of the search. */
     interface Listener {
-        /** The state came; one that can't be used counts as none. */
+        /** The state was received; if it is unusable, the search goes on as without a state. */
         void stateReceived(byte[] state) throws BadMessage;
 
-        /** Nobody told a state, and no other process serves alone. */
+        /** No process sent a state, and this one may serve alone. */
         void noPredecessorFound();
 
-        /** A process that started later than this one serves. */
+        /** A process that started later than this one is already serving. */
         void newerProcessFound();
     }
 
@@ -57,13 +57,16 @@
     private final HandoverFile initialFile;
     private final SoleStartLock soleStartLock;
 
-    /** The process that is asked for its state: the one of the file, or one that came after it. */
+    /**
+     * The process to request the state from: the one that the file names, or one that took over
+     * from it; null if no file names one.
+     */
     private HandoverFile target;
 
     private double searchStartedAt;
     private boolean stopped;
 
-    /** Reads the file at once. */
+    /** Reads the hand-over file, on the calling thread. */
     PredecessorSearch(
             EventLoop loop,
             Executor fileExecutor,
@@ -92,12 +95,12 @@
         soleStartLock = new SoleStartLock(file);
     }
 
-    /** Whether the file names a process before this one. */
+    /** Whether a hand-over file was found at the start. */
     boolean hasFile() {
         return initialFile != null;
     }
 
-    /** What is known of the process that was asked last; null where there was no file. */
+    /** What is known of the process that was called last; null if there was no file. */
     HandoverFile lastTarget() {
         return target;
     }
@@ -106,27 +109,27 @@
         searchStartedAt = loop.now();
     }
 
-    /** The process takes nothing over any more. */
+    /** Ends the search without a result: the process is to end. */
     void stop() {
         stopped = true;
     }
 
-    /** Lets the next process that finds nobody go on; behind the files that are on their way. */
+    /** Releases the lock once the files that are being written are complete. */
     void releaseLock() {
         fileExecutor.execute(soleStartLock::release);
     }
 
-    /** Asks whom the file names; without a file nobody is known who could be asked. */
+    /** Requests the state from the present target, if there is one. */
     void requestState() {
         if (stopped) {
             return;
         }
         if (target == null) {
-            attemptSoleStart("no file");
+            attemptSoleStart("no hand-over file");
             return;
         }
         if (target.address().equals(Address.text(ownAddress))) {
-            attemptSoleStart("it was called where this one is, so it has ended");
+            attemptSoleStart("predecessor had the address of this process, so it has ended");
             return;
         }
         try {
@@ -140,7 +143,7 @@
                                 connectTimeoutMs));
             }
         } catch (BadMessage e) {
-            attemptSoleStart("its address is " + e.getMessage());
+            attemptSoleStart("invalid predecessor address: " + e.getMessage());
             return;
         }
         HandoverMessages.Join join =
@@ -167,18 +170,19 @@
         try {
             listener.stateReceived(body);
         } catch (BadMessage e) {
-            attemptSoleStart("the state is " + e.getMessage());
+            attemptSoleStart("unusable state: " + e.getMessage());
         }
     }
 
     /**
-     * It has no state to tell: its successor serves, which is asked instead, or it does not serve
-     * itself yet. Guards against a second process that serves beside that one and knows nothing of
-     * it.
+     * The target refused to send its state: either its successor serves, which is called instead,
+     * or it does not serve yet and is called again. Guards against a second process that serves
+     * beside that one without knowing of it.
      */
     private void followReferral(byte[] refusal) {
         if (isTimedOut()) {
-            attemptSoleStart("nobody told a state within " + Math.round(SEARCH_TIMEOUT_MS) + " ms");
+            attemptSoleStart(
+                    "no process sent its state within " + Math.round(SEARCH_TIMEOUT_MS) + " ms");
             return;
         }
         HandoverMessages.ServingProcess next = HandoverMessages.ServingProcess.read(refusal);
@@ -204,8 +208,8 @@
     }
 
     /**
-     * It is gone, perhaps since another one has taken over after the file was read: the file then
-     * names that one by now.
+     * The target did not answer. It may have ended because another process took over after the file
+     * was read; the file then names that process by now.
      */
     private void rereadFile() {
         fileExecutor.execute(
@@ -227,9 +231,9 @@
     }
 
     /**
-     * Guards against two processes that start at once when the one before has gone, or where there
-     * was none: both would find nobody and serve beside each other. The one that gets the lock
-     * serves alone; the other one then finds it in the file.
+     * Serves alone if the lock can be acquired. Guards against two processes that start at once
+     * after the predecessor has ended, or without any: both would find no process and serve beside
+     * each other. The one that gets the lock serves alone; the other one then finds it in the file.
      */
     private void attemptSoleStart(String reason) {
         fileExecutor.execute(
--- a/src/main/java/gingerspool/handover/SoleStartLock.java
+++ b/src/main/java/gingerspool/handover/SoleStartLock.java
@@ -9,11 +9,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides which process may serve alone where several find nobody to take over from: a lock on a
- * file beside the hand-over file, held until that file names its holder. The system releases it
- * with its process, however that ends.
+ * Decides which process may serve alone if several find no predecessor: a lock on a file beside the
+ * hand-over file, held until the hand-over file names its holder. The operating system releases it
+ * when the process ends, however it ends.
  *
- * <p>Thread: the one that writes files; each call takes a few system calls.
+ * <p>Thread: the file executor's; each method makes a few blocking system calls. Used by {@link
+ * PredecessorSearch}.
  */
 final class SoleStartLock {
     private static final Logger LOG = LoggerFactory.getLogger(SoleStartLock.class);
@@ -21,7 +22,7 @@
 
     private final Path file;
 
-    /** Null while nothing is locked. */
+    /** Null while this process does not hold the lock. */
     private FileChannel channel;
 
     SoleStartLock(Path handoverFile) {
@@ -29,8 +30,8 @@
     }
 
     /**
-     * Whether this process holds the lock now. Where the file can't be locked at all nobody can be
-     * kept out, and each process may go on.
+     * Tries to acquire the lock; returns whether this process may serve alone. If the file can't be
+     * locked at all, no process can be kept out, and each may go on.
      */
     boolean tryAcquire() {
         if (channel != null) {
@@ -55,12 +56,12 @@
         try {
             return opened.tryLock() != null;
         } catch (OverlappingFileLockException e) {
-            // Another one of this very virtual machine has it.
+            // Another lock object of the same virtual machine holds it.
             return false;
         }
     }
 
-    /** Lets the next process go on. */
+    /** Lets another process acquire the lock. */
     void release() {
         if (channel == null) {
             return;
--- a/src/main/java/gingerspool/handover/Succession.java
+++ b/src/main/java/gingerspool/handover/Succession.java
@@ -1,52 +1,61 @@
 package gingerspool.handover;
 
 /**
- * Which of two processes has the clients, without I/O. A process asks the one before it (if a file
- * names one) for its state, takes over, and binds; later one after it may do the same. Each input
- * is a call that returns what is to be done; what is not said by the rules below changes nothing.
+ * State machine that decides which of two scheduler processes serves the clients; it does no I/O. A
+ * process requests the state of its predecessor (if the hand-over file names one), asks it to
+ * retire, and binds; later a successor may do the same with this process. Each input is a method
+ * that returns the action to carry out. An input that is not expected in the present state changes
+ * nothing and returns {@link Action#NONE} or {@link Action#REFUSE}.
+ *
+ * <p>Thread: the event loop. Called by {@link Handover} and {@link CommandPropagation}.
  */
 final class Succession {
-    /**
-     * Towards the process before: no such, asked for its state, asked to retire, lives on beside.
-     */
+    /** How far the takeover from the predecessor has come. */
     enum PredecessorState {
+        /** There is no predecessor, or it is gone. */
         NONE,
         STATE_REQUESTED,
         RETIREMENT_REQUESTED,
+        /** It has retired and still runs, to finish its tasks. */
         RETIRED
     }
 
-    /** Towards the one after: no such, it has the state, it has the clients. */
+    /** How far the hand-over to the successor has come. */
     enum SuccessorState {
+        /** There is no successor, or it is gone. */
         NONE,
+        /** It was sent the state. */
         JOINED,
+        /** This process has retired in its favour. */
         TAKEN_OVER
     }
 
-    /** What is to be done. */
+    /** What the caller carries out after an input. */
     enum Action {
-        /** Nothing. */
         NONE,
-        /** Ask the process before this one for its state. */
+        /** Request the predecessor's state. */
         REQUEST_STATE,
-        /** Use the state that came, and ask the one before to retire. */
+        /** Use the state that was received, and ask the predecessor to retire. */
         REQUEST_RETIREMENT,
-        /** Use the file's bans, bind and serve. */
+        /** Adopt the suspended workers that the hand-over file lists, bind and serve. */
         SERVE_ALONE,
         /**
-         * Bind and serve, then have all new connections; the process before this one lives on until
-         * it has ended what it has.
+         * Bind and serve, then claim all new connections; the predecessor runs on until its tasks
+         * have ended.
          */
         SERVE,
-        /** Tell the process after this one the state. */
+        /** Send the state to the successor. */
         SEND_STATE,
-        /** The process after this one has the clients, and is about to listen. */
+        /** Stop serving new clients: the successor takes over and is about to listen. */
         RETIRE,
-        /** The process after this one listens: stop once no connection comes here any more. */
+        /** Close the listener once no more connections arrive: the successor listens. */
         CLOSE_LISTENER,
-        /** Take clients again: the process after this one is gone. */
+        /** Serve clients again: the successor is gone. */
         RESUME_SERVING,
-        /** Say no: it has not had every command, or is not the latest to ask. */
+        /**
+         * Refuse the request: this process has no state to give, or the caller is not the latest to
+         * have requested it or has missed a command.
+         */
         REFUSE
     }
 
@@ -54,7 +63,7 @@
     private SuccessorState successorState = SuccessorState.NONE;
     private boolean serving;
 
-    /** Commands told to the process after this one since it had the state. */
+    /** Commands sent to the successor since it was sent the state. */
     private long commandsSent;
 
     private String successorAddress = "";
@@ -71,13 +80,13 @@
         return serving;
     }
 
-    /** The process starts, perhaps after another one. */
+    /** The process starts; whether it has a predecessor is not known yet. */
     Action begin() {
         predecessorState = PredecessorState.STATE_REQUESTED;
         return Action.REQUEST_STATE;
     }
 
-    /** The state came from the one before. */
+    /** The predecessor's state was received. */
     Action stateReceived() {
         if (predecessorState != PredecessorState.STATE_REQUESTED) {
             return Action.NONE;
@@ -86,7 +95,7 @@
         return Action.REQUEST_RETIREMENT;
     }
 
-    /** The one before has no state to tell, or none in time. */
+    /** The predecessor has sent no state, or none in time, or there is no predecessor. */
     Action stateUnavailable() {
         if (predecessorState != PredecessorState.STATE_REQUESTED) {
             return Action.NONE;
@@ -96,7 +105,7 @@
         return Action.SERVE_ALONE;
     }
 
-    /** The one before has retired. */
+    /** The predecessor has retired. */
     Action predecessorRetired() {
         if (predecessorState != PredecessorState.RETIREMENT_REQUESTED) {
             return Action.NONE;
@@ -106,7 +115,7 @@
         return Action.SERVE;
     }
 
-    /** The one before will not retire yet: commands have passed since the state was told. */
+    /** The predecessor refuses to retire yet: this process has missed commands since its state. */
     Action retirementRefused() {
         if (predecessorState != PredecessorState.RETIREMENT_REQUESTED) {
             return Action.NONE;
@@ -115,7 +124,7 @@
         return Action.REQUEST_STATE;
     }
 
-    /** The one before has ended, or says nothing any more. */
+    /** The predecessor has ended or no longer answers. */
     Action predecessorGone() {
         PredecessorState previous = predecessorState;
         predecessorState = PredecessorState.NONE;
@@ -126,7 +135,7 @@
                 : previous == PredecessorState.STATE_REQUESTED ? Action.SERVE_ALONE : Action.NONE;
     }
 
-    /** Another process asks for the state; the latest to ask is the successor. */
+    /** The process at this address requests the state; the latest to do so is the successor. */
     Action stateRequested(String address) {
         if (!serving || successorState == SuccessorState.TAKEN_OVER) {
             return Action.REFUSE;
@@ -138,7 +147,8 @@
     }
 
     /**
-     * An operator's command came that the successor must have; tells whether there is one to tell.
+     * Counts an operator's command that a successor must receive; returns whether there is a
+     * successor to send it to.
      */
     boolean countCommandForSuccessor() {
         if (successorState == SuccessorState.NONE) {
@@ -148,7 +158,11 @@
         return true;
     }
 
-    /** The successor asks us to retire; it has had so many commands since the state. */
+    /**
+     * The process at this address asks this one to retire.
+     *
+     * @param commands how many commands it has applied since it received the state
+     */
     Action retirementRequested(String address, long commands) {
         if (successorState != SuccessorState.JOINED
                 || !address.equals(successorAddress)
@@ -159,24 +173,29 @@
         return Action.RETIRE;
     }
 
-    /** Whether this one has the clients already: its call was made twice, as any call may be. */
+    /**
+     * Whether the process at this address has taken over already: its request may be a repeated
+     * one, as any call may be sent twice.
+     */
     boolean hasTakenOver(String address) {
         return successorState == SuccessorState.TAKEN_OVER && address.equals(successorAddress);
     }
 
-    /** The successor listens for clients. */
+    /** The process at this address listens for clients. */
     Action successorListening(String address) {
         return successorState == SuccessorState.TAKEN_OVER && address.equals(successorAddress)
                 ? Action.CLOSE_LISTENER
                 : Action.NONE;
     }
 
-    /** Whether just so many commands were told. */
+    /**
+     * Whether exactly this many commands were sent to the successor since it was sent the state.
+     */
     boolean hasSent(long commands) {
         return commands == commandsSent;
     }
 
-    /** The successor is gone. */
+    /** The process at this address is gone. */
     Action successorGone(String address) {
         if (successorState == SuccessorState.NONE || !address.equals(successorAddress)) {
             return Action.NONE;
--- a/src/main/java/gingerspool/handover/package-info.java
+++ b/src/main/java/gingerspool/handover/package-info.java
@@ -1,6 +1,10 @@
 /**
- * One process of a scheduler replaces another: what the two tell each other, and when which of them
- * has the clients. Succession decides without I/O, Handover carries it out, Note is the file by
- * which they find each other, Peer the calls from one to the other.
+ * Replaces a running scheduler process by a new one without refusing clients. The new process (the
+ * successor) copies the state of the running one (its predecessor), asks it to retire and takes
+ * over its new connections; the predecessor finishes the tasks that it has.
+ *
+ * <p>{@link Succession} is the state machine, free of I/O, and {@link Handover} carries out its
+ * actions. The processes find each other by a {@link HandoverFile} and call each other's management
+ * address through a {@link Peer}.
  */
 package gingerspool.handover;
--- a/src/test/java/gingerspool/handover/HandoverFileTest.java
+++ b/src/test/java/gingerspool/handover/HandoverFileTest.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
+/** The hand-over file: writing, reading back, and contents that can't be used. */
 public class HandoverFileTest {
     private static final HandoverFile FILE =
             new HandoverFile(
@@ -32,8 +33,8 @@
     }
 
     /**
-     * One that is torn, cut at any byte, of another version or no note says nothing, and stops
-     * nothing.
+     * A missing or truncated file, one of another version or with other content, and a folder are
+     * read as no file, without an exception.
      */
     @Test
     public void unusableFilesAreIgnored() throws Exception {
--- a/src/test/java/gingerspool/handover/SuccessionTest.java
+++ b/src/test/java/gingerspool/handover/SuccessionTest.java
@@ -11,8 +11,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/**
+ * The state machine of a hand-over: single transitions, and random interleavings of two processes.
+ */
 public class SuccessionTest {
-    /** Inputs in order, and what the last of them has done. */
+    /** Sequences of inputs, and the action that the last input returns. */
     @DataProvider
     public Object[][] transitions() {
         return new Object[][] {
@@ -96,10 +99,12 @@
         assertEquals(action, expected);
     }
 
-    // ---- Two processes and a link that delays, refuses and breaks, against an independent check
-    // ----
+    // ---- Two processes and a network that delays, reorders and drops calls ----
 
-    /** One process as the check sees it: what it was told to do, not what it thinks. */
+    /**
+     * One process as the check sees it. Whether it serves follows from the actions it was given,
+     * not from the state machine under test.
+     */
     private static final class Process {
         final String name;
         final Succession succession = new Succession();
@@ -115,12 +120,13 @@
         }
     }
 
-    /** Words go on a line of their own: order holds on a line only. */
+    /** Commands and other calls are two queues: order holds only within each. */
     private record Delivery(Process receiver, boolean isCommand, Runnable handler) {}
 
     /**
-     * Plays one random run; returns what the check found, or null. With a guard out (words that are
-     * not counted) it is to find something.
+     * Runs one random interleaving; returns the violation found, or null.
+     *
+     * @param countsCommands false disables the count of commands, so that violations must be found
      */
     private static String simulate(long seed, boolean countsCommands) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -241,8 +247,8 @@
                     }
                 }
                 case 1 -> {
-                    // An operator's word at the process that serves: at the other too, before the
-                    // yes.
+                    // The serving process receives an operator's command and sends it on to the
+                    // successor before it acknowledges it.
                     Process serving = predecessor.serving && !predecessor.dead ? predecessor : null;
                     if (serving != null) {
                         int suspension = ++suspensions;
@@ -272,7 +278,7 @@
                 }
                 default -> {
                     if (!network.isEmpty()) {
-                        // Calls on one line keep their order; the lines don't.
+                        // Delivers the first call of a random receiver and queue.
                         Delivery chosen = network.get(random.nextInt(network.size()));
                         Process receiver = chosen.receiver();
                         Delivery next =
@@ -312,7 +318,7 @@
                 : null;
     }
 
-    /** A word that comes before the state waits for it. */
+    /** A command that arrives before the state is deferred until then. */
     private static void receiveCommand(Process successor, int suspension, int requestNumber) {
         if (!successor.succession.isServing() && requestNumber != successor.stateRequests) {
             return;
@@ -326,9 +332,7 @@
         }
     }
 
-    /**
-     * What the old process has counted itself, as if it asked nobody what the successor has heard.
-     */
+    /** The predecessor's own count of commands sent, whatever the successor has received. */
     private static long countCommandsSent(Process predecessor) {
         for (long n = 0; n < 100; n++) {
             if (predecessor.succession.hasSent(n)) {
@@ -345,7 +349,7 @@
         }
     }
 
-    /** The check above can fail: where words on their way are not counted, bans get lost. */
+    /** Without the count of commands, the simulation must find a lost suspension. */
     @Test
     public void simulationDetectsLostSuspensionWithoutCommandCount() {
         Predicate<String> isLostSuspension =
