--- a/src/main/java/gingerspool/handover/CommandPropagation.java
+++ b/src/main/java/gingerspool/handover/CommandPropagation.java
@@ -206,17 +206,17 @@
     }
 
     /** Handles a command from a peer; answers once all other peers have acknowledged it. */
-    void onCommand(Inbound from, String sender, HandoverMessages.Command message) {
+    void onCommand(Inbound call, String sender, HandoverMessages.Command message) {
         boolean fromPredecessor = peers.isPredecessor(sender);
         if (fromPredecessor
                 && !peers.succession().isServing()
                 && !commandsSinceState.isLatestRequest(message.ask())) {
             // The state requested since contains this command; applying it once more could undo a
             // later one.
-            from.answer(CallStatus.OK, List.of(), EMPTY_BODY);
+            call.answer(CallStatus.OK, List.of(), EMPTY_BODY);
             return;
         }
-        Runnable application = () -> apply(from, sender, message, fromPredecessor);
+        Runnable application = () -> apply(call, sender, message, fromPredecessor);
         if (fromPredecessor
                 && peers.succession().predecessorState()
                         == Succession.PredecessorState.STATE_REQUESTED) {
@@ -227,7 +227,7 @@
     }
 
     private void apply(
-            Inbound from,
+            Inbound call,
             String sender,
             HandoverMessages.Command message,
             boolean fromPredecessor) {
@@ -241,7 +241,7 @@
                 sender,
                 Timeouts.DEFAULT,
                 allAcknowledged ->
-                        from.answer(
+                        call.answer(
                                 allAcknowledged ? CallStatus.OK : CallStatus.UNAVAILABLE,
                                 List.of(),
                                 EMPTY_BODY));
--- a/src/main/java/gingerspool/handover/Handover.java
+++ b/src/main/java/gingerspool/handover/Handover.java
@@ -189,8 +189,8 @@
     }
 
     /** Handles a management request if it is a hand-over call; returns whether it was. */
-    public boolean takes(Inbound from, Message request) {
-        return endpoint.tryHandle(from, request);
+    public boolean takes(Inbound call, Message request) {
+        return endpoint.tryHandle(call, request);
     }
 
     private void perform(Succession.Action action) {
@@ -374,36 +374,36 @@
 
     // ---- Handing over to the successor ----
 
-    private void onCall(Inbound from, String caller, String name, byte[] body) throws BadMessage {
+    private void onCall(Inbound call, String caller, String name, byte[] body) throws BadMessage {
         switch (name) {
-            case "join" -> onJoin(from, caller, HandoverMessages.Join.read(body, startedAt));
-            case "take" -> onTake(from, caller, HandoverMessages.Take.read(body));
-            case "bound" -> onBound(from, caller, HandoverMessages.Bound.read(body));
-            case "held" -> from.answer(CallStatus.OK, List.of(), holdings().bytes());
-            case "hold" -> onHold(from, caller);
-            case "word" -> propagation.onCommand(from, caller, HandoverMessages.Command.read(body));
-            case "callback" -> onCallBack(from, caller, body);
-            default -> from.answer(CallStatus.NOT_FOUND, List.of(), "no such path\n");
+            case "join" -> onJoin(call, caller, HandoverMessages.Join.read(body, startedAt));
+            case "take" -> onTake(call, caller, HandoverMessages.Take.read(body));
+            case "bound" -> onBound(call, caller, HandoverMessages.Bound.read(body));
+            case "held" -> call.answer(CallStatus.OK, List.of(), holdings().bytes());
+            case "hold" -> onHold(call, caller);
+            case "word" -> propagation.onCommand(call, caller, HandoverMessages.Command.read(body));
+            case "callback" -> onCallBack(call, caller, body);
+            default -> call.answer(CallStatus.NOT_FOUND, List.of(), "no such path\n");
         }
     }
 
-    private void onJoin(Inbound from, String caller, HandoverMessages.Join join) throws BadMessage {
+    private void onJoin(Inbound call, String caller, HandoverMessages.Join join) throws BadMessage {
         if (join.startedAt() < startedAt) {
             // The process that started last must serve: operators end those started before.
-            from.answer(CallStatus.GONE, List.of(), "caller started before this process\n");
+            call.answer(CallStatus.GONE, List.of(), "caller started before this process\n");
             return;
         }
         Peer successor =
                 new Peer(loop, Address.read(caller), join.token(), ownAddress, connectTimeoutMs);
         if (succession.stateRequested(caller) != Succession.Action.SEND_STATE) {
-            from.answer(CallStatus.CONFLICT, List.of(), servingProcess().bytes());
+            call.answer(CallStatus.CONFLICT, List.of(), servingProcess().bytes());
             return;
         }
         peers.replaceSuccessor(successor);
         successor.stateRequestNumber = join.requestNumber();
         byte[] state = HandoverMessages.State.write(owner);
         LOG.atInfo().addKeyValue("successor", caller).log("handover.joined");
-        from.answer(CallStatus.OK, List.of(), state);
+        call.answer(CallStatus.OK, List.of(), state);
     }
 
     /** The process that serves the clients instead of this one, as far as is known. */
@@ -414,14 +414,14 @@
                 : HandoverMessages.ServingProcess.UNKNOWN;
     }
 
-    private void onTake(Inbound from, String caller, HandoverMessages.Take take) {
+    private void onTake(Inbound call, String caller, HandoverMessages.Take take) {
         if (succession.hasTakenOver(caller)) {
-            from.answer(CallStatus.OK, List.of(), holdings().bytes());
+            call.answer(CallStatus.OK, List.of(), holdings().bytes());
             return;
         }
         if (succession.retirementRequested(caller, take.commandsApplied())
                 != Succession.Action.RETIRE) {
-            from.answer(
+            call.answer(
                     CallStatus.CONFLICT,
                     List.of(),
                     "not the latest process to join, or commands are missing\n");
@@ -429,7 +429,7 @@
         }
         LOG.atInfo().addKeyValue("successor", caller).log("handover.retired");
         owner.retire();
-        from.answer(CallStatus.OK, List.of(), holdings().bytes());
+        call.answer(CallStatus.OK, List.of(), holdings().bytes());
         Peer successor = peers.successor();
         loop.schedule(HOLD_CALL_TIMEOUT_MS, () -> checkHoldCall(successor));
     }
@@ -440,22 +440,22 @@
         }
     }
 
-    private void onHold(Inbound from, String caller) {
+    private void onHold(Inbound call, String caller) {
         if (peers.isSuccessor(caller)) {
             peers.successor().holdsCall = true;
-            from.whenGone(() -> successorGone(caller));
+            call.whenGone(() -> successorGone(caller));
         } else {
-            from.answer(CallStatus.CONFLICT, List.of(), "not the successor\n");
+            call.answer(CallStatus.CONFLICT, List.of(), "not the successor\n");
         }
     }
 
-    private void onBound(Inbound from, String caller, HandoverMessages.Bound bound) {
+    private void onBound(Inbound call, String caller, HandoverMessages.Bound bound) {
         if (succession.successorListening(caller) == Succession.Action.CLOSE_LISTENER) {
             owner.closeListener(bound.allClaimed());
             notifyPredecessorBound(bound.allClaimed());
-            from.answer(CallStatus.OK, List.of(), EMPTY_BODY);
+            call.answer(CallStatus.OK, List.of(), EMPTY_BODY);
         } else {
-            from.answer(CallStatus.CONFLICT, List.of(), "not the successor\n");
+            call.answer(CallStatus.CONFLICT, List.of(), "not the successor\n");
         }
     }
 
@@ -463,18 +463,18 @@
         return new HandoverMessages.Holdings(owner.descriptors(), owner.listenerNumber());
     }
 
-    private void onCallBack(Inbound from, String caller, byte[] callBack) throws BadMessage {
+    private void onCallBack(Inbound call, String caller, byte[] callBack) throws BadMessage {
         if (owner.callBackCame(callBack)) {
-            from.answer(CallStatus.OK, List.of(), EMPTY_BODY);
+            call.answer(CallStatus.OK, List.of(), EMPTY_BODY);
         } else {
-            forwarding.forward(callBack, caller, status -> answerUnknownTask(from, status));
+            forwarding.forward(callBack, caller, status -> answerUnknownTask(call, status));
         }
     }
 
     /** A call-back that all peers have answered and none accepted is about an unknown task. */
-    private static void answerUnknownTask(Inbound from, int status) {
+    private static void answerUnknownTask(Inbound call, int status) {
         int answerStatus = status == CallStatus.OK ? CallStatus.NOT_FOUND : status;
-        from.answer(answerStatus, List.of(), EMPTY_BODY);
+        call.answer(answerStatus, List.of(), EMPTY_BODY);
     }
 
     private void successorGone(String address) {
--- a/src/main/java/gingerspool/handover/HandoverEndpoint.java
+++ b/src/main/java/gingerspool/handover/HandoverEndpoint.java
@@ -28,7 +28,7 @@
          * @param caller the management address of the calling process
          * @param name the call, such as `join`
          */
-        void handle(Inbound from, String caller, String name, byte[] body) throws BadMessage;
+        void handle(Inbound call, String caller, String name, byte[] body) throws BadMessage;
     }
 
     private final String token;
@@ -47,22 +47,22 @@
     }
 
     /** Handles the request if it is a hand-over call; returns whether it was. */
-    boolean tryHandle(Inbound from, Message request) {
+    boolean tryHandle(Inbound call, Message request) {
         if (!request.target().startsWith(PATH_PREFIX)) {
             return false;
         }
         if (!isOwnToken(request.field("x-token"))) {
             LOG.atWarn().addKeyValue("path", request.target()).log("handover.unknown_caller");
-            from.endAfterAnswer(true);
-            from.answer(CallStatus.NOT_FOUND, List.of(), "no such path\n");
+            call.endAfterAnswer(true);
+            call.answer(CallStatus.NOT_FOUND, List.of(), "no such path\n");
             return true;
         }
         String caller = request.field("x-from") == null ? "" : request.field("x-from");
         String name = request.target().substring(PATH_PREFIX.length());
         try {
-            handler.handle(from, caller, name, request.body());
+            handler.handle(call, caller, name, request.body());
         } catch (BadMessage e) {
-            from.answer(CallStatus.BAD_REQUEST, List.of(), e.getMessage() + "\n");
+            call.answer(CallStatus.BAD_REQUEST, List.of(), e.getMessage() + "\n");
         }
         return true;
     }
--- a/src/main/java/gingerspool/handover/HandoverFile.java
+++ b/src/main/java/gingerspool/handover/HandoverFile.java
@@ -29,7 +29,10 @@
  */
 record HandoverFile(String address, String token, List<String> suspendedWorkers, boolean drained) {
     private static final Logger LOG = LoggerFactory.getLogger(HandoverFile.class);
+
+    /** The version of the format, of this file as well as of the messages. */
     static final int VERSION = 1;
+
     private static final long MAX_BYTES = 1024 * 1024;
 
     static Path path(Path folder, String schedulerName) {
--- a/src/main/java/gingerspool/handover/HandoverOwner.java
+++ b/src/main/java/gingerspool/handover/HandoverOwner.java
@@ -8,7 +8,7 @@
 
 /** The scheduler process that a {@link Handover} acts for. All calls come from the event loop. */
 public interface HandoverOwner {
-    /** The state for the successor, beside the suspensions: values that can be written as JSON. */
+    /** The state for the successor, besides the suspensions: values that can be written as JSON. */
     Map<String, Object> state();
 
     /** Adopts the state that the predecessor sent. */
--- a/src/test/java/gingerspool/handover/SuccessionTest.java
+++ b/src/test/java/gingerspool/handover/SuccessionTest.java
@@ -99,7 +99,7 @@
         assertEquals(action, expected);
     }
 
-    // ---- Two processes and a network that delays, reorders and drops calls ----
+    // ---- Two processes whose calls are delayed and reordered, checked independently ----
 
     /**
      * One process as the check sees it. Whether it serves follows from the actions it was given,
