--- a/src/main/java/gingerspool/handover/CallBackForwarding.java
+++ b/src/main/java/gingerspool/handover/CallBackForwarding.java
@@ -5,13 +5,13 @@
 import java.util.function.IntConsumer;
 
 /**
- * Passes call-backs for no task of this process to those that may have it.
+ * Forwards workers' call-backs about tasks that this process does not have to the predecessor and
+ * the successor, which may have them. Used by {@link Handover}.
  *
  * <p>Thread: the event loop.
  */
 final class CallBackForwarding {
-    /** How long the other process may take over a call-back, in milliseconds. */
-    private static final double PATIENCE = CommandPropagation.PATIENCE;
+    private static final double CALL_TIMEOUT_MS = CommandPropagation.CALL_TIMEOUT_MS;
 
     private final HandoverPeers peers;
 
@@ -19,38 +19,50 @@
         this.peers = peers;
     }
 
-    /** Tells all but the named one; then says with which status the call-back is answered. */
-    void forward(byte[] callBack, String except, IntConsumer answer) {
-        // Whoever can't be asked and is not gone may own it: the worker then tells it again.
-        Acknowledgements all =
+    /**
+     * Forwards a call-back to all peers but the one that sent it, then passes on the status to
+     * answer it with.
+     *
+     * @param origin the address of the peer that sent it, empty if a worker did
+     */
+    void forward(byte[] callBack, String origin, IntConsumer answer) {
+        // A peer that can't be reached but has not ended may have the task: on the resulting 503
+        // the worker repeats the call-back.
+        Acknowledgements acknowledgements =
                 new Acknowledgements(
                         "callback",
-                        heard -> answer.accept(heard ? CallStatus.OK : CallStatus.UNAVAILABLE));
-        for (Peer peer : receivers(except)) {
-            all.addPeer();
+                        allAnswered ->
+                                answer.accept(
+                                        allAnswered ? CallStatus.OK : CallStatus.UNAVAILABLE));
+        for (Peer peer : receivers(origin)) {
+            acknowledgements.addPeer();
             peer.callBacks.call(
                     "callback",
                     callBack,
-                    PATIENCE,
-                    (status, none) -> all.peerAnswered(isHeard(status) || peers.isGone(peer)));
+                    CALL_TIMEOUT_MS,
+                    (status, ignored) ->
+                            acknowledgements.peerAnswered(
+                                    isAnswered(status) || peers.isGone(peer)));
         }
-        all.allTold();
+        acknowledgements.sendingEnded();
     }
 
-    private static boolean isHeard(int status) {
+    private static boolean isAnswered(int status) {
         return status != CallStatus.NO_ANSWER && status != CallStatus.UNAVAILABLE;
     }
 
-    private List<Peer> receivers(String except) {
+    private List<Peer> receivers(String origin) {
         List<Peer> receivers = new ArrayList<>();
         Succession succession = peers.succession();
-        if (peers.before() != null
-                && !peers.isBefore(except)
-                && succession.before() != Succession.Before.ASKED) {
-            receivers.add(peers.before());
+        if (peers.predecessor() != null
+                && !peers.isPredecessor(origin)
+                && succession.predecessorState() != Succession.PredecessorState.STATE_REQUESTED) {
+            receivers.add(peers.predecessor());
         }
-        if (peers.after() != null && !peers.isAfter(except) && peers.isSucceeded()) {
-            receivers.add(peers.after());
+        if (peers.successor() != null
+                && !peers.isSuccessor(origin)
+                && peers.hasSuccessorTakenOver()) {
+            receivers.add(peers.successor());
         }
         return receivers;
     }
--- a/src/main/java/gingerspool/handover/HandoverFileWriter.java
+++ b/src/main/java/gingerspool/handover/HandoverFileWriter.java
@@ -9,9 +9,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the file by which the next process finds this one.
+ * Writes the hand-over file, by which the next process finds this one. Used by {@link Handover}
+ * when this process starts to serve and by {@link CommandPropagation} after each command.
  *
- * <p>Thread: the event loop; the file itself is written by the thread of files.
+ * <p>Thread: the event loop; the file itself is written on the file executor.
  */
 final class HandoverFileWriter {
     private static final Logger LOG = LoggerFactory.getLogger(HandoverFileWriter.class);
@@ -19,51 +20,54 @@
     private final Path file;
     private final String ownAddress;
     private final String token;
-    private final Executor files;
-    private final Executor anyThread;
+    private final Executor fileExecutor;
+    private final Executor loopExecutor;
     private final HandoverOwner owner;
 
-    /** Announcements that are on their way to the disk. */
-    private int unannounced;
+    /** Announcements that are not written yet. */
+    private int pendingAnnouncements;
 
     HandoverFileWriter(
             Path file,
-            InetSocketAddress own,
+            InetSocketAddress ownSocketAddress,
             String token,
-            Executor files,
-            Executor anyThread,
+            Executor fileExecutor,
+            Executor loopExecutor,
             HandoverOwner owner) {
         this.file = file;
-        ownAddress = Address.text(own);
+        ownAddress = Address.text(ownSocketAddress);
         this.token = token;
-        this.files = files;
-        this.anyThread = anyThread;
+        this.fileExecutor = fileExecutor;
+        this.loopExecutor = loopExecutor;
         this.owner = owner;
     }
 
     /**
-     * Guards against a next process that reads the file of the one before: while ours is on its way
-     * to the disk, it would find nobody there and serve beside us. Nobody is told to start it until
-     * then.
+     * Writes the file that names this process. Guards against a next process that still reads the
+     * predecessor's file, finds no process at that address and serves beside this one: until the
+     * write has ended, this process does not report ready, so operators don't start the next one.
      */
     void announce() {
-        unannounced++;
-        write(() -> unannounced--);
+        pendingAnnouncements++;
+        write(() -> pendingAnnouncements--);
     }
 
-    /** Whether the next process finds this one, or can't since the file could not be written. */
+    /** Whether no announcement is being written; one that failed counts as written. */
     boolean isAnnounced() {
-        return unannounced == 0;
+        return pendingAnnouncements == 0;
     }
 
-    /** Writes beside the loop; what can't be written is logged, and holds nothing up. */
-    void write(Runnable written) {
+    /**
+     * Writes the present suspensions on the file executor, then runs `onWritten` on the loop. A
+     * failure is only logged; `onWritten` runs all the same.
+     */
+    void write(Runnable onWritten) {
         HandoverFile content =
                 new HandoverFile(ownAddress, token, owner.suspended(), owner.isDrained());
-        files.execute(
+        fileExecutor.execute(
                 () -> {
                     write(content);
-                    anyThread.execute(written);
+                    loopExecutor.execute(onWritten);
                 });
     }
 
--- a/src/main/java/gingerspool/handover/HandoverPeers.java
+++ b/src/main/java/gingerspool/handover/HandoverPeers.java
@@ -1,79 +1,82 @@
 package gingerspool.handover;
 
 /**
- * The processes before and after this one, as long as they are known to live, and which of the
- * three has the clients.
+ * The predecessor and the successor of this process, as long as neither is known to have ended, and
+ * the {@link Succession} that says which of the three serves the clients. Shared by the classes of
+ * this package.
  *
  * <p>Thread: the event loop.
  */
 final class HandoverPeers {
     private final Succession succession = new Succession();
-    private Peer before;
-    private Peer after;
+    private Peer predecessor;
+    private Peer successor;
 
     Succession succession() {
         return succession;
     }
 
-    /** Null while there is none. */
-    Peer before() {
-        return before;
+    /** Null if there is none. */
+    Peer predecessor() {
+        return predecessor;
     }
 
-    /** Null while there is none. */
-    Peer after() {
-        return after;
+    /** Null if there is none. */
+    Peer successor() {
+        return successor;
     }
 
-    boolean isBefore(String name) {
-        return before != null && before.name().equals(name);
+    boolean isPredecessor(String address) {
+        return predecessor != null && predecessor.address().equals(address);
     }
 
-    boolean isAfter(String name) {
-        return after != null && after.name().equals(name);
+    boolean isSuccessor(String address) {
+        return successor != null && successor.address().equals(address);
     }
 
-    void setBefore(Peer peer) {
-        before = peer;
+    void setPredecessor(Peer peer) {
+        predecessor = peer;
     }
 
-    /** Takes the place of the one before it, if there is one. */
-    void replaceAfter(Peer peer) {
-        dropAfter();
-        after = peer;
+    /** Closes the calls to the former successor, if there is one. */
+    void replaceSuccessor(Peer peer) {
+        dropSuccessor();
+        successor = peer;
     }
 
-    void dropBefore() {
-        Peer dropped = before;
-        before = null;
+    void dropPredecessor() {
+        Peer dropped = predecessor;
+        predecessor = null;
         if (dropped != null) {
             dropped.close();
         }
     }
 
-    void dropAfter() {
-        Peer dropped = after;
-        after = null;
+    void dropSuccessor() {
+        Peer dropped = successor;
+        successor = null;
         if (dropped != null) {
             dropped.close();
         }
     }
 
     /**
-     * Guards against a no for want of a process that is gone: what it had, it takes with it. Its
-     * end may be seen a little after the end of a call to it.
+     * Whether this peer has been dropped. Guards against refusing a call because a process that has
+     * ended did not acknowledge it: its tasks ended with it. Its end may be noticed a little after
+     * a call to it has failed.
      */
     boolean isGone(Peer peer) {
-        return peer != before && peer != after;
+        return peer != predecessor && peer != successor;
     }
 
-    /** Whether the process before this one has retired and lives on beside it. */
-    boolean isBesideBefore() {
-        return before != null && succession.before() == Succession.Before.BESIDE;
+    /** Whether the predecessor has retired and still runs. */
+    boolean hasRetiredPredecessor() {
+        return predecessor != null
+                && succession.predecessorState() == Succession.PredecessorState.RETIRED;
     }
 
-    /** Whether a process after this one has the clients. */
-    boolean isSucceeded() {
-        return succession.after() == Succession.After.SUCCEEDED;
+    /** Whether this process has retired and its successor serves the clients. */
+    boolean hasSuccessorTakenOver() {
+        return succession.successorState() == Succession.SuccessorState.TAKEN_OVER;
     }
 }
