--- a/src/main/java/gingerspool/daemon/Key.java
+++ b/src/main/java/gingerspool/daemon/ConfigurationValue.java
@@ -5,32 +5,32 @@
 import java.util.Map;
 
 /** One value of the configuration and where it stands, so that every complaint can name its key. */
-final class Key {
+final class ConfigurationValue {
     private final String path;
     private final Object value;
 
-    Key(String path, Object value) {
+    ConfigurationValue(String path, Object value) {
         this.path = path;
         this.value = value;
     }
 
-    Key at(String name) {
-        String below = path.isEmpty() ? name : path + "." + name;
-        return new Key(below, value instanceof Map<?, ?> m ? m.get(name) : null);
+    ConfigurationValue at(String name) {
+        String childPath = path.isEmpty() ? name : path + "." + name;
+        return new ConfigurationValue(childPath, value instanceof Map<?, ?> m ? m.get(name) : null);
     }
 
     ConfigurationException fault(String what) {
         return new ConfigurationException(path, what);
     }
 
-    Key needed() throws ConfigurationException {
+    ConfigurationValue required() throws ConfigurationException {
         if (value == null) {
             throw fault("is missing");
         }
         return this;
     }
 
-    Key object() throws ConfigurationException {
+    ConfigurationValue object() throws ConfigurationException {
         if (value != null && !(value instanceof Map)) {
             throw fault("is not an object");
         }
@@ -41,9 +41,9 @@
         return value;
     }
 
-    String text(String other) throws ConfigurationException {
+    String text(String fallback) throws ConfigurationException {
         if (value == null) {
-            return other;
+            return fallback;
         }
         if (value instanceof String s) {
             return s;
@@ -52,17 +52,17 @@
     }
 
     /** A number that is not negative. */
-    double number(double other) throws ConfigurationException {
-        double n = any(other);
-        if (n < 0 && n != other) {
+    double number(double fallback) throws ConfigurationException {
+        double n = signedNumber(fallback);
+        if (n < 0 && n != fallback) {
             throw fault("is negative");
         }
         return n;
     }
 
-    double any(double other) throws ConfigurationException {
+    double signedNumber(double fallback) throws ConfigurationException {
         if (value == null) {
-            return other;
+            return fallback;
         }
         if (value instanceof Number n && Double.isFinite(n.doubleValue())) {
             return n.doubleValue();
@@ -70,11 +70,11 @@
         throw fault("is not a number");
     }
 
-    int whole(int other) throws ConfigurationException {
-        return (int) Math.min(Integer.MAX_VALUE, number(other));
+    int integer(int fallback) throws ConfigurationException {
+        return (int) Math.min(Integer.MAX_VALUE, number(fallback));
     }
 
-    boolean mark() throws ConfigurationException {
+    boolean flag() throws ConfigurationException {
         if (value == null || value instanceof Boolean) {
             return Boolean.TRUE.equals(value);
         }
@@ -82,11 +82,11 @@
     }
 
     /** The entries of a list; none where it is absent. */
-    List<Key> list() throws ConfigurationException {
-        List<Key> entries = new ArrayList<>();
+    List<ConfigurationValue> list() throws ConfigurationException {
+        List<ConfigurationValue> entries = new ArrayList<>();
         if (value instanceof List<?> l) {
             for (int i = 0; i < l.size(); i++) {
-                entries.add(new Key(path + "[" + i + "]", l.get(i)));
+                entries.add(new ConfigurationValue(path + "[" + i + "]", l.get(i)));
             }
         } else if (value != null) {
             throw fault("is not a list");
@@ -95,8 +95,10 @@
     }
 
     /** The entry at this place of a list, or one that is absent. */
-    Key place(int i) throws ConfigurationException {
-        List<Key> entries = list();
-        return i < entries.size() ? entries.get(i) : new Key(path + "[" + i + "]", null);
+    ConfigurationValue entry(int index) throws ConfigurationException {
+        List<ConfigurationValue> entries = list();
+        return index < entries.size()
+                ? entries.get(index)
+                : new ConfigurationValue(path + "[" + index + "]", null);
     }
 }
--- a/src/main/java/gingerspool/daemon/ConnectionClaims.java
+++ b/src/main/java/gingerspool/daemon/ConnectionClaims.java
@@ -21,16 +21,16 @@
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionClaims.class);
 
     /** A claim that found no listener is made again so soon, in milliseconds. */
-    private static final double RETRY_AFTER = 20;
+    private static final double RETRY_DELAY_MS = 20;
 
     private final EventLoop loop;
     private final ConnectionSteering steering;
     private final ClientEndpoint clients;
-    private final double verifyEvery;
-    private final BooleanSupplier isBeside;
+    private final double verifyInterval;
+    private final BooleanSupplier sharesClientsWithPredecessor;
 
     /** When new connections are claimed once more; null before the first claim has ended. */
-    private Future<?> next;
+    private Future<?> nextClaim;
 
     /**
      * Claims that stand are verified every so many milliseconds, as long as the process before this
@@ -40,13 +40,13 @@
             EventLoop loop,
             ConnectionSteering steering,
             ClientEndpoint clients,
-            double verifyEvery,
-            BooleanSupplier isBeside) {
+            double verifyInterval,
+            BooleanSupplier sharesClientsWithPredecessor) {
         this.loop = loop;
         this.steering = steering;
         this.clients = clients;
-        this.verifyEvery = verifyEvery;
-        this.isBeside = isBeside;
+        this.verifyInterval = verifyInterval;
+        this.sharesClientsWithPredecessor = sharesClientsWithPredecessor;
     }
 
     /** The number of this process's listener. */
@@ -58,27 +58,32 @@
      * Claims new connections, which go to the listener of this number until then; tells whether
      * they come here.
      */
-    void claim(int before, Consumer<Boolean> done) {
-        clients.claim(steering, before, outcome -> ended(outcome, before, done));
+    void claim(int predecessorListener, Consumer<Boolean> done) {
+        clients.claim(
+                steering,
+                predecessorListener,
+                outcome -> claimEnded(outcome, predecessorListener, done));
     }
 
-    private void ended(ConnectionSteering.Outcome outcome, int before, Consumer<Boolean> done) {
-        if (outcome == ConnectionSteering.Outcome.NOT_FOUND && isBeside.getAsBoolean()) {
-            schedule(RETRY_AFTER, () -> claim(before, done));
+    private void claimEnded(
+            ConnectionSteering.Outcome outcome, int predecessorListener, Consumer<Boolean> done) {
+        if (outcome == ConnectionSteering.Outcome.NOT_FOUND
+                && sharesClientsWithPredecessor.getAsBoolean()) {
+            schedule(RETRY_DELAY_MS, () -> claim(predecessorListener, done));
             return;
         }
         boolean claimed = outcome == ConnectionSteering.Outcome.CLAIMED;
-        if (claimed && isBeside.getAsBoolean()) {
-            schedule(verifyEvery, this::verify);
+        if (claimed && sharesClientsWithPredecessor.getAsBoolean()) {
+            schedule(verifyInterval, this::verify);
         }
         done.accept(claimed);
     }
 
-    private void schedule(double pause, Runnable claim) {
-        if (next != null) {
-            next.cancel(false);
+    private void schedule(double delay, Runnable claim) {
+        if (nextClaim != null) {
+            nextClaim.cancel(false);
         }
-        next = loop.schedule(pause, claim);
+        nextClaim = loop.schedule(delay, claim);
     }
 
     /**
@@ -86,17 +91,17 @@
      * they get each other's connections.
      */
     private void verify() {
-        if (isBeside.getAsBoolean() && !steering.isClaiming()) {
-            clients.verifyClaim(steering, this::verified);
+        if (sharesClientsWithPredecessor.getAsBoolean() && !steering.isClaiming()) {
+            clients.verifyClaim(steering, this::verifyEnded);
         }
     }
 
-    private void verified(boolean stands) {
-        if (!isBeside.getAsBoolean() || steering.isClaiming()) {
+    private void verifyEnded(boolean holds) {
+        if (!sharesClientsWithPredecessor.getAsBoolean() || steering.isClaiming()) {
             return;
         }
-        if (stands) {
-            schedule(verifyEvery, this::verify);
+        if (holds) {
+            schedule(verifyInterval, this::verify);
         } else {
             claim(steering.member(), claimed -> {});
         }
--- a/src/main/java/gingerspool/daemon/ConnectionDraining.java
+++ b/src/main/java/gingerspool/daemon/ConnectionDraining.java
@@ -19,16 +19,16 @@
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionDraining.class);
 
     /** How often the present state is applied while time alone may change it. */
-    static final double APPLY_EVERY = 20;
+    static final double APPLY_INTERVAL_MS = 20;
 
     /** The loop is late when it comes to that by so much later. */
-    private static final double LATE = 50;
+    private static final double LATE_THRESHOLD_MS = 50;
 
     /** After it was late, the loop has read what came meanwhile once it was on time for so long. */
-    private static final double CAUGHT_UP_AFTER = 500;
+    private static final double CATCH_UP_MS = 500;
 
     /** The same where a drained process is to be rid of its clients by now. */
-    private static final double CAUGHT_UP_AFTER_DUE = 50;
+    private static final double CATCH_UP_WHEN_DUE_MS = 50;
 
     /** The tasks of the process. */
     interface Tasks {
@@ -44,7 +44,7 @@
     private final Tasks tasks;
 
     /** Another process has the clients, but the kernel still lets some of them come here. */
-    private boolean sharesClients;
+    private boolean sharesNewConnections;
 
     private double appliedAt = Double.NaN;
     private double lateAt = Double.NEGATIVE_INFINITY;
@@ -59,24 +59,25 @@
      * The successor listens: the listener closes once none has come for `quiet`. Where it has not
      * got all new connections, that may never be, and the listener closes in the time to leave.
      */
-    void successorListens(boolean hasAllClients, double quiet) {
-        sharesClients = !hasAllClients;
-        clients.shutWhenQuiet(quiet);
+    void successorListens(boolean hasAllNewConnections, double quietPeriod) {
+        sharesNewConnections = !hasAllNewConnections;
+        clients.shutWhenQuiet(quietPeriod);
     }
 
     /** Has the endpoint do what the present state asks for. */
     void apply(double now) {
-        noteLateness(now);
+        recordLateness(now);
         clients.ready(lifecycle.isReady());
-        clients.lastAnswers(lifecycle.lastAnswers(now), lifecycle.isSucceeded());
-        clients.refuseTasks(lifecycle.isOver(now));
-        if (lifecycle.idleMost(now) < Double.POSITIVE_INFINITY) {
-            clients.closeIdle(lifecycle.idleMost(now), freshMost(now), lifecycle.isClosing(now));
+        clients.lastAnswers(lifecycle.closesAfterAnswer(now), lifecycle.isSuperseded());
+        clients.refuseTasks(lifecycle.isShutdownDue(now));
+        if (lifecycle.maxIdle(now) < Double.POSITIVE_INFINITY) {
+            clients.closeIdle(
+                    lifecycle.maxIdle(now), maxUnusedIdle(now), lifecycle.isClosingIdle(now));
         }
     }
 
-    private void noteLateness(double now) {
-        if (now > appliedAt + APPLY_EVERY + LATE) {
+    private void recordLateness(double now) {
+        if (now > appliedAt + APPLY_INTERVAL_MS + LATE_THRESHOLD_MS) {
             lateAt = now;
         }
         appliedAt = now;
@@ -86,11 +87,11 @@
      * Who has been let in by the end gets its refusal before it is closed. Before the end, a
      * process that had no processor does not take for idle what it has not read.
      */
-    private double freshMost(double now) {
-        boolean refuses = lifecycle.isOver(now) && !lifecycle.isPast(now);
-        double catchUp = lifecycle.isDrainDue(now) ? CAUGHT_UP_AFTER_DUE : CAUGHT_UP_AFTER;
-        boolean catchesUp = !lifecycle.isOver(now) && now < lateAt + catchUp;
-        return refuses || catchesUp ? Double.POSITIVE_INFINITY : lifecycle.freshMost(now);
+    private double maxUnusedIdle(double now) {
+        boolean isRefusing = lifecycle.isShutdownDue(now) && !lifecycle.isRefusalOver(now);
+        double catchUpPeriod = lifecycle.isDrainDue(now) ? CATCH_UP_WHEN_DUE_MS : CATCH_UP_MS;
+        boolean isCatchingUp = !lifecycle.isShutdownDue(now) && now < lateAt + catchUpPeriod;
+        return isRefusing || isCatchingUp ? Double.POSITIVE_INFINITY : lifecycle.maxUnusedIdle(now);
     }
 
     /**
@@ -98,26 +99,29 @@
      * tells whether the process has nothing left to end. Guards what is in hand: call-backs must
      * get in until the last task has its answer.
      */
-    boolean isEmptied(double now) {
-        if (tasks.unanswered() > 0 && lifecycle.isOver(now)) {
+    boolean finishIfEmpty(double now) {
+        if (tasks.unanswered() > 0 && lifecycle.isShutdownDue(now)) {
             LOG.atWarn().addKeyValue("tasks", tasks.unanswered()).log("leaving.abandoned");
             tasks.abandonAll();
         }
         if (tasks.unanswered() > 0) {
             return false;
         }
-        closeListener(now);
-        int open = lifecycle.isSucceeded() ? clients.ofClients() : clients.connections();
+        closeListenerIfUnneeded(now);
+        int openConnections =
+                lifecycle.isSuperseded() ? clients.ofClients() : clients.connections();
         // Guards the clients: until the listener has closed, the kernel lets more of them in.
-        return open == 0 && !clients.listens();
+        return openConnections == 0 && !clients.listens();
     }
 
     /** The listener of a process that was succeeded closes when its successor has the clients. */
-    private void closeListener(double now) {
-        if (lifecycle.isPast(now) || !lifecycle.isSucceeded() && clients.connections() == 0) {
+    private void closeListenerIfUnneeded(double now) {
+        if (lifecycle.isRefusalOver(now)
+                || !lifecycle.isSuperseded() && clients.connections() == 0) {
             clients.shut();
-        } else if (lifecycle.isOver(now)
-                || lifecycle.isClosing(now) && (sharesClients || !lifecycle.isSucceeded())) {
+        } else if (lifecycle.isShutdownDue(now)
+                || lifecycle.isClosingIdle(now)
+                        && (sharesNewConnections || !lifecycle.isSuperseded())) {
             clients.drainListener();
         }
     }
--- a/src/main/java/gingerspool/daemon/Daemon.java
+++ b/src/main/java/gingerspool/daemon/Daemon.java
@@ -36,58 +36,58 @@
      * Descriptors kept for neither clients nor workers, and the part of the rest that is for
      * workers.
      */
-    private static final int RESERVE = 48;
+    private static final int RESERVED_DESCRIPTORS = 48;
 
-    private static final int WORKER_SHARE = 4;
+    private static final int WORKER_DIVISOR = 4;
 
     /**
      * The part of clients' descriptors that tasks may hold, so that call-backs and health checks
      * get in.
      */
-    private static final double TASK_SHARE = 0.8;
+    private static final double TASK_FRACTION = 0.8;
 
     /** What a process holds for itself at the least, and the fewest that it shares out. */
-    private static final int OWN = 24;
+    private static final int OWN_DESCRIPTORS = 24;
 
-    private static final int LEAST = 16;
-    private static final double SUMMARY_EVERY = 10_000;
+    private static final int MIN_SHARED_DESCRIPTORS = 16;
+    private static final double SUMMARY_INTERVAL_MS = 10_000;
 
     /** Places for operators' calls, out of the reserve. */
-    private static final int CALLS = 24;
+    private static final int MAX_MANAGEMENT_CONNECTIONS = 24;
 
     /**
      * After SIGTERM clients come for a while; then the longest expiry may pass, or this if less.
      */
-    private static final double LONGEST = 3000;
+    private static final double MAX_TASK_PERIOD_MS = 3000;
 
     /** What is not answered so long before the end of that is abandoned. */
-    private static final double SPARE = 300;
+    private static final double ABANDON_MARGIN_MS = 300;
 
     final NodeConfiguration node;
     final Scheduler scheduler;
     final SingleThreadEventLoop loop;
     final ClientEndpoint clients;
-    final CountDownLatch ended = new CountDownLatch(1);
+    final CountDownLatch exitLatch = new CountDownLatch(1);
     volatile int exitCode;
 
     /** What SIGHUP does, for tests. */
-    Runnable again;
+    Runnable hangupAction;
 
     /** How long the last reload of an operator's file held the loop, in milliseconds. */
-    volatile double appliedIn;
+    volatile double reloadMs;
 
     private final ProcessLifecycle lifecycle = new ProcessLifecycle();
 
     /** Null where operators have no address to call. */
     final ManagementEndpoint management;
 
-    private boolean looking;
+    private boolean applyScheduled;
 
     /** Null where no other process can follow this one. */
     private final Handover handover;
 
     /** Files are written and system calls made here, beside the loop; tests hold it up. */
-    ExecutorService files;
+    ExecutorService fileExecutor;
 
     /** Null where no other process can follow this one. */
     ConnectionSteering steering;
@@ -96,27 +96,33 @@
     private ConnectionClaims claims;
 
     /** System calls on who gets new connections are made here; tests hold it up. */
-    ExecutorService systemCalls;
+    ExecutorService systemCallExecutor;
 
     private final ConnectionDraining draining;
 
     Daemon(NodeConfiguration node) throws IOException {
         this.node = node;
-        int toWorkers = (node.sockets - RESERVE) / WORKER_SHARE;
-        int toClients = node.sockets - RESERVE - toWorkers;
+        int workerConnections = (node.sockets - RESERVED_DESCRIPTORS) / WORKER_DIVISOR;
+        int clientConnections = node.sockets - RESERVED_DESCRIPTORS - workerConnections;
         loop = new SingleThreadEventLoop();
-        scheduler = new Scheduler(loop, node, (int) (TASK_SHARE * toClients), toWorkers);
+        scheduler =
+                new Scheduler(
+                        loop, node, (int) (TASK_FRACTION * clientConnections), workerConnections);
         clients =
                 new ClientEndpoint(
-                        loop, node.listen, node.management != null, toClients, scheduler);
+                        loop, node.listen, node.management != null, clientConnections, scheduler);
         draining = new ConnectionDraining(lifecycle, clients, scheduler);
         management =
                 node.management == null
                         ? null
-                        : new ManagementEndpoint(loop, node.management, CALLS, new Operators());
-        handover = management == null || node.scratch == null ? null : handover();
+                        : new ManagementEndpoint(
+                                loop,
+                                node.management,
+                                MAX_MANAGEMENT_CONNECTIONS,
+                                new OperatorCalls());
+        handover = management == null || node.handoverDirectory == null ? null : createHandover();
         if (handover != null) {
-            scheduler.elsewhere(handover::callBack);
+            scheduler.forwardCallbacksTo(handover::callBack);
         }
         if (handover == null) {
             clients.listen();
@@ -124,7 +130,7 @@
     }
 
     /** Where the configuration of the process comes from. */
-    interface Source {
+    interface ConfigurationSource {
         NodeConfiguration read() throws ConfigurationException;
     }
 
@@ -137,16 +143,17 @@
     /**
      * The same with a configuration from elsewhere, a step before it begins, and what SIGHUP does.
      */
-    static int serve(Source source, Consumer<Daemon> before, Consumer<Daemon> hangup) {
-        CompletableFuture<Daemon> made = new CompletableFuture<>();
-        onHangup(() -> made.thenAccept(hangup));
+    static int serve(
+            ConfigurationSource source, Consumer<Daemon> prepare, Consumer<Daemon> hangup) {
+        CompletableFuture<Daemon> created = new CompletableFuture<>();
+        onHangup(() -> created.thenAccept(hangup));
         try {
             Daemon daemon = new Daemon(source.read());
-            before.accept(daemon);
-            made.complete(daemon);
+            prepare.accept(daemon);
+            created.complete(daemon);
             Runtime.getRuntime().addShutdownHook(new Thread(daemon::stop, "stop"));
-            daemon.loop.submit(daemon::begin);
-            daemon.ended.await();
+            daemon.loop.submit(daemon::start);
+            daemon.exitLatch.await();
             return daemon.exitCode;
         } catch (ConfigurationException e) {
             LOG.atError().addKeyValue("why", e.getMessage()).log("config.fault");
@@ -160,8 +167,8 @@
     }
 
     /** Guards against SIGHUP ending the virtual machine, from its first moment on. */
-    private static void onHangup(Runnable then) {
-        Signal.handle(new Signal("HUP"), signal -> then.run());
+    private static void onHangup(Runnable action) {
+        Signal.handle(new Signal("HUP"), signal -> action.run());
     }
 
     /**
@@ -172,49 +179,49 @@
     synchronized void reload(Map<String, String> environment) {
         try {
             NodeConfiguration read = NodeConfiguration.read(environment);
-            loop.submit(() -> follow(read));
+            loop.submit(() -> applyReload(read));
         } catch (ConfigurationException e) {
             LOG.atError().addKeyValue("why", e.getMessage()).log("config.refused");
         }
     }
 
-    private void follow(NodeConfiguration read) {
-        Set<String> changed = node.differences(read);
+    private void applyReload(NodeConfiguration read) {
+        Set<String> changed = node.changedKeys(read);
         changed.remove("discovery");
         LOG.atInfo()
                 .addKeyValue("discovery", read.discovery)
                 .addKeyValue("kept", changed)
                 .log("config.reloaded");
-        scheduler.follow(read.discovery);
+        scheduler.followDiscovery(read.discovery);
     }
 
-    void begin() {
+    void start() {
         try {
             if (management != null) {
                 management.open();
             }
             if (handover == null) {
-                scheduler.begin(node.known, true);
-                serve();
+                scheduler.start(node.knownList, true);
+                openToClients();
             } else {
                 if (handover.hasFile()) {
                     steering.prepare();
                 }
                 handover.begin();
             }
-            summarise();
+            logSummary();
         } catch (BadMessage e) {
-            unusable(e);
+            failOnKnownList(e);
         }
     }
 
-    private void unusable(BadMessage known) {
-        LOG.atError().addKeyValue("why", "known is " + known.getMessage()).log("config.fault");
+    private void failOnKnownList(BadMessage fault) {
+        LOG.atError().addKeyValue("why", "known is " + fault.getMessage()).log("config.fault");
         exitCode = 2;
-        ended.countDown();
+        exitLatch.countDown();
     }
 
-    private void serve() {
+    private void openToClients() {
         clients.open();
         lifecycle.started();
         LOG.atInfo()
@@ -222,10 +229,10 @@
                 .addKeyValue("at", Address.text(node.listen))
                 .log("serving");
         loop.startUpEnded();
-        look();
+        followLifecycle();
     }
 
-    private void summarise() {
+    private void logSummary() {
         LoggingEventBuilder line = LOG.atInfo();
         scheduler.summary(line);
         clients.summary(line);
@@ -233,16 +240,16 @@
             management.summary(line);
         }
         line.addKeyValue("latest_timer_ms", Math.round(loop.takeLatestTimerMs())).log("summary");
-        loop.schedule(SUMMARY_EVERY, this::summarise);
+        loop.schedule(SUMMARY_INTERVAL_MS, this::logSummary);
     }
 
     /** On SIGTERM, from the virtual machine's own thread: it ends when this returns. */
     private void stop() {
-        double toldAt = loop.now();
+        double signalledAt = loop.now();
         // The signal may have come while the process stood still, and its time runs from then.
-        loop.submit(() -> leave(loop.earliest(toldAt)));
+        loop.submit(() -> beginShutdown(loop.earliest(signalledAt)));
         try {
-            ended.await();
+            exitLatch.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -250,46 +257,46 @@
     }
 
     /** To leave from this time on. */
-    void leave(double from) {
+    void beginShutdown(double from) {
         LOG.atInfo().addKeyValue("in_hand", scheduler.unanswered()).log("leaving");
         if (handover != null) {
             handover.leave();
         }
-        lifecycle.leave(from, timeToLeave());
-        look();
+        lifecycle.shutDown(from, shutdownPeriod());
+        followLifecycle();
     }
 
     /** From SIGTERM until what is out is given up, in milliseconds. */
-    double timeToLeave() {
-        return ProcessLifecycle.STILL_COMING
-                + Math.min(LONGEST, node.deployment.longestExpiry)
-                - SPARE;
+    double shutdownPeriod() {
+        return ProcessLifecycle.REDIRECT_DELAY_MS
+                + Math.min(MAX_TASK_PERIOD_MS, node.deployment.maxExpiry)
+                - ABANDON_MARGIN_MS;
     }
 
     /** Has the door do what the life's present state asks for, now and as time goes on. */
-    private void look() {
-        act();
-        if (!looking && lifecycle.isChanging()) {
-            looking = true;
+    private void followLifecycle() {
+        applyLifecycle();
+        if (!applyScheduled && lifecycle.changesWithTime()) {
+            applyScheduled = true;
             loop.schedule(
-                    ConnectionDraining.APPLY_EVERY,
+                    ConnectionDraining.APPLY_INTERVAL_MS,
                     () -> {
-                        looking = false;
-                        look();
+                        applyScheduled = false;
+                        followLifecycle();
                     });
         }
     }
 
-    private void act() {
+    private void applyLifecycle() {
         double now = loop.now();
         draining.apply(now);
-        if (ended.getCount() > 0
-                && lifecycle.mayEnd(now, handover != null && handover.standsBetween())
-                && draining.isEmptied(now)) {
+        if (exitLatch.getCount() > 0
+                && lifecycle.mayExit(now, handover != null && handover.standsBetween())
+                && draining.finishIfEmpty(now)) {
             LoggingEventBuilder line = LOG.atInfo();
             scheduler.summary(line);
             line.log("left");
-            ended.countDown();
+            exitLatch.countDown();
         }
     }
 
@@ -299,30 +306,37 @@
         } else {
             lifecycle.activate();
         }
-        look();
+        followLifecycle();
     }
 
     // ---- Another process before or after this one ----
 
-    private Handover handover() throws IOException {
-        files = blockingThread("files");
-        systemCalls = blockingThread("system-calls");
-        steering = new ConnectionSteering(loop, systemCalls, loop::submit, handshake());
-        claims = new ConnectionClaims(loop, steering, clients, handshake(), this::isBeside);
+    private Handover createHandover() throws IOException {
+        fileExecutor = blockingThread("files");
+        systemCallExecutor = blockingThread("system-calls");
+        steering =
+                new ConnectionSteering(loop, systemCallExecutor, loop::submit, handshakeTimeout());
+        claims =
+                new ConnectionClaims(
+                        loop,
+                        steering,
+                        clients,
+                        handshakeTimeout(),
+                        this::sharesClientsWithPredecessor);
         return new Handover(
                 loop,
-                files,
+                fileExecutor,
                 loop::submit,
-                node.scratch,
+                node.handoverDirectory,
                 node.name,
                 (InetSocketAddress) management.address(),
-                node.deployment.connectWithin,
-                new HandoverState());
+                node.deployment.connectTimeout,
+                new HandoverCallbacks());
     }
 
     /** Whether the process before this one lives, and none after it has the clients. */
-    private boolean isBeside() {
-        return handover.hasBefore() && !lifecycle.isSucceeded();
+    private boolean sharesClientsWithPredecessor() {
+        return handover.hasBefore() && !lifecycle.isSuperseded();
     }
 
     /** One thread for what blocks, started with its first task. */
@@ -339,14 +353,14 @@
      * A client's handshake takes no longer than this, in milliseconds: what the deployment allows a
      * connection, and no more than clients come for after they are sent elsewhere.
      */
-    private double handshake() {
-        return Math.min(node.deployment.connectWithin, ProcessLifecycle.STILL_COMING);
+    private double handshakeTimeout() {
+        return Math.min(node.deployment.connectTimeout, ProcessLifecycle.REDIRECT_DELAY_MS);
     }
 
     /** What hand-over does here. */
-    private final class HandoverState implements HandoverOwner {
+    private final class HandoverCallbacks implements HandoverOwner {
         /** The list was told, and is followed. */
-        private boolean begun;
+        private boolean listApplied;
 
         @Override
         public Map<String, Object> state() {
@@ -354,8 +368,8 @@
             state.put(
                     "discovery",
                     scheduler.discovery() == null ? "" : Address.text(scheduler.discovery()));
-            state.put("list", scheduler.list());
-            state.put("learned", scheduler.learned());
+            state.put("list", scheduler.workerList());
+            state.put("learned", scheduler.estimates());
             return state;
         }
 
@@ -365,35 +379,36 @@
             if (!(JsonTree.at(state, "list") instanceof Map)) {
                 throw new BadMessage(400, "without a list");
             }
-            String of = scheduler.discovery() == null ? "" : Address.text(scheduler.discovery());
+            String ownDiscovery =
+                    scheduler.discovery() == null ? "" : Address.text(scheduler.discovery());
             // Told a second time, the list may be older than what discovery has told since the
             // first.
-            if (!begun) {
-                scheduler.begin(
+            if (!listApplied) {
+                scheduler.start(
                         JsonTree.at(state, "list"),
-                        JsonTree.text("", state, "discovery").equals(of));
-                begun = true;
+                        JsonTree.text("", state, "discovery").equals(ownDiscovery));
+                listApplied = true;
                 if (JsonTree.at(state, "learned") instanceof Map<?, ?> learned) {
-                    scheduler.learn(learned);
+                    scheduler.restoreEstimates(learned);
                 } else {
                     LOG.atWarn().log("estimates.none");
                 }
             }
-            scheduler.suspendJust(suspended);
+            scheduler.setSuspended(suspended);
             setDrained(JsonTree.mark(state, "drained"));
         }
 
         @Override
         public void adoptBans(List<String> suspended, boolean drained) {
             try {
-                if (!begun) {
-                    scheduler.begin(node.known, true);
-                    begun = true;
+                if (!listApplied) {
+                    scheduler.start(node.knownList, true);
+                    listApplied = true;
                 }
             } catch (BadMessage e) {
-                unusable(e);
+                failOnKnownList(e);
             }
-            scheduler.suspendJust(suspended);
+            scheduler.setSuspended(suspended);
             setDrained(drained);
         }
 
@@ -404,7 +419,7 @@
 
         @Override
         public void serve() {
-            Daemon.this.serve();
+            Daemon.this.openToClients();
         }
 
         @Override
@@ -413,13 +428,13 @@
         }
 
         @Override
-        public void claim(int before, Consumer<Boolean> done) {
-            claims.claim(before, done);
+        public void claim(int predecessorListener, Consumer<Boolean> done) {
+            claims.claim(predecessorListener, done);
         }
 
         @Override
         public void predecessorGone() {
-            if (!lifecycle.isSucceeded()) {
+            if (!lifecycle.isSuperseded()) {
                 claims.cancel();
                 claims.release();
             }
@@ -427,43 +442,44 @@
 
         @Override
         public void retire() {
-            lifecycle.succeeded(loop.now());
+            lifecycle.superseded(loop.now());
             claims.cancel();
-            scheduler.mostToWorkers(Math.max(LEAST, scheduler.toWorkers()));
-            look();
+            scheduler.setMaxWorkerConnections(
+                    Math.max(MIN_SHARED_DESCRIPTORS, scheduler.workerConnections()));
+            followLifecycle();
         }
 
         @Override
         public void closeListener(boolean claimed) {
-            draining.successorListens(claimed, handshake());
-            look();
+            draining.successorListens(claimed, handshakeTimeout());
+            followLifecycle();
         }
 
         @Override
         public void takeBack() {
-            lifecycle.aloneAgain();
-            share(0);
+            lifecycle.successorGone();
+            shareDescriptors(0);
             try {
                 bind();
                 clients.open();
                 // Of a process that is to end nothing is known to have no other one beside it.
-                if (!handover.hasBefore() && !lifecycle.isLeaving()) {
+                if (!handover.hasBefore() && !lifecycle.isShuttingDown()) {
                     claims.release();
                 }
             } catch (IOException e) {
                 LOG.atError().addKeyValue("why", e.getMessage()).log("listen.failed");
             }
-            look();
+            followLifecycle();
         }
 
         @Override
         public void sharesWith(int descriptors) {
-            share(descriptors);
+            shareDescriptors(descriptors);
         }
 
         @Override
         public int descriptors() {
-            return OWN + clients.connections() + scheduler.toWorkers();
+            return OWN_DESCRIPTORS + clients.connections() + scheduler.workerConnections();
         }
 
         @Override
@@ -477,16 +493,16 @@
         }
 
         @Override
-        public void carryOut(String what, String worker) {
+        public void carryOut(String call, String worker) {
             LOG.atInfo()
-                    .addKeyValue("call", what)
+                    .addKeyValue("call", call)
                     .addKeyValue("worker", worker)
                     .log("handover.notification");
-            switch (what) {
-                case "suspend", "resume" -> scheduler.suspend(worker, what.equals("suspend"));
-                case "drain", "activate" -> setDrained(what.equals("drain"));
+            switch (call) {
+                case "suspend", "resume" -> scheduler.suspend(worker, call.equals("suspend"));
+                case "drain", "activate" -> setDrained(call.equals("drain"));
                 default ->
-                        LOG.atWarn().addKeyValue("call", what).log("handover.notification_unknown");
+                        LOG.atWarn().addKeyValue("call", call).log("handover.notification_unknown");
             }
         }
 
@@ -499,25 +515,26 @@
         public void fail(String why) {
             LOG.atError().addKeyValue("why", why).log("start.failed");
             exitCode = 1;
-            ended.countDown();
+            exitLatch.countDown();
         }
     }
 
     /**
      * Shares out the descriptors between clients and workers while another process holds so many.
      */
-    private void share(int held) {
-        int left = Math.max(LEAST, node.sockets - RESERVE - held);
-        int toWorkers = left / WORKER_SHARE;
-        scheduler.mostToWorkers(toWorkers);
-        clients.most(left - toWorkers);
+    private void shareDescriptors(int heldByOther) {
+        int available =
+                Math.max(MIN_SHARED_DESCRIPTORS, node.sockets - RESERVED_DESCRIPTORS - heldByOther);
+        int workerConnections = available / WORKER_DIVISOR;
+        scheduler.setMaxWorkerConnections(workerConnections);
+        clients.most(available - workerConnections);
     }
 
     /** What operators' calls do here. */
-    private final class Operators implements ManagementEndpoint.Operations {
+    private final class OperatorCalls implements ManagementEndpoint.Operations {
         @Override
         public boolean takesClients() {
-            return lifecycle.takesClients() && (handover == null || handover.isSettled());
+            return lifecycle.acceptsClients() && (handover == null || handover.isSettled());
         }
 
         @Override
@@ -528,7 +545,7 @@
             } else if (!known) {
                 reply.answer(ManagementEndpoint.Answer.UNKNOWN);
             } else {
-                spread(suspended ? "suspend" : "resume", worker, reply);
+                propagate(suspended ? "suspend" : "resume", worker, reply);
             }
         }
 
@@ -539,13 +556,13 @@
                 return;
             }
             setDrained(drained);
-            spread(drained ? "drain" : "activate", "", reply);
+            propagate(drained ? "drain" : "activate", "", reply);
         }
 
         /** Yes once whoever else has to know it does. */
-        private void spread(String what, String worker, ManagementEndpoint.Reply reply) {
+        private void propagate(String call, String worker, ManagementEndpoint.Reply reply) {
             LOG.atInfo()
-                    .addKeyValue("call", what)
+                    .addKeyValue("call", call)
                     .addKeyValue("worker", worker)
                     .addKeyValue("in_hand", scheduler.unanswered())
                     .log("operators.call");
@@ -553,12 +570,12 @@
                 reply.answer(ManagementEndpoint.Answer.YES);
             } else {
                 handover.propagate(
-                        what,
+                        call,
                         worker,
                         reply.calledFrom(),
-                        told ->
+                        acknowledged ->
                                 reply.answer(
-                                        told
+                                        acknowledged
                                                 ? ManagementEndpoint.Answer.YES
                                                 : ManagementEndpoint.Answer.NO));
             }
--- a/src/main/java/gingerspool/daemon/FileDaemon.java
+++ b/src/main/java/gingerspool/daemon/FileDaemon.java
@@ -23,29 +23,32 @@
 public final class FileDaemon {
     private final Path path;
     private final Map<String, String> environment;
-    private final boolean alone;
+    private final boolean standalone;
     private OperatorFile file;
 
     private FileDaemon(Path path, Map<String, String> environment) {
         this.path = path;
         this.environment = environment;
         String platform = environment.get("GW_CONFIG");
-        alone = platform == null || platform.isEmpty();
+        standalone = platform == null || platform.isEmpty();
     }
 
     /** Serves until it is told to stop; returns the exit code. */
     public static int serve(String name, Map<String, String> environment) {
-        FileDaemon d;
+        FileDaemon fileDaemon;
         try {
-            d = new FileDaemon(Path.of(name), environment);
+            fileDaemon = new FileDaemon(Path.of(name), environment);
         } catch (InvalidPathException e) {
             System.err.println("--file is no path");
             return 2;
         }
-        OperatorFile file = OperatorFile.read(d.path);
+        OperatorFile file = OperatorFile.read(fileDaemon.path);
         // The form of the log is chosen before the first line of it, which fixes it for good.
-        LogBackend.choose(file.faults().isEmpty() ? file.logForm() : "simple");
-        return Daemon.serve(() -> d.first(file), d::begin, d::reload);
+        LogBackend.select(file.faults().isEmpty() ? file.logForm() : "simple");
+        return Daemon.serve(
+                () -> fileDaemon.initialConfiguration(file),
+                fileDaemon::applyInitialRoutes,
+                fileDaemon::reload);
     }
 
     private static Logger log() {
@@ -54,39 +57,40 @@
 
     /** For tests: a daemon made from a file, without signals or exit. */
     static Daemon open(Path path) throws Exception {
-        FileDaemon d = new FileDaemon(path, Map.of());
-        Daemon daemon = new Daemon(d.first(OperatorFile.read(path)));
-        d.begin(daemon);
-        daemon.again = () -> d.reload(daemon);
+        FileDaemon fileDaemon = new FileDaemon(path, Map.of());
+        Daemon daemon = new Daemon(fileDaemon.initialConfiguration(OperatorFile.read(path)));
+        fileDaemon.applyInitialRoutes(daemon);
+        daemon.hangupAction = () -> fileDaemon.reload(daemon);
         return daemon;
     }
 
-    private NodeConfiguration first(OperatorFile read) throws ConfigurationException {
+    private NodeConfiguration initialConfiguration(OperatorFile read)
+            throws ConfigurationException {
         file = read;
         if (!read.faults().isEmpty()) {
-            tell(read.faults());
+            logFaults(read.faults());
             throw new ConfigurationException(
                     path.toString(),
                     "can't be used: "
                             + read.faults().size()
                             + (read.faults().size() == 1 ? " fault" : " faults"));
         }
-        if (alone && !read.isWhole()) {
+        if (standalone && !read.isWhole()) {
             throw new ConfigurationException(
                     path.toString(), "has no scheduler.listen, and GW_CONFIG is not set");
         }
         NodeConfiguration node =
-                alone
+                standalone
                         ? new NodeConfiguration(read.deployment(), environment)
                         : NodeConfiguration.read(environment);
-        List<String> against = disagreements(read, node.deployment);
-        if (!against.isEmpty()) {
-            throw new ConfigurationException(path.toString(), String.join("; ", against));
+        List<String> conflicts = platformConflicts(read, node.deployment);
+        if (!conflicts.isEmpty()) {
+            throw new ConfigurationException(path.toString(), String.join("; ", conflicts));
         }
         return node;
     }
 
-    private static void tell(List<Diagnostic> faults) {
+    private static void logFaults(List<Diagnostic> faults) {
         for (Diagnostic f : faults) {
             log().atError()
                     .addKeyValue("file", f.at().file())
@@ -101,21 +105,21 @@
      * Guards the rules: policies were checked against the file's profiles, the platform's are those
      * that run.
      */
-    private static List<String> disagreements(OperatorFile read, Configuration platform) {
-        List<String> all = new ArrayList<>();
+    private static List<String> platformConflicts(OperatorFile read, Configuration platform) {
+        List<String> conflicts = new ArrayList<>();
         read.profileFacts()
                 .forEach(
                         (name, fact) -> {
                             Profile p = platform.profiles.get(name);
                             if (p != null && p.effect != fact.effect()) {
-                                all.add(
+                                conflicts.add(
                                         "profile."
                                                 + name
                                                 + ".effect differs from the platform's, "
                                                 + p.effect);
                             }
                             if (p != null && p.expiry > 0 && p.expiry < fact.expiry()) {
-                                all.add(
+                                conflicts.add(
                                         "profile."
                                                 + name
                                                 + ".expiry is beyond the platform's, "
@@ -123,89 +127,96 @@
                                                 + " ms");
                             }
                         });
-        return all;
+        return conflicts;
     }
 
-    private void begin(Daemon daemon) {
-        daemon.scheduler.use(new Routes(file.rules(), null), null);
+    private void applyInitialRoutes(Daemon daemon) {
+        daemon.scheduler.reconfigure(new Routes(file.rules(), null), null);
     }
 
     /** On SIGHUP, from the signal's own thread: reading files is not for the loop. */
     private void reload(Daemon daemon) {
         OperatorFile read = OperatorFile.read(path);
         if (!read.faults().isEmpty()) {
-            tell(read.faults());
-            refuse(read.faults().size(), "faults");
+            logFaults(read.faults());
+            logRefused(read.faults().size(), "faults");
             return;
         }
         NodeConfiguration node = null;
         try {
-            node = alone ? new NodeConfiguration(read.deployment(), environment) : daemon.node;
+            node = standalone ? new NodeConfiguration(read.deployment(), environment) : daemon.node;
         } catch (ConfigurationException e) {
-            refuse(1, e.getMessage());
+            logRefused(1, e.getMessage());
             return;
         }
-        List<String> against =
-                alone
-                        ? new ArrayList<>(fixed(daemon.node.tree(), node.tree()))
-                        : disagreements(read, node.deployment);
-        if (!against.isEmpty()) {
-            refuse(against.size(), (alone ? "needs a restart: " : "") + String.join(", ", against));
+        List<String> conflicts =
+                standalone
+                        ? new ArrayList<>(changesNeedingRestart(daemon.node.tree(), node.tree()))
+                        : platformConflicts(read, node.deployment);
+        if (!conflicts.isEmpty()) {
+            logRefused(
+                    conflicts.size(),
+                    (standalone ? "needs a restart: " : "") + String.join(", ", conflicts));
             return;
         }
-        NodeConfiguration taken = node;
-        daemon.loop.submit(() -> apply(daemon, read, taken));
+        NodeConfiguration accepted = node;
+        daemon.loop.submit(() -> apply(daemon, read, accepted));
     }
 
-    private static void refuse(int count, String why) {
+    private static void logRefused(int count, String why) {
         log().atError().addKeyValue("faults", count).addKeyValue("why", why).log("file.refused");
     }
 
     private void apply(Daemon daemon, OperatorFile read, NodeConfiguration node) {
-        double from = daemon.loop.now();
+        double startedAt = daemon.loop.now();
         file = read;
-        daemon.scheduler.use(
+        daemon.scheduler.reconfigure(
                 new Routes(read.rules(), daemon.scheduler.routes()),
-                alone ? node.deployment : null);
+                standalone ? node.deployment : null);
         try {
-            if (alone && node.discovery == null) {
-                daemon.scheduler.listFixed(node.known);
+            if (standalone && node.discovery == null) {
+                daemon.scheduler.applyFixedList(node.knownList);
             }
         } catch (BadMessage e) {
-            refuse(1, e.getMessage());
+            logRefused(1, e.getMessage());
         }
-        daemon.appliedIn = daemon.loop.now() - from;
+        daemon.reloadMs = daemon.loop.now() - startedAt;
         log().atInfo()
                 .addKeyValue("file", path)
                 .addKeyValue("files", read.files().size())
                 .addKeyValue("routes", read.routeCount())
-                .addKeyValue("ms", Math.round(daemon.appliedIn))
+                .addKeyValue("ms", Math.round(daemon.reloadMs))
                 .log("file.applied");
     }
 
     /** The keys that differ and that a running scheduler can't change. */
-    private static TreeSet<String> fixed(Map<?, ?> old, Map<?, ?> now) {
+    private static TreeSet<String> changesNeedingRestart(Map<?, ?> old, Map<?, ?> changed) {
         TreeSet<String> keys = new TreeSet<>();
-        compare("", old, now, keys);
+        collectChanges("", old, changed, keys);
         return keys;
     }
 
-    private static void compare(String path, Object old, Object now, TreeSet<String> keys) {
+    private static void collectChanges(
+            String path, Object old, Object changed, TreeSet<String> keys) {
         if (path.matches("seed|known|settings\\.tenants\\[\\d+\\]\\.allowancePerS")
                 || path.matches("settings\\.profiles\\[\\d+\\]\\..*") && !path.endsWith(".name")
                 || path.matches("settings\\.(localities|flavors|specifics\\.classKind).*")
-                || Objects.equals(old, now)) {
+                || Objects.equals(old, changed)) {
             return;
         }
-        if (old instanceof Map<?, ?> a && now instanceof Map<?, ?> b) {
+        if (old instanceof Map<?, ?> a && changed instanceof Map<?, ?> b) {
             TreeSet<String> names = new TreeSet<>();
             a.keySet().forEach(k -> names.add((String) k));
             b.keySet().forEach(k -> names.add((String) k));
             names.forEach(
-                    k -> compare(path.isEmpty() ? k : path + "." + k, a.get(k), b.get(k), keys));
-        } else if (old instanceof List<?> a && now instanceof List<?> b && a.size() == b.size()) {
+                    k ->
+                            collectChanges(
+                                    path.isEmpty() ? k : path + "." + k, a.get(k), b.get(k), keys));
+        } else if (old instanceof List<?> a
+                && changed instanceof List<?> b
+                && a.size() == b.size()) {
             for (int i = 0; i < a.size(); i++) {
-                compare(path + "[" + i + "]", a.get(i), b.get(i), keys);
+                collectChanges(path + "[" + i + "]", a.get(i), b.get(i), keys);
             }
         } else {
             keys.add(path);
--- a/src/main/java/gingerspool/daemon/LogBackend.java
+++ b/src/main/java/gingerspool/daemon/LogBackend.java
@@ -10,8 +10,8 @@
 final class LogBackend {
     private LogBackend() {}
 
-    static void choose(String form) {
-        if (!form.equals("json")) {
+    static void select(String format) {
+        if (!format.equals("json")) {
             return;
         }
         // The jar names slf4j-simple only, which spares each start the search for another.
--- a/src/main/java/gingerspool/daemon/NodeConfiguration.java
+++ b/src/main/java/gingerspool/daemon/NodeConfiguration.java
@@ -34,12 +34,12 @@
     public final int sockets;
 
     /** The list of workers as last held, in discovery's form, or null. */
-    public final Object known;
+    public final Object knownList;
 
     public final Configuration deployment;
 
     /** A folder for files that the next process of this scheduler may read, or null. */
-    public final Path scratch;
+    public final Path handoverDirectory;
 
     private final Map<?, ?> tree;
 
@@ -59,28 +59,29 @@
     }
 
     NodeConfiguration(Object tree, Map<String, String> environment) throws ConfigurationException {
-        Key all = new Key("", tree);
-        if (!(tree instanceof Map<?, ?> keys)) {
+        ConfigurationValue root = new ConfigurationValue("", tree);
+        if (!(tree instanceof Map<?, ?> object)) {
             throw new ConfigurationException("GW_CONFIG", "names a file that holds no object");
         }
-        this.tree = keys;
-        name = all.at("name").text(environment.getOrDefault("GW_NAME", "gingerspool"));
-        listen = address(all.at("listen"), environment.get("GW_LISTEN"));
+        this.tree = object;
+        name = root.at("name").text(environment.getOrDefault("GW_NAME", "gingerspool"));
+        listen = address(root.at("listen"), environment.get("GW_LISTEN"));
         discovery =
-                all.at("fixedList").mark()
+                root.at("fixedList").flag()
                         ? null
-                        : address(all.at("discovery"), environment.get("GW_DISCOVERY"));
-        String operators = all.at("management").text(environment.getOrDefault("GW_MANAGEMENT", ""));
-        management = operators.isEmpty() ? null : address(all.at("management"), operators);
+                        : address(root.at("discovery"), environment.get("GW_DISCOVERY"));
+        String operators =
+                root.at("management").text(environment.getOrDefault("GW_MANAGEMENT", ""));
+        management = operators.isEmpty() ? null : address(root.at("management"), operators);
         String folder = environment.getOrDefault("TMPDIR", "");
-        scratch = folder.isEmpty() ? null : Path.of(folder);
-        seed = seed(all.at("seed"));
-        sockets = all.at("limits").object().at("sockets").whole(1024);
+        handoverDirectory = folder.isEmpty() ? null : Path.of(folder);
+        seed = seed(root.at("seed"));
+        sockets = root.at("limits").object().at("sockets").integer(1024);
         if (sockets < 64) {
-            throw all.at("limits").at("sockets").fault("is under 64, too few to serve with");
+            throw root.at("limits").at("sockets").fault("is under 64, too few to serve with");
         }
-        known = all.at("known").object().raw();
-        deployment = new Configuration(all.at("settings").raw());
+        knownList = root.at("known").object().raw();
+        deployment = new Configuration(root.at("settings").raw());
         if (deployment.settings.mayTell) {
             LOG.warn(
                     "settings.limits.mayTell: this host has no way to other schedulers, nothing is told");
@@ -94,7 +95,7 @@
     }
 
     /** The keys, of those at the top, whose values differ in the other one. */
-    Set<String> differences(NodeConfiguration other) {
+    Set<String> changedKeys(NodeConfiguration other) {
         Set<String> keys = new TreeSet<>();
         tree.keySet().forEach(k -> keys.add((String) k));
         other.tree.keySet().forEach(k -> keys.add((String) k));
@@ -102,8 +103,9 @@
         return keys;
     }
 
-    private static InetSocketAddress address(Key key, String other) throws ConfigurationException {
-        String text = key.text(other);
+    private static InetSocketAddress address(ConfigurationValue key, String fallback)
+            throws ConfigurationException {
+        String text = key.text(fallback);
         if (text == null) {
             throw key.fault("is missing");
         }
@@ -114,9 +116,9 @@
         }
     }
 
-    private static long seed(Key key) throws ConfigurationException {
+    private static long seed(ConfigurationValue key) throws ConfigurationException {
         try {
-            return Long.parseUnsignedLong(key.needed().text(""), 16);
+            return Long.parseUnsignedLong(key.required().text(""), 16);
         } catch (NumberFormatException e) {
             throw key.fault("is not a number of up to 16 hex digits");
         }
--- a/src/main/java/gingerspool/daemon/ProcessLifecycle.java
+++ b/src/main/java/gingerspool/daemon/ProcessLifecycle.java
@@ -7,37 +7,37 @@
  */
 final class ProcessLifecycle {
     /** After it is said that nobody new is to come here, clients come for this long. */
-    static final double STILL_COMING = 700;
+    static final double REDIRECT_DELAY_MS = 700;
 
     /**
      * The part of the time to leave in which connections are kept: others may be restarting as
      * well.
      */
-    private static final double KEPT = 0.75;
+    private static final double KEEP_FRACTION = 0.75;
 
     /** The same where another process has taken over, so that new connections are welcome there. */
-    private static final double KEPT_SUCCEEDED = 0.4;
+    private static final double KEEP_FRACTION_SUPERSEDED = 0.4;
 
     /** No client holds an idle connection to a drained scheduler after this, in milliseconds. */
-    private static final double SENT_AWAY_WITHIN = 4000;
+    private static final double DRAIN_PERIOD_MS = 4000;
 
     /** So long before that the last ones are closed, in milliseconds. */
-    private static final double SENT_AWAY_SPARE = 100;
+    private static final double DRAIN_MARGIN_MS = 100;
 
     /** The part of that in which connections without a request are kept. */
-    private static final double KEPT_DRAINED = 0.75;
+    private static final double KEEP_FRACTION_DRAINED = 0.75;
 
     /** A connection that has been idle for less may have its first request under way. */
-    private static final double FRESH = 200;
+    private static final double MIN_IDLE_MS = 200;
 
     /** For so long after its time is over a process refuses whoever it has let in. */
-    static final double REFUSING = 200;
+    static final double REFUSAL_PERIOD_MS = 200;
 
     private boolean started;
     private double drainedAt = Double.NaN;
-    private double succeededAt = Double.NaN;
-    private double leavingAt = Double.NaN;
-    private double leaveWithin;
+    private double supersededAt = Double.NaN;
+    private double shutdownStartedAt = Double.NaN;
+    private double shutdownPeriod;
 
     // ---- What happens ----
 
@@ -55,20 +55,20 @@
     }
 
     /** Another process takes the clients from now on. */
-    void succeeded(double now) {
-        succeededAt = isSucceeded() ? succeededAt : now;
+    void superseded(double now) {
+        supersededAt = isSuperseded() ? supersededAt : now;
     }
 
     /** The other process is gone: the clients are ours again. */
-    void aloneAgain() {
-        succeededAt = Double.NaN;
+    void successorGone() {
+        supersededAt = Double.NaN;
     }
 
     /** The process is to end within this span. */
-    void leave(double now, double within) {
-        if (!isLeaving()) {
-            leavingAt = now;
-            leaveWithin = within;
+    void shutDown(double now, double period) {
+        if (!isShuttingDown()) {
+            shutdownStartedAt = now;
+            shutdownPeriod = period;
         }
     }
 
@@ -82,49 +82,49 @@
         return !Double.isNaN(drainedAt);
     }
 
-    boolean isSucceeded() {
-        return !Double.isNaN(succeededAt);
+    boolean isSuperseded() {
+        return !Double.isNaN(supersededAt);
     }
 
-    boolean isLeaving() {
-        return !Double.isNaN(leavingAt);
+    boolean isShuttingDown() {
+        return !Double.isNaN(shutdownStartedAt);
     }
 
     /**
      * Whether this process takes clients, as operators ask: a drained one would, if they were sent.
      */
-    boolean takesClients() {
-        return started && !isSucceeded() && !isLeaving();
+    boolean acceptsClients() {
+        return started && !isSuperseded() && !isShuttingDown();
     }
 
     /** Whether the front is to send clients: it asks of the scheduler, whichever process it is. */
     boolean isReady() {
-        return !isDrained() && (isSucceeded() || !isLeaving());
+        return !isDrained() && (isSuperseded() || !isShuttingDown());
     }
 
     /**
      * Whether a listener is wanted: call-backs need one until the end, unless another process has
      * it.
      */
-    boolean listens() {
-        return !isSucceeded();
+    boolean needsListener() {
+        return !isSuperseded();
     }
 
     /** Whether each client's connection is to end with its next answer. */
-    boolean lastAnswers(double now) {
-        return isDrained() || isSucceeded() || isClosing(now);
+    boolean closesAfterAnswer(double now) {
+        return isDrained() || isSuperseded() || isClosingIdle(now);
     }
 
     /**
      * Clients' connections that have been idle for longer are to be closed. Guards first requests
      * under way: one that is closed at once may be new, and its client would get no answer.
      */
-    double idleMost(double now) {
-        if (isOver(now)) {
+    double maxIdle(double now) {
+        if (isShutdownDue(now)) {
             return 0;
         }
-        boolean isEmptied = isDrained() && now >= drainedAt + STILL_COMING;
-        return isClosing(now) || isEmptied ? FRESH : Double.POSITIVE_INFINITY;
+        boolean isDrainingIdle = isDrained() && now >= drainedAt + REDIRECT_DELAY_MS;
+        return isClosingIdle(now) || isDrainingIdle ? MIN_IDLE_MS : Double.POSITIVE_INFINITY;
     }
 
     /**
@@ -134,38 +134,44 @@
      * what has waited so long for a first request, but not before most of the time for that is
      * over.
      */
-    double freshMost(double now) {
-        if (isOver(now) || isDrainDue(now)) {
+    double maxUnusedIdle(double now) {
+        if (isShutdownDue(now) || isDrainDue(now)) {
             return 0;
         }
-        boolean mayWait = isLeaving() || now < drainedAt + KEPT_DRAINED * SENT_AWAY_WITHIN;
-        return mayWait ? Double.POSITIVE_INFINITY : 2 * STILL_COMING;
+        boolean isKept =
+                isShuttingDown() || now < drainedAt + KEEP_FRACTION_DRAINED * DRAIN_PERIOD_MS;
+        return isKept ? Double.POSITIVE_INFINITY : 2 * REDIRECT_DELAY_MS;
     }
 
     /** Whether a drained process has to be rid of its clients now, however late its loop was. */
     boolean isDrainDue(double now) {
-        return isDrained() && now >= drainedAt + SENT_AWAY_WITHIN - SENT_AWAY_SPARE;
+        return isDrained() && now >= drainedAt + DRAIN_PERIOD_MS - DRAIN_MARGIN_MS;
     }
 
     /** Whether it is time to leave for those who have nothing out. */
-    boolean isClosing(double now) {
-        return isLeaving()
-                && now >= leavingAt + leaveWithin * (isSucceeded() ? KEPT_SUCCEEDED : KEPT);
+    boolean isClosingIdle(double now) {
+        return isShuttingDown()
+                && now
+                        >= shutdownStartedAt
+                                + shutdownPeriod
+                                        * (isSuperseded()
+                                                ? KEEP_FRACTION_SUPERSEDED
+                                                : KEEP_FRACTION);
     }
 
     /** Whether what is still out must be given up: the process is about to be ended. */
-    boolean isOver(double now) {
-        return isLeaving() && now >= leavingAt + leaveWithin;
+    boolean isShutdownDue(double now) {
+        return isShuttingDown() && now >= shutdownStartedAt + shutdownPeriod;
     }
 
     /** Whether nothing can be answered any more: all that is open is to be closed. */
-    boolean isPast(double now) {
-        return isLeaving() && now >= leavingAt + leaveWithin + REFUSING;
+    boolean isRefusalOver(double now) {
+        return isShuttingDown() && now >= shutdownStartedAt + shutdownPeriod + REFUSAL_PERIOD_MS;
     }
 
     /** From when on the process may end if nothing is left: before that, clients may still come. */
-    double endsFrom() {
-        return leavingAt + (isSucceeded() ? 0 : STILL_COMING);
+    double earliestExit() {
+        return shutdownStartedAt + (isSuperseded() ? 0 : REDIRECT_DELAY_MS);
     }
 
     /**
@@ -173,12 +179,14 @@
      * that stands between two others hands on their call-backs, and stays for that as long as it is
      * given.
      */
-    boolean mayEnd(double now, boolean between) {
-        return isLeaving() && now >= endsFrom() && (!between || isOver(now));
+    boolean mayExit(double now, boolean forwardsCallbacks) {
+        return isShuttingDown()
+                && now >= earliestExit()
+                && (!forwardsCallbacks || isShutdownDue(now));
     }
 
     /** Whether time alone may change what follows. */
-    boolean isChanging() {
-        return isDrained() || isSucceeded() || isLeaving();
+    boolean changesWithTime() {
+        return isDrained() || isSuperseded() || isShuttingDown();
     }
 }
--- a/src/main/java/gingerspool/daemon/Scheduler.java
+++ b/src/main/java/gingerspool/daemon/Scheduler.java
@@ -52,24 +52,24 @@
     private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
 
     /** The part of the heap that tasks' bodies may fill. */
-    private static final int BODY_SHARE = 4;
+    private static final int BODY_HEAP_DIVISOR = 4;
 
     /**
      * How far ahead of its expiry a task's answer is due here, in times that answers may be late
      * by.
      */
-    private static final double AHEAD = 4;
+    private static final double ANSWER_MARGIN_FACTOR = 4;
 
-    private static final String[] HEALTH = {"DELETED", "DRAINING", "SERVING"};
-    private static final String[] STATES = {"gone", "draining", "running"};
+    private static final String[] DISCOVERY_HEALTH = {"DELETED", "DRAINING", "SERVING"};
+    private static final String[] STATE_NAMES = {"gone", "draining", "running"};
 
     /** How long a client's wait may be where its profile does not say. */
-    private static final double LONGEST_WAIT = 60_000;
+    private static final double DEFAULT_EXPIRY_MS = 60_000;
 
     /** How soon a watch that is ours to keep is opened again, at first and at most. */
-    private static final double WATCH_PAUSE = 100;
+    private static final double WATCH_RETRY_MIN_MS = 100;
 
-    private static final double WATCH_PAUSE_MOST = 1600;
+    private static final double WATCH_RETRY_MAX_MS = 1600;
 
     private final EventLoop loop;
     private final Configuration deployment;
@@ -79,37 +79,41 @@
     private final ConnectionPool pool;
     private final WorkerDirectory workers = new WorkerDirectory();
     private final Set<String> suspended = new TreeSet<>();
-    private final double ahead;
+    private final double answerMargin;
 
     /** What the operator's file says of each task; null where there is no such file. */
     private Routes routes;
 
-    private BiConsumer<byte[], IntConsumer> elsewhere;
+    private BiConsumer<byte[], IntConsumer> callbackForwarder;
     private DiscoveryClient watch;
-    private double watchPause = WATCH_PAUSE;
-    private long version;
-    private boolean remembered;
+    private double watchRetryDelay = WATCH_RETRY_MIN_MS;
+    private long listVersion;
+    private boolean listMayBeStale;
     private final int[] outcomes = new int[Outcome.values().length];
     private int finished;
     private int bounced;
     private int abandoned;
-    private int left;
+    private int clientsGone;
 
-    Scheduler(EventLoop loop, NodeConfiguration node, int mostTasks, int mostToWorkers) {
+    Scheduler(EventLoop loop, NodeConfiguration node, int maxTasks, int maxWorkerConnections) {
         this.loop = loop;
         deployment = node.deployment;
         discovery = node.discovery;
-        long mostBytes = Runtime.getRuntime().maxMemory() / BODY_SHARE;
+        long maxBodyBytes = Runtime.getRuntime().maxMemory() / BODY_HEAP_DIVISOR;
         tasks =
                 new TaskRegistry(
-                        Math.min(mostTasks, deployment.mostTasks),
-                        deployment.mostBytes > 0
-                                ? Math.min(mostBytes, deployment.mostBytes)
-                                : mostBytes);
+                        Math.min(maxTasks, deployment.maxTasks),
+                        deployment.maxBodyBytes > 0
+                                ? Math.min(maxBodyBytes, deployment.maxBodyBytes)
+                                : maxBodyBytes);
         pool =
                 new ConnectionPool(
-                        loop, deployment.connectWithin, deployment.connectionIdle, mostToWorkers);
-        ahead = AHEAD * Math.max(deployment.settings.tick, deployment.answerGrace);
+                        loop,
+                        deployment.connectTimeout,
+                        deployment.connectionIdleTimeout,
+                        maxWorkerConnections);
+        answerMargin =
+                ANSWER_MARGIN_FACTOR * Math.max(deployment.settings.tick, deployment.answerGrace);
         dispatcher = new Dispatcher(deployment.settings, node.seed, this);
     }
 
@@ -117,12 +121,12 @@
      * Begins with the list as last held, which may be old or null, and asks for the present one.
      * Versions of another discovery say nothing here.
      */
-    void begin(Object known, boolean ofThisDiscovery) throws BadMessage {
-        if (known != null) {
-            remembered = discovery != null;
-            DiscoveryClient.tell(known, this);
-            remembered = false;
-            version = ofThisDiscovery ? version : 0;
+    void start(Object knownList, boolean fromSameDiscovery) throws BadMessage {
+        if (knownList != null) {
+            listMayBeStale = discovery != null;
+            DiscoveryClient.tell(knownList, this);
+            listMayBeStale = false;
+            listVersion = fromSameDiscovery ? listVersion : 0;
         }
         dispatcher.wake(loop.now());
         if (!deployment.settings.listOnRequest) {
@@ -134,7 +138,7 @@
      * From now on tasks that come go by these routes, and by these profiles of the names that there
      * are.
      */
-    void use(Routes newRoutes, Configuration changed) {
+    void reconfigure(Routes newRoutes, Configuration changed) {
         routes = newRoutes;
         if (changed != null) {
             // Guards against indexes of another file: what is known keeps its own, what is new
@@ -162,7 +166,7 @@
     }
 
     /** Another fixed list: who is not on it is gone. */
-    void listFixed(Object list) throws BadMessage {
+    void applyFixedList(Object list) throws BadMessage {
         DiscoveryClient.tell(list, this);
     }
 
@@ -170,7 +174,7 @@
 
     @Override
     public void listBegins(long newVersion, boolean whole) {
-        version = newVersion;
+        listVersion = newVersion;
         dispatcher.listBegins(loop.now(), whole);
     }
 
@@ -184,9 +188,9 @@
             int state,
             double size,
             double started) {
-        int known = workers.size();
+        int listedBefore = workers.size();
         int w = workers.index(host);
-        if (w == known) {
+        if (w == listedBefore) {
             dispatcher.called(w, host);
         }
         if (workers.setAddress(w, dial)) {
@@ -198,7 +202,7 @@
             LOG.atInfo()
                     .addKeyValue("worker", host)
                     .addKeyValue("zone", zone)
-                    .addKeyValue("state", STATES[state])
+                    .addKeyValue("state", STATE_NAMES[state])
                     .log("worker.listed");
         }
         dispatcher.listed(
@@ -216,8 +220,8 @@
 
     @Override
     public void listEnds(boolean whole) {
-        dispatcher.listEnds(loop.now(), whole, remembered);
-        watchPause = WATCH_PAUSE;
+        dispatcher.listEnds(loop.now(), whole, listMayBeStale);
+        watchRetryDelay = WATCH_RETRY_MIN_MS;
     }
 
     @Override
@@ -229,8 +233,8 @@
         } else {
             // Guards the drain rule where the list is pushed: the module does not ask there, the
             // host must.
-            loop.schedule(watchPause, this::watchList);
-            watchPause = Math.min(2 * watchPause, WATCH_PAUSE_MOST);
+            loop.schedule(watchRetryDelay, this::watchList);
+            watchRetryDelay = Math.min(2 * watchRetryDelay, WATCH_RETRY_MAX_MS);
         }
     }
 
@@ -240,7 +244,9 @@
     @Override
     public void watchList() {
         if (watch == null && discovery != null) {
-            watch = DiscoveryClient.open(loop, discovery, version, deployment.connectWithin, this);
+            watch =
+                    DiscoveryClient.open(
+                            loop, discovery, listVersion, deployment.connectTimeout, this);
         }
     }
 
@@ -248,16 +254,16 @@
      * The list is to be followed at this address: at once, and whole, since versions are each its
      * own.
      */
-    void follow(InetSocketAddress address) {
+    void followDiscovery(InetSocketAddress address) {
         if (!address.equals(discovery)) {
             discovery = address;
-            version = 0;
+            listVersion = 0;
             if (watch != null) {
                 watch.close();
                 watch = null;
             }
         }
-        watchPause = WATCH_PAUSE;
+        watchRetryDelay = WATCH_RETRY_MIN_MS;
         watchList();
     }
 
@@ -279,7 +285,7 @@
             // Guards the ban against what was decided before it and waits for a connection to come
             // up.
             for (ClientTask t : tasks.all()) {
-                WorkerAttempt attempt = outAt(t, w);
+                WorkerAttempt attempt = attemptInFlight(t, w);
                 if (attempt != null) {
                     attempt.takeBack();
                 }
@@ -298,7 +304,7 @@
     }
 
     /** Just these are kept out of use, whether they are listed yet or not. */
-    void suspendJust(Collection<String> names) {
+    void setSuspended(Collection<String> names) {
         for (String name : List.copyOf(suspended)) {
             if (!names.contains(name)) {
                 suspend(name, false);
@@ -313,7 +319,7 @@
     // ---- What another process is told ----
 
     /** The list as last held, in discovery's form, with all workers that it ever named. */
-    Map<String, Object> list() {
+    Map<String, Object> workerList() {
         List<Object> hosts = new ArrayList<>();
         for (int w = 0; w < workers.size(); w++) {
             WorkerDirectory.Entry e = workers.entry(w);
@@ -326,24 +332,24 @@
             host.put("site", e.zone());
             host.put("class", e.kind());
             host.put("block", e.cell());
-            host.put("health", HEALTH[workers.state(w)]);
+            host.put("health", DISCOVERY_HEALTH[workers.state(w)]);
             host.put("share", e.size());
             host.put("born_ms", dispatcher.startedAt(w));
             hosts.add(host);
         }
         Map<String, Object> list = new LinkedHashMap<>();
-        list.put("seq", version);
+        list.put("seq", listVersion);
         list.put("whole", true);
         list.put("hosts", hosts);
         return list;
     }
 
-    Map<String, Object> learned() {
+    Map<String, Object> estimates() {
         return dispatcher.learned();
     }
 
-    void learn(Map<?, ?> told) {
-        dispatcher.learn(loop.now(), told);
+    void restoreEstimates(Map<?, ?> estimates) {
+        dispatcher.learn(loop.now(), estimates);
         if (!dispatcher.afresh().isEmpty()) {
             LOG.atInfo()
                     .addKeyValue("parts", String.join(",", dispatcher.afresh()))
@@ -356,17 +362,17 @@
     }
 
     /** From now on so many connections to workers at the most. */
-    void mostToWorkers(int connections) {
+    void setMaxWorkerConnections(int connections) {
         pool.most(connections);
     }
 
-    int toWorkers() {
+    int workerConnections() {
         return pool.size();
     }
 
     /** Who else may own a task that is not ours; null: nobody. */
-    void elsewhere(BiConsumer<byte[], IntConsumer> others) {
-        elsewhere = others;
+    void forwardCallbacksTo(BiConsumer<byte[], IntConsumer> forwarder) {
+        callbackForwarder = forwarder;
     }
 
     // ---- Tasks come and go ----
@@ -392,17 +398,17 @@
         t.profile = deployment.profiles.get(request.profile());
         String tenant = request.tenant();
         t.tenant = tenant == null ? -1 : deployment.tenants.getOrDefault(tenant, -1);
-        double most = t.profile.expiry > 0 ? t.profile.expiry : LONGEST_WAIT;
-        double told = request.timeLeft();
-        double wait = Double.isNaN(told) ? most : Math.min(told, most);
-        double at = loop.now();
+        double maxWait = t.profile.expiry > 0 ? t.profile.expiry : DEFAULT_EXPIRY_MS;
+        double statedTimeLeft = request.timeLeft();
+        double wait = Double.isNaN(statedTimeLeft) ? maxWait : Math.min(statedTimeLeft, maxWait);
+        double now = loop.now();
         // The client counts from when it wrote, however long that was under way to us.
-        double left = wait - Math.max(0, at - request.arrivedFrom());
-        if (left <= 0) {
+        double timeLeft = wait - Math.max(0, now - request.arrivedFrom());
+        if (timeLeft <= 0) {
             refuseExpired(request);
             return;
         }
-        t.expiry = at + left - Math.min(ahead, left / 2);
+        t.expiry = now + timeLeft - Math.min(answerMargin, timeLeft / 2);
         t.hint = request.hint();
         t.width = (int) Math.max(1, request.width());
         t.memory = request.memory();
@@ -412,7 +418,7 @@
             int query = target.indexOf('?');
             t.stay =
                     routes.admit(
-                            at,
+                            now,
                             t,
                             query < 0 ? target : target.substring(0, query),
                             request.message().field("host"),
@@ -420,8 +426,8 @@
         }
         tasks.add(t);
         Trace.arrived(t);
-        request.client().whenGone(() -> gone(t));
-        dispatcher.arrived(at, t);
+        request.client().whenGone(() -> clientGone(t));
+        dispatcher.arrived(now, t);
         tasks.release(t);
     }
 
@@ -431,9 +437,9 @@
         ClientEndpoint.bounced(request.client(), 0);
     }
 
-    private void gone(ClientTask t) {
-        clear(t, false);
-        left++;
+    private void clientGone(ClientTask t) {
+        releaseClient(t, false);
+        clientsGone++;
         Trace.answered(loop.now(), t, "left");
         dispatcher.left(loop.now(), t);
         tasks.release(t);
@@ -443,7 +449,7 @@
      * Nothing is owed any more for this task: its client, and its place within the limits, are let
      * go.
      */
-    private void clear(ClientTask t, boolean finished) {
+    private void releaseClient(ClientTask t, boolean finished) {
         t.client = null;
         if (t.stay != null) {
             Routes.done(loop.now(), t.stay, finished);
@@ -456,7 +462,7 @@
         bounced++;
         Trace.answered(loop.now(), t, "bounced");
         ClientEndpoint.bounced(t.client, pause);
-        answered(t);
+        releaseAnswered(t);
     }
 
     @Override
@@ -465,11 +471,11 @@
         abandoned++;
         Trace.answered(loop.now(), t, "abandoned");
         ClientEndpoint.abandoned(t.client);
-        answered(t);
+        releaseAnswered(t);
     }
 
-    private void answered(ClientTask t) {
-        clear(t, false);
+    private void releaseAnswered(ClientTask t) {
+        releaseClient(t, false);
         tasks.release(t);
     }
 
@@ -478,7 +484,7 @@
     @Override
     public void send(Assignment a, double timeout) {
         ClientTask t = (ClientTask) a.task;
-        WorkerAttempt attempt = new WorkerAttempt(a, deployment.reports, this);
+        WorkerAttempt attempt = new WorkerAttempt(a, deployment.loadReport, this);
         t.attempts.add(attempt);
         double now = loop.now();
         double wait = timeout > 0 ? Math.min(timeout, t.expiry - now) : t.expiry - now;
@@ -488,14 +494,14 @@
         }
         InetSocketAddress address = workers.address(a.worker);
         try {
-            int before = pool.size();
+            int connectionsBefore = pool.size();
             Outbound connection = pool.take(a.worker, address);
-            Trace.sent(a, workers.name(a.worker), pool.size() > before);
-            Future<?> alarm = loop.schedule(wait, () -> attempt.giveUp(Outcome.TIMEOUT));
-            attempt.begin(connection, alarm);
+            Trace.sent(a, workers.name(a.worker), pool.size() > connectionsBefore);
+            Future<?> timeoutTimer = loop.schedule(wait, () -> attempt.giveUp(Outcome.TIMEOUT));
+            attempt.begin(connection, timeoutTimer);
             connection.ask(
                     WorkerProtocol.request(t.request, address, wait),
-                    wait + deployment.connectWithin,
+                    wait + deployment.connectTimeout,
                     attempt);
         } catch (IOException e) {
             LOG.atWarn()
@@ -517,7 +523,7 @@
         int w = attempt.assignment.worker;
         try {
             byte[] request = WorkerProtocol.giveUp(attempt.task.id, workers.address(w));
-            pool.take(w, workers.address(w)).ask(request, deployment.connectWithin, null);
+            pool.take(w, workers.address(w)).ask(request, deployment.connectTimeout, null);
         } catch (IOException e) {
             LOG.atWarn()
                     .addKeyValue("worker", workers.name(w))
@@ -531,13 +537,13 @@
             String id, String from, String state, double share, String result, Object load) {
         ClientTask t = tasks.find(id);
         int worker = workers.find(from);
-        WorkerAttempt attempt = t == null ? null : outAt(t, worker);
+        WorkerAttempt attempt = t == null ? null : attemptInFlight(t, worker);
         if (attempt == null) {
             return t != null && t.attempts.stream().anyMatch(e -> e.assignment.worker == worker);
         }
-        Outcome how = WorkerProtocol.outcome(state);
-        if (how != null) {
-            end(attempt, how, result, load);
+        Outcome outcome = WorkerProtocol.outcome(state);
+        if (outcome != null) {
+            finishAttempt(attempt, outcome, result, load);
         } else if (state.equals("started")) {
             dispatcher.started(loop.now(), attempt.assignment);
         } else if (state.equals("running")) {
@@ -548,33 +554,34 @@
 
     @Override
     public void elsewhere(byte[] callBack, IntConsumer status) {
-        if (elsewhere == null) {
+        if (callbackForwarder == null) {
             status.accept(200);
         } else {
-            elsewhere.accept(callBack, status);
+            callbackForwarder.accept(callBack, status);
         }
     }
 
-    private void end(WorkerAttempt attempt, Outcome how, String result, Object load) {
+    private void finishAttempt(WorkerAttempt attempt, Outcome outcome, String result, Object load) {
         ClientTask t = attempt.task;
-        if (how == Outcome.OK && t.client != null) {
+        if (outcome == Outcome.OK && t.client != null) {
             finished++;
             Trace.answered(loop.now(), t, "finished");
             ClientEndpoint.finished(t.client, result);
-            clear(t, true);
+            releaseClient(t, true);
         }
-        Outcome sure = how == Outcome.FULL && repeats(attempt) ? Outcome.RESET : how;
-        attempt.told(sure, deployment.reports.read(load));
+        Outcome confirmed =
+                outcome == Outcome.FULL && mayBeRepeated(attempt) ? Outcome.RESET : outcome;
+        attempt.told(confirmed, deployment.loadReport.read(load));
     }
 
     /**
      * Guards rule two: that a task was handed back may be a repeat, said of an earlier assignment.
      */
-    private static boolean repeats(WorkerAttempt attempt) {
-        for (WorkerAttempt e : attempt.task.attempts) {
-            if (e != attempt
-                    && e.endedByCallBack()
-                    && e.assignment.worker == attempt.assignment.worker) {
+    private static boolean mayBeRepeated(WorkerAttempt attempt) {
+        for (WorkerAttempt other : attempt.task.attempts) {
+            if (other != attempt
+                    && other.endedByCallBack()
+                    && other.assignment.worker == attempt.assignment.worker) {
                 return true;
             }
         }
@@ -585,22 +592,22 @@
      * The task's errand that is out at this worker, or null: what is late or repeated counts for
      * nothing.
      */
-    private static WorkerAttempt outAt(ClientTask t, int worker) {
-        for (WorkerAttempt e : t.attempts) {
-            if (!e.isOver() && e.assignment.worker == worker) {
-                return e;
+    private static WorkerAttempt attemptInFlight(ClientTask t, int worker) {
+        for (WorkerAttempt attempt : t.attempts) {
+            if (!attempt.isOver() && attempt.assignment.worker == worker) {
+                return attempt;
             }
         }
         return null;
     }
 
     @Override
-    public void ended(WorkerAttempt attempt, Outcome how, double[] report) {
+    public void ended(WorkerAttempt attempt, Outcome outcome, double[] report) {
         ClientTask t = attempt.task;
-        outcomes[how.ordinal()]++;
-        Trace.ended(attempt.assignment, workers.name(attempt.assignment.worker), how, report);
-        boolean over = t.ended() || how == Outcome.OK;
-        dispatcher.ended(loop.now(), attempt.assignment, how, over, report);
+        outcomes[outcome.ordinal()]++;
+        Trace.ended(attempt.assignment, workers.name(attempt.assignment.worker), outcome, report);
+        boolean taskEnded = t.ended() || outcome == Outcome.OK;
+        dispatcher.ended(loop.now(), attempt.assignment, outcome, taskEnded, report);
         tasks.release(t);
     }
 
@@ -611,13 +618,14 @@
             pool.take(worker, address)
                     .ask(
                             WorkerProtocol.probe(address),
-                            deployment.connectWithin,
+                            deployment.connectTimeout,
                             new Outbound.Caller() {
                                 @Override
                                 public void answered(Message answer) {
-                                    probed(
+                                    recordProbe(
                                             worker,
-                                            deployment.reports.read(WorkerProtocol.probed(answer)));
+                                            deployment.loadReport.read(
+                                                    WorkerProtocol.probed(answer)));
                                 }
 
                                 @Override
@@ -626,17 +634,17 @@
                                 }
                             });
         } catch (IOException e) {
-            loop.execute(() -> probed(worker, null));
+            loop.execute(() -> recordProbe(worker, null));
         }
     }
 
-    private void probed(int worker, double[] report) {
+    private void recordProbe(int worker, double[] report) {
         dispatcher.probed(loop.now(), worker, report);
     }
 
     @Override
-    public void wakeAfter(double span) {
-        double due = loop.now() + Math.max(span, 0.01);
+    public void wakeAfter(double delay) {
+        double due = loop.now() + Math.max(delay, 0.01);
         // Guards against a timer that fires a hair early: the module would wait for it once more,
         // in vain.
         loop.schedule(due - loop.now(), () -> dispatcher.wake(Math.max(due, loop.now())));
@@ -650,7 +658,7 @@
         for (ClientTask t : tasks.all()) {
             if (t.client != null) {
                 Inbound client = t.client;
-                clear(t, false);
+                releaseClient(t, false);
                 abandoned++;
                 ClientEndpoint.abandoned(client);
                 dispatcher.left(loop.now(), t);
@@ -661,11 +669,11 @@
     /** How many tasks have no answer yet. */
     @Override
     public int unanswered() {
-        int n = 0;
+        int count = 0;
         for (ClientTask t : tasks.all()) {
-            n += t.client == null ? 0 : 1;
+            count += t.client == null ? 0 : 1;
         }
-        return n;
+        return count;
     }
 
     /** Counts since the last call. */
@@ -673,12 +681,12 @@
         line.addKeyValue("finished", finished)
                 .addKeyValue("bounced", bounced)
                 .addKeyValue("abandoned", abandoned)
-                .addKeyValue("left", left)
+                .addKeyValue("left", clientsGone)
                 .addKeyValue("in_hand", tasks.size());
-        for (Outcome how : Outcome.values()) {
-            int n = outcomes[how.ordinal()];
-            if (n > 0) {
-                line.addKeyValue(how.name().toLowerCase(Locale.ROOT), n);
+        for (Outcome outcome : Outcome.values()) {
+            int count = outcomes[outcome.ordinal()];
+            if (count > 0) {
+                line.addKeyValue(outcome.name().toLowerCase(Locale.ROOT), count);
             }
         }
         line.addKeyValue("to_workers", pool.size());
@@ -687,12 +695,14 @@
         }
         if (routes != null) {
             routes.counts()
-                    .forEach((name, n) -> line.addKeyValue("route." + name, n[0] + "+" + n[1]));
+                    .forEach(
+                            (name, counts) ->
+                                    line.addKeyValue("route." + name, counts[0] + "+" + counts[1]));
         }
         Arrays.fill(outcomes, 0);
         finished = 0;
         bounced = 0;
         abandoned = 0;
-        left = 0;
+        clientsGone = 0;
     }
 }
--- a/src/main/java/gingerspool/daemon/Trace.java
+++ b/src/main/java/gingerspool/daemon/Trace.java
@@ -40,13 +40,13 @@
         }
     }
 
-    static void ended(Assignment a, String worker, Outcome how, double[] report) {
+    static void ended(Assignment a, String worker, Outcome outcome, double[] report) {
         if (LOG.isDebugEnabled()) {
             LOG.atDebug()
                     .addKeyValue("task", a.task.id)
                     .addKeyValue("n", a.number)
                     .addKeyValue("worker", worker)
-                    .addKeyValue("how", how.name().toLowerCase(Locale.ROOT))
+                    .addKeyValue("how", outcome.name().toLowerCase(Locale.ROOT))
                     .addKeyValue(
                             "report",
                             report == null ? "" : Arrays.toString(report).replace(" ", ""))
--- a/src/test/java/gingerspool/daemon/ConfigurationTest.java
+++ b/src/test/java/gingerspool/daemon/ConfigurationTest.java
@@ -34,8 +34,8 @@
         assertEquals(p.effect, Profile.Effect.IDEMPOTENT);
         assertEquals(p.stretch, 2.0);
         assertEquals(p.kind, -1);
-        assertEquals(c.mostTasks, 9);
-        assertEquals(c.connectWithin, 250.0);
+        assertEquals(c.maxTasks, 9);
+        assertEquals(c.connectTimeout, 250.0);
         assertEquals(c.settings.order, DispatcherSettings.Order.FIRST_COME);
     }
 
--- a/src/test/java/gingerspool/daemon/ConnectionDrainingTest.java
+++ b/src/test/java/gingerspool/daemon/ConnectionDrainingTest.java
@@ -67,9 +67,9 @@
     @BeforeMethod
     public void leave() throws IOException {
         open();
-        lifecycle.succeeded(loop.now());
+        lifecycle.superseded(loop.now());
         leavingAt = loop.now();
-        lifecycle.leave(leavingAt, WITHIN - ProcessLifecycle.REFUSING);
+        lifecycle.shutDown(leavingAt, WITHIN - ProcessLifecycle.REFUSAL_PERIOD_MS);
         look();
     }
 
@@ -90,7 +90,7 @@
 
     private void look() {
         draining.apply(loop.now());
-        isEmptied = lifecycle.mayEnd(loop.now(), false) && draining.isEmptied(loop.now());
+        isEmptied = lifecycle.mayExit(loop.now(), false) && draining.finishIfEmpty(loop.now());
         if (!isEmptied) {
             loop.schedule(LOOK_EVERY, this::look);
         }
@@ -117,9 +117,9 @@
     /** Guards first requests: no claim came, and a client writes after the tasks were given up. */
     @Test
     public void aClientThatWritesAfterTheTimeIsRefused() {
-        runUntil(ProcessLifecycle.REFUSING + 1);
+        runUntil(ProcessLifecycle.REFUSAL_PERIOD_MS + 1);
         ModelSocketChannel client = accepted(2);
-        runUntil(ProcessLifecycle.REFUSING / 2);
+        runUntil(ProcessLifecycle.REFUSAL_PERIOD_MS / 2);
         client.say(REQUEST);
         loop.run(0);
         assertRefused(client);
@@ -131,7 +131,7 @@
      */
     @Test
     public void clientsInTheQueueAreRefused() {
-        runUntil(ProcessLifecycle.REFUSING + 1);
+        runUntil(ProcessLifecycle.REFUSAL_PERIOD_MS + 1);
         channel.starve(true);
         List<ModelSocketChannel> waiting = new ArrayList<>();
         for (int client = 0; client < 5; client++) {
@@ -161,9 +161,9 @@
     public void whatIsOutIsGivenUpBeforeTheEnd() {
         ModelSocketChannel client = accepted(2);
         client.say(REQUEST);
-        runUntil(ProcessLifecycle.REFUSING + 1);
+        runUntil(ProcessLifecycle.REFUSAL_PERIOD_MS + 1);
         assertEquals(tasks.unanswered(), 1);
-        runUntil(ProcessLifecycle.REFUSING - LOOK_EVERY);
+        runUntil(ProcessLifecycle.REFUSAL_PERIOD_MS - LOOK_EVERY);
         assertEquals(tasks.unanswered(), 0);
         assertTrue(client.answered.toString().startsWith("HTTP/1.1 500 "), client.answered + "");
     }
@@ -186,7 +186,7 @@
     /** Guards first requests: there is no claim, so clients are taken until the time is over. */
     @Test
     public void withoutAWordFromTheSuccessorTheListenerStays() {
-        for (double left = WITHIN; left > ProcessLifecycle.REFUSING; left -= QUIET / 2) {
+        for (double left = WITHIN; left > ProcessLifecycle.REFUSAL_PERIOD_MS; left -= QUIET / 2) {
             runUntil(left);
             ModelSocketChannel client = accepted((int) left);
             client.say(REQUEST.replace("POST /p", "GET /healthz"));
--- a/src/test/java/gingerspool/daemon/HandoverRig.java
+++ b/src/test/java/gingerspool/daemon/HandoverRig.java
@@ -43,8 +43,8 @@
         }
         for (Daemon d : daemons) {
             // A file on its way to the disk would come after its folder is gone.
-            d.files.shutdown();
-            assertTrue(d.files.awaitTermination(10, TimeUnit.SECONDS));
+            d.fileExecutor.shutdown();
+            assertTrue(d.fileExecutor.awaitTermination(10, TimeUnit.SECONDS));
         }
         daemons.clear();
         close();
@@ -85,7 +85,7 @@
                         new NodeConfiguration(
                                 ConfigurationTest.tree(node), Map.of("TMPDIR", folder.toString())));
         daemons.add(d);
-        d.loop.submit(d::begin);
+        d.loop.submit(d::start);
         return d;
     }
 
--- a/src/test/java/gingerspool/daemon/HandoverTest.java
+++ b/src/test/java/gingerspool/daemon/HandoverTest.java
@@ -22,7 +22,7 @@
 public class HandoverTest extends HandoverRig {
     /** One figure of the first profile or worker, as the process would tell it. */
     private static double learned(Daemon d, String name) throws Exception {
-        return ((double[]) on(d, () -> d.scheduler.learned().get(name)))[0];
+        return ((double[]) on(d, () -> d.scheduler.estimates().get(name)))[0];
     }
 
     private static String done(String id) {
@@ -65,8 +65,8 @@
         answer = Bench.read(fresh);
         assertTrue(answer.endsWith("made i2") && !answer.contains("close"), answer);
         assertEquals(healthz(port), "200");
-        first.loop.submit(() -> first.leave(first.loop.now()));
-        first.ended.await();
+        first.loop.submit(() -> first.beginShutdown(first.loop.now()));
+        first.exitLatch.await();
         assertEquals(healthz(port), "200");
     }
 
@@ -108,8 +108,8 @@
                 on(
                         second,
                         () -> {
-                            second.leave(second.loop.now());
-                            return second.ended.getCount();
+                            second.beginShutdown(second.loop.now());
+                            return second.exitLatch.getCount();
                         });
         assertEquals(
                 still,
@@ -118,9 +118,9 @@
         assertTrue(Bench.read(to(third.clients.address(), done("i1"))).startsWith("HTTP/1.1 200 "));
         assertTrue(Bench.read(one).endsWith("made i1"));
         one.close();
-        first.loop.submit(() -> first.leave(first.loop.now()));
-        first.ended.await();
-        second.ended.await();
+        first.loop.submit(() -> first.beginShutdown(first.loop.now()));
+        first.exitLatch.await();
+        second.exitLatch.await();
         Socket three = to(third.clients.address(), task("i3"));
         atWorker("i3");
         assertTrue(Bench.read(to(third.clients.address(), done("i3"))).startsWith("HTTP/1.1 200 "));
@@ -204,7 +204,7 @@
         Daemon second = start(port, false);
         ready(second);
         CountDownLatch written = new CountDownLatch(1);
-        first.files.execute(() -> await(written));
+        first.fileExecutor.execute(() -> await(written));
         second.loop.stop();
         serves(port);
         // Until the note names the first again, a third would look for the second and find nobody.
@@ -308,8 +308,8 @@
                 on(
                         first,
                         () -> {
-                            first.leave(first.loop.now());
-                            return first.ended.getCount() == 0 && first.clients.listens();
+                            first.beginShutdown(first.loop.now());
+                            return first.exitLatch.getCount() == 0 && first.clients.listens();
                         });
         assertFalse(endedTooSoon);
         assertEquals(healthz(port), "200");
@@ -380,7 +380,7 @@
             open.add(s);
             Bench.read(s);
             Bench.write(s, "HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n");
-            assertTrue(overtaken.ended.await(10, TimeUnit.SECONDS));
+            assertTrue(overtaken.exitLatch.await(10, TimeUnit.SECONDS));
             assertEquals(overtaken.exitCode, 1);
             assertFalse(on(overtaken, overtaken.clients::listens));
         }
@@ -393,8 +393,8 @@
         ready(first);
         int port = port(first);
         Daemon second = start(port, false);
-        second.loop.submit(() -> second.leave(second.loop.now()));
-        assertTrue(second.ended.await(10, TimeUnit.SECONDS));
+        second.loop.submit(() -> second.beginShutdown(second.loop.now()));
+        assertTrue(second.exitLatch.await(10, TimeUnit.SECONDS));
         assertEquals(healthz(port), "200");
         ready(first);
         assertFalse(on(second, second.clients::listens));
@@ -429,6 +429,6 @@
             Bench.write(s, "\r\n");
             assertTrue(Bench.read(s).startsWith("HTTP/1.1 200 "));
         }
-        assertEquals(first.ended.getCount(), 1, "the first one has not ended");
+        assertEquals(first.exitLatch.getCount(), 1, "the first one has not ended");
     }
 }
--- a/src/test/java/gingerspool/daemon/LateLoopTest.java
+++ b/src/test/java/gingerspool/daemon/LateLoopTest.java
@@ -37,7 +37,7 @@
                         .replace("127.0.0.1:1'", "127.0.0.1:" + discovery.getLocalPort() + "'")
                         .replace("'settings'", known + "'settings'");
         daemon = new Daemon(new NodeConfiguration(ConfigurationTest.tree(node), Map.of()));
-        daemon.loop.submit(daemon::begin);
+        daemon.loop.submit(daemon::start);
     }
 
     @AfterMethod
--- a/src/test/java/gingerspool/daemon/LateRequestTest.java
+++ b/src/test/java/gingerspool/daemon/LateRequestTest.java
@@ -57,7 +57,7 @@
         clients.listen();
         clients.open();
         channel = loop.listening;
-        scheduler.begin(read.known, true);
+        scheduler.start(read.knownList, true);
     }
 
     private static String task(String id, int timeLeft) {
--- a/src/test/java/gingerspool/daemon/ManagementTest.java
+++ b/src/test/java/gingerspool/daemon/ManagementTest.java
@@ -35,7 +35,7 @@
                         .replace("'settings'", known + "'settings'")
                         .replace("'safe'", "'unsafe'");
         daemon = new Daemon(new NodeConfiguration(ConfigurationTest.tree(node), Map.of()));
-        daemon.loop.submit(daemon::begin);
+        daemon.loop.submit(daemon::start);
     }
 
     @AfterMethod
--- a/src/test/java/gingerspool/daemon/OverlappingHandoverTest.java
+++ b/src/test/java/gingerspool/daemon/OverlappingHandoverTest.java
@@ -124,11 +124,11 @@
         ready(first);
         takeFrom(first);
         Socket client = comes(first);
-        double within = on(first, () -> first.timeToLeave());
+        double within = on(first, () -> first.shutdownPeriod());
         on(
                 first,
                 () -> {
-                    first.leave(first.loop.now() - within);
+                    first.beginShutdown(first.loop.now() - within);
                     return null;
                 });
         Bench.write(client, task("i1"));
@@ -136,7 +136,7 @@
         assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
         assertTrue(answer.contains("Connection: close\r\n"), answer);
         client.close();
-        assertTrue(first.ended.await(10, TimeUnit.SECONDS));
+        assertTrue(first.exitLatch.await(10, TimeUnit.SECONDS));
     }
 
     /**
@@ -150,7 +150,7 @@
         int port = port(first);
         Daemon second = start(port, false);
         CountDownLatch steered = new CountDownLatch(1);
-        second.systemCalls.execute(() -> await(steered));
+        second.systemCallExecutor.execute(() -> await(steered));
         until(() -> on(second, second.clients::listens), "it does not listen");
         until(() -> "200".equals(healthz(port)), "nobody serves");
         assertEquals(call(second, "GET", "/v1/readyz"), 503);
@@ -166,7 +166,7 @@
         ready(first);
         Daemon second = start(port(first), false);
         CountDownLatch never = new CountDownLatch(1);
-        second.systemCalls.execute(() -> await(never));
+        second.systemCallExecutor.execute(() -> await(never));
         ready(second);
         never.countDown();
     }
@@ -183,7 +183,7 @@
         int port = port(first);
         Daemon second = start(port, false, "'dueTimeMs':100", 5000);
         CountDownLatch steered = new CountDownLatch(1);
-        second.systemCalls.execute(() -> await(steered));
+        second.systemCallExecutor.execute(() -> await(steered));
         ready(second);
         Daemon third = start(port, false, "'dueTimeMs':100", 5000);
         ready(third);
@@ -229,10 +229,10 @@
         String ofThird = Files.readString(note).replace(secret, "00ff");
         Files.writeString(note, ofThird);
         Socket client = comes(first);
-        first.loop.submit(() -> first.leave(first.loop.now()));
+        first.loop.submit(() -> first.beginShutdown(first.loop.now()));
         held.close();
         until(() -> "503".equals(healthz(port)), "it is not alone");
-        first.files.submit(() -> {}).get();
+        first.fileExecutor.submit(() -> {}).get();
         assertEquals(Files.readString(note), ofThird);
         client.close();
     }
@@ -318,7 +318,7 @@
         Daemon first = start(0, true);
         ready(first);
         CountDownLatch written = new CountDownLatch(1);
-        first.files.execute(() -> await(written));
+        first.fileExecutor.execute(() -> await(written));
         long since = System.nanoTime();
         assertEquals(call(first, "POST", path), 200);
         assertTrue(System.nanoTime() - since < ANSWER_OWED, "the answer took over 1 s");
--- a/src/test/java/gingerspool/daemon/PolicyMeasure.java
+++ b/src/test/java/gingerspool/daemon/PolicyMeasure.java
@@ -93,7 +93,7 @@
             Files.delete(file);
             peers.callBackTo((InetSocketAddress) daemon.clients.address());
             CountDownLatch ready = new CountDownLatch(1);
-            daemon.loop.submit(daemon::begin);
+            daemon.loop.submit(daemon::start);
             daemon.loop.submit(ready::countDown);
             ready.await();
             double[] latency = load((InetSocketAddress) daemon.clients.address(), seed);
--- a/src/test/java/gingerspool/daemon/ProcessLifecycleTest.java
+++ b/src/test/java/gingerspool/daemon/ProcessLifecycleTest.java
@@ -83,9 +83,9 @@
                 case "started" -> lifecycle.started();
                 case "drain" -> lifecycle.drain(0);
                 case "activate" -> lifecycle.activate();
-                case "succeeded" -> lifecycle.succeeded(0);
-                case "alone" -> lifecycle.aloneAgain();
-                case "term" -> lifecycle.leave(0, WITHIN);
+                case "succeeded" -> lifecycle.superseded(0);
+                case "alone" -> lifecycle.successorGone();
+                case "term" -> lifecycle.shutDown(0, WITHIN);
                 default -> {}
             }
         }
@@ -96,16 +96,16 @@
     public void eachStateAnswersEachInput(String inputs, String seen, String byTime) {
         ProcessLifecycle lifecycle = after(inputs);
         assertEquals(
-                (lifecycle.takesClients() ? "yes " : "no ")
+                (lifecycle.acceptsClients() ? "yes " : "no ")
                         + (lifecycle.isReady() ? "yes " : "no ")
-                        + (lifecycle.listens() ? "listens" : "not"),
+                        + (lifecycle.needsListener() ? "listens" : "not"),
                 seen);
         StringBuilder at = new StringBuilder();
         for (double t : List.of(0.0, 800.0, 3000.0, WITHIN)) {
-            double idle = lifecycle.idleMost(t);
+            double idle = lifecycle.maxIdle(t);
             at.append((int) t)
                     .append(':')
-                    .append(lifecycle.lastAnswers(t))
+                    .append(lifecycle.closesAfterAnswer(t))
                     .append('/')
                     .append(Double.isInfinite(idle) ? "none" : String.valueOf((int) idle))
                     .append(' ');
@@ -117,13 +117,13 @@
     @Test
     public void itIsOverWithinTheSpanToldAtTheFirstSignal() {
         ProcessLifecycle lifecycle = after("started term");
-        lifecycle.leave(2000, WITHIN);
-        assertTrue(!lifecycle.isOver(3399) && lifecycle.isOver(3400));
-        assertTrue(!lifecycle.isClosing(2549) && lifecycle.isClosing(2550));
-        assertEquals(lifecycle.endsFrom(), 700.0);
-        lifecycle.succeeded(100);
-        assertTrue(lifecycle.isClosing(1360) && !lifecycle.isClosing(1359));
-        assertEquals(lifecycle.endsFrom(), 0.0);
+        lifecycle.shutDown(2000, WITHIN);
+        assertTrue(!lifecycle.isShutdownDue(3399) && lifecycle.isShutdownDue(3400));
+        assertTrue(!lifecycle.isClosingIdle(2549) && lifecycle.isClosingIdle(2550));
+        assertEquals(lifecycle.earliestExit(), 700.0);
+        lifecycle.superseded(100);
+        assertTrue(lifecycle.isClosingIdle(1360) && !lifecycle.isClosingIdle(1359));
+        assertEquals(lifecycle.earliestExit(), 0.0);
     }
 
     /**
@@ -133,12 +133,12 @@
     @Test
     public void whoStandsBetweenTwoOthersStaysUntilItIsOver() {
         ProcessLifecycle lifecycle = after("started");
-        lifecycle.succeeded(100);
-        assertFalse(lifecycle.mayEnd(200, false));
-        lifecycle.leave(1000, WITHIN);
-        assertTrue(lifecycle.mayEnd(1000, false));
-        assertFalse(lifecycle.mayEnd(1000 + WITHIN - 1, true));
-        assertTrue(lifecycle.mayEnd(1000 + WITHIN, true));
+        lifecycle.superseded(100);
+        assertFalse(lifecycle.mayExit(200, false));
+        lifecycle.shutDown(1000, WITHIN);
+        assertTrue(lifecycle.mayExit(1000, false));
+        assertFalse(lifecycle.mayExit(1000 + WITHIN - 1, true));
+        assertTrue(lifecycle.mayExit(1000 + WITHIN, true));
     }
 
     /**
@@ -149,12 +149,12 @@
     @Test
     public void connectionsWithoutARequestAreKeptLonger() {
         ProcessLifecycle leaving = after("started succeeded term");
-        assertTrue(leaving.isClosing(WITHIN - 1));
-        assertEquals(leaving.freshMost(WITHIN - 1), Double.POSITIVE_INFINITY);
-        assertEquals(leaving.freshMost(WITHIN), 0.0);
+        assertTrue(leaving.isClosingIdle(WITHIN - 1));
+        assertEquals(leaving.maxUnusedIdle(WITHIN - 1), Double.POSITIVE_INFINITY);
+        assertEquals(leaving.maxUnusedIdle(WITHIN), 0.0);
         ProcessLifecycle drained = after("started drain");
-        assertEquals(drained.freshMost(800), Double.POSITIVE_INFINITY);
-        assertEquals(drained.freshMost(2999), Double.POSITIVE_INFINITY);
-        assertEquals(drained.freshMost(3000), 1400.0);
+        assertEquals(drained.maxUnusedIdle(800), Double.POSITIVE_INFINITY);
+        assertEquals(drained.maxUnusedIdle(2999), Double.POSITIVE_INFINITY);
+        assertEquals(drained.maxUnusedIdle(3000), 1400.0);
     }
 }
--- a/src/test/java/gingerspool/daemon/ReloadTest.java
+++ b/src/test/java/gingerspool/daemon/ReloadTest.java
@@ -75,7 +75,7 @@
         daemon = FileDaemon.open(file(text));
         peers.callBackTo((InetSocketAddress) daemon.clients.address());
         CountDownLatch ready = new CountDownLatch(1);
-        daemon.loop.submit(daemon::begin);
+        daemon.loop.submit(daemon::start);
         daemon.loop.submit(ready::countDown);
         ready.await();
     }
@@ -153,10 +153,10 @@
             file(route(r) + (good ? "" : "[[route]]\nname = \"bad\"\nassignments = 9\n"));
             gingerspool.route.Routes before = daemon.scheduler.routes();
             long from = System.nanoTime();
-            daemon.again.run();
+            daemon.hangupAction.run();
             settled();
             applied += daemon.scheduler.routes() != before ? 1 : 0;
-            longest = Math.max(longest, daemon.appliedIn);
+            longest = Math.max(longest, daemon.reloadMs);
             assertEquals(
                     daemon.scheduler.routes() != before,
                     good,
@@ -202,7 +202,7 @@
                 Peers.read(second.getInputStream());
             }
             file("[[route]]\nname = \"r\"\nassignments = 1\ntimeout = \"30ms\"\n");
-            daemon.again.run();
+            daemon.hangupAction.run();
             settled();
             String timedOut = ask(second, "s", "b", "");
             assertTrue(
@@ -239,7 +239,7 @@
         start("");
         gingerspool.route.Routes before = daemon.scheduler.routes();
         file("[limits]\ntasks = 7\n[[route]]\nname = \"r\"\n");
-        daemon.again.run();
+        daemon.hangupAction.run();
         settled();
         assertEquals(daemon.scheduler.routes(), before);
     }
@@ -260,7 +260,7 @@
                         + "\"\nkind = \"x\"\nsize = 99\n"
                         + workers;
         file(own);
-        daemon.again.run();
+        daemon.hangupAction.run();
         settled();
         try (Socket s = client()) {
             for (int i = 0; i < 30; i++) {
@@ -276,7 +276,7 @@
         int port = peers.worker("other", 4, id -> 1);
         workers = "[[worker]]\nname = \"other\"\naddress = \"127.0.0.1:" + port + "\"\n";
         file("");
-        daemon.again.run();
+        daemon.hangupAction.run();
         settled();
         try (Socket s = client()) {
             for (int i = 0; i < 20; i++) {
--- a/src/test/java/gingerspool/daemon/ServeTest.java
+++ b/src/test/java/gingerspool/daemon/ServeTest.java
@@ -58,7 +58,7 @@
                         .replace("'safe'", "'unsafe'")
                         .replace(sound, other);
         daemon = new Daemon(new NodeConfiguration(ConfigurationTest.tree(node), Map.of()));
-        daemon.loop.submit(daemon::begin);
+        daemon.loop.submit(daemon::start);
     }
 
     private void start() throws Exception {
@@ -518,14 +518,14 @@
         start();
         Socket client = say(task("i1", 3000));
         work(TAKEN);
-        daemon.loop.submit(() -> daemon.leave(daemon.loop.now() - 2600));
+        daemon.loop.submit(() -> daemon.beginShutdown(daemon.loop.now() - 2600));
         assertTrue(Bench.read(say("GET /healthz HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 503 "));
         callBack("i1", "s-1", "done");
         String answer = Bench.read(client);
         assertTrue(
                 answer.startsWith("HTTP/1.1 200 ") && answer.contains("Connection: close\r\n"),
                 answer);
-        daemon.ended.await();
+        daemon.exitLatch.await();
         assertFalse(daemon.clients.connections() > 0);
     }
 
@@ -540,7 +540,7 @@
         Socket atWorker = work(TAKEN);
         callBack("i1", "s-1", "done");
         Bench.read(client);
-        daemon.loop.submit(() -> daemon.leave(daemon.loop.now() - 1500));
+        daemon.loop.submit(() -> daemon.beginShutdown(daemon.loop.now() - 1500));
         Bench.write(client, task("i2", 3000));
         assertTrue(Bench.read(atWorker).contains("X-Correlation-Id: i2\r\n"));
         Bench.write(atWorker, TAKEN);
@@ -562,7 +562,7 @@
     @Test
     public void aListThatCannotBeReadEndsWithTwo() throws Exception {
         start("'hosts'", "'hasts'");
-        daemon.ended.await();
+        daemon.exitLatch.await();
         assertEquals(daemon.exitCode, 2);
     }
 }
--- a/src/test/java/gingerspool/daemon/StoppedWhileLeavingTest.java
+++ b/src/test/java/gingerspool/daemon/StoppedWhileLeavingTest.java
@@ -31,7 +31,7 @@
     /** As the daemon has it: 300 are spared before the kill. */
     private static final double TIME_TO_LEAVE = KILL_AFTER - 300;
 
-    private static final double LOOK_EVERY = ConnectionDraining.APPLY_EVERY;
+    private static final double LOOK_EVERY = ConnectionDraining.APPLY_INTERVAL_MS;
 
     /** The runtime's threads read and accept so long after the loop has gone on. */
     private static final double READ_AFTER = 5;
@@ -86,14 +86,14 @@
         kept.say("GET /healthz HTTP/1.1\r\n\r\n");
         loop.run(LOOK_EVERY / 2);
         kept.answered.setLength(0);
-        lifecycle.succeeded(loop.now());
+        lifecycle.superseded(loop.now());
         leavingAt = loop.now();
-        lifecycle.leave(leavingAt, TIME_TO_LEAVE);
+        lifecycle.shutDown(leavingAt, TIME_TO_LEAVE);
     }
 
     private void look() {
         draining.apply(loop.now());
-        isEmptied = lifecycle.mayEnd(loop.now(), false) && draining.isEmptied(loop.now());
+        isEmptied = lifecycle.mayExit(loop.now(), false) && draining.finishIfEmpty(loop.now());
         if (!isEmptied) {
             loop.schedule(LOOK_EVERY, this::look);
         }
@@ -103,7 +103,7 @@
     @DataProvider
     public Object[][] stops() {
         double isOver = TIME_TO_LEAVE;
-        double isPast = TIME_TO_LEAVE + ProcessLifecycle.REFUSING;
+        double isPast = TIME_TO_LEAVE + ProcessLifecycle.REFUSAL_PERIOD_MS;
         return new Object[][] {
             {1100, 1100 + 600},
             {isOver - 500, isOver + 50},
