--- a/src/test/java/gingerspool/daemon/ConfigurationTest.java
+++ b/src/test/java/gingerspool/daemon/ConfigurationTest.java
@@ -12,6 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Reading, defaults and error messages of the configuration of a daemon. */
 public class ConfigurationTest {
     static final String SETTINGS =
             "{'profiles':[{'name':'p','effect':'safe','dueTimeMs':100,"
@@ -23,13 +24,13 @@
                     + SETTINGS
                     + "}";
 
-    static Object tree(String text) throws BadMessage {
+    static Object parse(String text) throws BadMessage {
         return Json.read(text.replace('\'', '"'));
     }
 
     @Test
-    public void settingsAreReadAndTheRestHasDefaults() throws BadMessage, ConfigurationException {
-        Configuration c = new Configuration(tree(SETTINGS));
+    public void readsSettingsAndAppliesDefaults() throws BadMessage, ConfigurationException {
+        Configuration c = new Configuration(parse(SETTINGS));
         Profile p = c.profiles.get("p");
         assertEquals(p.effect, Profile.Effect.IDEMPOTENT);
         assertEquals(p.stretch, 2.0);
@@ -39,32 +40,34 @@
         assertEquals(c.settings.order, DispatcherSettings.Order.FIRST_COME);
     }
 
-    /** An effect that is not known must be taken for the one that allows least. */
+    /** An unknown effect must be treated as the one that allows least. */
     @Test
-    public void anUnknownEffectIsSideEffecting() throws BadMessage, ConfigurationException {
-        Configuration c = new Configuration(tree(SETTINGS.replace("safe", "odd")));
+    public void unknownEffectIsSideEffecting() throws BadMessage, ConfigurationException {
+        Configuration c = new Configuration(parse(SETTINGS.replace("safe", "odd")));
         assertEquals(c.profiles.get("p").effect, Profile.Effect.SIDE_EFFECTING);
     }
 
     @Test
-    public void theFileMayLeaveOutWhatTheEnvironmentSays()
+    public void environmentSuppliesKeysMissingFromTheFile()
             throws BadMessage, ConfigurationException {
         NodeConfiguration n =
                 new NodeConfiguration(
-                        tree(NODE.replace("'listen':'127.0.0.1:0',", "")),
+                        parse(NODE.replace("'listen':'127.0.0.1:0',", "")),
                         Map.of("GW_LISTEN", "127.0.0.1:7"));
         assertEquals(n.listen.getPort(), 7);
         assertEquals(n.seed, 0x8c1f30d27a5be964L);
     }
 
     /**
-     * The program has no way to other schedulers: it must not fail in the middle of a send over it.
+     * The daemon has no connection to other schedulers, so an attempt to message them must not make
+     * a send fail.
      */
     @Test
-    public void onSocketsNothingIsTold() throws BadMessage, ConfigurationException {
+    public void daemonDisablesMessagesToOtherSchedulers()
+            throws BadMessage, ConfigurationException {
         String text = SETTINGS.replace("'maxOpen':9", "'maxOpen':9,'mayTell':true");
-        assertTrue(new Configuration(tree(text)).settings.mayTell);
-        NodeConfiguration n = new NodeConfiguration(tree(NODE.replace(SETTINGS, text)), Map.of());
+        assertTrue(new Configuration(parse(text)).settings.mayTell);
+        NodeConfiguration n = new NodeConfiguration(parse(NODE.replace(SETTINGS, text)), Map.of());
         assertEquals(n.deployment.settings.mayTell, false);
         assertEquals(n.deployment.settings.probeFee, 0.0);
     }
@@ -134,16 +137,18 @@
     }
 
     @Test(dataProvider = "faults")
-    public void aMessageNamesTheFaultyKey(String sound, String faulty, String text) {
+    public void messageNamesTheInvalidKey(String original, String replacement, String message) {
         ConfigurationException e =
                 expectThrows(
                         ConfigurationException.class,
-                        () -> new NodeConfiguration(tree(NODE.replace(sound, faulty)), Map.of()));
-        assertTrue(e.getMessage().startsWith(text), e.getMessage());
+                        () ->
+                                new NodeConfiguration(
+                                        parse(NODE.replace(original, replacement)), Map.of()));
+        assertTrue(e.getMessage().startsWith(message), e.getMessage());
     }
 
     @Test
-    public void aConfigurationThatCannotBeReadEndsWithTwo() {
+    public void unreadableConfigurationExitsWithTwo() {
         assertEquals(Daemon.serve(Map.of()), 2);
         assertEquals(Daemon.serve(Map.of("GW_CONFIG", "/nowhere/config.json")), 2);
     }
--- a/src/test/java/gingerspool/daemon/ConnectionDrainingTest.java
+++ b/src/test/java/gingerspool/daemon/ConnectionDrainingTest.java
@@ -18,17 +18,19 @@
 import org.testng.annotations.Test;
 
 /**
- * A process that was replaced and whose time to leave is over lost the first requests of clients
- * that the kernel still let come to it: the successor's claim was late or had failed, and the
- * listener was closed with the end of that time (`leaving.abandoned`, `listener.closed
- * accepting=true`, then the resets). Here the queue of the kernel is modelled, and time passes as
- * the test says.
+ * How a process that ends or is drained disposes of its connections. Guards against the loss of
+ * first requests by a superseded process whose shutdown was due: the successor's claim was late or
+ * had failed, so the kernel still sent clients to the old listener, which was closed at that moment
+ * (log events `leaving.abandoned` and `listener.closed accepting=true`, then resets). The kernel's
+ * accept queue and the time are modelled.
  */
 public class ConnectionDrainingTest {
-    private static final double WITHIN = 2600;
-    private static final double QUIET = 700;
-    private static final double LOOK_EVERY = 20;
-    private static final int MOST = 100;
+    /** The shutdown period together with the time for refusals after it. */
+    private static final double SHUTDOWN_PERIOD_MS = 2600;
+
+    private static final double QUIET_PERIOD_MS = 700;
+    private static final double APPLY_INTERVAL_MS = 20;
+    private static final int MAX_CONNECTIONS = 100;
     private static final String REQUEST =
             "POST /p HTTP/1.1\r\nX-Correlation-Id: i1\r\nContent-Length: 0\r\n\r\n";
 
@@ -37,12 +39,12 @@
     private ClientEndpoint clients;
     private ModelServerChannel channel;
     private ConnectionDraining draining;
-    private Tasks tasks;
-    private double leavingAt;
-    private boolean isEmptied;
+    private UnansweredTasks tasks;
+    private double shutdownStartedAt;
+    private boolean hasFinished;
 
     /** Keeps every task until all are abandoned. */
-    private static final class Tasks extends RequestHandlerStub
+    private static final class UnansweredTasks extends RequestHandlerStub
             implements ConnectionDraining.Tasks {
         private final List<TaskRequest> all = new ArrayList<>();
 
@@ -63,46 +65,48 @@
         }
     }
 
-    /** The process has been succeeded and gets SIGTERM. */
+    /** A superseded process gets SIGTERM. */
     @BeforeMethod
-    public void leave() throws IOException {
-        open();
+    public void startShutdown() throws IOException {
+        serve();
         lifecycle.superseded(loop.now());
-        leavingAt = loop.now();
-        lifecycle.shutDown(leavingAt, WITHIN - ProcessLifecycle.REFUSAL_PERIOD_MS);
-        look();
+        shutdownStartedAt = loop.now();
+        lifecycle.shutDown(
+                shutdownStartedAt, SHUTDOWN_PERIOD_MS - ProcessLifecycle.REFUSAL_PERIOD_MS);
+        applyPeriodically();
     }
 
-    /** The process serves. */
-    private void open() throws IOException {
+    /** Starts a process that serves. */
+    private void serve() throws IOException {
         loop = new ModelChannelLoop();
         lifecycle = new ProcessLifecycle();
-        tasks = new Tasks();
+        tasks = new UnansweredTasks();
         clients =
-                new ClientEndpoint(loop, new InetSocketAddress("127.0.0.1", 1), true, MOST, tasks);
+                new ClientEndpoint(
+                        loop, new InetSocketAddress("127.0.0.1", 1), true, MAX_CONNECTIONS, tasks);
         clients.listen();
         clients.open();
         channel = loop.listening;
         draining = new ConnectionDraining(lifecycle, clients, tasks);
-        isEmptied = false;
+        hasFinished = false;
         lifecycle.started();
     }
 
-    private void look() {
+    private void applyPeriodically() {
         draining.apply(loop.now());
-        isEmptied = lifecycle.mayExit(loop.now(), false) && draining.finishIfEmpty(loop.now());
-        if (!isEmptied) {
-            loop.schedule(LOOK_EVERY, this::look);
+        hasFinished = lifecycle.mayExit(loop.now(), false) && draining.finishIfEmpty(loop.now());
+        if (!hasFinished) {
+            loop.schedule(APPLY_INTERVAL_MS, this::applyPeriodically);
         }
     }
 
-    /** Time passes until so long before the time to leave is over. */
-    private void runUntil(double beforeEnd) {
-        loop.run(leavingAt + WITHIN - beforeEnd - loop.now());
+    /** Runs until this long before the end of the shutdown period. */
+    private void runUntilBeforeEnd(double beforeEnd) {
+        loop.run(shutdownStartedAt + SHUTDOWN_PERIOD_MS - beforeEnd - loop.now());
     }
 
-    /** A client whose connection has been accepted. */
-    private ModelSocketChannel accepted(int port) {
+    /** Connects a client and has its connection accepted. */
+    private ModelSocketChannel acceptClient(int port) {
         ModelSocketChannel client = channel.arrive(port);
         loop.run(0);
         return client;
@@ -114,12 +118,15 @@
         assertTrue(answer.contains("Connection: close\r\n"), answer);
     }
 
-    /** Guards first requests: no claim came, and a client writes after the tasks were given up. */
+    /**
+     * Guards first requests: the successor made no claim, and a client writes after the tasks were
+     * abandoned.
+     */
     @Test
-    public void aClientThatWritesAfterTheTimeIsRefused() {
-        runUntil(ProcessLifecycle.REFUSAL_PERIOD_MS + 1);
-        ModelSocketChannel client = accepted(2);
-        runUntil(ProcessLifecycle.REFUSAL_PERIOD_MS / 2);
+    public void clientWritingAfterShutdownIsDueIsRefused() {
+        runUntilBeforeEnd(ProcessLifecycle.REFUSAL_PERIOD_MS + 1);
+        ModelSocketChannel client = acceptClient(2);
+        runUntilBeforeEnd(ProcessLifecycle.REFUSAL_PERIOD_MS / 2);
         client.say(REQUEST);
         loop.run(0);
         assertRefused(client);
@@ -127,140 +134,152 @@
     }
 
     /**
-     * Guards first requests: they wait in the kernel's queue while the process has no processor.
+     * Guards first requests that wait in the kernel's accept queue while the process is not
+     * scheduled on a processor.
      */
     @Test
-    public void clientsInTheQueueAreRefused() {
-        runUntil(ProcessLifecycle.REFUSAL_PERIOD_MS + 1);
+    public void queuedClientsAreRefused() {
+        runUntilBeforeEnd(ProcessLifecycle.REFUSAL_PERIOD_MS + 1);
         channel.starve(true);
         List<ModelSocketChannel> waiting = new ArrayList<>();
         for (int client = 0; client < 5; client++) {
             waiting.add(channel.arrive(10 + client));
         }
-        loop.run(LOOK_EVERY);
+        loop.run(APPLY_INTERVAL_MS);
         channel.starve(false);
-        loop.run(LOOK_EVERY);
+        loop.run(APPLY_INTERVAL_MS);
         waiting.forEach(client -> client.say(REQUEST));
-        loop.run(LOOK_EVERY);
+        loop.run(APPLY_INTERVAL_MS);
         waiting.forEach(this::assertRefused);
         assertEquals(channel.reset.size(), 0);
     }
 
-    /** Guards whoever ends the process: a client that never writes does not keep it. */
+    /** A client that never writes must not keep the process from exiting. */
     @Test
-    public void aClientThatNeverWritesDoesNotKeepTheProcess() {
+    public void silentClientDoesNotDelayExit() {
         channel.arrive(2);
-        runUntil(1);
-        assertFalse(isEmptied);
-        runUntil(-LOOK_EVERY);
-        assertTrue(isEmptied);
+        runUntilBeforeEnd(1);
+        assertFalse(hasFinished);
+        runUntilBeforeEnd(-APPLY_INTERVAL_MS);
+        assertTrue(hasFinished);
     }
 
-    /** What was taken before is answered as given up, since its effect is not known. */
+    /** Accepted tasks are answered as abandoned, since their effect is not known. */
     @Test
-    public void whatIsOutIsGivenUpBeforeTheEnd() {
-        ModelSocketChannel client = accepted(2);
+    public void unansweredTasksAreAbandonedBeforeTheEnd() {
+        ModelSocketChannel client = acceptClient(2);
         client.say(REQUEST);
-        runUntil(ProcessLifecycle.REFUSAL_PERIOD_MS + 1);
+        runUntilBeforeEnd(ProcessLifecycle.REFUSAL_PERIOD_MS + 1);
         assertEquals(tasks.unanswered(), 1);
-        runUntil(ProcessLifecycle.REFUSAL_PERIOD_MS - LOOK_EVERY);
+        runUntilBeforeEnd(ProcessLifecycle.REFUSAL_PERIOD_MS - APPLY_INTERVAL_MS);
         assertEquals(tasks.unanswered(), 0);
         assertTrue(client.answered.toString().startsWith("HTTP/1.1 500 "), client.answered + "");
     }
 
-    /** Guards first requests: the claim stands, so the listener closes when none has come. */
+    /**
+     * Guards first requests: the claim succeeded, so the listener closes only once no connection
+     * has arrived for the quiet period.
+     */
     @Test
-    public void aProcessWhoseSuccessorHasTheClientsEndsWhenNoneComes() {
-        loop.run(QUIET);
-        draining.successorListens(true, QUIET);
-        loop.run(QUIET / 2);
-        ModelSocketChannel client = accepted(2);
+    public void supersededProcessExitsAfterTheQuietPeriod() {
+        loop.run(QUIET_PERIOD_MS);
+        draining.successorListens(true, QUIET_PERIOD_MS);
+        loop.run(QUIET_PERIOD_MS / 2);
+        ModelSocketChannel client = acceptClient(2);
         client.say(REQUEST.replace("POST /p", "GET /healthz"));
-        loop.run(QUIET - 1);
-        assertFalse(isEmptied);
-        loop.run(QUIET);
-        assertTrue(isEmptied);
+        loop.run(QUIET_PERIOD_MS - 1);
+        assertFalse(hasFinished);
+        loop.run(QUIET_PERIOD_MS);
+        assertTrue(hasFinished);
         assertEquals(channel.reset.size(), 0);
     }
 
-    /** Guards first requests: there is no claim, so clients are taken until the time is over. */
+    /**
+     * Guards first requests: without a claim clients are accepted until the shutdown period ends.
+     */
     @Test
-    public void withoutAWordFromTheSuccessorTheListenerStays() {
-        for (double left = WITHIN; left > ProcessLifecycle.REFUSAL_PERIOD_MS; left -= QUIET / 2) {
-            runUntil(left);
-            ModelSocketChannel client = accepted((int) left);
+    public void listenerStaysOpenWithoutWordFromTheSuccessor() {
+        for (double remaining = SHUTDOWN_PERIOD_MS;
+                remaining > ProcessLifecycle.REFUSAL_PERIOD_MS;
+                remaining -= QUIET_PERIOD_MS / 2) {
+            runUntilBeforeEnd(remaining);
+            ModelSocketChannel client = acceptClient((int) remaining);
             client.say(REQUEST.replace("POST /p", "GET /healthz"));
             loop.run(0);
-            assertTrue(client.answered.toString().startsWith("HTTP/1.1 200 "), "at " + left);
+            assertTrue(client.answered.toString().startsWith("HTTP/1.1 200 "), "at " + remaining);
         }
         assertEquals(channel.reset.size(), 0);
     }
 
     /**
-     * Guards first requests: a drained process that had no processor for 1.5 s closed connections
-     * whose requests had come meanwhile (`ended without an answer`, day-to-day, seed 710102).
+     * Guards first requests: a drained process that was not scheduled on a processor for 1.5 s
+     * closed connections whose requests had arrived meanwhile (`ended without an answer`,
+     * day-to-day, seed 710102).
      */
     @Test
-    public void aFirstRequestThatIsReadLateIsAnsweredByADrainedProcess() throws IOException {
-        open();
+    public void drainedProcessAnswersAFirstRequestReadLate() throws IOException {
+        serve();
         lifecycle.drain(loop.now());
-        look();
-        ModelSocketChannel client = accepted(2);
-        loop.run(2 * QUIET + QUIET);
+        applyPeriodically();
+        ModelSocketChannel client = acceptClient(2);
+        loop.run(2 * QUIET_PERIOD_MS + QUIET_PERIOD_MS);
         client.say(REQUEST.replace("POST /p", "GET /healthz"));
         loop.run(0);
         assertTrue(client.answered.toString().startsWith("HTTP/1.1 "), client.answered + "");
     }
 
-    /** Guards operators: a drained process is rid of clients that never write in 4 s. */
+    /** Operators rely on it: a drained process disconnects clients that never write within 4 s. */
     @Test
-    public void aClientThatNeverWritesIsSentAway() throws IOException {
-        open();
+    public void drainedProcessDisconnectsSilentClients() throws IOException {
+        serve();
         lifecycle.drain(loop.now());
-        look();
-        accepted(2);
-        loop.run(4000 - LOOK_EVERY);
+        applyPeriodically();
+        acceptClient(2);
+        loop.run(4000 - APPLY_INTERVAL_MS);
         assertEquals(clients.connections(), 0);
     }
 
     /**
-     * Guards first requests: a drained process had no processor for most of 3 s, with 24 of them
-     * unread on new connections that it then closed as idle (day-to-day, seed 710302).
+     * Guards first requests: a drained process was not scheduled on a processor for most of 3 s,
+     * and closed as idle new connections with 24 unread requests (day-to-day, seed 710302).
      */
     @Test
-    public void aDrainedProcessThatWasLateReadsBeforeItCloses() throws IOException {
-        open();
+    public void lateDrainedProcessReadsBeforeItCloses() throws IOException {
+        serve();
         lifecycle.drain(loop.now());
         draining.apply(loop.now());
-        ModelSocketChannel client = accepted(2);
+        ModelSocketChannel client = acceptClient(2);
         loop.run(4000);
         draining.apply(loop.now());
-        loop.run(LOOK_EVERY);
+        loop.run(APPLY_INTERVAL_MS);
         client.say(REQUEST.replace("POST /p", "GET /healthz"));
         loop.run(0);
         assertTrue(client.answered.toString().startsWith("HTTP/1.1 "), client.answered + "");
     }
 
-    /** Guards operators: once it is on time again it sends away who never writes. */
+    /**
+     * Operators rely on it: once its loop is on time again, a drained process disconnects clients
+     * that never write.
+     */
     @Test
-    public void aDrainedProcessThatIsOnTimeAgainSendsClientsAway() throws IOException {
-        open();
+    public void drainedProcessDisconnectsSilentClientsOnceOnTime() throws IOException {
+        serve();
         lifecycle.drain(loop.now());
         draining.apply(loop.now());
-        accepted(2);
+        acceptClient(2);
         loop.run(4000);
-        look();
-        loop.run(500 + 2 * LOOK_EVERY);
+        applyPeriodically();
+        loop.run(500 + 2 * APPLY_INTERVAL_MS);
         assertEquals(clients.connections(), 0);
     }
 
-    /** The same where the loop was late by a tenth of a second twice in the last one. */
+    /** The same where the loop was late by 100 ms twice within the last second. */
     @Test
-    public void aClientThatNeverWritesIsSentAwayInTimeByALoopThatWasLate() throws IOException {
-        open();
+    public void silentClientsAreDisconnectedInTimeDespiteALateLoop() throws IOException {
+        serve();
         lifecycle.drain(loop.now());
-        look();
-        accepted(2);
+        applyPeriodically();
+        acceptClient(2);
         double drainedAt = loop.now();
         loop.run(2950);
         loop.stall(100);
--- a/src/test/java/gingerspool/daemon/HandoverRig.java
+++ b/src/test/java/gingerspool/daemon/HandoverRig.java
@@ -25,7 +25,7 @@
  * Daemons of one scheduler beside each other, on one address and one folder, and another process
  * that the test plays itself.
  */
-abstract class HandoverRig extends Rig {
+abstract class HandoverRig extends SocketTestBase {
     final List<Daemon> daemons = new ArrayList<>();
     Path folder;
 
@@ -83,7 +83,8 @@
         Daemon d =
                 new Daemon(
                         new NodeConfiguration(
-                                ConfigurationTest.tree(node), Map.of("TMPDIR", folder.toString())));
+                                ConfigurationTest.parse(node),
+                                Map.of("TMPDIR", folder.toString())));
         daemons.add(d);
         d.loop.submit(d::start);
         return d;
@@ -94,9 +95,10 @@
     }
 
     int call(Daemon d, String method, String path) throws IOException {
-        try (Socket s = to(d.management.address(), method + " " + path + " HTTP/1.1\r\n\r\n")) {
+        try (Socket s =
+                connect(d.management.address(), method + " " + path + " HTTP/1.1\r\n\r\n")) {
             // Guards tests that ask until something holds: each call would keep a descriptor.
-            open.remove(s);
+            sockets.remove(s);
             return Integer.parseInt(Bench.read(s).substring(9, 12));
         }
     }
@@ -145,16 +147,16 @@
 
     Socket atWorker(String id) throws IOException {
         Socket s = worker.accept();
-        open.add(s);
+        sockets.add(s);
         s.setSoTimeout(5000);
         assertTrue(Bench.read(s).contains("X-Correlation-Id: " + id + "\r\n"));
-        Bench.write(s, TAKEN);
+        Bench.write(s, ACCEPTED);
         return s;
     }
 
     String healthz(int port) throws IOException {
         try (Socket s =
-                to(
+                connect(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                         "GET /healthz HTTP/1.1\r\n\r\n")) {
             return Bench.read(s).substring(9, 12);
@@ -174,7 +176,7 @@
     }
 
     Socket beginLinkCall(Daemon to, String secret, String path, String body) throws IOException {
-        return to(
+        return connect(
                 to.management.address(),
                 "POST /v1/link/"
                         + path
--- a/src/test/java/gingerspool/daemon/HandoverTest.java
+++ b/src/test/java/gingerspool/daemon/HandoverTest.java
@@ -40,10 +40,10 @@
         Daemon first = start(0, true);
         ready(first);
         int port = port(first);
-        Socket kept = to(first.clients.address(), task("i1"));
+        Socket kept = connect(first.clients.address(), task("i1"));
         atWorker("i1");
         Socket calls =
-                to(
+                connect(
                         first.clients.address(),
                         "POST /callback HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}");
         Bench.read(calls);
@@ -51,10 +51,10 @@
         ready(second);
         assertEquals(call(first, "GET", "/v1/readyz"), 503);
         untilItListensNoMore(first);
-        Socket fresh = to(second.clients.address(), task("i2"));
+        Socket fresh = connect(second.clients.address(), task("i2"));
         atWorker("i2");
         // New connections all come to the second now, and the task of the first is told there.
-        Socket told = to(second.clients.address(), done("i1"));
+        Socket told = connect(second.clients.address(), done("i1"));
         assertTrue(Bench.read(told).startsWith("HTTP/1.1 200 "));
         String answer = Bench.read(kept);
         assertTrue(answer.endsWith("made i1") && answer.contains("Connection: close\r\n"), answer);
@@ -85,17 +85,19 @@
         Daemon first = start(0, true, "'dueTimeMs':100", 5000);
         ready(first);
         int port = port(first);
-        Socket one = to(first.clients.address(), task("i1"));
+        Socket one = connect(first.clients.address(), task("i1"));
         atWorker("i1");
         Daemon second = after(first, port);
-        Socket two = to(second.clients.address(), task("i2"));
+        Socket two = connect(second.clients.address(), task("i2"));
         atWorker("i2");
         Daemon third = after(second, port);
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
         assertTrue(third.scheduler.suspended().contains("s-1"));
         assertEquals(call(third, "POST", "/v1/workers/s-1/resume"), 200);
         assertTrue(first.scheduler.suspended().isEmpty() && second.scheduler.suspended().isEmpty());
-        assertTrue(Bench.read(to(third.clients.address(), done("i2"))).startsWith("HTTP/1.1 200 "));
+        assertTrue(
+                Bench.read(connect(third.clients.address(), done("i2")))
+                        .startsWith("HTTP/1.1 200 "));
         assertTrue(Bench.read(two).endsWith("made i2"));
         two.close();
         long since = System.nanoTime();
@@ -115,15 +117,19 @@
                 still,
                 1,
                 "nothing is left in the middle process, but the first one's call-backs are");
-        assertTrue(Bench.read(to(third.clients.address(), done("i1"))).startsWith("HTTP/1.1 200 "));
+        assertTrue(
+                Bench.read(connect(third.clients.address(), done("i1")))
+                        .startsWith("HTTP/1.1 200 "));
         assertTrue(Bench.read(one).endsWith("made i1"));
         one.close();
         first.loop.submit(() -> first.beginShutdown(first.loop.now()));
         first.exitLatch.await();
         second.exitLatch.await();
-        Socket three = to(third.clients.address(), task("i3"));
+        Socket three = connect(third.clients.address(), task("i3"));
         atWorker("i3");
-        assertTrue(Bench.read(to(third.clients.address(), done("i3"))).startsWith("HTTP/1.1 200 "));
+        assertTrue(
+                Bench.read(connect(third.clients.address(), done("i3")))
+                        .startsWith("HTTP/1.1 200 "));
         assertTrue(Bench.read(three).endsWith("made i3"));
     }
 
@@ -141,9 +147,9 @@
             throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 5000);
         ready(first);
-        Socket client = to(first.clients.address(), task("i1"));
+        Socket client = connect(first.clients.address(), task("i1"));
         atWorker("i1");
-        Bench.read(to(first.clients.address(), done("i1")));
+        Bench.read(connect(first.clients.address(), done("i1")));
         assertTrue(Bench.read(client).endsWith("made i1"));
         Daemon second = start(port(first), false, due, 5000);
         ready(second);
@@ -151,9 +157,9 @@
         assertEquals(learned(second, "answeredAt"), learned(first, "answeredAt"));
         assertEquals(learned(second, "slots"), learned(first, "slots"));
         untilItListensNoMore(first);
-        Socket next = to(second.clients.address(), task("i2"));
+        Socket next = connect(second.clients.address(), task("i2"));
         atWorker("i2");
-        Bench.read(to(second.clients.address(), done("i2")));
+        Bench.read(connect(second.clients.address(), done("i2")));
         assertTrue(Bench.read(next).endsWith("made i2"));
     }
 
@@ -170,10 +176,11 @@
         assertEquals(call(second, "POST", "/v1/scheduler/activate"), 200);
         assertEquals(healthz(port(second)), "200");
         String early = task("i1").replace("4000", "300");
-        assertTrue(Bench.read(to(second.clients.address(), early)).startsWith("HTTP/1.1 503 "));
+        assertTrue(
+                Bench.read(connect(second.clients.address(), early)).startsWith("HTTP/1.1 503 "));
         // A word at either process holds for both.
         assertEquals(call(first, "POST", "/v1/workers/s-1/resume"), 200);
-        to(second.clients.address(), task("i2"));
+        connect(second.clients.address(), task("i2"));
         atWorker("i2");
         assertEquals(call(second, "POST", "/v1/workers/s-1/suspend"), 200);
         assertTrue(first.scheduler.suspended().contains("s-1"));
@@ -190,9 +197,10 @@
         Daemon second = start(port, true);
         ready(second);
         String early = task("i1").replace("4000", "300");
-        assertTrue(Bench.read(to(second.clients.address(), early)).startsWith("HTTP/1.1 503 "));
+        assertTrue(
+                Bench.read(connect(second.clients.address(), early)).startsWith("HTTP/1.1 503 "));
         assertEquals(call(second, "POST", "/v1/workers/s-1/resume"), 200);
-        to(second.clients.address(), task("i2"));
+        connect(second.clients.address(), task("i2"));
         atWorker("i2");
     }
 
@@ -245,7 +253,7 @@
                             + "\",\"token\":\"t\",\"suspended\":[\"s-1\"],\"drained\":false}");
             Daemon second = start(0, true);
             Socket s = peer.accept();
-            open.add(s);
+            sockets.add(s);
             assertTrue(Bench.read(s).startsWith("POST /v1/link/join "));
             String body =
                     how.equals("another version")
@@ -270,7 +278,7 @@
         ready(first);
         for (String path : List.of("join", "take", "hold", "word", "callback")) {
             Socket s =
-                    to(
+                    connect(
                             first.management.address(),
                             "POST /v1/link/"
                                     + path
@@ -349,7 +357,7 @@
         while (!asked.startsWith("POST /v1/link/join ")) {
             // Watches of the list come here as well.
             Socket s = discovery.accept();
-            open.add(s);
+            sockets.add(s);
             asked = Bench.read(s);
         }
         assertTrue(asked.contains("X-Token: of the successor\r\n"), asked);
@@ -377,7 +385,7 @@
                             + "\",\"token\":\"t\",\"suspended\":[],\"drained\":false}");
             Daemon overtaken = start(0, true);
             Socket s = peer.accept();
-            open.add(s);
+            sockets.add(s);
             Bench.read(s);
             Bench.write(s, "HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n");
             assertTrue(overtaken.exitLatch.await(10, TimeUnit.SECONDS));
@@ -420,7 +428,7 @@
         // One more than it may hold beside what the first holds, each busy with its request.
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
-            clients.add(to(second.clients.address(), "GET /healthz HTTP/1.1\r\n"));
+            clients.add(connect(second.clients.address(), "GET /healthz HTTP/1.1\r\n"));
         }
         for (Socket s : held) {
             s.close();
--- a/src/test/java/gingerspool/daemon/LateLoopTest.java
+++ b/src/test/java/gingerspool/daemon/LateLoopTest.java
@@ -12,14 +12,15 @@
 import org.testng.annotations.Test;
 
 /**
- * A loop that is held up reads requests late, and counted their time from then: their clients had
- * the answer as much later than they waited.
+ * Requests that a blocked loop reads late. Guards against counting a request's time from when it is
+ * read: its client then got the answer later than it waited for, by as much as the loop was
+ * blocked.
  */
-public class LateLoopTest extends Rig {
-    private static final long HELD_MS = 600;
+public class LateLoopTest extends SocketTestBase {
+    private static final long BLOCKED_MS = 600;
     private static final int TIME_LEFT_MS = 900;
 
-    /** A limit of time may be passed by this on sockets. */
+    /** How much an answer on sockets may exceed its time limit, in milliseconds. */
     private static final long SLACK_MS = 50;
 
     private Daemon daemon;
@@ -27,7 +28,7 @@
     @BeforeMethod
     public void start() throws Exception {
         listen();
-        String known =
+        String knownList =
                 "'known':{'seq':7,'whole':true,'hosts':[{'host':'s-1','dial':'127.0.0.1:"
                         + worker.getLocalPort()
                         + "','site':'a','class':'m','block':0,'health':'SERVING','share':4,"
@@ -35,8 +36,8 @@
         String node =
                 ConfigurationTest.NODE
                         .replace("127.0.0.1:1'", "127.0.0.1:" + discovery.getLocalPort() + "'")
-                        .replace("'settings'", known + "'settings'");
-        daemon = new Daemon(new NodeConfiguration(ConfigurationTest.tree(node), Map.of()));
+                        .replace("'settings'", knownList + "'settings'");
+        daemon = new Daemon(new NodeConfiguration(ConfigurationTest.parse(node), Map.of()));
         daemon.loop.submit(daemon::start);
     }
 
@@ -46,7 +47,7 @@
         close();
     }
 
-    private static String task(String id, int timeLeft) {
+    private static String taskRequest(String id, int timeLeft) {
         return "POST /p HTTP/1.1\r\nX-Correlation-Id: "
                 + id
                 + "\r\nX-Time-Left-Ms: "
@@ -58,15 +59,15 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
     }
 
-    /** The worker never answers, so the task is given up for its client's sake. */
+    /** The worker never answers, so the task is abandoned before its client stops waiting. */
     @Test
-    public void aRequestThatIsReadLateIsAnsweredBeforeItsClientsExpiry() throws Exception {
-        Socket kept = to(daemon.clients.address(), "GET /healthz HTTP/1.1\r\n\r\n");
+    public void requestReadLateIsAnsweredBeforeItsExpiry() throws Exception {
+        Socket kept = connect(daemon.clients.address(), "GET /healthz HTTP/1.1\r\n\r\n");
         assertTrue(Bench.read(kept).endsWith("ready\n"));
-        holdLoop(daemon, HELD_MS);
+        blockLoop(daemon, BLOCKED_MS);
         long written = System.nanoTime();
-        Bench.write(kept, task("i1", TIME_LEFT_MS));
-        Socket fresh = to(daemon.clients.address(), task("i2", TIME_LEFT_MS));
+        Bench.write(kept, taskRequest("i1", TIME_LEFT_MS));
+        Socket fresh = connect(daemon.clients.address(), taskRequest("i2", TIME_LEFT_MS));
         for (Socket client : new Socket[] {kept, fresh}) {
             assertFalse(Bench.read(client).startsWith("HTTP/1.1 200 "));
             long took = msSince(written);
@@ -75,12 +76,12 @@
     }
 
     @Test
-    public void aRequestWhoseTimeIsOverIsRefusedAtOnce() throws Exception {
-        holdLoop(daemon, HELD_MS);
+    public void expiredRequestIsRefusedAtOnce() throws Exception {
+        blockLoop(daemon, BLOCKED_MS);
         long written = System.nanoTime();
-        Socket client = to(daemon.clients.address(), task("i1", (int) HELD_MS / 2));
+        Socket client = connect(daemon.clients.address(), taskRequest("i1", (int) BLOCKED_MS / 2));
         assertTrue(Bench.read(client).startsWith("HTTP/1.1 503 "));
         long took = msSince(written);
-        assertTrue(took < HELD_MS + HELD_MS / 3, "answered after " + took + " ms");
+        assertTrue(took < BLOCKED_MS + BLOCKED_MS / 3, "answered after " + took + " ms");
     }
 }
--- a/src/test/java/gingerspool/daemon/ManagementTest.java
+++ b/src/test/java/gingerspool/daemon/ManagementTest.java
@@ -13,14 +13,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Operators' calls to a whole daemon on loopback sockets. */
-public class ManagementTest extends Rig {
+/** Operators' calls to a complete daemon on loopback sockets. */
+public class ManagementTest extends SocketTestBase {
     private Daemon daemon;
 
     @BeforeMethod
     public void start() throws Exception {
         listen();
-        String known =
+        String knownList =
                 "'known':{'seq':7,'whole':true,'hosts':[{'host':'s-1','dial':'127.0.0.1:"
                         + worker.getLocalPort()
                         + "','site':'a','class':'m','block':0,'health':'SERVING','share':4,"
@@ -32,9 +32,9 @@
                                 "127.0.0.1:"
                                         + discovery.getLocalPort()
                                         + "','management':'127.0.0.1:0'")
-                        .replace("'settings'", known + "'settings'")
+                        .replace("'settings'", knownList + "'settings'")
                         .replace("'safe'", "'unsafe'");
-        daemon = new Daemon(new NodeConfiguration(ConfigurationTest.tree(node), Map.of()));
+        daemon = new Daemon(new NodeConfiguration(ConfigurationTest.parse(node), Map.of()));
         daemon.loop.submit(daemon::start);
     }
 
@@ -45,9 +45,10 @@
     }
 
     private Socket operator(String text) throws IOException {
-        return to(daemon.management.address(), text);
+        return connect(daemon.management.address(), text);
     }
 
+    /** Makes an operator's call and returns the status. */
     private int call(String method, String path) throws IOException {
         Socket s = operator(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
         int status = Integer.parseInt(Bench.read(s).substring(9, 12));
@@ -56,10 +57,10 @@
     }
 
     private Socket client(String text) throws IOException {
-        return to(daemon.clients.address(), text);
+        return connect(daemon.clients.address(), text);
     }
 
-    private static String task(String id, int timeLeft) {
+    private static String taskRequest(String id, int timeLeft) {
         return "POST /p HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: "
                 + id
                 + "\r\nX-Weight-Hint: 500000\r\n"
@@ -68,20 +69,22 @@
                 + "\r\nContent-Length: 2\r\n\r\nhi";
     }
 
-    private Socket atWorker() throws IOException {
+    /** Accepts a connection as the worker and reads a task from it. */
+    private Socket acceptAtWorker() throws IOException {
         Socket s = worker.accept();
-        open.add(s);
+        sockets.add(s);
         s.setSoTimeout(5000);
         assertTrue(Bench.read(s).startsWith("POST /p "));
         return s;
     }
 
-    private Socket done(Socket on, String id) throws IOException {
+    /** Sends the callback of a finished task, on a new connection if none is given. */
+    private Socket sendDoneCallback(Socket connection, String id) throws IOException {
         String body =
                 "{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"made\"}";
         String call =
                 "POST /callback HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-        Socket s = on;
+        Socket s = connection;
         if (s == null) {
             s = client(call);
         } else {
@@ -91,7 +94,7 @@
         return s;
     }
 
-    private String healthz() throws IOException {
+    private String healthStatus() throws IOException {
         return Bench.read(client("GET /healthz HTTP/1.1\r\n\r\n")).substring(9, 12);
     }
 
@@ -130,7 +133,8 @@
     }
 
     @Test(dataProvider = "calls")
-    public void eachCallHasItsAnswer(String method, String path, int status) throws IOException {
+    public void callsAreAnsweredWithTheirStatus(String method, String path, int status)
+            throws IOException {
         assertEquals(call(method, path), status);
         assertEquals(call("GET", "/v1/readyz"), 200);
     }
@@ -149,119 +153,121 @@
     }
 
     @Test(dataProvider = "unreadable")
-    public void whatCannotBeReadIsANoAndDoesNothing(String text) throws IOException {
+    public void malformedCallsAreRejectedWithoutEffect(String text) throws IOException {
         assertTrue(Bench.read(operator(text)).startsWith("HTTP/1.1 4"));
-        assertEquals(healthz(), "200");
+        assertEquals(healthStatus(), "200");
     }
 
     /**
-     * A call that is cut says nothing: a false yes, or a drain nobody asked for, would come of it.
+     * A truncated call must have no effect: otherwise it would be acknowledged wrongly, or drain
+     * the scheduler without an operator asking for it.
      */
     @Test
-    public void aCallCutAtAnyByteDoesNothing() throws IOException {
+    public void truncatedCallHasNoEffect() throws IOException {
         String text = "POST /v1/scheduler/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab";
         for (int i = 0; i < text.length(); i++) {
             operator(text.substring(0, i)).close();
         }
-        assertEquals(healthz(), "200");
+        assertEquals(healthStatus(), "200");
         Socket slow = operator(text.substring(0, 20));
         assertEquals(call("GET", "/v1/readyz"), 200);
         Bench.write(slow, text.substring(20));
         assertTrue(Bench.read(slow).startsWith("HTTP/1.1 200 "));
-        assertEquals(healthz(), "503");
+        assertEquals(healthStatus(), "503");
     }
 
     @Test
-    public void hundredsOfSilentCallersDoNotHoldUpACall() throws IOException {
+    public void silentConnectionsDoNotDelayACall() throws IOException {
         for (int i = 0; i < 300; i++) {
             operator(i % 2 == 0 ? "" : "POST /v1/sche");
         }
         long since = System.nanoTime();
         assertEquals(call("POST", "/v1/scheduler/drain"), 200);
         assertTrue(System.nanoTime() - since < 1_000_000_000L);
-        assertEquals(healthz(), "503");
+        assertEquals(healthStatus(), "503");
     }
 
     @Test
-    public void aSuspendedWorkerGetsNothingWhateverTheListSaysUntilItIsResumed() throws Exception {
-        Socket list = discovery.accept();
-        open.add(list);
-        Bench.read(list);
-        Socket kept = client(task("i1", 3000));
-        Socket at = atWorker();
-        Bench.write(at, TAKEN);
-        done(null, "i1");
+    public void suspendedWorkerGetsNoTaskUntilResumed() throws Exception {
+        Socket discoveryStream = discovery.accept();
+        sockets.add(discoveryStream);
+        Bench.read(discoveryStream);
+        Socket kept = client(taskRequest("i1", 3000));
+        Socket workerConnection = acceptAtWorker();
+        Bench.write(workerConnection, ACCEPTED);
+        sendDoneCallback(null, "i1");
         Bench.read(kept);
         assertEquals(call("POST", "/v1/workers/s-1/suspend"), 200);
         assertEquals(call("POST", "/v1/workers/s-1/suspend"), 200);
-        assertEquals(at.getInputStream().read(), -1, "connections at rest are closed");
-        String line =
+        assertEquals(
+                workerConnection.getInputStream().read(), -1, "connections at rest are closed");
+        String update =
                 "{\"seq\":8,\"whole\":true,\"hosts\":[{\"host\":\"s-1\",\"dial\":\"127.0.0.1:"
                         + worker.getLocalPort()
                         + "\",\"health\":\"SERVING\",\"share\":4,\"born_ms\":0}]}\n";
         Bench.write(
-                list,
+                discoveryStream,
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                        + Integer.toHexString(line.length())
+                        + Integer.toHexString(update.length())
                         + "\r\n"
-                        + line
+                        + update
                         + "\r\n");
-        assertTrue(Bench.read(client(task("i2", 300))).startsWith("HTTP/1.1 503 "));
+        assertTrue(Bench.read(client(taskRequest("i2", 300))).startsWith("HTTP/1.1 503 "));
         assertEquals(call("POST", "/v1/workers/s-1/resume"), 200);
         assertEquals(call("POST", "/v1/workers/s-1/resume"), 200);
-        Socket last = client(task("i3", 3000));
-        Bench.write(atWorker(), TAKEN);
-        done(null, "i3");
+        Socket last = client(taskRequest("i3", 3000));
+        Bench.write(acceptAtWorker(), ACCEPTED);
+        sendDoneCallback(null, "i3");
         assertTrue(Bench.read(last).startsWith("HTTP/1.1 200 "));
     }
 
     @Test
-    public void aTaskThatIsThereAsItsWorkerIsSuspendedGoesOn() throws Exception {
-        Socket client = client(task("i1", 3000));
-        Bench.write(atWorker(), TAKEN);
+    public void taskInProgressContinuesWhenItsWorkerIsSuspended() throws Exception {
+        Socket client = client(taskRequest("i1", 3000));
+        Bench.write(acceptAtWorker(), ACCEPTED);
         assertEquals(call("POST", "/v1/workers/s-1/suspend"), 200);
-        done(null, "i1");
+        sendDoneCallback(null, "i1");
         assertTrue(Bench.read(client).startsWith("HTTP/1.1 200 "));
     }
 
     @Test
-    public void aDrainedSchedulerLetsItsClientsGoAndKeepsCallBacks() throws Exception {
+    public void drainedSchedulerDisconnectsClientsAndAcceptsCallbacks() throws Exception {
         Socket idle = client("GET /healthz HTTP/1.1\r\n\r\n");
         Bench.read(idle);
-        Socket busy = client(task("i1", 5000));
-        Socket first = atWorker();
-        Socket other = client(task("i2", 5000));
-        Socket latest = atWorker();
-        Bench.write(first, TAKEN);
-        Bench.write(latest, TAKEN);
-        Socket calls = done(null, "i2");
+        Socket busy = client(taskRequest("i1", 5000));
+        Socket first = acceptAtWorker();
+        Socket other = client(taskRequest("i2", 5000));
+        Socket latest = acceptAtWorker();
+        Bench.write(first, ACCEPTED);
+        Bench.write(latest, ACCEPTED);
+        Socket callbacks = sendDoneCallback(null, "i2");
         Bench.read(other);
         assertEquals(call("POST", "/v1/scheduler/drain"), 200);
-        assertEquals(healthz(), "503");
+        assertEquals(healthStatus(), "503");
         assertEquals(call("GET", "/v1/readyz"), 200);
         assertEquals(idle.getInputStream().read(), -1);
         assertEquals(other.getInputStream().read(), -1);
         first.close();
-        done(calls, "i1");
+        sendDoneCallback(callbacks, "i1");
         String answer = Bench.read(busy);
         assertTrue(
                 answer.startsWith("HTTP/1.1 200 ") && answer.contains("Connection: close\r\n"),
                 answer);
         assertEquals(busy.getInputStream().read(), -1);
         assertEquals(call("POST", "/v1/scheduler/activate"), 200);
-        assertEquals(healthz(), "200");
-        Socket again = client(task("i3", 5000));
+        assertEquals(healthStatus(), "200");
+        Socket afterActivation = client(taskRequest("i3", 5000));
         assertTrue(Bench.read(latest).contains("X-Correlation-Id: i3\r\n"));
-        Bench.write(latest, TAKEN);
-        done(calls, "i3");
-        answer = Bench.read(again);
+        Bench.write(latest, ACCEPTED);
+        sendDoneCallback(callbacks, "i3");
+        answer = Bench.read(afterActivation);
         assertTrue(answer.startsWith("HTTP/1.1 200 ") && !answer.contains("close"), answer);
     }
 
     @Test
-    public void withoutAnAddressThereIsNoSecondListener() throws Exception {
+    public void noManagementListenerWithoutAnAddress() throws Exception {
         NodeConfiguration plain =
-                new NodeConfiguration(ConfigurationTest.tree(ConfigurationTest.NODE), Map.of());
+                new NodeConfiguration(ConfigurationTest.parse(ConfigurationTest.NODE), Map.of());
         assertEquals(plain.management, null);
         Daemon other = new Daemon(plain);
         assertEquals(other.management, null);
--- a/src/test/java/gingerspool/daemon/OverlappingHandoverTest.java
+++ b/src/test/java/gingerspool/daemon/OverlappingHandoverTest.java
@@ -82,7 +82,7 @@
         ready(first);
         takeFrom(first);
         Socket held = beginLinkCall(first, secretOfNote(), "hold", "");
-        holdLoop(first, 400);
+        blockLoop(first, 400);
         long since = System.nanoTime();
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 503);
         assertTrue(System.nanoTime() - since < ANSWER_OWED, "the answer took over 1 s");
@@ -100,7 +100,7 @@
         Daemon first = start(0, true, "'dueTimeMs':100", 700);
         ready(first);
         linkCall(first, secretOfNote(), "join", JOIN + "}");
-        holdLoop(first, 700);
+        blockLoop(first, 700);
         long since = System.nanoTime();
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
         assertTrue(System.nanoTime() - since < ANSWER_OWED, "the answer took over 1 s");
@@ -108,7 +108,7 @@
 
     /** A client that has come to this process and has not written its request yet. */
     private Socket comes(Daemon to) throws Exception {
-        Socket client = to(to.clients.address(), "");
+        Socket client = connect(to.clients.address(), "");
         until(() -> on(to, to.clients::connections) > 0, "no client was accepted");
         return client;
     }
@@ -200,7 +200,7 @@
         ready(first);
         int port = port(first);
         // The first keeps a task, so it stays.
-        to(first.clients.address(), task("i1"));
+        connect(first.clients.address(), task("i1"));
         atWorker("i1");
         Daemon second = start(port, false, "'dueTimeMs':100", 5000);
         ready(second);
--- a/src/test/java/gingerspool/daemon/PolicyMeasure.java
+++ b/src/test/java/gingerspool/daemon/PolicyMeasure.java
@@ -26,31 +26,42 @@
 import java.util.function.ToDoubleFunction;
 import org.testng.annotations.Test;
 
-/** Figures for docs/results.md, no part of CI: mvn -B -q test -Dtest=PolicyMeasure. */
+/**
+ * Measures the cost and the effect of policies for docs/results.md. Not part of CI; run with mvn -B
+ * -q test -Dtest=PolicyMeasure.
+ */
 public class PolicyMeasure {
     private static final int WORKERS = 10;
-    private static final double RATE = 80;
-    private static final double SECONDS = 15;
+    private static final double RATE_PER_S = 80;
+    private static final double DURATION_S = 15;
     private static final int SEEDS = 3;
 
-    /** Second copies before stand-in workers, by the way in which one in ten is slow. */
+    /**
+     * Latency and work with and without second copies of a task, for three ways in which a tenth of
+     * the work of stand-in workers is slow.
+     */
     @Test
     public void copies() throws Exception {
-        for (String way :
+        for (String slowness :
                 new String[] {
                     "one task in ten is slow",
                     "one worker in ten is slow",
                     "each worker in turn is slow for a second"
                 }) {
             for (int seed = 1; seed <= SEEDS; seed++) {
-                System.out.println(way + ", seed " + seed + ", without: " + day(way, seed, ""));
                 System.out.println(
-                        way
+                        slowness
+                                + ", seed "
+                                + seed
+                                + ", without: "
+                                + measureLatency(slowness, seed, ""));
+                System.out.println(
+                        slowness
                                 + ", seed "
                                 + seed
                                 + ", with:    "
-                                + day(
-                                        way,
+                                + measureLatency(
+                                        slowness,
                                         seed,
                                         "[[route]]\nname = \"r\"\n"
                                                 + "match.profile = \"p\"\ncopies = { most = 2, after = \"60ms\" }\n"
@@ -59,36 +70,44 @@
         }
     }
 
-    private static ToDoubleFunction<String> runFor(String way, int worker, int seed, long begun) {
-        SplittableRandom r = new SplittableRandom(31L * seed + worker);
+    private static ToDoubleFunction<String> runningTimes(
+            String slowness, int worker, int seed, long startedAt) {
+        SplittableRandom random = new SplittableRandom(31L * seed + worker);
         return id -> {
-            double usual = 10 + 20 * r.nextDouble();
+            double usualMs = 10 + 20 * random.nextDouble();
             boolean slow =
-                    switch (way) {
-                        case "one task in ten is slow" -> r.nextInt(10) == 0;
+                    switch (slowness) {
+                        case "one task in ten is slow" -> random.nextInt(10) == 0;
                         case "one worker in ten is slow" -> worker == 0;
-                        default -> (System.nanoTime() - begun) / 1_000_000_000L % WORKERS == worker;
+                        default ->
+                                (System.nanoTime() - startedAt) / 1_000_000_000L % WORKERS
+                                        == worker;
                     };
-            return slow ? 20 * usual : usual;
+            return slow ? 20 * usualMs : usualMs;
         };
     }
 
-    private static String day(String way, int seed, String more) throws Exception {
+    private static String measureLatency(String slowness, int seed, String extraConfiguration)
+            throws Exception {
         try (Peers peers = new Peers()) {
             StringBuilder text =
                     new StringBuilder(
                             "[scheduler]\nlisten = \"127.0.0.1:0\"\nseed = \""
                                     + seed
                                     + "\"\n[profile.p]\neffect = \"idempotent\"\nexpiry = \"5s\"\ndue = \"2s\"\n");
-            long begun = System.nanoTime();
+            long startedAt = System.nanoTime();
             for (int w = 0; w < WORKERS; w++) {
                 text.append("[[worker]]\nname = \"w")
                         .append(w)
                         .append("\"\naddress = \"127.0.0.1:")
-                        .append(peers.worker("w" + w, 4, runFor(way, w, seed, begun)))
+                        .append(
+                                peers.worker(
+                                        "w" + w, 4, runningTimes(slowness, w, seed, startedAt)))
                         .append("\"\nsize = 4\n");
             }
-            Path file = Files.writeString(Files.createTempFile("measure", ".toml"), text + more);
+            Path file =
+                    Files.writeString(
+                            Files.createTempFile("measure", ".toml"), text + extraConfiguration);
             Daemon daemon = FileDaemon.open(file);
             Files.delete(file);
             peers.callBackTo((InetSocketAddress) daemon.clients.address());
@@ -96,61 +115,66 @@
             daemon.loop.submit(daemon::start);
             daemon.loop.submit(ready::countDown);
             ready.await();
-            double[] latency = load((InetSocketAddress) daemon.clients.address(), seed);
+            double[] latency = generateLoad((InetSocketAddress) daemon.clients.address(), seed);
             daemon.loop.stop();
             Arrays.sort(latency);
             double work = 0;
             long started = peers.log().stream().filter(e -> e.what().equals("started")).count();
-            double[] from = new double[1];
-            java.util.Map<String, Double> since = new java.util.HashMap<>();
+            double[] workMs = new double[1];
+            java.util.Map<String, Double> startTimes = new java.util.HashMap<>();
             for (Peers.Event e : peers.log()) {
                 String key = e.worker() + e.task();
                 if (e.what().equals("started")) {
-                    since.put(key, e.at());
-                } else if (e.what().equals("ended") && since.containsKey(key)) {
-                    from[0] += e.at() - since.remove(key);
+                    startTimes.put(key, e.at());
+                } else if (e.what().equals("ended") && startTimes.containsKey(key)) {
+                    workMs[0] += e.at() - startTimes.remove(key);
                 }
             }
-            work = from[0];
-            int n = latency.length;
+            work = workMs[0];
+            int tasks = latency.length;
             return String.format(
                     "%d tasks, median %.0f ms, 99th %.0f ms, 99.9th %.0f ms, %d runs (%+.1f%%), "
                             + "%.0f ms of work a task",
-                    n,
-                    latency[n / 2],
-                    latency[n * 99 / 100],
-                    latency[n * 999 / 1000],
+                    tasks,
+                    latency[tasks / 2],
+                    latency[tasks * 99 / 100],
+                    latency[tasks * 999 / 1000],
                     started,
-                    100.0 * (started - n) / n,
-                    work / n);
+                    100.0 * (started - tasks) / tasks,
+                    work / tasks);
         }
     }
 
-    /** Open loop: a task is due at its time, whoever is busy; latency counts from then. */
-    private static double[] load(InetSocketAddress to, int seed) throws Exception {
-        SplittableRandom r = new SplittableRandom(seed);
-        List<Double> due = new ArrayList<>();
-        for (double t = 0; t < SECONDS * 1000; t -= 1000 / RATE * Math.log(1 - r.nextDouble())) {
-            due.add(t);
+    /**
+     * Sends tasks in an open loop: each is due at its own time, however busy the clients are, and
+     * its latency counts from then.
+     */
+    private static double[] generateLoad(InetSocketAddress address, int seed) throws Exception {
+        SplittableRandom random = new SplittableRandom(seed);
+        List<Double> dueTimes = new ArrayList<>();
+        for (double t = 0;
+                t < DURATION_S * 1000;
+                t -= 1000 / RATE_PER_S * Math.log(1 - random.nextDouble())) {
+            dueTimes.add(t);
         }
         ExecutorService pool = Executors.newFixedThreadPool(200);
-        ThreadLocal<Socket> own = new ThreadLocal<>();
-        long begun = System.nanoTime();
-        List<Future<Double>> all = new ArrayList<>();
-        for (int i = 0; i < due.size(); i++) {
-            double at = due.get(i);
+        ThreadLocal<Socket> connections = new ThreadLocal<>();
+        long startedAt = System.nanoTime();
+        List<Future<Double>> latencies = new ArrayList<>();
+        for (int i = 0; i < dueTimes.size(); i++) {
+            double dueTime = dueTimes.get(i);
             String id = "t" + i;
-            while ((System.nanoTime() - begun) / 1e6 < at) {
+            while ((System.nanoTime() - startedAt) / 1e6 < dueTime) {
                 Thread.onSpinWait();
             }
-            all.add(
+            latencies.add(
                     pool.submit(
                             () -> {
-                                Socket s = own.get();
+                                Socket s = connections.get();
                                 if (s == null) {
-                                    s = new Socket(to.getAddress(), to.getPort());
+                                    s = new Socket(address.getAddress(), address.getPort());
                                     s.setTcpNoDelay(true);
-                                    own.set(s);
+                                    connections.set(s);
                                 }
                                 Peers.write(
                                         s,
@@ -159,33 +183,34 @@
                                                 + "\r\nContent-Length: 2\r\n\r\nhi");
                                 String answer = Peers.read(s.getInputStream());
                                 return answer.startsWith("HTTP/1.1 200 ")
-                                        ? (System.nanoTime() - begun) / 1e6 - at
+                                        ? (System.nanoTime() - startedAt) / 1e6 - dueTime
                                         : 5000;
                             }));
         }
-        double[] latency = new double[all.size()];
+        double[] latency = new double[latencies.size()];
         for (int i = 0; i < latency.length; i++) {
-            latency[i] = all.get(i).get();
+            latency[i] = latencies.get(i).get();
         }
         pool.shutdownNow();
         return latency;
     }
 
     /**
-     * Time from a task's coming to its first assignment, by number of routes; the last route takes
-     * it.
+     * The time from a task's arrival to its first assignment, by number of routes; the last route
+     * matches it.
      */
     @Test
     public void routes() {
         for (int round = 0; round < 3; round++) {
             for (int n : new int[] {0, 1, 100, 10_000}) {
                 System.out.printf(
-                        "%d routes: %.2f us from a task to its assignment%n", n, toFirst(n));
+                        "%d routes: %.2f us from a task to its assignment%n",
+                        n, microsToFirstAssignment(n));
             }
         }
     }
 
-    /** Time to read a call-back as it comes from a worker: its head, its body, the report in it. */
+    /** The time to parse a worker's callback: its head, its body and the load report in it. */
     @Test
     public void parsing() throws Exception {
         String body =
@@ -212,7 +237,8 @@
     }
 
     /**
-     * Time of the module for a task, from its coming to its end, by tasks in hand and by workers.
+     * The time the dispatcher spends on a task, from its arrival to its end, by tasks in progress
+     * and by workers.
      */
     @Test
     public void inHand() {
@@ -220,30 +246,31 @@
             for (int[] n :
                     new int[][] {{100, 10}, {1000, 10}, {10_000, 10}, {100, 100}, {100, 1000}}) {
                 System.out.printf(
-                        "%d in hand, %d workers: %.2f us a task%n", n[0], n[1], whole(n[0], n[1]));
+                        "%d in hand, %d workers: %.2f us a task%n",
+                        n[0], n[1], microsPerTask(n[0], n[1]));
             }
         }
     }
 
-    private static double whole(int inHand, int workers) {
+    private static double microsPerTask(int inHand, int workers) {
         DispatcherSettings s = settings();
         List<Assignment> sent = new ArrayList<>();
         Dispatcher d = dispatcher(s, workers, 4.0 * inHand, sent);
         int tasks = inHand + 10_000;
-        long from = 0;
-        java.util.ArrayDeque<Assignment> out = new java.util.ArrayDeque<>();
+        long startedAt = 0;
+        java.util.ArrayDeque<Assignment> inFlight = new java.util.ArrayDeque<>();
         for (int i = 0; i < tasks + 2 * inHand; i++) {
-            from = i == 2 * inHand ? System.nanoTime() : from;
+            startedAt = i == 2 * inHand ? System.nanoTime() : startedAt;
             Task t = new Task("t");
             t.profile = s.profiles[0];
             t.expiry = i + 1e6;
             d.arrived(i, t);
-            out.add(sent.remove(0));
-            if (out.size() > inHand) {
-                d.ended(i + 0.5, out.poll(), gingerspool.dispatch.Outcome.OK, true, null);
+            inFlight.add(sent.remove(0));
+            if (inFlight.size() > inHand) {
+                d.ended(i + 0.5, inFlight.poll(), gingerspool.dispatch.Outcome.OK, true, null);
             }
         }
-        return (System.nanoTime() - from) / 1e3 / tasks;
+        return (System.nanoTime() - startedAt) / 1e3 / tasks;
     }
 
     private static DispatcherSettings settings() {
@@ -260,7 +287,7 @@
 
     private static Dispatcher dispatcher(
             DispatcherSettings s, int workers, double size, List<Assignment> sent) {
-        Dispatcher d = new Dispatcher(s, 7, new Sends(sent));
+        Dispatcher d = new Dispatcher(s, 7, new RecordingActions(sent));
         d.listBegins(0, true);
         for (int w = 0; w < workers; w++) {
             d.listed(w, 0, 0, 0, Dispatcher.RUNNING, size, 0);
@@ -269,7 +296,7 @@
         return d;
     }
 
-    private static double toFirst(int routes) {
+    private static double microsToFirstAssignment(int routes) {
         DispatcherSettings s = settings();
         Profile p = s.profiles[0];
         List<Assignment> sent = new ArrayList<>();
@@ -286,27 +313,27 @@
                             "route",
                             "route"));
         }
-        Routes table = routes == 0 ? null : new Routes(rules, null);
+        Routes compiledRoutes = routes == 0 ? null : new Routes(rules, null);
         String path = "/p/x" + Math.max(0, routes - 1) + "/a/b";
         String host = "a.h" + Math.max(0, routes - 1) % 50 + ".org";
-        long spent = 0;
+        long spentNanos = 0;
         int tasks = 200_000;
         for (int i = 0; i < 2 * tasks; i++) {
             Task t = new Task("t");
             t.profile = p;
             t.expiry = i + 1e6;
-            long from = System.nanoTime();
-            if (table != null) {
-                table.admit(i, t, path, host, "t");
+            long startedAt = System.nanoTime();
+            if (compiledRoutes != null) {
+                compiledRoutes.admit(i, t, path, host, "t");
             }
             d.arrived(i, t);
-            spent += i < tasks ? 0 : System.nanoTime() - from;
+            spentNanos += i < tasks ? 0 : System.nanoTime() - startedAt;
             d.ended(i + 0.5, sent.remove(0), gingerspool.dispatch.Outcome.OK, true, null);
         }
-        return spent / 1e3 / tasks;
+        return spentNanos / 1e3 / tasks;
     }
 
-    private record Sends(List<Assignment> sent) implements DispatchActions {
+    private record RecordingActions(List<Assignment> sent) implements DispatchActions {
         @Override
         public void send(Assignment assignment, double timeout) {
             sent.add(assignment);
--- a/src/test/java/gingerspool/daemon/ReloadTest.java
+++ b/src/test/java/gingerspool/daemon/ReloadTest.java
@@ -26,7 +26,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A daemon with an operator's file, on loopback, before stand-in workers. */
+/** Reloads of an operator's file by a daemon on loopback, in front of stand-in workers. */
 public class ReloadTest {
     private static final int RELOADS = 200;
     private static final int CLIENTS = 8;
@@ -37,7 +37,7 @@
     private String workers;
 
     @BeforeMethod
-    public void begin() throws IOException {
+    public void startWorkers() throws IOException {
         peers = new Peers();
         folder = Files.createTempDirectory("gingerspool");
         StringBuilder list = new StringBuilder();
@@ -52,7 +52,7 @@
     }
 
     @AfterMethod
-    public void end() throws IOException {
+    public void stop() throws IOException {
         if (daemon != null) {
             daemon.loop.stop();
             daemon = null;
@@ -61,7 +61,7 @@
         Folders.remove(folder);
     }
 
-    private Path file(String text) throws IOException {
+    private Path writeFile(String text) throws IOException {
         return Files.writeString(
                 folder.resolve("main.toml"),
                 "[scheduler]\nlisten = \"127.0.0.1:0\"\nseed = \"7\"\n"
@@ -72,7 +72,7 @@
     }
 
     private void start(String text) throws Exception {
-        daemon = FileDaemon.open(file(text));
+        daemon = FileDaemon.open(writeFile(text));
         peers.callBackTo((InetSocketAddress) daemon.clients.address());
         CountDownLatch ready = new CountDownLatch(1);
         daemon.loop.submit(daemon::start);
@@ -80,7 +80,7 @@
         ready.await();
     }
 
-    private Socket client() throws IOException {
+    private Socket connect() throws IOException {
         Socket s = new Socket();
         s.connect((InetSocketAddress) daemon.clients.address());
         s.setTcpNoDelay(true);
@@ -88,7 +88,8 @@
         return s;
     }
 
-    private static String ask(Socket s, String profile, String id, String more) throws IOException {
+    private static String request(Socket s, String profile, String id, String headers)
+            throws IOException {
         Peers.write(
                 s,
                 "POST /"
@@ -96,115 +97,122 @@
                         + " HTTP/1.1\r\nHost: h.example.org\r\nX-Correlation-Id: "
                         + id
                         + "\r\n"
-                        + more
+                        + headers
                         + "Content-Length: 2\r\n\r\nhi");
         return Peers.read(s.getInputStream());
     }
 
-    /** Waits until all that was entered before has been done on the loop. */
-    private void settled() throws InterruptedException {
+    /** Waits until the loop has done all that was submitted before. */
+    private void awaitLoop() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         daemon.loop.submit(done::countDown);
         done.await();
     }
 
-    private static String route(SplittableRandom r) {
+    private static String randomRoute(SplittableRandom random) {
         return "[[route]]\nname = \"r"
-                + r.nextInt(3)
+                + random.nextInt(3)
                 + "\"\nmatch.profile = \"p\"\nassignments = "
-                + (1 + r.nextInt(4))
+                + (1 + random.nextInt(4))
                 + "\ntimeout = \""
-                + (1000 + r.nextInt(1400))
+                + (1000 + random.nextInt(1400))
                 + "ms\"\nlimit = { in_hand = "
-                + (100 + r.nextInt(100))
+                + (100 + random.nextInt(100))
                 + " }\n"
-                + (r.nextBoolean() ? "" : "[defaults]\nrepeats = { share = 0.2 }\n");
+                + (random.nextBoolean() ? "" : "[defaults]\nrepeats = { share = 0.2 }\n");
     }
 
-    /** Good and bad files in turn, under load: every task has its one answer, and ran once. */
+    /**
+     * Reloads valid and invalid files alternately under load: every task gets one answer and runs
+     * at most once.
+     */
     @Test
-    public void reloadsDropNothing() throws Exception {
+    public void reloadsLoseNoTask() throws Exception {
         start("");
-        SplittableRandom r = new SplittableRandom(5);
-        AtomicBoolean over = new AtomicBoolean();
+        SplittableRandom random = new SplittableRandom(5);
+        AtomicBoolean stopped = new AtomicBoolean();
         ExecutorService pool = Executors.newFixedThreadPool(CLIENTS);
         List<Future<Map<String, String>>> answers = new ArrayList<>();
         for (int c = 0; c < CLIENTS; c++) {
-            int n = c;
+            int clientNumber = c;
             answers.add(
                     pool.submit(
                             (Callable<Map<String, String>>)
                                     () -> {
-                                        Map<String, String> mine = new HashMap<>();
-                                        try (Socket s = client()) {
-                                            for (int i = 0; !over.get(); i++) {
-                                                String id = "c" + n + "-" + i;
-                                                mine.put(
-                                                        id, ask(s, i % 2 == 0 ? "p" : "s", id, ""));
+                                        Map<String, String> answersById = new HashMap<>();
+                                        try (Socket s = connect()) {
+                                            for (int i = 0; !stopped.get(); i++) {
+                                                String id = "c" + clientNumber + "-" + i;
+                                                answersById.put(
+                                                        id,
+                                                        request(s, i % 2 == 0 ? "p" : "s", id, ""));
                                             }
                                         }
-                                        return mine;
+                                        return answersById;
                                     }));
         }
-        double longest = 0;
+        double longestMs = 0;
         int applied = 0;
         for (int i = 0; i < RELOADS; i++) {
-            boolean good = i % 2 == 0;
-            file(route(r) + (good ? "" : "[[route]]\nname = \"bad\"\nassignments = 9\n"));
+            boolean isValid = i % 2 == 0;
+            writeFile(
+                    randomRoute(random)
+                            + (isValid ? "" : "[[route]]\nname = \"bad\"\nassignments = 9\n"));
             gingerspool.route.Routes before = daemon.scheduler.routes();
-            long from = System.nanoTime();
+            long startedAt = System.nanoTime();
             daemon.hangupAction.run();
-            settled();
+            awaitLoop();
             applied += daemon.scheduler.routes() != before ? 1 : 0;
-            longest = Math.max(longest, daemon.reloadMs);
+            longestMs = Math.max(longestMs, daemon.reloadMs);
             assertEquals(
                     daemon.scheduler.routes() != before,
-                    good,
-                    "reload " + i + ", " + (System.nanoTime() - from) / 1_000_000 + " ms");
+                    isValid,
+                    "reload " + i + ", " + (System.nanoTime() - startedAt) / 1_000_000 + " ms");
         }
-        over.set(true);
+        stopped.set(true);
         int tasks = 0;
-        Map<String, Integer> ran = new HashMap<>();
+        Map<String, Integer> runsByTask = new HashMap<>();
         for (Peers.Event e : peers.log()) {
-            ran.merge(e.task(), e.what().equals("started") ? 1 : 0, Integer::sum);
+            runsByTask.merge(e.task(), e.what().equals("started") ? 1 : 0, Integer::sum);
         }
         for (Future<Map<String, String>> f : answers) {
-            for (Map.Entry<String, String> a : f.get(30, TimeUnit.SECONDS).entrySet()) {
+            for (Map.Entry<String, String> answer : f.get(30, TimeUnit.SECONDS).entrySet()) {
                 assertTrue(
-                        a.getValue().startsWith("HTTP/1.1 200 "), a.getKey() + ": " + a.getValue());
+                        answer.getValue().startsWith("HTTP/1.1 200 "),
+                        answer.getKey() + ": " + answer.getValue());
                 tasks++;
             }
         }
         pool.shutdown();
         for (Peers.Event e : peers.log()) {
-            ran.merge(e.task(), 0, Integer::sum);
+            runsByTask.merge(e.task(), 0, Integer::sum);
         }
-        ran.forEach((id, n) -> assertTrue(n <= 1, id + " ran " + n + " times"));
+        runsByTask.forEach((id, runs) -> assertTrue(runs <= 1, id + " ran " + runs + " times"));
         assertEquals(applied, RELOADS / 2);
         System.out.printf(
                 "%d reloads, %d tasks answered, longest turn of a reload %.2f ms%n",
-                RELOADS, tasks, longest);
+                RELOADS, tasks, longestMs);
         assertTrue(tasks > RELOADS);
-        assertTrue(longest < 20, "a reload held the loop for " + longest + " ms");
+        assertTrue(longestMs < 20, "a reload held the loop for " + longestMs + " ms");
     }
 
     @Test
-    public void aTaskInHandEndsUnderThePolicyItWasTakenWith() throws Exception {
+    public void taskInProgressKeepsItsPolicy() throws Exception {
         int slow = peers.worker("slow", 1, id -> 400);
         workers = "[[worker]]\nname = \"slow\"\naddress = \"127.0.0.1:" + slow + "\"\nsize = 4\n";
         start("");
-        try (Socket first = client();
-                Socket second = client()) {
+        try (Socket first = connect();
+                Socket second = connect()) {
             Peers.write(
                     first, "POST /p HTTP/1.1\r\nX-Correlation-Id: a\r\nContent-Length: 0\r\n\r\n");
             while (peers.log().stream().noneMatch(e -> e.what().equals("started"))) {
                 Peers.write(second, "GET /healthz HTTP/1.1\r\n\r\n");
                 Peers.read(second.getInputStream());
             }
-            file("[[route]]\nname = \"r\"\nassignments = 1\ntimeout = \"30ms\"\n");
+            writeFile("[[route]]\nname = \"r\"\nassignments = 1\ntimeout = \"30ms\"\n");
             daemon.hangupAction.run();
-            settled();
-            String timedOut = ask(second, "s", "b", "");
+            awaitLoop();
+            String timedOut = request(second, "s", "b", "");
             assertTrue(
                     timedOut.startsWith("HTTP/1.1 500 "),
                     "the new time-out holds for it: " + timedOut);
@@ -215,72 +223,74 @@
     }
 
     @Test
-    public void overALimitTasksAreBouncedAtOnceWithAdvice() throws Exception {
+    public void tasksOverALimitAreRejectedWithRetryAfter() throws Exception {
         start(
                 "[[route]]\nname = \"r\"\nmatch = { profile = \"p\", host = \"*.example.org\" }\n"
                         + "limit = { rate_per_s = 0.1, burst = 2 }\n[limits]\nadvice = \"30s\"\n");
-        try (Socket s = client()) {
-            assertTrue(ask(s, "p", "a", "").startsWith("HTTP/1.1 200 "));
-            assertTrue(ask(s, "p", "b", "").startsWith("HTTP/1.1 200 "));
-            String third = ask(s, "p", "c", "");
+        try (Socket s = connect()) {
+            assertTrue(request(s, "p", "a", "").startsWith("HTTP/1.1 200 "));
+            assertTrue(request(s, "p", "b", "").startsWith("HTTP/1.1 200 "));
+            String third = request(s, "p", "c", "");
             assertTrue(third.startsWith("HTTP/1.1 503 "), third);
             double pause = Double.parseDouble(Peers.field(third, "Retry-After"));
             assertTrue(pause > 5 && pause <= 10, third);
             assertTrue(
-                    ask(s, "s", "d", "").startsWith("HTTP/1.1 200 "),
+                    request(s, "s", "d", "").startsWith("HTTP/1.1 200 "),
                     "another profile is not concerned");
         }
         assertTrue(peers.log().stream().noneMatch(e -> e.task().equals("c")));
     }
 
-    /** What a running scheduler can't change refuses the file whole, and names the key. */
+    /** A file that changes a key that needs a restart is refused as a whole. */
     @Test
-    public void whatNeedsARestartChangesNothing() throws Exception {
+    public void changeThatNeedsARestartIsRefused() throws Exception {
         start("");
         gingerspool.route.Routes before = daemon.scheduler.routes();
-        file("[limits]\ntasks = 7\n[[route]]\nname = \"r\"\n");
+        writeFile("[limits]\ntasks = 7\n[[route]]\nname = \"r\"\n");
         daemon.hangupAction.run();
-        settled();
+        awaitLoop();
         assertEquals(daemon.scheduler.routes(), before);
     }
 
-    /** Found by reading: another file's indexes of kinds were taken for the running one's. */
+    /**
+     * Guards against the use of another file's kind indexes for the kinds of the running scheduler.
+     */
     @Test
-    public void aKindThatComesFirstInTheNextFileTakesNoOthersTasks() throws Exception {
-        int other = peers.worker("other", 4, id -> 1);
-        String kindOfAll = "kind = \"m\"\n";
-        workers = workers.replace("size = 8\n", "size = 8\n" + kindOfAll);
-        String own =
+    public void kindAddedInFirstPlaceGetsNoTasksOfOthers() throws Exception {
+        int otherPort = peers.worker("other", 4, id -> 1);
+        String commonKind = "kind = \"m\"\n";
+        workers = workers.replace("size = 8\n", "size = 8\n" + commonKind);
+        String kindProfile =
                 "[profile.k]\neffect = \"idempotent\"\nexpiry = \"10s\"\ndue = \"5s\"\n"
-                        + kindOfAll;
-        start(own);
+                        + commonKind;
+        start(kindProfile);
         workers =
                 "[[worker]]\nname = \"other\"\naddress = \"127.0.0.1:"
-                        + other
+                        + otherPort
                         + "\"\nkind = \"x\"\nsize = 99\n"
                         + workers;
-        file(own);
+        writeFile(kindProfile);
         daemon.hangupAction.run();
-        settled();
-        try (Socket s = client()) {
+        awaitLoop();
+        try (Socket s = connect()) {
             for (int i = 0; i < 30; i++) {
-                String answer = ask(s, "k", "t" + i, "");
+                String answer = request(s, "k", "t" + i, "");
                 assertTrue(answer.contains(" 200 ") && !answer.endsWith("by other"), answer);
             }
         }
     }
 
     @Test
-    public void workersOfTheFileComeAndGo() throws Exception {
+    public void workersOfTheFileAreReplaced() throws Exception {
         start("");
         int port = peers.worker("other", 4, id -> 1);
         workers = "[[worker]]\nname = \"other\"\naddress = \"127.0.0.1:" + port + "\"\n";
-        file("");
+        writeFile("");
         daemon.hangupAction.run();
-        settled();
-        try (Socket s = client()) {
+        awaitLoop();
+        try (Socket s = connect()) {
             for (int i = 0; i < 20; i++) {
-                assertTrue(ask(s, "p", "t" + i, "").endsWith("by other"));
+                assertTrue(request(s, "p", "t" + i, "").endsWith("by other"));
             }
         }
     }
--- a/src/test/java/gingerspool/daemon/ServeTest.java
+++ b/src/test/java/gingerspool/daemon/ServeTest.java
@@ -57,7 +57,7 @@
                         .replace("'settings'", known + "'settings'")
                         .replace("'safe'", "'unsafe'")
                         .replace(sound, other);
-        daemon = new Daemon(new NodeConfiguration(ConfigurationTest.tree(node), Map.of()));
+        daemon = new Daemon(new NodeConfiguration(ConfigurationTest.parse(node), Map.of()));
         daemon.loop.submit(daemon::start);
     }
 
--- a/src/test/java/gingerspool/daemon/SignalledProcessTest.java
+++ b/src/test/java/gingerspool/daemon/SignalledProcessTest.java
@@ -26,7 +26,7 @@
  * A scheduler as a process of its own, which is stopped and continued by signals, or whose standard
  * error nobody reads. What has to hold is far from what a busy machine adds: a second or more.
  */
-public class SignalledProcessTest extends Rig {
+public class SignalledProcessTest extends SocketTestBase {
     private static final long NANOS_PER_MS = 1_000_000;
 
     /** The longest expiry counts for so much, in milliseconds. */
@@ -123,8 +123,8 @@
     }
 
     private int call(String method, String path) throws IOException {
-        try (Socket s = to(operators, method + " " + path + " HTTP/1.1\r\n\r\n")) {
-            open.remove(s);
+        try (Socket s = connect(operators, method + " " + path + " HTTP/1.1\r\n\r\n")) {
+            sockets.remove(s);
             return Integer.parseInt(Bench.read(s).substring(9, 12));
         }
     }
@@ -145,11 +145,11 @@
     @Test
     public void whatIsOutIsAnsweredBeforeTheKillThoughSigtermCameWhileItStoodStill()
             throws Exception {
-        Socket client = to(clients, HandoverRig.task("i1").replace("Ms: 4000", "Ms: 5000"));
+        Socket client = connect(clients, HandoverRig.task("i1").replace("Ms: 4000", "Ms: 5000"));
         Socket taken = worker.accept();
-        open.add(taken);
+        sockets.add(taken);
         assertTrue(Bench.read(taken).contains("X-Correlation-Id: i1\r\n"));
-        Bench.write(taken, TAKEN);
+        Bench.write(taken, ACCEPTED);
         signal("STOP");
         signal("TERM");
         long terminated = System.nanoTime();
@@ -169,7 +169,7 @@
      */
     @Test
     public void aRequestThatIsOverIsAnsweredBetweenTwoStops() throws Exception {
-        Socket client = to(clients, "GET /healthz HTTP/1.1\r\n\r\n");
+        Socket client = connect(clients, "GET /healthz HTTP/1.1\r\n\r\n");
         Bench.read(client);
         signal("STOP");
         Bench.write(
@@ -191,7 +191,7 @@
         String secret =
                 Files.readString(folder.resolve("gingerspool-n1.json"))
                         .replaceAll("(?s).*\"token\":\"([0-9a-f]+)\".*", "$1");
-        return to(
+        return connect(
                 operators,
                 "POST /v1/link/"
                         + name
@@ -241,10 +241,10 @@
     public void anAcknowledgementThatIsReadLateCounts() throws Exception {
         takeOver();
         link("hold", "");
-        Socket caller = to(operators, "POST /v1/workers/s-1/suspend HTTP/1.1\r\n\r\n");
+        Socket caller = connect(operators, "POST /v1/workers/s-1/suspend HTTP/1.1\r\n\r\n");
         long since = System.nanoTime();
         Socket told = successor.accept();
-        open.add(told);
+        sockets.add(told);
         assertTrue(Bench.read(told).startsWith("POST /v1/link/word "));
         signal("STOP");
         Bench.write(told, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
--- a/src/test/java/gingerspool/daemon/Rig.java
+++ b/src/test/java/gingerspool/daemon/SocketTestBase.java
@@ -11,11 +11,14 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** The sockets of a test that stands in for clients, operators, a worker and discovery itself. */
-abstract class Rig {
-    static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+/** The sockets of a test that itself plays the clients, the operators, a worker and discovery. */
+abstract class SocketTestBase {
+    /** A worker's response to a task that it accepts. */
+    static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+
+    /** Closed after the test. */
+    final List<Socket> sockets = new ArrayList<>();
 
-    final List<Socket> open = new ArrayList<>();
     ServerSocket worker;
     ServerSocket discovery;
 
@@ -26,25 +29,26 @@
     }
 
     final void close() throws IOException {
-        for (Socket s : open) {
+        for (Socket s : sockets) {
             s.close();
         }
-        open.clear();
+        sockets.clear();
         worker.close();
         discovery.close();
     }
 
-    final Socket to(SocketAddress address, String text) throws IOException {
+    /** Connects to this address and sends the text. */
+    final Socket connect(SocketAddress address, String text) throws IOException {
         Socket s = new Socket();
-        open.add(s);
+        sockets.add(s);
         s.connect(address);
         s.setSoTimeout(5000);
         Bench.write(s, text);
         return s;
     }
 
-    /** From now on the loop does nothing else for so long; returns once that has begun. */
-    static void holdLoop(Daemon daemon, long ms) throws InterruptedException {
+    /** Blocks the daemon's loop for this time; returns once the loop is blocked. */
+    static void blockLoop(Daemon daemon, long ms) throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch never = new CountDownLatch(1);
         daemon.loop.submit(
--- a/src/test/java/gingerspool/daemon/StoppedPeerTest.java
+++ b/src/test/java/gingerspool/daemon/StoppedPeerTest.java
@@ -100,7 +100,7 @@
                 () -> {
                     while (true) {
                         Socket s = server.accept();
-                        open.add(s);
+                        sockets.add(s);
                         begin(() -> service.serve(s));
                     }
                 });
@@ -259,7 +259,7 @@
         /** On a connection of its own, which the process has had no time to close as idle. */
         private String answer(String call) throws IOException {
             try (Socket on = new Socket(to.getAddress(), to.getPort())) {
-                open.add(on);
+                sockets.add(on);
                 Bench.write(on, call);
                 return Bench.read(on);
             }
@@ -297,7 +297,7 @@
         takeFrom(first);
         beginLinkCall(first, secret, "hold", "");
         CountDownLatch goesOn = standStill(first);
-        Socket caller = to(first.management.address(), "POST " + path + " HTTP/1.1\r\n\r\n");
+        Socket caller = connect(first.management.address(), "POST " + path + " HTTP/1.1\r\n\r\n");
         long since = System.nanoTime();
         pass(ANSWER_OWED / 2);
         goesOn.countDown();
