--- a/src/main/java/gingerspool/daemon/Configuration.java
+++ b/src/main/java/gingerspool/daemon/Configuration.java
@@ -12,43 +12,56 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one place where a deployment's settings are read, checked and given defaults, for every host
- * of the module: what the Dispatcher is told, the names under which the outside knows it, what a
- * host needs besides.
+ * The settings of a deployment: reads and checks them and applies the defaults, for the daemon and
+ * for the simulator. Holds the settings of the Dispatcher, the names that clients and discovery use
+ * for profiles, tenants, zones and worker kinds, and what the host itself needs.
  */
 public final class Configuration {
     private static final Logger LOG = LoggerFactory.getLogger(Configuration.class);
 
     public final DispatcherSettings settings = new DispatcherSettings();
+
+    /** Profiles by name. */
     public final Map<String, Profile> profiles = new HashMap<>();
+
+    /** Indexes of tenants by name. */
     public final Map<String, Integer> tenants = new HashMap<>();
+
+    /** Indexes of zones by name. */
     public final Map<String, Integer> zones = new HashMap<>();
+
+    /** Indexes of worker kinds by name. */
     public final Map<String, Integer> kinds = new LinkedHashMap<>();
 
-    /** The values that load reports hold, under the settings' names. */
+    /** The index of each value in a load report, by its name in the settings. */
     public final Map<String, Integer> reportPlaces = new LinkedHashMap<>();
 
     public final LoadReport loadReport;
 
-    /** How long workers let a connection rest, and how long one may take to come up. */
+    /** How long workers keep an idle connection open, in milliseconds. */
     public final double connectionIdleTimeout;
 
+    /** The maximum time to establish a connection, in milliseconds. */
     public final double connectTimeout;
+
+    /** The maximum number of tasks in progress. */
     public final int maxTasks;
 
     /**
-     * The most that the bodies of tasks in hand may hold together, in bytes; 0 where nothing is
-     * said.
+     * The maximum size of the bodies of all tasks in progress together, in bytes; 0 if not
+     * configured.
      */
     public final long maxBodyBytes;
 
+    /** The longest expiry of all profiles, in milliseconds. */
     public final double maxExpiry;
 
-    /** How long after the expiry an answer still counts. */
+    /** How long after the expiry an answer still counts, in milliseconds. */
     public final double answerGrace;
 
     /**
-     * Reads what the simulator's first message, or the key `settings` of a daemon's file, holds.
+     * Reads the settings from the simulator's first message, or from the key `settings` of a
+     * daemon's configuration file.
      */
     public Configuration(Object tree) throws ConfigurationException {
         ConfigurationValue root = new ConfigurationValue("settings", tree).required().object();
@@ -67,8 +80,8 @@
         loadReport =
                 new LoadReport(
                         specifics.at("reportX0").text(""), specifics.at("reportX1").text(""));
-        for (ConfigurationValue key : root.at("loadInfo").at("names").list()) {
-            String name = key.text("");
+        for (ConfigurationValue valueName : root.at("loadInfo").at("names").list()) {
+            String name = valueName.text("");
             reportPlaces.put(name, loadReport.place(name));
         }
         settings.reportNames = reportPlaces.keySet().toArray(String[]::new);
@@ -101,35 +114,36 @@
         ConfigurationValue specifics = root.at("specifics").object();
         settings.profiles = new Profile[list.size()];
         for (int i = 0; i < list.size(); i++) {
-            ConfigurationValue key = list.get(i).object();
+            ConfigurationValue profile = list.get(i).object();
             Profile p = new Profile();
             p.index = i;
-            p.name = key.at("name").required().text("");
-            p.dueTime = key.at("dueTimeMs").number(0);
-            p.expiry = key.at("expiryMs").number(0);
-            p.utility = key.at("utility").number(1);
-            p.tardyUtility = key.at("tardyUtility").number(0);
-            p.window = key.at("windowMs").number(0);
+            p.name = profile.at("name").required().text("");
+            p.dueTime = profile.at("dueTimeMs").number(0);
+            p.expiry = profile.at("expiryMs").number(0);
+            p.utility = profile.at("utility").number(1);
+            p.tardyUtility = profile.at("tardyUtility").number(0);
+            p.window = profile.at("windowMs").number(0);
             p.effect =
-                    switch (key.at("effect").text("")) {
+                    switch (profile.at("effect").text("")) {
                         case "safe" -> Profile.Effect.IDEMPOTENT;
                         case "keyed" -> Profile.Effect.FINGERPRINTED;
                         default -> Profile.Effect.SIDE_EFFECTING;
                     };
             p.scope =
-                    switch (key.at("dedupScope").text("")) {
+                    switch (profile.at("dedupScope").text("")) {
                         case "all" -> Profile.Scope.ALL;
                         case "zone" -> Profile.Scope.ZONE;
                         default -> Profile.Scope.CELL;
                     };
-            if (key.at("oneAtATime").flag()) {
-                throw key.at("oneAtATime")
-                        .fault("asks for tasks of a key in turn, which no longer is kept");
+            if (profile.at("oneAtATime").flag()) {
+                throw profile.at("oneAtATime")
+                        .fault("asks for one task per key at a time, which is no longer supported");
             }
             p.kind = (int) specifics.at("classKind").entry(i).signedNumber(-1);
             p.prio = (int) specifics.at("classPriority").entry(i).signedNumber(0);
             p.stretch =
-                    key.at("aimStretch").number(specifics.at("classStretch").entry(i).number(0));
+                    profile.at("aimStretch")
+                            .number(specifics.at("classStretch").entry(i).number(0));
             settings.profiles[i] = p;
             profiles.put(p.name, p);
         }
@@ -178,7 +192,8 @@
         s.overloadFactor = rules.at("overloadFactor").number(1);
         s.tick = root.at("tickMs").number(1);
         if (root.at("fees").at("origin").number(0) > 0) {
-            LOG.warn("settings.fees.origin: tasks are no longer kept where their key is");
+            LOG.warn(
+                    "settings.fees.origin is ignored: tasks are no longer kept where their key is");
         }
         s.probeFee = root.at("fees").object().at("probe").number(0);
         s.crossFee = root.at("fees").object().at("crossZone").number(0);
--- a/src/main/java/gingerspool/daemon/ConfigurationException.java
+++ b/src/main/java/gingerspool/daemon/ConfigurationException.java
@@ -1,6 +1,6 @@
 package gingerspool.daemon;
 
-/** The configuration can't be used; the text names the key at fault. */
+/** The configuration can't be used; the message names the invalid key. */
 public final class ConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gingerspool/daemon/ConfigurationValue.java
+++ b/src/main/java/gingerspool/daemon/ConfigurationValue.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** One value of the configuration and where it stands, so that every complaint can name its key. */
+/**
+ * A value of the configuration together with its path, so that every error message names the
+ * invalid key. The read methods return the fallback where the value is absent.
+ */
 final class ConfigurationValue {
     private final String path;
     private final Object value;
@@ -14,11 +17,13 @@
         this.value = value;
     }
 
+    /** The member of an object, absent if there is none. */
     ConfigurationValue at(String name) {
         String childPath = path.isEmpty() ? name : path + "." + name;
         return new ConfigurationValue(childPath, value instanceof Map<?, ?> m ? m.get(name) : null);
     }
 
+    /** An exception that says what is wrong with this value. */
     ConfigurationException fault(String what) {
         return new ConfigurationException(path, what);
     }
@@ -51,7 +56,7 @@
         throw fault("is not text");
     }
 
-    /** A number that is not negative. */
+    /** A non-negative number. */
     double number(double fallback) throws ConfigurationException {
         double n = signedNumber(fallback);
         if (n < 0 && n != fallback) {
@@ -60,6 +65,7 @@
         return n;
     }
 
+    /** Any finite number. */
     double signedNumber(double fallback) throws ConfigurationException {
         if (value == null) {
             return fallback;
@@ -70,10 +76,12 @@
         throw fault("is not a number");
     }
 
+    /** A non-negative number without its fraction, at most the largest integer. */
     int integer(int fallback) throws ConfigurationException {
         return (int) Math.min(Integer.MAX_VALUE, number(fallback));
     }
 
+    /** A boolean; false where it is absent. */
     boolean flag() throws ConfigurationException {
         if (value == null || value instanceof Boolean) {
             return Boolean.TRUE.equals(value);
@@ -81,7 +89,7 @@
         throw fault("is not true or false");
     }
 
-    /** The entries of a list; none where it is absent. */
+    /** The entries of a list; empty if it is absent. */
     List<ConfigurationValue> list() throws ConfigurationException {
         List<ConfigurationValue> entries = new ArrayList<>();
         if (value instanceof List<?> l) {
@@ -94,7 +102,7 @@
         return entries;
     }
 
-    /** The entry at this place of a list, or one that is absent. */
+    /** The list's entry at this index, absent if there is none. */
     ConfigurationValue entry(int index) throws ConfigurationException {
         List<ConfigurationValue> entries = list();
         return index < entries.size()
--- a/src/main/java/gingerspool/daemon/ConnectionClaims.java
+++ b/src/main/java/gingerspool/daemon/ConnectionClaims.java
@@ -12,29 +12,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Has new connections come to this process while another one listens beside it, and sees to it that
- * they go on to.
+ * Claims new connections for this process while the process before it still listens at the same
+ * address, and verifies regularly that they keep arriving here. Belongs to {@link Daemon}.
  *
  * <p>Thread: the event loop.
  */
 final class ConnectionClaims {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionClaims.class);
 
-    /** A claim that found no listener is made again so soon, in milliseconds. */
+    /** The delay before a claim that found no listener is repeated, in milliseconds. */
     private static final double RETRY_DELAY_MS = 20;
 
     private final EventLoop loop;
     private final ConnectionSteering steering;
     private final ClientEndpoint clients;
+
+    /** How often a successful claim is verified, in milliseconds. */
     private final double verifyInterval;
+
+    /** Whether the previous process is alive and no successor has the clients. */
     private final BooleanSupplier sharesClientsWithPredecessor;
 
-    /** When new connections are claimed once more; null before the first claim has ended. */
+    /** The timer of the next claim or verification; null before the first claim has ended. */
     private Future<?> nextClaim;
 
     /**
-     * Claims that stand are verified every so many milliseconds, as long as the process before this
-     * one lives and none after it has the clients.
+     * @param verifyInterval how often a successful claim is verified, in milliseconds
+     * @param sharesClientsWithPredecessor whether the previous process is alive and no successor
+     *     has the clients; claims are verified only while it holds
      */
     ConnectionClaims(
             EventLoop loop,
@@ -55,8 +60,8 @@
     }
 
     /**
-     * Claims new connections, which go to the listener of this number until then; tells whether
-     * they come here.
+     * Claims new connections, which go to the previous process's listener until then; reports
+     * whether they arrive here.
      */
     void claim(int predecessorListener, Consumer<Boolean> done) {
         clients.claim(
@@ -87,8 +92,8 @@
     }
 
     /**
-     * Guards against a third process whose listener closes: that numbers the others anew, so that
-     * they get each other's connections.
+     * Guards against a third process that closes its listener: the kernel then renumbers the
+     * others, so that they receive each other's connections.
      */
     private void verify() {
         if (sharesClientsWithPredecessor.getAsBoolean() && !steering.isClaiming()) {
@@ -107,17 +112,17 @@
         }
     }
 
-    /** Claims nothing any more. */
+    /** Cancels the claim in progress. */
     void cancel() {
         steering.cancel();
     }
 
-    /** New connections may go to any listener: there is no other one. */
+    /** Lets new connections go to any listener, once this process has the only one. */
     void release() {
         try {
             steering.release(((InetSocketAddress) clients.address()).getPort());
         } catch (IOException e) {
-            // It listens no more, so there is nothing to give back.
+            // The process no longer listens, so there is no claim to release.
             LOG.atDebug().addKeyValue("why", e.getMessage()).log("steering.unavailable");
         }
     }
--- a/src/main/java/gingerspool/daemon/ConnectionDraining.java
+++ b/src/main/java/gingerspool/daemon/ConnectionDraining.java
@@ -5,37 +5,44 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Has the clients' endpoint follow the process's lifecycle: what health checks are told, which
- * connections end, and when the listener closes.
+ * Applies the process's lifecycle to the clients' endpoint: the answers to health checks, which
+ * connections are closed, and when the listener closes. Called by {@link Daemon} at each change of
+ * the lifecycle, and periodically while it changes with time.
  *
- * <p>A listener that another process shares closes only once that one has all new connections and
- * none has come here for a while. Where that does not happen before the time to leave ends, clients
- * are let in and refused until shortly before the process is killed: a refusal is an answer, a
- * reset is a lost request.
+ * <p>A listener whose address another process shares closes only once that process receives all new
+ * connections and none has arrived here for a while. If that does not happen before the shutdown
+ * period ends, clients are accepted and refused until shortly before the process is killed: a
+ * refusal is an answer, a reset is a lost request.
  *
  * <p>Thread: the event loop. Times are milliseconds on its clock.
  */
 final class ConnectionDraining {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionDraining.class);
 
-    /** How often the present state is applied while time alone may change it. */
+    /** How often the lifecycle is applied while it changes with time, in milliseconds. */
     static final double APPLY_INTERVAL_MS = 20;
 
-    /** The loop is late when it comes to that by so much later. */
+    /**
+     * The loop counts as late when the lifecycle is applied this much after it was due, in
+     * milliseconds.
+     */
     private static final double LATE_THRESHOLD_MS = 50;
 
-    /** After it was late, the loop has read what came meanwhile once it was on time for so long. */
+    /**
+     * How long the loop must be on time after it was late until it counts as having read what
+     * arrived meanwhile, in milliseconds.
+     */
     private static final double CATCH_UP_MS = 500;
 
-    /** The same where a drained process is to be rid of its clients by now. */
+    /** The same for a drained process whose clients must be disconnected now, in milliseconds. */
     private static final double CATCH_UP_WHEN_DUE_MS = 50;
 
-    /** The tasks of the process. */
+    /** The tasks of the process, as far as a shutdown needs them. */
     interface Tasks {
-        /** How many have no answer yet. */
+        /** The number of tasks without an answer. */
         int unanswered();
 
-        /** Answers all of them without a promise about their effect. */
+        /** Answers all of them as abandoned, with no promise about their effect. */
         void abandonAll();
     }
 
@@ -43,10 +50,13 @@
     private final ClientEndpoint clients;
     private final Tasks tasks;
 
-    /** Another process has the clients, but the kernel still lets some of them come here. */
+    /** Whether some new connections still arrive here although a successor serves the clients. */
     private boolean sharesNewConnections;
 
+    /** When the lifecycle was last applied; NaN before the first time. */
     private double appliedAt = Double.NaN;
+
+    /** When the loop was last late. */
     private double lateAt = Double.NEGATIVE_INFINITY;
 
     ConnectionDraining(ProcessLifecycle lifecycle, ClientEndpoint clients, Tasks tasks) {
@@ -56,15 +66,16 @@
     }
 
     /**
-     * The successor listens: the listener closes once none has come for `quiet`. Where it has not
-     * got all new connections, that may never be, and the listener closes in the time to leave.
+     * The successor listens, so the listener closes once no connection has arrived for the quiet
+     * period. If the successor does not receive all new connections, that may never happen; the
+     * listener then closes during the shutdown period.
      */
     void successorListens(boolean hasAllNewConnections, double quietPeriod) {
         sharesNewConnections = !hasAllNewConnections;
         clients.shutWhenQuiet(quietPeriod);
     }
 
-    /** Has the endpoint do what the present state asks for. */
+    /** Applies the present state to the clients' endpoint. */
     void apply(double now) {
         recordLateness(now);
         clients.ready(lifecycle.isReady());
@@ -84,8 +95,10 @@
     }
 
     /**
-     * Who has been let in by the end gets its refusal before it is closed. Before the end, a
-     * process that had no processor does not take for idle what it has not read.
+     * The maximum time that a connection without a request stays open. A client that was accepted
+     * by the end of the shutdown period is refused before its connection is closed. Before the end,
+     * a process that was not scheduled on a processor must not treat connections as idle whose
+     * requests it has not read.
      */
     private double maxUnusedIdle(double now) {
         boolean isRefusing = lifecycle.isShutdownDue(now) && !lifecycle.isRefusalOver(now);
@@ -95,9 +108,9 @@
     }
 
     /**
-     * Gives up what is out when the time is over, and closes the listener when nothing is out;
-     * tells whether the process has nothing left to end. Guards what is in hand: call-backs must
-     * get in until the last task has its answer.
+     * Abandons all tasks once the shutdown is due, and closes the listener once no task is
+     * unanswered; tells whether no connection and no listener is left. Guards tasks in progress:
+     * their callbacks must be accepted until the last task is answered.
      */
     boolean finishIfEmpty(double now) {
         if (tasks.unanswered() > 0 && lifecycle.isShutdownDue(now)) {
@@ -110,11 +123,14 @@
         closeListenerIfUnneeded(now);
         int openConnections =
                 lifecycle.isSuperseded() ? clients.ofClients() : clients.connections();
-        // Guards the clients: until the listener has closed, the kernel lets more of them in.
+        // Guards clients: the kernel accepts more connections until the listener is closed.
         return openConnections == 0 && !clients.listens();
     }
 
-    /** The listener of a process that was succeeded closes when its successor has the clients. */
+    /**
+     * Closes the listener if no new connections need it. The listener of a superseded process is
+     * left open until the successor receives all new connections or the shutdown is due.
+     */
     private void closeListenerIfUnneeded(double now) {
         if (lifecycle.isRefusalOver(now)
                 || !lifecycle.isSuperseded() && clients.connections() == 0) {
--- a/src/main/java/gingerspool/daemon/Daemon.java
+++ b/src/main/java/gingerspool/daemon/Daemon.java
@@ -28,74 +28,86 @@
 import org.slf4j.spi.LoggingEventBuilder;
 import sun.misc.Signal;
 
-/** One scheduler process, from its start to its end. */
+/**
+ * A scheduler process, from its start to its end: wires the scheduler, the endpoints for clients
+ * and operators, the process lifecycle and the handover to and from other processes of the same
+ * scheduler. Started by the `serve` subcommand.
+ *
+ * <p>Apart from the constructor, the static methods, the reload and the shutdown hook, everything
+ * runs on the event loop. Times are milliseconds on its clock.
+ */
 public final class Daemon {
     private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
 
-    /**
-     * Descriptors kept for neither clients nor workers, and the part of the rest that is for
-     * workers.
-     */
+    /** Descriptors that are reserved for neither clients nor workers. */
     private static final int RESERVED_DESCRIPTORS = 48;
 
+    /** The remaining descriptors divided by this are for connections to workers. */
     private static final int WORKER_DIVISOR = 4;
 
     /**
-     * The part of clients' descriptors that tasks may hold, so that call-backs and health checks
-     * get in.
+     * The fraction of the client descriptors that tasks may occupy, so that callbacks and health
+     * checks are accepted as well.
      */
     private static final double TASK_FRACTION = 0.8;
 
-    /** What a process holds for itself at the least, and the fewest that it shares out. */
+    /** The descriptors that a process needs at least besides its connections. */
     private static final int OWN_DESCRIPTORS = 24;
 
+    /** The minimum number of descriptors for clients and workers together. */
     private static final int MIN_SHARED_DESCRIPTORS = 16;
+
     private static final double SUMMARY_INTERVAL_MS = 10_000;
 
-    /** Places for operators' calls, out of the reserve. */
+    /** The maximum number of connections from operators, which are part of the reserve. */
     private static final int MAX_MANAGEMENT_CONNECTIONS = 24;
 
     /**
-     * After SIGTERM clients come for a while; then the longest expiry may pass, or this if less.
+     * How long tasks may take to finish after the redirect delay of a shutdown, in milliseconds;
+     * less if every profile's expiry is shorter.
      */
     private static final double MAX_TASK_PERIOD_MS = 3000;
 
-    /** What is not answered so long before the end of that is abandoned. */
+    /** Tasks unanswered this long before the end of that time are abandoned, in milliseconds. */
     private static final double ABANDON_MARGIN_MS = 300;
 
     final NodeConfiguration node;
     final Scheduler scheduler;
     final SingleThreadEventLoop loop;
     final ClientEndpoint clients;
+
+    /** Counted down when the process may exit. */
     final CountDownLatch exitLatch = new CountDownLatch(1);
+
     volatile int exitCode;
 
-    /** What SIGHUP does, for tests. */
+    /** The action of SIGHUP, for tests. */
     Runnable hangupAction;
 
-    /** How long the last reload of an operator's file held the loop, in milliseconds. */
+    /** How long the last reload of an operator's file occupied the loop, in milliseconds. */
     volatile double reloadMs;
 
     private final ProcessLifecycle lifecycle = new ProcessLifecycle();
 
-    /** Null where operators have no address to call. */
+    /** Null if no management address is configured. */
     final ManagementEndpoint management;
 
+    /** Whether a timer for the next application of the lifecycle is pending. */
     private boolean applyScheduled;
 
-    /** Null where no other process can follow this one. */
+    /** Null if this process cannot hand over to another one. */
     private final Handover handover;
 
-    /** Files are written and system calls made here, beside the loop; tests hold it up. */
+    /** The thread for handover files, which must not block the loop; tests delay it. */
     ExecutorService fileExecutor;
 
-    /** Null where no other process can follow this one. */
+    /** Null if this process cannot hand over to another one. */
     ConnectionSteering steering;
 
-    /** Null where no other process can follow this one. */
+    /** Null if this process cannot hand over to another one. */
     private ConnectionClaims claims;
 
-    /** System calls on who gets new connections are made here; tests hold it up. */
+    /** The thread for the system calls that steer new connections; tests delay it. */
     ExecutorService systemCallExecutor;
 
     private final ConnectionDraining draining;
@@ -129,19 +141,26 @@
         }
     }
 
-    /** Where the configuration of the process comes from. */
+    /** Supplies the configuration of the process. */
     interface ConfigurationSource {
         NodeConfiguration read() throws ConfigurationException;
     }
 
-    /** Serves until it is told to stop; returns the exit code. */
+    /**
+     * Serves until the process is told to stop.
+     *
+     * @return the exit code
+     */
     public static int serve(Map<String, String> environment) {
         return serve(
                 () -> NodeConfiguration.read(environment), d -> {}, d -> d.reload(environment));
     }
 
     /**
-     * The same with a configuration from elsewhere, a step before it begins, and what SIGHUP does.
+     * The same with a configuration from elsewhere.
+     *
+     * @param prepare called before the daemon starts
+     * @param hangup called on SIGHUP, on the signal's thread
      */
     static int serve(
             ConfigurationSource source, Consumer<Daemon> prepare, Consumer<Daemon> hangup) {
@@ -166,35 +185,36 @@
         }
     }
 
-    /** Guards against SIGHUP ending the virtual machine, from its first moment on. */
+    /** Guards against SIGHUP ending the virtual machine, from its start on. */
     private static void onHangup(Runnable action) {
         Signal.handle(new Signal("HUP"), signal -> action.run());
     }
 
     /**
-     * On SIGHUP: `discovery` takes effect; a file that can't be used changes nothing. Not on the
-     * loop, which must not wait for a file. One call at a time, so that what was read last is what
-     * holds.
+     * Called on SIGHUP: applies a changed `discovery`; an invalid file changes nothing. Not called
+     * on the loop, which must not wait for a file. Synchronized, so that the file read last takes
+     * effect.
      */
     synchronized void reload(Map<String, String> environment) {
         try {
-            NodeConfiguration read = NodeConfiguration.read(environment);
-            loop.submit(() -> applyReload(read));
+            NodeConfiguration newConfiguration = NodeConfiguration.read(environment);
+            loop.submit(() -> applyReload(newConfiguration));
         } catch (ConfigurationException e) {
             LOG.atError().addKeyValue("why", e.getMessage()).log("config.refused");
         }
     }
 
-    private void applyReload(NodeConfiguration read) {
-        Set<String> changed = node.changedKeys(read);
+    private void applyReload(NodeConfiguration newConfiguration) {
+        Set<String> changed = node.changedKeys(newConfiguration);
         changed.remove("discovery");
         LOG.atInfo()
-                .addKeyValue("discovery", read.discovery)
+                .addKeyValue("discovery", newConfiguration.discovery)
                 .addKeyValue("kept", changed)
                 .log("config.reloaded");
-        scheduler.followDiscovery(read.discovery);
+        scheduler.followDiscovery(newConfiguration.discovery);
     }
 
+    /** Opens the management endpoint, then serves, or first joins a process that does. */
     void start() {
         try {
             if (management != null) {
@@ -215,6 +235,7 @@
         }
     }
 
+    /** Exits because the `known` worker list of the configuration is invalid. */
     private void failOnKnownList(BadMessage fault) {
         LOG.atError().addKeyValue("why", "known is " + fault.getMessage()).log("config.fault");
         exitCode = 2;
@@ -243,10 +264,10 @@
         loop.schedule(SUMMARY_INTERVAL_MS, this::logSummary);
     }
 
-    /** On SIGTERM, from the virtual machine's own thread: it ends when this returns. */
+    /** Called on SIGTERM, on a thread of the virtual machine, which exits when this returns. */
     private void stop() {
         double signalledAt = loop.now();
-        // The signal may have come while the process stood still, and its time runs from then.
+        // The signal may have arrived while the process was stopped: the period runs from then.
         loop.submit(() -> beginShutdown(loop.earliest(signalledAt)));
         try {
             exitLatch.await();
@@ -256,7 +277,7 @@
         AsynchronousLogOutput.awaitInstalled();
     }
 
-    /** To leave from this time on. */
+    /** Starts the shutdown, whose period runs from this time. */
     void beginShutdown(double from) {
         LOG.atInfo().addKeyValue("in_hand", scheduler.unanswered()).log("leaving");
         if (handover != null) {
@@ -266,14 +287,14 @@
         followLifecycle();
     }
 
-    /** From SIGTERM until what is out is given up, in milliseconds. */
+    /** The time from SIGTERM until unanswered tasks are abandoned, in milliseconds. */
     double shutdownPeriod() {
         return ProcessLifecycle.REDIRECT_DELAY_MS
                 + Math.min(MAX_TASK_PERIOD_MS, node.deployment.maxExpiry)
                 - ABANDON_MARGIN_MS;
     }
 
-    /** Has the door do what the life's present state asks for, now and as time goes on. */
+    /** Applies the lifecycle to the endpoints, now and periodically while it changes with time. */
     private void followLifecycle() {
         applyLifecycle();
         if (!applyScheduled && lifecycle.changesWithTime()) {
@@ -287,6 +308,7 @@
         }
     }
 
+    /** Applies the lifecycle once; ends the process if it may exit. */
     private void applyLifecycle() {
         double now = loop.now();
         draining.apply(now);
@@ -309,7 +331,7 @@
         followLifecycle();
     }
 
-    // ---- Another process before or after this one ----
+    // ---- Handover ----
 
     private Handover createHandover() throws IOException {
         fileExecutor = blockingThread("files");
@@ -334,12 +356,12 @@
                 new HandoverCallbacks());
     }
 
-    /** Whether the process before this one lives, and none after it has the clients. */
+    /** Whether the previous process is alive and no successor has the clients. */
     private boolean sharesClientsWithPredecessor() {
         return handover.hasBefore() && !lifecycle.isSuperseded();
     }
 
-    /** One thread for what blocks, started with its first task. */
+    /** A single daemon thread for blocking calls, started with its first task. */
     private static ExecutorService blockingThread(String name) {
         return Executors.newSingleThreadExecutor(
                 task -> {
@@ -350,16 +372,16 @@
     }
 
     /**
-     * A client's handshake takes no longer than this, in milliseconds: what the deployment allows a
-     * connection, and no more than clients come for after they are sent elsewhere.
+     * The maximum time of a client's handshake, in milliseconds: the connection timeout of the
+     * deployment, but not more than clients may keep connecting after they were redirected.
      */
     private double handshakeTimeout() {
         return Math.min(node.deployment.connectTimeout, ProcessLifecycle.REDIRECT_DELAY_MS);
     }
 
-    /** What hand-over does here. */
+    /** The effects of a handover on this process. */
     private final class HandoverCallbacks implements HandoverOwner {
-        /** The list was told, and is followed. */
+        /** Whether a worker list was applied and is being followed. */
         private boolean listApplied;
 
         @Override
@@ -377,12 +399,12 @@
         public void adoptState(Object state) throws BadMessage {
             List<String> suspended = Handover.suspended(state);
             if (!(JsonTree.at(state, "list") instanceof Map)) {
-                throw new BadMessage(400, "without a list");
+                throw new BadMessage(400, "without a worker list");
             }
             String ownDiscovery =
                     scheduler.discovery() == null ? "" : Address.text(scheduler.discovery());
-            // Told a second time, the list may be older than what discovery has told since the
-            // first.
+            // When the state arrives a second time, its list may be older than what discovery has
+            // sent since the first.
             if (!listApplied) {
                 scheduler.start(
                         JsonTree.at(state, "list"),
@@ -462,7 +484,7 @@
             try {
                 bind();
                 clients.open();
-                // Of a process that is to end nothing is known to have no other one beside it.
+                // A process that is shutting down cannot know that no other one listens beside it.
                 if (!handover.hasBefore() && !lifecycle.isShuttingDown()) {
                     claims.release();
                 }
@@ -519,9 +541,7 @@
         }
     }
 
-    /**
-     * Shares out the descriptors between clients and workers while another process holds so many.
-     */
+    /** Divides the descriptors that another process does not hold between clients and workers. */
     private void shareDescriptors(int heldByOther) {
         int available =
                 Math.max(MIN_SHARED_DESCRIPTORS, node.sockets - RESERVED_DESCRIPTORS - heldByOther);
@@ -530,7 +550,7 @@
         clients.most(available - workerConnections);
     }
 
-    /** What operators' calls do here. */
+    /** The effects of operators' calls on this process. */
     private final class OperatorCalls implements ManagementEndpoint.Operations {
         @Override
         public boolean takesClients() {
@@ -559,7 +579,7 @@
             propagate(drained ? "drain" : "activate", "", reply);
         }
 
-        /** Yes once whoever else has to know it does. */
+        /** Answers yes once every other process that must know of the call has acknowledged it. */
         private void propagate(String call, String worker, ManagementEndpoint.Reply reply) {
             LOG.atInfo()
                     .addKeyValue("call", call)
--- a/src/main/java/gingerspool/daemon/FileDaemon.java
+++ b/src/main/java/gingerspool/daemon/FileDaemon.java
@@ -16,14 +16,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A daemon with an operator's file: `serve --file`. Where the platform configures the process too
- * (GW_CONFIG), the file adds policies only; elsewhere it says all. It is read again on SIGHUP,
- * beside the loop, and takes effect as a whole between two turns or not at all.
+ * A daemon with an operator's file: `serve --file`. If the platform configures the process as well
+ * (GW_CONFIG), the file only adds policies; otherwise it is the whole configuration. The file is
+ * read again on SIGHUP, outside the event loop, and is applied as a whole in one task of the loop
+ * or not at all.
  */
 public final class FileDaemon {
     private final Path path;
     private final Map<String, String> environment;
+
+    /** Whether the file is the whole configuration, without GW_CONFIG. */
     private final boolean standalone;
+
+    /** The file as last applied. */
     private OperatorFile file;
 
     private FileDaemon(Path path, Map<String, String> environment) {
@@ -33,17 +38,21 @@
         standalone = platform == null || platform.isEmpty();
     }
 
-    /** Serves until it is told to stop; returns the exit code. */
+    /**
+     * Serves until the process is told to stop.
+     *
+     * @return the exit code
+     */
     public static int serve(String name, Map<String, String> environment) {
         FileDaemon fileDaemon;
         try {
             fileDaemon = new FileDaemon(Path.of(name), environment);
         } catch (InvalidPathException e) {
-            System.err.println("--file is no path");
+            System.err.println("--file is not a valid path");
             return 2;
         }
         OperatorFile file = OperatorFile.read(fileDaemon.path);
-        // The form of the log is chosen before the first line of it, which fixes it for good.
+        // The log format is selected before the first line is logged, which makes it final.
         LogBackend.select(file.faults().isEmpty() ? file.logForm() : "simple");
         return Daemon.serve(
                 () -> fileDaemon.initialConfiguration(file),
@@ -51,11 +60,12 @@
                 fileDaemon::reload);
     }
 
+    /** Looked up at each use, since the logging library is selected after this class is loaded. */
     private static Logger log() {
         return LoggerFactory.getLogger(FileDaemon.class);
     }
 
-    /** For tests: a daemon made from a file, without signals or exit. */
+    /** Creates a daemon from a file without signal handlers or exit, for tests. */
     static Daemon open(Path path) throws Exception {
         FileDaemon fileDaemon = new FileDaemon(path, Map.of());
         Daemon daemon = new Daemon(fileDaemon.initialConfiguration(OperatorFile.read(path)));
@@ -64,26 +74,26 @@
         return daemon;
     }
 
-    private NodeConfiguration initialConfiguration(OperatorFile read)
+    private NodeConfiguration initialConfiguration(OperatorFile newFile)
             throws ConfigurationException {
-        file = read;
-        if (!read.faults().isEmpty()) {
-            logFaults(read.faults());
+        file = newFile;
+        if (!newFile.faults().isEmpty()) {
+            logFaults(newFile.faults());
             throw new ConfigurationException(
                     path.toString(),
                     "can't be used: "
-                            + read.faults().size()
-                            + (read.faults().size() == 1 ? " fault" : " faults"));
+                            + newFile.faults().size()
+                            + (newFile.faults().size() == 1 ? " fault" : " faults"));
         }
-        if (standalone && !read.isWhole()) {
+        if (standalone && !newFile.isWhole()) {
             throw new ConfigurationException(
                     path.toString(), "has no scheduler.listen, and GW_CONFIG is not set");
         }
         NodeConfiguration node =
                 standalone
-                        ? new NodeConfiguration(read.deployment(), environment)
+                        ? new NodeConfiguration(newFile.deployment(), environment)
                         : NodeConfiguration.read(environment);
-        List<String> conflicts = platformConflicts(read, node.deployment);
+        List<String> conflicts = platformConflicts(newFile, node.deployment);
         if (!conflicts.isEmpty()) {
             throw new ConfigurationException(path.toString(), String.join("; ", conflicts));
         }
@@ -102,12 +112,12 @@
     }
 
     /**
-     * Guards the rules: policies were checked against the file's profiles, the platform's are those
-     * that run.
+     * Guards the rules for policies: they were checked against the file's profiles, but the
+     * platform's profiles are in effect.
      */
-    private static List<String> platformConflicts(OperatorFile read, Configuration platform) {
+    private static List<String> platformConflicts(OperatorFile newFile, Configuration platform) {
         List<String> conflicts = new ArrayList<>();
-        read.profileFacts()
+        newFile.profileFacts()
                 .forEach(
                         (name, fact) -> {
                             Profile p = platform.profiles.get(name);
@@ -134,17 +144,20 @@
         daemon.scheduler.reconfigure(new Routes(file.rules(), null), null);
     }
 
-    /** On SIGHUP, from the signal's own thread: reading files is not for the loop. */
+    /** Called on SIGHUP, on the signal's thread: the loop must not read files. */
     private void reload(Daemon daemon) {
-        OperatorFile read = OperatorFile.read(path);
-        if (!read.faults().isEmpty()) {
-            logFaults(read.faults());
-            logRefused(read.faults().size(), "faults");
+        OperatorFile newFile = OperatorFile.read(path);
+        if (!newFile.faults().isEmpty()) {
+            logFaults(newFile.faults());
+            logRefused(newFile.faults().size(), "faults");
             return;
         }
         NodeConfiguration node = null;
         try {
-            node = standalone ? new NodeConfiguration(read.deployment(), environment) : daemon.node;
+            node =
+                    standalone
+                            ? new NodeConfiguration(newFile.deployment(), environment)
+                            : daemon.node;
         } catch (ConfigurationException e) {
             logRefused(1, e.getMessage());
             return;
@@ -152,7 +165,7 @@
         List<String> conflicts =
                 standalone
                         ? new ArrayList<>(changesNeedingRestart(daemon.node.tree(), node.tree()))
-                        : platformConflicts(read, node.deployment);
+                        : platformConflicts(newFile, node.deployment);
         if (!conflicts.isEmpty()) {
             logRefused(
                     conflicts.size(),
@@ -160,18 +173,19 @@
             return;
         }
         NodeConfiguration accepted = node;
-        daemon.loop.submit(() -> apply(daemon, read, accepted));
+        daemon.loop.submit(() -> apply(daemon, newFile, accepted));
     }
 
     private static void logRefused(int count, String why) {
         log().atError().addKeyValue("faults", count).addKeyValue("why", why).log("file.refused");
     }
 
-    private void apply(Daemon daemon, OperatorFile read, NodeConfiguration node) {
+    /** Applies a valid file, on the event loop. */
+    private void apply(Daemon daemon, OperatorFile newFile, NodeConfiguration node) {
         double startedAt = daemon.loop.now();
-        file = read;
+        file = newFile;
         daemon.scheduler.reconfigure(
-                new Routes(read.rules(), daemon.scheduler.routes()),
+                new Routes(newFile.rules(), daemon.scheduler.routes()),
                 standalone ? node.deployment : null);
         try {
             if (standalone && node.discovery == null) {
@@ -183,13 +197,13 @@
         daemon.reloadMs = daemon.loop.now() - startedAt;
         log().atInfo()
                 .addKeyValue("file", path)
-                .addKeyValue("files", read.files().size())
-                .addKeyValue("routes", read.routeCount())
+                .addKeyValue("files", newFile.files().size())
+                .addKeyValue("routes", newFile.routeCount())
                 .addKeyValue("ms", Math.round(daemon.reloadMs))
                 .log("file.applied");
     }
 
-    /** The keys that differ and that a running scheduler can't change. */
+    /** The keys that differ and cannot be changed without a restart. */
     private static TreeSet<String> changesNeedingRestart(Map<?, ?> old, Map<?, ?> changed) {
         TreeSet<String> keys = new TreeSet<>();
         collectChanges("", old, changed, keys);
--- a/src/main/java/gingerspool/daemon/LogBackend.java
+++ b/src/main/java/gingerspool/daemon/LogBackend.java
@@ -6,15 +6,17 @@
 import ch.qos.logback.core.ConsoleAppender;
 import org.slf4j.LoggerFactory;
 
-/** Which library writes the log. To be called once, before anything is logged. */
+/** Selects the logging library. To be called once, before anything is logged. */
 final class LogBackend {
     private LogBackend() {}
 
+    /** Uses Logback for the format `json`; any other format keeps slf4j-simple. */
     static void select(String format) {
         if (!format.equals("json")) {
             return;
         }
-        // The jar names slf4j-simple only, which spares each start the search for another.
+        // The jar names slf4j-simple as the only provider, which saves each start the search for
+        // others.
         System.setProperty("slf4j.internal.verbosity", "WARN");
         System.setProperty("slf4j.provider", "ch.qos.logback.classic.spi.LogbackServiceProvider");
         if (LoggerFactory.getILoggerFactory() instanceof LoggerContext context) {
--- a/src/main/java/gingerspool/daemon/NodeConfiguration.java
+++ b/src/main/java/gingerspool/daemon/NodeConfiguration.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a daemon is told at its start: by the file that GW_CONFIG names, and by GW_* variables
- * besides.
+ * The configuration of a daemon at its start: the file that GW_CONFIG names, and GW_* variables as
+ * fallbacks.
  */
 public final class NodeConfiguration {
     private static final Logger LOG = LoggerFactory.getLogger(NodeConfiguration.class);
@@ -24,25 +24,29 @@
     public final String name;
     public final InetSocketAddress listen;
 
-    /** Null where the list of workers is fixed. */
+    /** The discovery address; null if the worker list is fixed. */
     public final InetSocketAddress discovery;
 
-    /** Where operators call, or null where they don't. */
+    /** The address for operators' calls; null if there is none. */
     public final InetSocketAddress management;
 
     public final long seed;
+
+    /** The number of descriptors that the process may use. */
     public final int sockets;
 
-    /** The list of workers as last held, in discovery's form, or null. */
+    /** The last known worker list in the format of discovery, or null. */
     public final Object knownList;
 
     public final Configuration deployment;
 
-    /** A folder for files that the next process of this scheduler may read, or null. */
+    /** A directory for files that the next process of this scheduler may read, or null. */
     public final Path handoverDirectory;
 
+    /** The configuration as it was read. */
     private final Map<?, ?> tree;
 
+    /** Reads the file that the variable GW_CONFIG names. */
     public static NodeConfiguration read(Map<String, String> environment)
             throws ConfigurationException {
         String file = environment.get("GW_CONFIG");
@@ -61,7 +65,8 @@
     NodeConfiguration(Object tree, Map<String, String> environment) throws ConfigurationException {
         ConfigurationValue root = new ConfigurationValue("", tree);
         if (!(tree instanceof Map<?, ?> object)) {
-            throw new ConfigurationException("GW_CONFIG", "names a file that holds no object");
+            throw new ConfigurationException(
+                    "GW_CONFIG", "names a file that does not contain a JSON object");
         }
         this.tree = object;
         name = root.at("name").text(environment.getOrDefault("GW_NAME", "gingerspool"));
@@ -84,7 +89,7 @@
         deployment = new Configuration(root.at("settings").raw());
         if (deployment.settings.mayTell) {
             LOG.warn(
-                    "settings.limits.mayTell: this host has no way to other schedulers, nothing is told");
+                    "settings.limits.mayTell is ignored: this host has no connection to other schedulers");
             deployment.settings.mayTell = false;
         }
     }
@@ -94,7 +99,7 @@
         return tree;
     }
 
-    /** The keys, of those at the top, whose values differ in the other one. */
+    /** The top-level keys whose values differ between the two configurations. */
     Set<String> changedKeys(NodeConfiguration other) {
         Set<String> keys = new TreeSet<>();
         tree.keySet().forEach(k -> keys.add((String) k));
--- a/src/main/java/gingerspool/daemon/ProcessLifecycle.java
+++ b/src/main/java/gingerspool/daemon/ProcessLifecycle.java
@@ -1,51 +1,67 @@
 package gingerspool.daemon;
 
 /**
- * The scheduler's own life, without I/O: it is told what happens (started, drained, activated,
- * succeeded, alone again, leaving) and says what clients are to see of it. Times are milliseconds
- * on the loop's clock.
+ * The lifecycle of a scheduler process as a state machine without I/O. {@link Daemon} reports
+ * events (started, drained, activated, superseded, successor gone, shutdown); {@link
+ * ConnectionDraining} and {@link Daemon} query what follows for clients and connections.
+ *
+ * <p>Thread: the event loop. Times are milliseconds on its clock.
  */
 final class ProcessLifecycle {
-    /** After it is said that nobody new is to come here, clients come for this long. */
+    /**
+     * How long clients may keep connecting after they were told to go elsewhere, in milliseconds.
+     */
     static final double REDIRECT_DELAY_MS = 700;
 
     /**
-     * The part of the time to leave in which connections are kept: others may be restarting as
-     * well.
+     * The fraction of the shutdown period during which idle connections are kept: other schedulers
+     * may be restarting as well.
      */
     private static final double KEEP_FRACTION = 0.75;
 
-    /** The same where another process has taken over, so that new connections are welcome there. */
+    /** The same for a superseded process, whose clients can connect to its successor. */
     private static final double KEEP_FRACTION_SUPERSEDED = 0.4;
 
-    /** No client holds an idle connection to a drained scheduler after this, in milliseconds. */
+    /**
+     * A drained scheduler has closed all idle client connections after this time, in milliseconds.
+     */
     private static final double DRAIN_PERIOD_MS = 4000;
 
-    /** So long before that the last ones are closed, in milliseconds. */
+    /** The last ones are closed this long before that, in milliseconds. */
     private static final double DRAIN_MARGIN_MS = 100;
 
-    /** The part of that in which connections without a request are kept. */
+    /** The fraction of the drain period during which connections without a request are kept. */
     private static final double KEEP_FRACTION_DRAINED = 0.75;
 
-    /** A connection that has been idle for less may have its first request under way. */
+    /** A connection idle for less may have its first request in flight, in milliseconds. */
     private static final double MIN_IDLE_MS = 200;
 
-    /** For so long after its time is over a process refuses whoever it has let in. */
+    /**
+     * How long after the end of the shutdown period new clients are still accepted and refused, in
+     * milliseconds.
+     */
     static final double REFUSAL_PERIOD_MS = 200;
 
     private boolean started;
+
+    /** When the scheduler was drained; NaN if it is not. */
     private double drainedAt = Double.NaN;
+
+    /** When another process took over the clients; NaN if none has. */
     private double supersededAt = Double.NaN;
+
+    /** When the shutdown started; NaN before it. */
     private double shutdownStartedAt = Double.NaN;
+
     private double shutdownPeriod;
 
-    // ---- What happens ----
+    // ---- Events ----
 
     void started() {
         started = true;
     }
 
-    /** The scheduler is to be emptied; told again, the first time counts. */
+    /** The scheduler is drained; the time of the first call counts. */
     void drain(double now) {
         drainedAt = isDrained() ? drainedAt : now;
     }
@@ -54,17 +70,17 @@
         drainedAt = Double.NaN;
     }
 
-    /** Another process takes the clients from now on. */
+    /** Another process serves the clients from now on. */
     void superseded(double now) {
         supersededAt = isSuperseded() ? supersededAt : now;
     }
 
-    /** The other process is gone: the clients are ours again. */
+    /** The process that had taken over is gone: this one serves the clients again. */
     void successorGone() {
         supersededAt = Double.NaN;
     }
 
-    /** The process is to end within this span. */
+    /** The process must finish its tasks within this period; the first call counts. */
     void shutDown(double now, double period) {
         if (!isShuttingDown()) {
             shutdownStartedAt = now;
@@ -72,7 +88,7 @@
         }
     }
 
-    // ---- What follows ----
+    // ---- Resulting state ----
 
     boolean hasStarted() {
         return started;
@@ -91,33 +107,37 @@
     }
 
     /**
-     * Whether this process takes clients, as operators ask: a drained one would, if they were sent.
+     * Whether this process accepts clients, as reported to operators. A drained process does: it
+     * would serve clients if any were sent.
      */
     boolean acceptsClients() {
         return started && !isSuperseded() && !isShuttingDown();
     }
 
-    /** Whether the front is to send clients: it asks of the scheduler, whichever process it is. */
+    /**
+     * The answer to health checks, which are about the scheduler as a whole rather than one of its
+     * processes.
+     */
     boolean isReady() {
         return !isDrained() && (isSuperseded() || !isShuttingDown());
     }
 
     /**
-     * Whether a listener is wanted: call-backs need one until the end, unless another process has
-     * it.
+     * Whether this process needs a listener: callbacks need one until the end, unless another
+     * process listens.
      */
     boolean needsListener() {
         return !isSuperseded();
     }
 
-    /** Whether each client's connection is to end with its next answer. */
+    /** Whether the next answer closes its client's connection. */
     boolean closesAfterAnswer(double now) {
         return isDrained() || isSuperseded() || isClosingIdle(now);
     }
 
     /**
-     * Clients' connections that have been idle for longer are to be closed. Guards first requests
-     * under way: one that is closed at once may be new, and its client would get no answer.
+     * The maximum time that a client's connection may be idle. Guards first requests in flight: a
+     * connection that is closed immediately may be new, and its client would get no answer.
      */
     double maxIdle(double now) {
         if (isShutdownDue(now)) {
@@ -128,11 +148,11 @@
     }
 
     /**
-     * The same for connections that have had no request yet: a client's first one is lost if it
-     * crosses the close, also where this process had no processor to read it. A process that leaves
-     * keeps them as long as it can. One that was drained has to send its clients away, and closes
-     * what has waited so long for a first request, but not before most of the time for that is
-     * over.
+     * The same for connections that have had no request yet. A client's first request is lost if it
+     * crosses the close, also where this process was not scheduled to read it. A process that shuts
+     * down keeps such connections as long as it can. A drained process must disconnect its clients:
+     * after most of the drain period, it closes the connections that have waited this long for a
+     * first request.
      */
     double maxUnusedIdle(double now) {
         if (isShutdownDue(now) || isDrainDue(now)) {
@@ -143,12 +163,12 @@
         return isKept ? Double.POSITIVE_INFINITY : 2 * REDIRECT_DELAY_MS;
     }
 
-    /** Whether a drained process has to be rid of its clients now, however late its loop was. */
+    /** Whether a drained process must disconnect its clients now, however late its loop was. */
     boolean isDrainDue(double now) {
         return isDrained() && now >= drainedAt + DRAIN_PERIOD_MS - DRAIN_MARGIN_MS;
     }
 
-    /** Whether it is time to leave for those who have nothing out. */
+    /** Whether connections without a request in progress are closed because of the shutdown. */
     boolean isClosingIdle(double now) {
         return isShuttingDown()
                 && now
@@ -159,25 +179,28 @@
                                                 : KEEP_FRACTION);
     }
 
-    /** Whether what is still out must be given up: the process is about to be ended. */
+    /** Whether unanswered tasks must be abandoned because the process is about to be killed. */
     boolean isShutdownDue(double now) {
         return isShuttingDown() && now >= shutdownStartedAt + shutdownPeriod;
     }
 
-    /** Whether nothing can be answered any more: all that is open is to be closed. */
+    /** Whether no more refusals can be sent, and all that is open must be closed. */
     boolean isRefusalOver(double now) {
         return isShuttingDown() && now >= shutdownStartedAt + shutdownPeriod + REFUSAL_PERIOD_MS;
     }
 
-    /** From when on the process may end if nothing is left: before that, clients may still come. */
+    /**
+     * The earliest time at which the process may exit if nothing is left: clients may arrive
+     * before.
+     */
     double earliestExit() {
         return shutdownStartedAt + (isSuperseded() ? 0 : REDIRECT_DELAY_MS);
     }
 
     /**
-     * Whether the process may end if nothing is left. Guards the tasks of the process before: one
-     * that stands between two others hands on their call-backs, and stays for that as long as it is
-     * given.
+     * Whether the process may exit if nothing is left. Guards the tasks of the previous process: a
+     * process between two others forwards their callbacks, and stays for that until its shutdown is
+     * due.
      */
     boolean mayExit(double now, boolean forwardsCallbacks) {
         return isShuttingDown()
@@ -185,7 +208,7 @@
                 && (!forwardsCallbacks || isShutdownDue(now));
     }
 
-    /** Whether time alone may change what follows. */
+    /** Whether the state changes with time, without further events. */
     boolean changesWithTime() {
         return isDrained() || isSuperseded() || isShuttingDown();
     }
--- a/src/main/java/gingerspool/daemon/Scheduler.java
+++ b/src/main/java/gingerspool/daemon/Scheduler.java
@@ -40,8 +40,10 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * The Dispatcher on sockets: hands it what comes in, carries out what it decides, decides nothing
- * itself.
+ * Connects the {@link Dispatcher} to the sockets: passes it client requests, worker callbacks and
+ * the worker list, and carries out its decisions. Makes no scheduling decision itself.
+ *
+ * <p>Created by {@link Daemon}. Thread: the event loop. Times are milliseconds on its clock.
  */
 final class Scheduler
         implements DispatchActions,
@@ -51,22 +53,28 @@
                 ConnectionDraining.Tasks {
     private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
 
-    /** The part of the heap that tasks' bodies may fill. */
+    /** The bodies of tasks may fill the maximum heap divided by this. */
     private static final int BODY_HEAP_DIVISOR = 4;
 
     /**
-     * How far ahead of its expiry a task's answer is due here, in times that answers may be late
-     * by.
+     * A task must be answered this long before its expiry, as a multiple of the time by which
+     * answers may be late.
      */
     private static final double ANSWER_MARGIN_FACTOR = 4;
 
+    /** The health that discovery reports, by worker state. */
     private static final String[] DISCOVERY_HEALTH = {"DELETED", "DRAINING", "SERVING"};
+
+    /** The names of the worker states in the log. */
     private static final String[] STATE_NAMES = {"gone", "draining", "running"};
 
-    /** How long a client's wait may be where its profile does not say. */
+    /** The maximum time a client waits where its profile has no expiry, in milliseconds. */
     private static final double DEFAULT_EXPIRY_MS = 60_000;
 
-    /** How soon a watch that is ours to keep is opened again, at first and at most. */
+    /**
+     * The delay before a pushed worker list is watched again after its stream ended, in
+     * milliseconds; it doubles up to the maximum until a list arrives.
+     */
     private static final double WATCH_RETRY_MIN_MS = 100;
 
     private static final double WATCH_RETRY_MAX_MS = 1600;
@@ -79,17 +87,30 @@
     private final ConnectionPool pool;
     private final WorkerDirectory workers = new WorkerDirectory();
     private final Set<String> suspended = new TreeSet<>();
+
+    /** How long before its expiry a task must be answered, in milliseconds. */
     private final double answerMargin;
 
-    /** What the operator's file says of each task; null where there is no such file. */
+    /** The routes of the operator's file; null without such a file. */
     private Routes routes;
 
+    /** Forwards callbacks about unknown tasks to other processes; null if there are none. */
     private BiConsumer<byte[], IntConsumer> callbackForwarder;
+
+    /** The open watch of the worker list; null if there is none. */
     private DiscoveryClient watch;
+
     private double watchRetryDelay = WATCH_RETRY_MIN_MS;
+
+    /** The version of the worker list; 0 if the address in use has sent none. */
     private long listVersion;
+
+    /** Whether the list being applied is an earlier one that discovery has not confirmed. */
     private boolean listMayBeStale;
+
+    /** Ended assignments by outcome. All counts are those since the last summary. */
     private final int[] outcomes = new int[Outcome.values().length];
+
     private int finished;
     private int bounced;
     private int abandoned;
@@ -118,8 +139,8 @@
     }
 
     /**
-     * Begins with the list as last held, which may be old or null, and asks for the present one.
-     * Versions of another discovery say nothing here.
+     * Starts with the last known worker list, which may be outdated or null, and requests the
+     * current one. The list's version only counts if it came from the discovery address in use.
      */
     void start(Object knownList, boolean fromSameDiscovery) throws BadMessage {
         if (knownList != null) {
@@ -135,14 +156,14 @@
     }
 
     /**
-     * From now on tasks that come go by these routes, and by these profiles of the names that there
-     * are.
+     * Applies these routes, and the profiles, zones and allowances of the changed configuration if
+     * there is one, to tasks that arrive from now on.
      */
     void reconfigure(Routes newRoutes, Configuration changed) {
         routes = newRoutes;
         if (changed != null) {
-            // Guards against indexes of another file: what is known keeps its own, what is new
-            // comes behind.
+            // Guards against the use of another file's indexes: known names keep their index, new
+            // names are appended.
             String[] kinds = new String[changed.kinds.size()];
             changed.kinds.forEach((name, i) -> kinds[i] = name);
             for (String name : kinds) {
@@ -165,12 +186,12 @@
         return routes;
     }
 
-    /** Another fixed list: who is not on it is gone. */
+    /** Replaces the fixed worker list; workers that are not on the new one are gone. */
     void applyFixedList(Object list) throws BadMessage {
         DiscoveryClient.tell(list, this);
     }
 
-    // ---- The list ----
+    // ---- Worker list ----
 
     @Override
     public void listBegins(long newVersion, boolean whole) {
@@ -231,16 +252,14 @@
         if (deployment.settings.listOnRequest) {
             dispatcher.listFailed(loop.now());
         } else {
-            // Guards the drain rule where the list is pushed: the module does not ask there, the
-            // host must.
+            // Guards the drain rule where the list is pushed: the dispatcher does not request it
+            // there, so the host must.
             loop.schedule(watchRetryDelay, this::watchList);
             watchRetryDelay = Math.min(2 * watchRetryDelay, WATCH_RETRY_MAX_MS);
         }
     }
 
-    /**
-     * There is one watch at most: the timers and calls that ask for one while it is open have it.
-     */
+    /** Opens a watch unless one is open: several timers and calls may request one. */
     @Override
     public void watchList() {
         if (watch == null && discovery != null) {
@@ -251,8 +270,8 @@
     }
 
     /**
-     * The list is to be followed at this address: at once, and whole, since versions are each its
-     * own.
+     * Follows the worker list at this discovery address, at once. After a change of address the
+     * whole list is requested, since each address counts its own versions.
      */
     void followDiscovery(InetSocketAddress address) {
         if (!address.equals(discovery)) {
@@ -267,11 +286,12 @@
         watchList();
     }
 
-    // ---- Operators' words on workers ----
+    // ---- Suspension of workers by operators ----
 
     /**
-     * Nothing new goes to this worker from here on, or it is put back; tells whether it ever was
-     * listed.
+     * Stops or resumes new assignments to this worker.
+     *
+     * @return whether the worker was ever listed
      */
     boolean suspend(String name, boolean suspended) {
         int w = workers.find(name);
@@ -282,8 +302,8 @@
             this.suspended.add(name);
             dispatcher.suspended(loop.now(), w);
             pool.keep(w, false);
-            // Guards the ban against what was decided before it and waits for a connection to come
-            // up.
+            // Guards the suspension against assignments decided earlier that still wait for their
+            // connection to be established.
             for (ClientTask t : tasks.all()) {
                 WorkerAttempt attempt = attemptInFlight(t, w);
                 if (attempt != null) {
@@ -298,12 +318,12 @@
         return true;
     }
 
-    /** The workers kept out of use, by name. */
+    /** The names of the suspended workers. */
     Set<String> suspended() {
         return suspended;
     }
 
-    /** Just these are kept out of use, whether they are listed yet or not. */
+    /** Suspends exactly these workers, whether they are listed yet or not. */
     void setSuspended(Collection<String> names) {
         for (String name : List.copyOf(suspended)) {
             if (!names.contains(name)) {
@@ -316,9 +336,9 @@
         }
     }
 
-    // ---- What another process is told ----
+    // ---- State for another process ----
 
-    /** The list as last held, in discovery's form, with all workers that it ever named. */
+    /** The last known list in the format of discovery, with every worker that was ever listed. */
     Map<String, Object> workerList() {
         List<Object> hosts = new ArrayList<>();
         for (int w = 0; w < workers.size(); w++) {
@@ -344,10 +364,12 @@
         return list;
     }
 
+    /** What the dispatcher has learned about workers and tasks, for the next process. */
     Map<String, Object> estimates() {
         return dispatcher.learned();
     }
 
+    /** Adopts the estimates of the previous process; logs the parts that could not be adopted. */
     void restoreEstimates(Map<?, ?> estimates) {
         dispatcher.learn(loop.now(), estimates);
         if (!dispatcher.afresh().isEmpty()) {
@@ -361,7 +383,7 @@
         return discovery;
     }
 
-    /** From now on so many connections to workers at the most. */
+    /** Limits the connections to workers from now on. */
     void setMaxWorkerConnections(int connections) {
         pool.most(connections);
     }
@@ -370,12 +392,12 @@
         return pool.size();
     }
 
-    /** Who else may own a task that is not ours; null: nobody. */
+    /** Sets where callbacks about unknown tasks go; null if no other process may own them. */
     void forwardCallbacksTo(BiConsumer<byte[], IntConsumer> forwarder) {
         callbackForwarder = forwarder;
     }
 
-    // ---- Tasks come and go ----
+    // ---- Client tasks ----
 
     @Override
     public boolean knowsProfile(String name) {
@@ -402,7 +424,7 @@
         double statedTimeLeft = request.timeLeft();
         double wait = Double.isNaN(statedTimeLeft) ? maxWait : Math.min(statedTimeLeft, maxWait);
         double now = loop.now();
-        // The client counts from when it wrote, however long that was under way to us.
+        // The client's time runs from the sending of the request, not from the reading of it.
         double timeLeft = wait - Math.max(0, now - request.arrivedFrom());
         if (timeLeft <= 0) {
             refuseExpired(request);
@@ -431,7 +453,7 @@
         tasks.release(t);
     }
 
-    /** Its time may be over already: any answer but one at once would be later still. */
+    /** Rejects a task whose time is already over at once; any other answer would be even later. */
     private void refuseExpired(TaskRequest request) {
         bounced++;
         ClientEndpoint.bounced(request.client(), 0);
@@ -446,8 +468,8 @@
     }
 
     /**
-     * Nothing is owed any more for this task: its client, and its place within the limits, are let
-     * go.
+     * Detaches the task's client, which needs no further answer, and frees the task's place within
+     * the limits of its route.
      */
     private void releaseClient(ClientTask t, boolean finished) {
         t.client = null;
@@ -561,6 +583,7 @@
         }
     }
 
+    /** Ends an assignment by its callback, and answers the client if the task succeeded. */
     private void finishAttempt(WorkerAttempt attempt, Outcome outcome, String result, Object load) {
         ClientTask t = attempt.task;
         if (outcome == Outcome.OK && t.client != null) {
@@ -575,7 +598,8 @@
     }
 
     /**
-     * Guards rule two: that a task was handed back may be a repeat, said of an earlier assignment.
+     * Guards rule two: a callback that hands the task back may be a repeat that belongs to an
+     * earlier assignment at this worker.
      */
     private static boolean mayBeRepeated(WorkerAttempt attempt) {
         for (WorkerAttempt other : attempt.task.attempts) {
@@ -589,8 +613,8 @@
     }
 
     /**
-     * The task's errand that is out at this worker, or null: what is late or repeated counts for
-     * nothing.
+     * The task's assignment in flight at this worker, or null. Late and repeated callbacks match
+     * none and are ignored.
      */
     private static WorkerAttempt attemptInFlight(ClientTask t, int worker) {
         for (WorkerAttempt attempt : t.attempts) {
@@ -645,14 +669,14 @@
     @Override
     public void wakeAfter(double delay) {
         double due = loop.now() + Math.max(delay, 0.01);
-        // Guards against a timer that fires a hair early: the module would wait for it once more,
-        // in vain.
+        // Guards against a timer that fires slightly early: the dispatcher would find nothing due
+        // and need another timer.
         loop.schedule(due - loop.now(), () -> dispatcher.wake(Math.max(due, loop.now())));
     }
 
-    // ---- The end ----
+    // ---- Shutdown ----
 
-    /** Abandons what is still in hand: better this answer than none. */
+    /** Answers all unanswered tasks as abandoned: a failure response is better than none. */
     @Override
     public void abandonAll() {
         for (ClientTask t : tasks.all()) {
@@ -666,7 +690,7 @@
         }
     }
 
-    /** How many tasks have no answer yet. */
+    /** The number of tasks without an answer. */
     @Override
     public int unanswered() {
         int count = 0;
@@ -676,7 +700,7 @@
         return count;
     }
 
-    /** Counts since the last call. */
+    /** Adds the counts since the last call to this log line and resets them. */
     void summary(LoggingEventBuilder line) {
         line.addKeyValue("finished", finished)
                 .addKeyValue("bounced", bounced)
--- a/src/main/java/gingerspool/daemon/Trace.java
+++ b/src/main/java/gingerspool/daemon/Trace.java
@@ -9,9 +9,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One line for each step of each task, for adding up over all schedulers what became of their
- * tasks. Off unless asked for with -Dorg.slf4j.simpleLogger.log.trace=debug; bench/fleet.py reads
- * the lines.
+ * Logs one line for each step of each task, so that the outcomes of all tasks can be added up over
+ * all schedulers. Called by {@link Scheduler}. Off unless enabled with
+ * -Dorg.slf4j.simpleLogger.log.trace=debug; bench/fleet.py reads the lines.
  */
 final class Trace {
     private static final Logger LOG = LoggerFactory.getLogger("trace");
--- a/src/test/java/gingerspool/daemon/ConfigurationTest.java
+++ b/src/test/java/gingerspool/daemon/ConfigurationTest.java
@@ -95,7 +95,7 @@
             {
                 "'effect':'safe'",
                 "'effect':'safe','oneAtATime':true",
-                "settings.profiles[0].oneAtATime asks for tasks of a key in turn, which no longer is kept"
+                "settings.profiles[0].oneAtATime asks for one task per key at a time, which is no longer supported"
             },
             {
                 "'profiles'",
