--- a/src/test/java/gingerspool/daemon/ConnectionDrainingTest.java
+++ b/src/test/java/gingerspool/daemon/ConnectionDrainingTest.java
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Runs until this long before the end of the shutdown period. */
+    /** Runs until this long before the end of the shutdown period and its refusals. */
     private void runUntilBeforeEnd(double beforeEnd) {
         loop.run(shutdownStartedAt + SHUTDOWN_PERIOD_MS - beforeEnd - loop.now());
     }
--- a/src/test/java/gingerspool/daemon/ManagementTest.java
+++ b/src/test/java/gingerspool/daemon/ManagementTest.java
@@ -52,7 +52,7 @@
     private int call(String method, String path) throws IOException {
         Socket s = operator(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
         int status = Integer.parseInt(Bench.read(s).substring(9, 12));
-        assertEquals(s.getInputStream().read(), -1, "one call to a connection");
+        assertEquals(s.getInputStream().read(), -1, "one call per connection");
         return status;
     }
 
@@ -199,8 +199,7 @@
         Bench.read(kept);
         assertEquals(call("POST", "/v1/workers/s-1/suspend"), 200);
         assertEquals(call("POST", "/v1/workers/s-1/suspend"), 200);
-        assertEquals(
-                workerConnection.getInputStream().read(), -1, "connections at rest are closed");
+        assertEquals(workerConnection.getInputStream().read(), -1, "idle connections are closed");
         String update =
                 "{\"seq\":8,\"whole\":true,\"hosts\":[{\"host\":\"s-1\",\"dial\":\"127.0.0.1:"
                         + worker.getLocalPort()
--- a/src/test/java/gingerspool/daemon/ReloadTest.java
+++ b/src/test/java/gingerspool/daemon/ReloadTest.java
@@ -193,7 +193,7 @@
                 "%d reloads, %d tasks answered, longest turn of a reload %.2f ms%n",
                 RELOADS, tasks, longestMs);
         assertTrue(tasks > RELOADS);
-        assertTrue(longestMs < 20, "a reload held the loop for " + longestMs + " ms");
+        assertTrue(longestMs < 20, "a reload occupied the loop for " + longestMs + " ms");
     }
 
     @Test
@@ -214,11 +214,10 @@
             awaitLoop();
             String timedOut = request(second, "s", "b", "");
             assertTrue(
-                    timedOut.startsWith("HTTP/1.1 500 "),
-                    "the new time-out holds for it: " + timedOut);
+                    timedOut.startsWith("HTTP/1.1 500 "), "the new time-out applies: " + timedOut);
             assertTrue(
                     Peers.read(first.getInputStream()).startsWith("HTTP/1.1 200 "),
-                    "and not for the first");
+                    "the first task keeps its time-out");
         }
     }
 
@@ -236,7 +235,7 @@
             assertTrue(pause > 5 && pause <= 10, third);
             assertTrue(
                     request(s, "s", "d", "").startsWith("HTTP/1.1 200 "),
-                    "another profile is not concerned");
+                    "other profiles are not limited");
         }
         assertTrue(peers.log().stream().noneMatch(e -> e.task().equals("c")));
     }
--- a/src/test/java/gingerspool/daemon/SocketTestBase.java
+++ b/src/test/java/gingerspool/daemon/SocketTestBase.java
@@ -49,17 +49,17 @@
 
     /** Blocks the daemon's loop for this time; returns once the loop is blocked. */
     static void blockLoop(Daemon daemon, long ms) throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch never = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch neverReleased = new CountDownLatch(1);
         daemon.loop.submit(
                 () -> {
-                    held.countDown();
+                    blocked.countDown();
                     try {
-                        never.await(ms, TimeUnit.MILLISECONDS);
+                        neverReleased.await(ms, TimeUnit.MILLISECONDS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-        held.await();
+        blocked.await();
     }
 }
