--- a/src/main/java/gingerspool/daemon/Configuration.java
+++ b/src/main/java/gingerspool/daemon/Configuration.java
@@ -12,80 +12,93 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one place where a deployment's settings are read, checked and given defaults, for every host
- * of the module: what the Dispatcher is told, the names under which the outside knows it, what a
- * host needs besides.
+ * The settings of a deployment: reads and checks them and applies the defaults, for the daemon and
+ * for the simulator. Holds the settings of the Dispatcher, the names that clients and discovery use
+ * for profiles, tenants, zones and worker kinds, and what the host itself needs.
  */
 public final class Configuration {
     private static final Logger LOG = LoggerFactory.getLogger(Configuration.class);
 
     public final DispatcherSettings settings = new DispatcherSettings();
+
+    /** Profiles by name. */
     public final Map<String, Profile> profiles = new HashMap<>();
+
+    /** Indexes of tenants by name. */
     public final Map<String, Integer> tenants = new HashMap<>();
+
+    /** Indexes of zones by name. */
     public final Map<String, Integer> zones = new HashMap<>();
+
+    /** Indexes of worker kinds by name. */
     public final Map<String, Integer> kinds = new LinkedHashMap<>();
 
-    /** The values that load reports hold, under the settings' names. */
+    /** The index of each value in a load report, by its name in the settings. */
     public final Map<String, Integer> reportPlaces = new LinkedHashMap<>();
 
-    public final LoadReport reports;
+    public final LoadReport loadReport;
+
+    /** How long workers keep an idle connection open, in milliseconds. */
+    public final double connectionIdleTimeout;
 
-    /** How long workers let a connection rest, and how long one may take to come up. */
-    public final double connectionIdle;
+    /** The maximum time to establish a connection, in milliseconds. */
+    public final double connectTimeout;
 
-    public final double connectWithin;
-    public final int mostTasks;
+    /** The maximum number of tasks in progress. */
+    public final int maxTasks;
 
     /**
-     * The most that the bodies of tasks in hand may hold together, in bytes; 0 where nothing is
-     * said.
+     * The maximum size of the bodies of all tasks in progress together, in bytes; 0 if not
+     * configured.
      */
-    public final long mostBytes;
+    public final long maxBodyBytes;
 
-    public final double longestExpiry;
+    /** The longest expiry of all profiles, in milliseconds. */
+    public final double maxExpiry;
 
-    /** How long after the expiry an answer still counts. */
+    /** How long after the expiry an answer still counts, in milliseconds. */
     public final double answerGrace;
 
     /**
-     * Reads what the simulator's first message, or the key `settings` of a daemon's file, holds.
+     * Reads the settings from the simulator's first message, or from the key `settings` of a
+     * daemon's configuration file.
      */
     public Configuration(Object tree) throws ConfigurationException {
-        Key all = new Key("settings", tree).needed().object();
-        readNames(all);
-        readProfiles(all);
-        longestExpiry = Arrays.stream(settings.profiles).mapToDouble(p -> p.expiry).max().orElse(0);
-        readWorkers(all);
-        Key limits = all.at("limits").object();
-        readLimits(all, limits);
-        connectionIdle = limits.at("connIdleMs").number(5000);
-        connectWithin = Math.max(1, limits.at("connectTimeoutMs").number(250));
-        mostTasks = Math.max(1, limits.at("maxOpen").whole(20_000));
-        mostBytes = (long) limits.at("bodyBytes").number(0);
-        answerGrace = all.at("obligations").at("graceToAnswerMs").number(0);
-        Key specifics = all.at("specifics").object();
-        reports =
+        ConfigurationValue root = new ConfigurationValue("settings", tree).required().object();
+        readNames(root);
+        readProfiles(root);
+        maxExpiry = Arrays.stream(settings.profiles).mapToDouble(p -> p.expiry).max().orElse(0);
+        readReportingAndOrder(root);
+        ConfigurationValue limits = root.at("limits").object();
+        readLimits(root, limits);
+        connectionIdleTimeout = limits.at("connIdleMs").number(5000);
+        connectTimeout = Math.max(1, limits.at("connectTimeoutMs").number(250));
+        maxTasks = Math.max(1, limits.at("maxOpen").integer(20_000));
+        maxBodyBytes = (long) limits.at("bodyBytes").number(0);
+        answerGrace = root.at("obligations").at("graceToAnswerMs").number(0);
+        ConfigurationValue specifics = root.at("specifics").object();
+        loadReport =
                 new LoadReport(
                         specifics.at("reportX0").text(""), specifics.at("reportX1").text(""));
-        for (Key k : all.at("loadInfo").at("names").list()) {
-            String name = k.text("");
-            reportPlaces.put(name, reports.place(name));
+        for (ConfigurationValue valueName : root.at("loadInfo").at("names").list()) {
+            String name = valueName.text("");
+            reportPlaces.put(name, loadReport.place(name));
         }
         settings.reportNames = reportPlaces.keySet().toArray(String[]::new);
     }
 
-    private void readNames(Key all) throws ConfigurationException {
-        for (Key z : all.at("localities").list()) {
-            zones.putIfAbsent(z.text(""), zones.size());
+    private void readNames(ConfigurationValue root) throws ConfigurationException {
+        for (ConfigurationValue zone : root.at("localities").list()) {
+            zones.putIfAbsent(zone.text(""), zones.size());
         }
-        for (Key k : all.at("flavors").list()) {
-            kinds.putIfAbsent(k.text(""), kinds.size());
+        for (ConfigurationValue kind : root.at("flavors").list()) {
+            kinds.putIfAbsent(kind.text(""), kinds.size());
         }
         settings.kinds = kinds.keySet().toArray(String[]::new);
-        settings.place = all.at("locality").text("");
+        settings.place = root.at("locality").text("");
         settings.zone = zones.getOrDefault(settings.place, -1);
-        settings.dispatchers = Math.max(1, all.at("groupSize").whole(1));
-        List<Key> list = all.at("tenants").list();
+        settings.dispatchers = Math.max(1, root.at("groupSize").integer(1));
+        List<ConfigurationValue> list = root.at("tenants").list();
         settings.allowance = new double[list.size()];
         for (int i = 0; i < list.size(); i++) {
             tenants.put(list.get(i).at("name").text(""), i);
@@ -93,77 +106,80 @@
         }
     }
 
-    private void readProfiles(Key all) throws ConfigurationException {
-        List<Key> list = all.at("profiles").list();
+    private void readProfiles(ConfigurationValue root) throws ConfigurationException {
+        List<ConfigurationValue> list = root.at("profiles").list();
         if (list.isEmpty()) {
-            throw all.at("profiles").fault("has no entry");
+            throw root.at("profiles").fault("has no entry");
         }
-        Key specifics = all.at("specifics").object();
+        ConfigurationValue specifics = root.at("specifics").object();
         settings.profiles = new Profile[list.size()];
         for (int i = 0; i < list.size(); i++) {
-            Key k = list.get(i).object();
+            ConfigurationValue profile = list.get(i).object();
             Profile p = new Profile();
             p.index = i;
-            p.name = k.at("name").needed().text("");
-            p.dueTime = k.at("dueTimeMs").number(0);
-            p.expiry = k.at("expiryMs").number(0);
-            p.utility = k.at("utility").number(1);
-            p.tardyUtility = k.at("tardyUtility").number(0);
-            p.window = k.at("windowMs").number(0);
+            p.name = profile.at("name").required().text("");
+            p.dueTime = profile.at("dueTimeMs").number(0);
+            p.expiry = profile.at("expiryMs").number(0);
+            p.utility = profile.at("utility").number(1);
+            p.tardyUtility = profile.at("tardyUtility").number(0);
+            p.window = profile.at("windowMs").number(0);
             p.effect =
-                    switch (k.at("effect").text("")) {
+                    switch (profile.at("effect").text("")) {
                         case "safe" -> Profile.Effect.IDEMPOTENT;
                         case "keyed" -> Profile.Effect.FINGERPRINTED;
                         default -> Profile.Effect.SIDE_EFFECTING;
                     };
             p.scope =
-                    switch (k.at("dedupScope").text("")) {
+                    switch (profile.at("dedupScope").text("")) {
                         case "all" -> Profile.Scope.ALL;
                         case "zone" -> Profile.Scope.ZONE;
                         default -> Profile.Scope.CELL;
                     };
-            if (k.at("oneAtATime").mark()) {
-                throw k.at("oneAtATime")
-                        .fault("asks for tasks of a key in turn, which no longer is kept");
+            if (profile.at("oneAtATime").flag()) {
+                throw profile.at("oneAtATime")
+                        .fault("asks for one task per key at a time, which is no longer supported");
             }
-            p.kind = (int) specifics.at("classKind").place(i).any(-1);
-            p.prio = (int) specifics.at("classPriority").place(i).any(0);
-            p.stretch = k.at("aimStretch").number(specifics.at("classStretch").place(i).number(0));
+            p.kind = (int) specifics.at("classKind").entry(i).signedNumber(-1);
+            p.prio = (int) specifics.at("classPriority").entry(i).signedNumber(0);
+            p.stretch =
+                    profile.at("aimStretch")
+                            .number(specifics.at("classStretch").entry(i).number(0));
             settings.profiles[i] = p;
             profiles.put(p.name, p);
         }
     }
 
-    private void readWorkers(Key all) throws ConfigurationException {
-        String via = all.at("loadInfo").object().at("via").text("");
+    private void readReportingAndOrder(ConfigurationValue root) throws ConfigurationException {
+        String via = root.at("loadInfo").object().at("via").text("");
         settings.reportsByProbe = via.equals("pull");
         settings.reportsInAnswers = via.equals("piggyback");
-        settings.listOnRequest = all.at("discovery").text("").equals("ask");
+        settings.listOnRequest = root.at("discovery").text("").equals("ask");
         settings.order =
-                switch (all.at("specifics").at("queueOrder").text("")) {
+                switch (root.at("specifics").at("queueOrder").text("")) {
                     case "priority" -> DispatcherSettings.Order.PRIORITY;
                     case "backfill" -> DispatcherSettings.Order.BACKFILL;
                     default -> DispatcherSettings.Order.FIRST_COME;
                 };
-        settings.progressEvery = all.at("specifics").at("progressMs").number(0);
-        settings.tellsStart = all.at("specifics").at("tellsStart").mark();
+        settings.progressEvery = root.at("specifics").at("progressMs").number(0);
+        settings.tellsStart = root.at("specifics").at("tellsStart").flag();
     }
 
-    private void readLimits(Key all, Key limits) throws ConfigurationException {
+    private void readLimits(ConfigurationValue root, ConfigurationValue limits)
+            throws ConfigurationException {
         DispatcherSettings s = settings;
-        s.excessUtility = all.at("excessUtility").number(1);
-        s.utilityByWork = all.at("utilityBy").text("").equals("work");
-        s.mayProbe = limits.at("probes").mark();
-        s.mayCancel = limits.at("cancelling").mark();
-        s.mayTell = limits.at("mayTell").mark();
-        s.tellFee = all.at("fees").object().at("peer").number(0);
-        s.mayAdvise = limits.at("retryAfter").mark();
+        s.excessUtility = root.at("excessUtility").number(1);
+        s.utilityByWork = root.at("utilityBy").text("").equals("work");
+        s.mayProbe = limits.at("probes").flag();
+        s.mayCancel = limits.at("cancelling").flag();
+        s.mayTell = limits.at("mayTell").flag();
+        s.tellFee = root.at("fees").object().at("peer").number(0);
+        s.mayAdvise = limits.at("retryAfter").flag();
         s.maxAdvice = limits.at("maxRetryAfterMs").number(0);
-        s.mostAssignments = limits.at("mostAssignments").whole(1);
-        Key rules = all.at("obligations").object();
+        s.mostAssignments = limits.at("mostAssignments").integer(1);
+        ConfigurationValue rules = root.at("obligations").object();
         s.askWithin = rules.at("askWithinMs").number(0);
-        s.drainBindsAlone = rules.at("drainBindsAlone").mark();
-        Key goal = all.at("goal").object();
+        s.drainBindsAlone = rules.at("drainBindsAlone").flag();
+        ConfigurationValue goal = root.at("goal").object();
         s.worstProfile = Math.min(0.9, goal.at("worstClass").number(0));
         s.tail = goal.at("tail").number(0);
         s.borneMisses = goal.at("borneMisses").number(0);
@@ -174,11 +190,12 @@
         s.warmWithin = rules.at("warmWithinMs").number(0);
         s.fallWindow = rules.at("fallMs").number(0);
         s.overloadFactor = rules.at("overloadFactor").number(1);
-        s.tick = all.at("tickMs").number(1);
-        if (all.at("fees").at("origin").number(0) > 0) {
-            LOG.warn("settings.fees.origin: tasks are no longer kept where their key is");
+        s.tick = root.at("tickMs").number(1);
+        if (root.at("fees").at("origin").number(0) > 0) {
+            LOG.warn(
+                    "settings.fees.origin is ignored: tasks are no longer kept where their key is");
         }
-        s.probeFee = all.at("fees").object().at("probe").number(0);
-        s.crossFee = all.at("fees").object().at("crossZone").number(0);
+        s.probeFee = root.at("fees").object().at("probe").number(0);
+        s.crossFee = root.at("fees").object().at("crossZone").number(0);
     }
 }
--- a/src/main/java/gingerspool/daemon/ConnectionClaims.java
+++ b/src/main/java/gingerspool/daemon/ConnectionClaims.java
@@ -12,41 +12,46 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Has new connections come to this process while another one listens beside it, and sees to it that
- * they go on to.
+ * Claims new connections for this process while the process before it still listens at the same
+ * address, and verifies regularly that they keep arriving here. Belongs to {@link Daemon}.
  *
  * <p>Thread: the event loop.
  */
 final class ConnectionClaims {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionClaims.class);
 
-    /** A claim that found no listener is made again so soon, in milliseconds. */
-    private static final double RETRY_AFTER = 20;
+    /** The delay before a claim that found no listener is repeated, in milliseconds. */
+    private static final double RETRY_DELAY_MS = 20;
 
     private final EventLoop loop;
     private final ConnectionSteering steering;
     private final ClientEndpoint clients;
-    private final double verifyEvery;
-    private final BooleanSupplier isBeside;
 
-    /** When new connections are claimed once more; null before the first claim has ended. */
-    private Future<?> next;
+    /** How often a successful claim is verified, in milliseconds. */
+    private final double verifyInterval;
+
+    /** Whether the previous process is alive and no successor has the clients. */
+    private final BooleanSupplier sharesClientsWithPredecessor;
+
+    /** The timer of the next claim or verification; null before the first claim has ended. */
+    private Future<?> nextClaim;
 
     /**
-     * Claims that stand are verified every so many milliseconds, as long as the process before this
-     * one lives and none after it has the clients.
+     * @param verifyInterval how often a successful claim is verified, in milliseconds
+     * @param sharesClientsWithPredecessor whether the previous process is alive and no successor
+     *     has the clients; claims are verified only while it holds
      */
     ConnectionClaims(
             EventLoop loop,
             ConnectionSteering steering,
             ClientEndpoint clients,
-            double verifyEvery,
-            BooleanSupplier isBeside) {
+            double verifyInterval,
+            BooleanSupplier sharesClientsWithPredecessor) {
         this.loop = loop;
         this.steering = steering;
         this.clients = clients;
-        this.verifyEvery = verifyEvery;
-        this.isBeside = isBeside;
+        this.verifyInterval = verifyInterval;
+        this.sharesClientsWithPredecessor = sharesClientsWithPredecessor;
     }
 
     /** The number of this process's listener. */
@@ -55,64 +60,69 @@
     }
 
     /**
-     * Claims new connections, which go to the listener of this number until then; tells whether
-     * they come here.
+     * Claims new connections, which go to the previous process's listener until then; reports
+     * whether they arrive here.
      */
-    void claim(int before, Consumer<Boolean> done) {
-        clients.claim(steering, before, outcome -> ended(outcome, before, done));
+    void claim(int predecessorListener, Consumer<Boolean> done) {
+        clients.claim(
+                steering,
+                predecessorListener,
+                outcome -> claimEnded(outcome, predecessorListener, done));
     }
 
-    private void ended(ConnectionSteering.Outcome outcome, int before, Consumer<Boolean> done) {
-        if (outcome == ConnectionSteering.Outcome.NOT_FOUND && isBeside.getAsBoolean()) {
-            schedule(RETRY_AFTER, () -> claim(before, done));
+    private void claimEnded(
+            ConnectionSteering.Outcome outcome, int predecessorListener, Consumer<Boolean> done) {
+        if (outcome == ConnectionSteering.Outcome.NOT_FOUND
+                && sharesClientsWithPredecessor.getAsBoolean()) {
+            schedule(RETRY_DELAY_MS, () -> claim(predecessorListener, done));
             return;
         }
         boolean claimed = outcome == ConnectionSteering.Outcome.CLAIMED;
-        if (claimed && isBeside.getAsBoolean()) {
-            schedule(verifyEvery, this::verify);
+        if (claimed && sharesClientsWithPredecessor.getAsBoolean()) {
+            schedule(verifyInterval, this::verify);
         }
         done.accept(claimed);
     }
 
-    private void schedule(double pause, Runnable claim) {
-        if (next != null) {
-            next.cancel(false);
+    private void schedule(double delay, Runnable claim) {
+        if (nextClaim != null) {
+            nextClaim.cancel(false);
         }
-        next = loop.schedule(pause, claim);
+        nextClaim = loop.schedule(delay, claim);
     }
 
     /**
-     * Guards against a third process whose listener closes: that numbers the others anew, so that
-     * they get each other's connections.
+     * Guards against a third process that closes its listener: the kernel then renumbers the
+     * others, so that they receive each other's connections.
      */
     private void verify() {
-        if (isBeside.getAsBoolean() && !steering.isClaiming()) {
-            clients.verifyClaim(steering, this::verified);
+        if (sharesClientsWithPredecessor.getAsBoolean() && !steering.isClaiming()) {
+            clients.verifyClaim(steering, this::verifyEnded);
         }
     }
 
-    private void verified(boolean stands) {
-        if (!isBeside.getAsBoolean() || steering.isClaiming()) {
+    private void verifyEnded(boolean holds) {
+        if (!sharesClientsWithPredecessor.getAsBoolean() || steering.isClaiming()) {
             return;
         }
-        if (stands) {
-            schedule(verifyEvery, this::verify);
+        if (holds) {
+            schedule(verifyInterval, this::verify);
         } else {
             claim(steering.member(), claimed -> {});
         }
     }
 
-    /** Claims nothing any more. */
+    /** Cancels the claim in progress. */
     void cancel() {
         steering.cancel();
     }
 
-    /** New connections may go to any listener: there is no other one. */
+    /** Lets new connections go to any listener, once this process has the only one. */
     void release() {
         try {
             steering.release(((InetSocketAddress) clients.address()).getPort());
         } catch (IOException e) {
-            // It listens no more, so there is nothing to give back.
+            // The process no longer listens, so there is no claim to release.
             LOG.atDebug().addKeyValue("why", e.getMessage()).log("steering.unavailable");
         }
     }
--- a/src/main/java/gingerspool/daemon/FileDaemon.java
+++ b/src/main/java/gingerspool/daemon/FileDaemon.java
@@ -16,77 +16,91 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A daemon with an operator's file: `serve --file`. Where the platform configures the process too
- * (GW_CONFIG), the file adds policies only; elsewhere it says all. It is read again on SIGHUP,
- * beside the loop, and takes effect as a whole between two turns or not at all.
+ * A daemon with an operator's file: `serve --file`. If the platform configures the process as well
+ * (GW_CONFIG), the file only adds policies; otherwise it is the whole configuration. The file is
+ * read again on SIGHUP, outside the event loop, and is applied as a whole in one task of the loop
+ * or not at all.
  */
 public final class FileDaemon {
     private final Path path;
     private final Map<String, String> environment;
-    private final boolean alone;
+
+    /** Whether the file is the whole configuration, without GW_CONFIG. */
+    private final boolean standalone;
+
+    /** The file as last applied. */
     private OperatorFile file;
 
     private FileDaemon(Path path, Map<String, String> environment) {
         this.path = path;
         this.environment = environment;
         String platform = environment.get("GW_CONFIG");
-        alone = platform == null || platform.isEmpty();
+        standalone = platform == null || platform.isEmpty();
     }
 
-    /** Serves until it is told to stop; returns the exit code. */
+    /**
+     * Serves until the process is told to stop.
+     *
+     * @return the exit code
+     */
     public static int serve(String name, Map<String, String> environment) {
-        FileDaemon d;
+        FileDaemon fileDaemon;
         try {
-            d = new FileDaemon(Path.of(name), environment);
+            fileDaemon = new FileDaemon(Path.of(name), environment);
         } catch (InvalidPathException e) {
-            System.err.println("--file is no path");
+            System.err.println("--file is not a valid path");
             return 2;
         }
-        OperatorFile file = OperatorFile.read(d.path);
-        // The form of the log is chosen before the first line of it, which fixes it for good.
-        LogBackend.choose(file.faults().isEmpty() ? file.logForm() : "simple");
-        return Daemon.serve(() -> d.first(file), d::begin, d::reload);
+        OperatorFile file = OperatorFile.read(fileDaemon.path);
+        // The log format is selected before the first line is logged, which makes it final.
+        LogBackend.select(file.faults().isEmpty() ? file.logForm() : "simple");
+        return Daemon.serve(
+                () -> fileDaemon.initialConfiguration(file),
+                fileDaemon::applyInitialRoutes,
+                fileDaemon::reload);
     }
 
+    /** Looked up at each use, since the logging library is selected after this class is loaded. */
     private static Logger log() {
         return LoggerFactory.getLogger(FileDaemon.class);
     }
 
-    /** For tests: a daemon made from a file, without signals or exit. */
+    /** Creates a daemon from a file without signal handlers or exit, for tests. */
     static Daemon open(Path path) throws Exception {
-        FileDaemon d = new FileDaemon(path, Map.of());
-        Daemon daemon = new Daemon(d.first(OperatorFile.read(path)));
-        d.begin(daemon);
-        daemon.again = () -> d.reload(daemon);
+        FileDaemon fileDaemon = new FileDaemon(path, Map.of());
+        Daemon daemon = new Daemon(fileDaemon.initialConfiguration(OperatorFile.read(path)));
+        fileDaemon.applyInitialRoutes(daemon);
+        daemon.hangupAction = () -> fileDaemon.reload(daemon);
         return daemon;
     }
 
-    private NodeConfiguration first(OperatorFile read) throws ConfigurationException {
-        file = read;
-        if (!read.faults().isEmpty()) {
-            tell(read.faults());
+    private NodeConfiguration initialConfiguration(OperatorFile newFile)
+            throws ConfigurationException {
+        file = newFile;
+        if (!newFile.faults().isEmpty()) {
+            logFaults(newFile.faults());
             throw new ConfigurationException(
                     path.toString(),
                     "can't be used: "
-                            + read.faults().size()
-                            + (read.faults().size() == 1 ? " fault" : " faults"));
+                            + newFile.faults().size()
+                            + (newFile.faults().size() == 1 ? " fault" : " faults"));
         }
-        if (alone && !read.isWhole()) {
+        if (standalone && !newFile.isWhole()) {
             throw new ConfigurationException(
                     path.toString(), "has no scheduler.listen, and GW_CONFIG is not set");
         }
         NodeConfiguration node =
-                alone
-                        ? new NodeConfiguration(read.deployment(), environment)
+                standalone
+                        ? new NodeConfiguration(newFile.deployment(), environment)
                         : NodeConfiguration.read(environment);
-        List<String> against = disagreements(read, node.deployment);
-        if (!against.isEmpty()) {
-            throw new ConfigurationException(path.toString(), String.join("; ", against));
+        List<String> conflicts = platformConflicts(newFile, node.deployment);
+        if (!conflicts.isEmpty()) {
+            throw new ConfigurationException(path.toString(), String.join("; ", conflicts));
         }
         return node;
     }
 
-    private static void tell(List<Diagnostic> faults) {
+    private static void logFaults(List<Diagnostic> faults) {
         for (Diagnostic f : faults) {
             log().atError()
                     .addKeyValue("file", f.at().file())
@@ -98,24 +112,24 @@
     }
 
     /**
-     * Guards the rules: policies were checked against the file's profiles, the platform's are those
-     * that run.
+     * Guards the rules for policies: they were checked against the file's profiles, but the
+     * platform's profiles are in effect.
      */
-    private static List<String> disagreements(OperatorFile read, Configuration platform) {
-        List<String> all = new ArrayList<>();
-        read.profileFacts()
+    private static List<String> platformConflicts(OperatorFile newFile, Configuration platform) {
+        List<String> conflicts = new ArrayList<>();
+        newFile.profileFacts()
                 .forEach(
                         (name, fact) -> {
                             Profile p = platform.profiles.get(name);
                             if (p != null && p.effect != fact.effect()) {
-                                all.add(
+                                conflicts.add(
                                         "profile."
                                                 + name
                                                 + ".effect differs from the platform's, "
                                                 + p.effect);
                             }
                             if (p != null && p.expiry > 0 && p.expiry < fact.expiry()) {
-                                all.add(
+                                conflicts.add(
                                         "profile."
                                                 + name
                                                 + ".expiry is beyond the platform's, "
@@ -123,89 +137,100 @@
                                                 + " ms");
                             }
                         });
-        return all;
+        return conflicts;
     }
 
-    private void begin(Daemon daemon) {
-        daemon.scheduler.use(new Routes(file.rules(), null), null);
+    private void applyInitialRoutes(Daemon daemon) {
+        daemon.scheduler.reconfigure(new Routes(file.rules(), null), null);
     }
 
-    /** On SIGHUP, from the signal's own thread: reading files is not for the loop. */
+    /** Called on SIGHUP, on the signal's thread: the loop must not read files. */
     private void reload(Daemon daemon) {
-        OperatorFile read = OperatorFile.read(path);
-        if (!read.faults().isEmpty()) {
-            tell(read.faults());
-            refuse(read.faults().size(), "faults");
+        OperatorFile newFile = OperatorFile.read(path);
+        if (!newFile.faults().isEmpty()) {
+            logFaults(newFile.faults());
+            logRefused(newFile.faults().size(), "faults");
             return;
         }
         NodeConfiguration node = null;
         try {
-            node = alone ? new NodeConfiguration(read.deployment(), environment) : daemon.node;
+            node =
+                    standalone
+                            ? new NodeConfiguration(newFile.deployment(), environment)
+                            : daemon.node;
         } catch (ConfigurationException e) {
-            refuse(1, e.getMessage());
+            logRefused(1, e.getMessage());
             return;
         }
-        List<String> against =
-                alone
-                        ? new ArrayList<>(fixed(daemon.node.tree(), node.tree()))
-                        : disagreements(read, node.deployment);
-        if (!against.isEmpty()) {
-            refuse(against.size(), (alone ? "needs a restart: " : "") + String.join(", ", against));
+        List<String> conflicts =
+                standalone
+                        ? new ArrayList<>(changesNeedingRestart(daemon.node.tree(), node.tree()))
+                        : platformConflicts(newFile, node.deployment);
+        if (!conflicts.isEmpty()) {
+            logRefused(
+                    conflicts.size(),
+                    (standalone ? "needs a restart: " : "") + String.join(", ", conflicts));
             return;
         }
-        NodeConfiguration taken = node;
-        daemon.loop.submit(() -> apply(daemon, read, taken));
+        NodeConfiguration accepted = node;
+        daemon.loop.submit(() -> apply(daemon, newFile, accepted));
     }
 
-    private static void refuse(int count, String why) {
+    private static void logRefused(int count, String why) {
         log().atError().addKeyValue("faults", count).addKeyValue("why", why).log("file.refused");
     }
 
-    private void apply(Daemon daemon, OperatorFile read, NodeConfiguration node) {
-        double from = daemon.loop.now();
-        file = read;
-        daemon.scheduler.use(
-                new Routes(read.rules(), daemon.scheduler.routes()),
-                alone ? node.deployment : null);
+    /** Applies a valid file, on the event loop. */
+    private void apply(Daemon daemon, OperatorFile newFile, NodeConfiguration node) {
+        double startedAt = daemon.loop.now();
+        file = newFile;
+        daemon.scheduler.reconfigure(
+                new Routes(newFile.rules(), daemon.scheduler.routes()),
+                standalone ? node.deployment : null);
         try {
-            if (alone && node.discovery == null) {
-                daemon.scheduler.listFixed(node.known);
+            if (standalone && node.discovery == null) {
+                daemon.scheduler.applyFixedList(node.knownList);
             }
         } catch (BadMessage e) {
-            refuse(1, e.getMessage());
+            logRefused(1, e.getMessage());
         }
-        daemon.appliedIn = daemon.loop.now() - from;
+        daemon.reloadMs = daemon.loop.now() - startedAt;
         log().atInfo()
                 .addKeyValue("file", path)
-                .addKeyValue("files", read.files().size())
-                .addKeyValue("routes", read.routeCount())
-                .addKeyValue("ms", Math.round(daemon.appliedIn))
+                .addKeyValue("files", newFile.files().size())
+                .addKeyValue("routes", newFile.routeCount())
+                .addKeyValue("ms", Math.round(daemon.reloadMs))
                 .log("file.applied");
     }
 
-    /** The keys that differ and that a running scheduler can't change. */
-    private static TreeSet<String> fixed(Map<?, ?> old, Map<?, ?> now) {
+    /** The keys that differ and cannot be changed without a restart. */
+    private static TreeSet<String> changesNeedingRestart(Map<?, ?> old, Map<?, ?> changed) {
         TreeSet<String> keys = new TreeSet<>();
-        compare("", old, now, keys);
+        collectChanges("", old, changed, keys);
         return keys;
     }
 
-    private static void compare(String path, Object old, Object now, TreeSet<String> keys) {
+    private static void collectChanges(
+            String path, Object old, Object changed, TreeSet<String> keys) {
         if (path.matches("seed|known|settings\\.tenants\\[\\d+\\]\\.allowancePerS")
                 || path.matches("settings\\.profiles\\[\\d+\\]\\..*") && !path.endsWith(".name")
                 || path.matches("settings\\.(localities|flavors|specifics\\.classKind).*")
-                || Objects.equals(old, now)) {
+                || Objects.equals(old, changed)) {
             return;
         }
-        if (old instanceof Map<?, ?> a && now instanceof Map<?, ?> b) {
+        if (old instanceof Map<?, ?> a && changed instanceof Map<?, ?> b) {
             TreeSet<String> names = new TreeSet<>();
             a.keySet().forEach(k -> names.add((String) k));
             b.keySet().forEach(k -> names.add((String) k));
             names.forEach(
-                    k -> compare(path.isEmpty() ? k : path + "." + k, a.get(k), b.get(k), keys));
-        } else if (old instanceof List<?> a && now instanceof List<?> b && a.size() == b.size()) {
+                    k ->
+                            collectChanges(
+                                    path.isEmpty() ? k : path + "." + k, a.get(k), b.get(k), keys));
+        } else if (old instanceof List<?> a
+                && changed instanceof List<?> b
+                && a.size() == b.size()) {
             for (int i = 0; i < a.size(); i++) {
-                compare(path + "[" + i + "]", a.get(i), b.get(i), keys);
+                collectChanges(path + "[" + i + "]", a.get(i), b.get(i), keys);
             }
         } else {
             keys.add(path);
--- a/src/main/java/gingerspool/daemon/Trace.java
+++ b/src/main/java/gingerspool/daemon/Trace.java
@@ -9,9 +9,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One line for each step of each task, for adding up over all schedulers what became of their
- * tasks. Off unless asked for with -Dorg.slf4j.simpleLogger.log.trace=debug; bench/fleet.py reads
- * the lines.
+ * Logs one line for each step of each task, so that the outcomes of all tasks can be added up over
+ * all schedulers. Called by {@link Scheduler}. Off unless enabled with
+ * -Dorg.slf4j.simpleLogger.log.trace=debug; bench/fleet.py reads the lines.
  */
 final class Trace {
     private static final Logger LOG = LoggerFactory.getLogger("trace");
@@ -40,13 +40,13 @@
         }
     }
 
-    static void ended(Assignment a, String worker, Outcome how, double[] report) {
+    static void ended(Assignment a, String worker, Outcome outcome, double[] report) {
         if (LOG.isDebugEnabled()) {
             LOG.atDebug()
                     .addKeyValue("task", a.task.id)
                     .addKeyValue("n", a.number)
                     .addKeyValue("worker", worker)
-                    .addKeyValue("how", how.name().toLowerCase(Locale.ROOT))
+                    .addKeyValue("how", outcome.name().toLowerCase(Locale.ROOT))
                     .addKeyValue(
                             "report",
                             report == null ? "" : Arrays.toString(report).replace(" ", ""))
