--- a/src/main/java/gingerspool/daemon/Daemon.java
+++ b/src/main/java/gingerspool/daemon/Daemon.java
@@ -134,7 +134,7 @@
                                 new OperatorCalls());
         handover = management == null || node.handoverDirectory == null ? null : createHandover();
         if (handover != null) {
-            scheduler.forwardCallbacksTo(handover::callBack);
+            scheduler.forwardCallbacksTo(handover::forwardCallBack);
         }
         if (handover == null) {
             clients.listen();
@@ -224,7 +224,7 @@
                 scheduler.start(node.knownList, true);
                 openToClients();
             } else {
-                if (handover.hasFile()) {
+                if (handover.hasHandoverFile()) {
                     steering.prepare();
                 }
                 handover.begin();
@@ -313,7 +313,7 @@
         double now = loop.now();
         draining.apply(now);
         if (exitLatch.getCount() > 0
-                && lifecycle.mayExit(now, handover != null && handover.standsBetween())
+                && lifecycle.mayExit(now, handover != null && handover.hasPredecessorAndSuccessor())
                 && draining.finishIfEmpty(now)) {
             LoggingEventBuilder line = LOG.atInfo();
             scheduler.summary(line);
@@ -358,7 +358,7 @@
 
     /** Whether the previous process is alive and no successor has the clients. */
     private boolean sharesClientsWithPredecessor() {
-        return handover.hasBefore() && !lifecycle.isSuperseded();
+        return handover.hasPredecessor() && !lifecycle.isSuperseded();
     }
 
     /** A single daemon thread for blocking calls, started with its first task. */
@@ -397,7 +397,7 @@
 
         @Override
         public void adoptState(Object state) throws BadMessage {
-            List<String> suspended = Handover.suspended(state);
+            List<String> suspended = Handover.suspendedWorkers(state);
             if (!(JsonTree.at(state, "list") instanceof Map)) {
                 throw new BadMessage(400, "without a worker list");
             }
@@ -421,7 +421,7 @@
         }
 
         @Override
-        public void adoptBans(List<String> suspended, boolean drained) {
+        public void adoptSuspensions(List<String> suspended, boolean drained) {
             try {
                 if (!listApplied) {
                     scheduler.start(node.knownList, true);
@@ -446,11 +446,11 @@
 
         @Override
         public int listenerNumber() {
-            return handover.hasBefore() ? claims.listenerNumber() : ConnectionSteering.FIRST;
+            return handover.hasPredecessor() ? claims.listenerNumber() : ConnectionSteering.FIRST;
         }
 
         @Override
-        public void claim(int predecessorListener, Consumer<Boolean> done) {
+        public void claimConnections(int predecessorListener, Consumer<Boolean> done) {
             claims.claim(predecessorListener, done);
         }
 
@@ -478,14 +478,14 @@
         }
 
         @Override
-        public void takeBack() {
+        public void resumeServing() {
             lifecycle.successorGone();
             shareDescriptors(0);
             try {
                 bind();
                 clients.open();
                 // A process that is shutting down cannot know that no other one listens beside it.
-                if (!handover.hasBefore() && !lifecycle.isShuttingDown()) {
+                if (!handover.hasPredecessor() && !lifecycle.isShuttingDown()) {
                     claims.release();
                 }
             } catch (IOException e) {
@@ -495,17 +495,17 @@
         }
 
         @Override
-        public void sharesWith(int descriptors) {
+        public void setPeerDescriptors(int descriptors) {
             shareDescriptors(descriptors);
         }
 
         @Override
-        public int descriptors() {
+        public int descriptorCount() {
             return OWN_DESCRIPTORS + clients.connections() + scheduler.workerConnections();
         }
 
         @Override
-        public List<String> suspended() {
+        public List<String> suspendedWorkers() {
             return List.copyOf(scheduler.suspended());
         }
 
@@ -515,7 +515,7 @@
         }
 
         @Override
-        public void carryOut(String call, String worker) {
+        public void applyCommand(String call, String worker) {
             LOG.atInfo()
                     .addKeyValue("call", call)
                     .addKeyValue("worker", worker)
@@ -529,7 +529,7 @@
         }
 
         @Override
-        public boolean callBackCame(byte[] callBack) throws BadMessage {
+        public boolean handleCallBack(byte[] callBack) throws BadMessage {
             return clients.callBack(callBack);
         }
 
@@ -603,7 +603,7 @@
 
         @Override
         public boolean takes(Inbound from, Message request) {
-            return handover != null && handover.takes(from, request);
+            return handover != null && handover.tryHandle(from, request);
         }
     }
 }
--- a/src/main/java/gingerspool/handover/CommandPropagation.java
+++ b/src/main/java/gingerspool/handover/CommandPropagation.java
@@ -231,7 +231,7 @@
             String sender,
             HandoverMessages.Command message,
             boolean fromPredecessor) {
-        owner.carryOut(message.command(), message.worker());
+        owner.applyCommand(message.command(), message.worker());
         if (fromPredecessor) {
             commandsSinceState.applied(message.number());
         }
--- a/src/main/java/gingerspool/handover/Handover.java
+++ b/src/main/java/gingerspool/handover/Handover.java
@@ -127,22 +127,22 @@
     }
 
     /** The suspended workers that a state lists. */
-    public static List<String> suspended(Object state) throws BadMessage {
+    public static List<String> suspendedWorkers(Object state) throws BadMessage {
         return HandoverFile.readSuspendedWorkers(state);
     }
 
     /** Whether predecessor and successor both run: they reach each other only through this one. */
-    public boolean standsBetween() {
+    public boolean hasPredecessorAndSuccessor() {
         return peers.predecessor() != null && peers.successor() != null;
     }
 
     /** Whether the predecessor still runs, as far as is known. */
-    public boolean hasBefore() {
+    public boolean hasPredecessor() {
         return peers.predecessor() != null;
     }
 
     /** Whether a hand-over file was found at the start. */
-    public boolean hasFile() {
+    public boolean hasHandoverFile() {
         return search.hasFile();
     }
 
@@ -184,12 +184,12 @@
     }
 
     /** Forwards a worker's call-back for an unknown task; passes on the status to answer with. */
-    public void callBack(byte[] callBack, IntConsumer answer) {
+    public void forwardCallBack(byte[] callBack, IntConsumer answer) {
         forwarding.forward(callBack, "", answer);
     }
 
     /** Handles a management request if it is a hand-over call; returns whether it was. */
-    public boolean takes(Inbound call, Message request) {
+    public boolean tryHandle(Inbound call, Message request) {
         return endpoint.tryHandle(call, request);
     }
 
@@ -231,7 +231,7 @@
     private void serveAlone() {
         dropPredecessor();
         HandoverFile lastTarget = search.lastTarget();
-        owner.adoptBans(
+        owner.adoptSuspensions(
                 lastTarget == null ? List.of() : lastTarget.suspendedWorkers(),
                 lastTarget != null && lastTarget.drained());
         if (bind()) {
@@ -287,7 +287,7 @@
         HandoverMessages.Holdings unknown =
                 new HandoverMessages.Holdings(0, ConnectionSteering.UNKNOWN);
         HandoverMessages.Holdings holdings = HandoverMessages.Holdings.read(body, unknown);
-        owner.sharesWith(holdings.descriptors());
+        owner.setPeerDescriptors(holdings.descriptors());
         predecessorListener = holdings.listener();
         peers.predecessor().hold.call("hold", EMPTY_BODY, 0, (status, none) -> predecessorGone());
         loop.schedule(HOLDINGS_POLL_INTERVAL_MS, this::pollHoldings);
@@ -307,7 +307,7 @@
     private void onHoldings(int status, byte[] body) {
         if (status == CallStatus.OK && peers.predecessor() != null) {
             HandoverMessages.Holdings none = new HandoverMessages.Holdings(0, predecessorListener);
-            owner.sharesWith(HandoverMessages.Holdings.read(body, none).descriptors());
+            owner.setPeerDescriptors(HandoverMessages.Holdings.read(body, none).descriptors());
         }
         loop.schedule(HOLDINGS_POLL_INTERVAL_MS, this::pollHoldings);
     }
@@ -328,7 +328,7 @@
         double deadline =
                 Math.max(startedAt + READY_AFTER_START_MS, loop.now() + READY_AFTER_SERVING_MS);
         loop.schedule(deadline - loop.now(), this::onClaimTimeout);
-        owner.claim(defaultListener, this::onClaimEnd);
+        owner.claimConnections(defaultListener, this::onClaimEnd);
     }
 
     private void onClaimTimeout() {
@@ -368,7 +368,7 @@
     private void dropPredecessor() {
         if (peers.predecessor() != null) {
             peers.dropPredecessor();
-            owner.sharesWith(0);
+            owner.setPeerDescriptors(0);
         }
     }
 
@@ -460,11 +460,11 @@
     }
 
     private HandoverMessages.Holdings holdings() {
-        return new HandoverMessages.Holdings(owner.descriptors(), owner.listenerNumber());
+        return new HandoverMessages.Holdings(owner.descriptorCount(), owner.listenerNumber());
     }
 
     private void onCallBack(Inbound call, String caller, byte[] callBack) throws BadMessage {
-        if (owner.callBackCame(callBack)) {
+        if (owner.handleCallBack(callBack)) {
             call.answer(CallStatus.OK, List.of(), EMPTY_BODY);
         } else {
             forwarding.forward(callBack, caller, status -> answerUnknownTask(call, status));
@@ -484,7 +484,7 @@
     private void resumeServing() {
         peers.dropSuccessor();
         LOG.atWarn().log("handover.successor_gone");
-        owner.takeBack();
+        owner.resumeServing();
         if (peers.predecessor() != null) {
             claimConnections(owner.listenerNumber());
         }
--- a/src/main/java/gingerspool/handover/HandoverFileWriter.java
+++ b/src/main/java/gingerspool/handover/HandoverFileWriter.java
@@ -63,7 +63,7 @@
      */
     void write(Runnable onWritten) {
         HandoverFile content =
-                new HandoverFile(ownAddress, token, owner.suspended(), owner.isDrained());
+                new HandoverFile(ownAddress, token, owner.suspendedWorkers(), owner.isDrained());
         fileExecutor.execute(
                 () -> {
                     write(content);
--- a/src/main/java/gingerspool/handover/HandoverMessages.java
+++ b/src/main/java/gingerspool/handover/HandoverMessages.java
@@ -66,7 +66,7 @@
         static byte[] write(HandoverOwner owner) {
             Map<String, Object> tree = new LinkedHashMap<>();
             tree.put("v", HandoverFile.VERSION);
-            tree.put("suspended", owner.suspended());
+            tree.put("suspended", owner.suspendedWorkers());
             tree.put("drained", owner.isDrained());
             tree.putAll(owner.state());
             return HandoverMessages.bytes(tree);
--- a/src/main/java/gingerspool/handover/HandoverOwner.java
+++ b/src/main/java/gingerspool/handover/HandoverOwner.java
@@ -15,7 +15,7 @@
     void adoptState(Object state) throws BadMessage;
 
     /** Adopts what the hand-over file says, if no state could be obtained. */
-    void adoptBans(List<String> suspendedWorkers, boolean drained);
+    void adoptSuspensions(List<String> suspendedWorkers, boolean drained);
 
     /** Opens the listener beside the predecessor's; accepts clients only from {@link #serve} on. */
     void bind() throws IOException;
@@ -28,7 +28,7 @@
      *
      * @param predecessorListener the number of that listener
      */
-    void claim(int predecessorListener, Consumer<Boolean> done);
+    void claimConnections(int predecessorListener, Consumer<Boolean> done);
 
     /** The number of this process's listener, for the successor's claim. */
     int listenerNumber();
@@ -47,16 +47,16 @@
     void closeListener(boolean allClaimed);
 
     /** The successor is gone: serves clients again. */
-    void takeBack();
+    void resumeServing();
 
     /** The predecessor holds this many of the descriptors that both processes share. */
-    void sharesWith(int descriptors);
+    void setPeerDescriptors(int descriptors);
 
     /** The number of descriptors that this process holds. */
-    int descriptors();
+    int descriptorCount();
 
     /** The names of the workers that operators have suspended. */
-    List<String> suspended();
+    List<String> suspendedWorkers();
 
     boolean isDrained();
 
@@ -66,12 +66,12 @@
      * @param command suspend, resume, drain or activate
      * @param worker the worker that it is about, empty for the scheduler
      */
-    void carryOut(String command, String worker);
+    void applyCommand(String command, String worker);
 
     /**
      * Handles a call-back that a peer forwarded; returns whether it was about a task of this one.
      */
-    boolean callBackCame(byte[] callBack) throws BadMessage;
+    boolean handleCallBack(byte[] callBack) throws BadMessage;
 
     /** The process can't serve and has to end. */
     void fail(String reason);
