--- a/src/main/java/gingerspool/daemon/Configuration.java
+++ b/src/main/java/gingerspool/daemon/Configuration.java
@@ -34,7 +34,7 @@
     public final Map<String, Integer> kinds = new LinkedHashMap<>();
 
     /** The index of each value in a load report, by its name in the settings. */
-    public final Map<String, Integer> reportPlaces = new LinkedHashMap<>();
+    public final Map<String, Integer> reportIndexes = new LinkedHashMap<>();
 
     public final LoadReport loadReport;
 
@@ -82,9 +82,9 @@
                         specifics.at("reportX0").text(""), specifics.at("reportX1").text(""));
         for (ConfigurationValue valueName : root.at("loadInfo").at("names").list()) {
             String name = valueName.text("");
-            reportPlaces.put(name, loadReport.place(name));
+            reportIndexes.put(name, loadReport.place(name));
         }
-        settings.reportNames = reportPlaces.keySet().toArray(String[]::new);
+        settings.reportNames = reportIndexes.keySet().toArray(String[]::new);
     }
 
     private void readNames(ConfigurationValue root) throws ConfigurationException {
--- a/src/main/java/gingerspool/simhost/Instance.java
+++ b/src/main/java/gingerspool/simhost/Instance.java
@@ -194,7 +194,7 @@
             return null;
         }
         Arrays.fill(report, Double.NaN);
-        deployment.reportPlaces.forEach(
+        deployment.reportIndexes.forEach(
                 (name, place) -> {
                     if (place >= 0) {
                         report[place] = JsonTree.number(Double.NaN, metrics, name);
