--- a/src/main/java/gingerspool/dispatch/Assignment.java
+++ b/src/main/java/gingerspool/dispatch/Assignment.java
@@ -17,9 +17,9 @@
     int region;
 
     /** Whether a fresh report had a free slot when this was sent. */
-    boolean metFree;
+    boolean sawFreeSlot;
 
-    boolean over;
+    boolean finished;
 
     /** Tells assignments of tasks with the same due time apart. */
     final long serial;
@@ -34,10 +34,10 @@
     int peer = -1;
 
     /** Other dispatchers know of it. */
-    boolean told;
+    boolean announced;
 
-    Assignment before;
-    Assignment after;
+    Assignment previous;
+    Assignment next;
 
     Assignment(
             Task task,
@@ -61,6 +61,6 @@
      * free.
      */
     public String beliefs() {
-        return region + "," + Math.round(run) + "," + Math.round(wait) + "," + metFree;
+        return region + "," + Math.round(run) + "," + Math.round(wait) + "," + sawFreeSlot;
     }
 }
--- a/src/main/java/gingerspool/dispatch/BusyPeriods.java
+++ b/src/main/java/gingerspool/dispatch/BusyPeriods.java
@@ -9,7 +9,7 @@
      * lambda. Their sum has a known form: P(X = y) = k / (k + y) P(compound Poisson work over k + y
      * = y).
      */
-    static void within(int k, double lambda, double[] run, double[] within) {
+    static void fillProbabilities(int k, double lambda, double[] run, double[] within) {
         double sum = 0;
         double[] f = new double[within.length];
         for (int y = 0; y < within.length; y++) {
--- a/src/main/java/gingerspool/dispatch/ColdBudget.java
+++ b/src/main/java/gingerspool/dispatch/ColdBudget.java
@@ -3,27 +3,27 @@
 /** What may be sent to a worker that is not warm yet. */
 final class ColdBudget {
     /** The part of all dispatchers' budget for a cold worker that one task may be. */
-    private static final double COLD_GRAIN = 1.0 / 6;
+    private static final double MAX_TASK_SHARE = 1.0 / 6;
 
-    private final Estimates known;
+    private final Estimates model;
     private final Workers fleet;
     private final Speed speed;
 
-    ColdBudget(Estimates known, Speed speed) {
-        this.known = known;
-        fleet = known.fleet;
+    ColdBudget(Estimates model, Speed speed) {
+        this.model = model;
+        fleet = model.fleet;
         this.speed = speed;
     }
 
     /** A worker has begun: its level starts anywhere, so that dispatchers take turns. */
-    void begin(int w, double phase) {
-        fleet.coldLevel[w] = phase * known.meanWork;
-        fleet.coldAt[w] = known.now;
+    void workerStarted(int w, double phase) {
+        fleet.coldLevel[w] = phase * model.meanWork;
+        fleet.coldLevelAt[w] = model.now;
     }
 
     boolean inBudget(int w, double work) {
         // Guards against idling for good: who answered or was seen to start is warm in time.
-        if (known.budgetSpan <= 0
+        if (model.coldWindow <= 0
                 || speed.warmth(w, 1) >= 1 && fleet.answeredAt[w] + fleet.startedAt[w] > 0) {
             return true;
         }
@@ -31,29 +31,29 @@
         // task, so
         // one goes when the level has run down, in a phase of chance, if it is a small part of the
         // whole.
-        double level = coldLevelNow(w);
+        double level = levelNow(w);
         return level + work <= budget(w) / 2
-                || level <= 0 && work <= budget(w) * known.dispatchers * COLD_GRAIN;
+                || level <= 0 && work <= budget(w) * model.dispatchers * MAX_TASK_SHARE;
     }
 
     /** Work that we may send a cold worker in one window: half at once, half over the window. */
     private double budget(int w) {
-        return known.budgetShare
+        return model.coldBudget
                 * speed.slotsOf(w)
                 * speed.pace(w)
                 * speed.warmth(w, 1)
-                / speed.warmth(w, known.warmUp);
+                / speed.warmth(w, model.warmUp);
     }
 
-    private double coldLevelNow(int w) {
+    private double levelNow(int w) {
         return Math.max(
                 0,
                 fleet.coldLevel[w]
-                        - (known.now - fleet.coldAt[w]) * budget(w) / 2 / known.budgetSpan);
+                        - (model.now - fleet.coldLevelAt[w]) * budget(w) / 2 / model.coldWindow);
     }
 
     void spend(int w, double work) {
-        fleet.coldLevel[w] = coldLevelNow(w) + work;
-        fleet.coldAt[w] = known.now;
+        fleet.coldLevel[w] = levelNow(w) + work;
+        fleet.coldLevelAt[w] = model.now;
     }
 }
--- a/src/main/java/gingerspool/dispatch/Dispatcher.java
+++ b/src/main/java/gingerspool/dispatch/Dispatcher.java
@@ -16,65 +16,85 @@
     public static final int DRAINING = 1;
     public static final int RUNNING = 2;
 
-    private final DispatchActions out;
-    private final SplittableRandom chance;
+    private final DispatchActions actions;
+    private final SplittableRandom random;
     private final Speed speed;
     private final RunningTimes runs;
-    private final QueuedWork queued;
-    private final LocalSends ownSends;
+    private final QueuedWork queue;
+    private final LocalSends localSends;
     private final PeerSends peerSends;
     private final PairTable pairs;
     private final Reports reports;
     private final ReportReader reportReader;
-    private final FutureArrivals later;
+    private final FutureArrivals future;
     private final ColdBudget coldBudget;
     private final Health health;
     private final Score score;
     private final ServerChoice choice;
-    private final AdmissionPolicy givingUp;
-    private final RetryPolicy tries;
-    private final TaskValue worth;
+    private final AdmissionPolicy admission;
+    private final RetryPolicy retryPolicy;
+    private final TaskValue taskValue;
     private final Rules rules;
     private final OverdueSends overdue;
     private final PendingTasks pending;
 
     /** A dispatcher for this deployment; its chance is drawn from the seed. */
-    public Dispatcher(DispatcherSettings s, long seed, DispatchActions out) {
-        super(s, QueuedWork.K, FutureArrivals.BINS + 1);
-        this.out = out;
-        chance = new SplittableRandom(seed);
+    public Dispatcher(DispatcherSettings s, long seed, DispatchActions actions) {
+        super(s, QueuedWork.REGIONS, FutureArrivals.BINS + 1);
+        this.actions = actions;
+        random = new SplittableRandom(seed);
         Arrays.fill(firstTryAge, Double.POSITIVE_INFINITY);
         for (int p = 0; p < profiles.length; p++) {
             runVar[p] = 0.5;
             profileWork[p] = Math.max(profiles[p].firstWork(), tick);
-            runLog[p] = Math.log(profileWork[p]) - runVar[p] / 2;
+            runLogMean[p] = Math.log(profileWork[p]) - runVar[p] / 2;
             meanWork += profileWork[p] / profiles.length;
             meanWorth += profiles[p].utility / profiles.length;
         }
         meanDensity = byWork ? meanWorth : meanWorth / meanWork;
         meanWorth *= byWork ? meanWork : 1;
-        arrivalGap = fadeSpan() / ServerChoice.BUDDIES;
+        arrivalGap = decaySpan() / ServerChoice.MIN_CANDIDATES;
         speed = new Speed(this);
         runs = new RunningTimes(this, speed);
-        queued = new QueuedWork(this, speed);
-        ownSends = new LocalSends(this, out);
-        pairs = new PairTable(this, speed, queued);
-        reports = new Reports(this, speed, queued, ownSends, pairs, out);
+        queue = new QueuedWork(this, speed);
+        localSends = new LocalSends(this, actions);
+        pairs = new PairTable(this, speed, queue);
+        reports = new Reports(this, speed, queue, localSends, pairs, actions);
         reportReader = new ReportReader(this, reports);
-        peerSends = new PeerSends(this, speed, queued, ownSends);
-        later = new FutureArrivals(this, speed, queued, ownSends);
+        peerSends = new PeerSends(this, speed, queue, localSends);
+        future = new FutureArrivals(this, speed, queue, localSends);
         coldBudget = new ColdBudget(this, speed);
         health = new Health(this);
-        score = new Score(this, speed, queued, pairs, later);
-        choice = new ServerChoice(this, speed, queued, ownSends, coldBudget, health, score, chance);
+        score = new Score(this, speed, queue, pairs, future);
+        choice =
+                new ServerChoice(this, speed, queue, localSends, coldBudget, health, score, random);
         overdue = new OverdueSends();
-        givingUp = new AdmissionPolicy(this, queued, runs, overdue);
-        tries = new RetryPolicy(this, chance);
-        worth = new TaskValue(this);
-        pending = new PendingTasks(this, out);
+        admission = new AdmissionPolicy(this, queue, runs, overdue);
+        retryPolicy = new RetryPolicy(this, random);
+        taskValue = new TaskValue(this);
+        pending = new PendingTasks(this, actions);
         Sender sender =
-                new Sender(this, speed, queued, ownSends, pairs, coldBudget, overdue, pending, out);
-        rules = new Rules(this, reports, choice, givingUp, tries, pending, sender, chance, out);
+                new Sender(
+                        this,
+                        speed,
+                        queue,
+                        localSends,
+                        pairs,
+                        coldBudget,
+                        overdue,
+                        pending,
+                        actions);
+        rules =
+                new Rules(
+                        this,
+                        reports,
+                        choice,
+                        admission,
+                        retryPolicy,
+                        pending,
+                        sender,
+                        random,
+                        actions);
     }
 
     // ---- Inputs: the list ----
@@ -83,7 +103,7 @@
     public void listBegins(double at, boolean whole) {
         now = at;
         if (whole) {
-            Arrays.fill(fleet.named, 0, fleet.count, false);
+            Arrays.fill(fleet.listed, 0, fleet.count, false);
         }
     }
 
@@ -91,8 +111,8 @@
      * What this worker is called: the same at every dispatcher, and said before it is first listed.
      */
     public void called(int w, String name) {
-        fleet.reach(w, 0);
-        fleet.tag[w] = Workers.mixed(name.hashCode());
+        fleet.ensureCapacity(w, 0);
+        fleet.tag[w] = Workers.mixBits(name.hashCode());
     }
 
     /** One entry of the list; the state is GONE, DRAINING or RUNNING. */
@@ -104,30 +124,30 @@
             int newState,
             double ofSize,
             double started) {
-        fleet.reach(w, ofKind);
-        fleet.rank[w] = fleet.rank[w] > 0 ? fleet.rank[w] : choice.rank(ofSize);
+        fleet.ensureCapacity(w, ofKind);
+        fleet.rank[w] = fleet.rank[w] > 0 ? fleet.rank[w] : choice.randomRank(ofSize);
         boolean again = started > fleet.startedAt[w];
-        fleet.named[w] = true;
+        fleet.listed[w] = true;
         fleet.state[w] = newState;
         fleet.zoneOf[w] = inZone;
         fleet.kindOf[w] = Math.max(0, ofKind);
         fleet.cellOf[w] = inCell;
         fleet.size[w] = ofSize > 0 ? ofSize : 1;
         if (again) {
-            began(w, started);
+            workerStarted(w, started);
         }
     }
 
-    private void began(int w, double started) {
+    private void workerStarted(int w, double started) {
         fleet.startedAt[w] = started;
         // Guards against taking a new worker for as full as the others: it has just begun with
         // nothing.
-        fleet.heardAt[w] = started;
-        fleet.others[w] = 0;
+        fleet.loadAt[w] = started;
+        fleet.peerJobs[w] = 0;
         fleet.answeredAt[w] = 0;
         fleet.avoidUntil[w] = 0;
-        Arrays.fill(fleet.fail[w], 0);
-        coldBudget.begin(w, chance.nextDouble());
+        Arrays.fill(fleet.failRate[w], 0);
+        coldBudget.workerStarted(w, random.nextDouble());
     }
 
     /** The list is complete. A remembered one was not asked for, so it answers nothing. */
@@ -135,7 +155,7 @@
         now = at;
         if (whole) {
             for (int w = 0; w < fleet.count; w++) {
-                fleet.state[w] = fleet.named[w] ? fleet.state[w] : GONE;
+                fleet.state[w] = fleet.listed[w] ? fleet.state[w] : GONE;
             }
         }
         if (!remembered) {
@@ -148,14 +168,14 @@
     /** Whoever waits is looked at anew, since other workers may take it now. */
     private void reconsiderAll() {
         pending.reconsiderAll();
-        rules.settle();
+        rules.applyAll();
     }
 
     /** A call for the list failed, or the changes stopped coming: ask again, later each time. */
     public void listFailed(double at) {
         now = at;
         rules.listFailed();
-        rules.settle();
+        rules.applyAll();
     }
 
     // ---- Inputs: what operators say ----
@@ -165,18 +185,18 @@
      */
     public void suspended(double at, int w) {
         now = at;
-        fleet.bannedAt[w] = fleet.banned(w) ? fleet.bannedAt[w] : now;
-        rules.settle();
+        fleet.suspendedAt[w] = fleet.isSuspended(w) ? fleet.suspendedAt[w] : now;
+        rules.applyAll();
     }
 
     /** Puts the worker back; what failed there under the ban says nothing of it now. */
     public void resumed(double at, int w) {
         now = at;
-        if (fleet.banned(w)) {
+        if (fleet.isSuspended(w)) {
             // Guards rule four: it was restarted under the ban, and the list may tell so only
             // later.
-            began(w, fleet.startedAt[w] < fleet.bannedAt[w] ? now : fleet.startedAt[w]);
-            fleet.bannedAt[w] = Double.NaN;
+            workerStarted(w, fleet.startedAt[w] < fleet.suspendedAt[w] ? now : fleet.startedAt[w]);
+            fleet.suspendedAt[w] = Double.NaN;
         }
         reconsiderAll();
     }
@@ -186,12 +206,12 @@
      */
     public void granted(double at, int w, int slots) {
         now = at;
-        fleet.granted[w] = slots;
+        fleet.grantedSlots[w] = slots;
         reconsiderAll();
     }
 
-    public boolean banned(int w) {
-        return fleet.banned(w);
+    public boolean isSuspended(int w) {
+        return fleet.isSuspended(w);
     }
 
     // ---- Inputs: what another process has learned ----
@@ -200,12 +220,12 @@
     public void learn(double at, Map<?, ?> told) {
         now = at;
         LearnedSnapshot m = LearnedSnapshot.reader(told);
-        carry(m);
+        transfer(m);
         // What it still has out there is the work of others from here on.
-        double[] out = new double[fleet.count];
-        m.each("own", out, fleet.count);
+        double[] previousOwn = new double[fleet.count];
+        m.perWorker("own", previousOwn, fleet.count);
         for (int w = 0; w < fleet.count; w++) {
-            fleet.others[w] += out[w];
+            fleet.peerJobs[w] += previousOwn[w];
         }
         fleet.order();
         reconsiderAll();
@@ -218,7 +238,7 @@
         t.arrived = now;
         if (t.overLimit) {
             t.ended = true;
-            out.bounce(t, t.advice > 0 ? Math.min(t.advice, longestAdvice) : longestAdvice);
+            actions.bounce(t, t.advice > 0 ? Math.min(t.advice, maxRetryAfter) : maxRetryAfter);
             return;
         }
         arrivalGap += (Math.min(now - lastArrival, arrivalGap * SAMPLES) - arrivalGap) / SAMPLES;
@@ -227,37 +247,37 @@
         int p = t.profile.index;
         t.work =
                 t.hint > 0 && t.hint < t.profile.expiry * SAMPLES
-                        ? runs.fromHint(p, t.hint)
+                        ? runs.workFromHint(p, t.hint)
                         : profileWork[p];
-        t.due = worth.due(t);
-        t.worth = worth.of(t);
+        t.due = taskValue.due(t);
+        t.worth = taskValue.worthOf(t);
         pending.add(t);
-        rules.settle();
+        rules.applyAll();
     }
 
     public void ended(double at, Assignment a, Outcome how, boolean over, double[] report) {
         now = at;
-        if (!a.over) {
-            a.over = true;
+        if (!a.finished) {
+            a.finished = true;
             overdue.ended(a);
-            ownSends.tell(a, false);
-            ownSends.smoothOwn(a.worker);
+            localSends.announce(a, false);
+            localSends.smoothSlots(a.worker);
             fleet.unlink(a);
-            a.task.out--;
+            a.task.inFlight--;
         }
         Task t = a.task;
         a.neverRan = how.neverRan();
-        t.findRan();
-        t.last = how;
+        t.updateFirstRun();
+        t.lastOutcome = how;
         learnFrom(a, how);
         reportReader.reported(a.worker, report);
         if (over) {
             t.ended = true;
-            callBack(t);
-        } else if (!t.ended && t.out == 0) {
+            cancelInFlight(t);
+        } else if (!t.ended && t.inFlight == 0) {
             pending.add(t);
         }
-        rules.settle();
+        rules.applyAll();
     }
 
     /** Each part learns what the outcome means to it. */
@@ -266,8 +286,8 @@
             case OK -> {
                 health.answered(a.worker, a.task.profile.index);
                 runs.learnRun(a);
-                worth.answered(a.task);
-                givingUp.answered(a.task);
+                taskValue.answered(a.task);
+                admission.answered(a.task);
                 pairs.countLateness(a);
             }
             case ERROR, RESET -> health.failed(a.worker, a.task.profile.index);
@@ -277,7 +297,7 @@
             }
             default -> {}
         }
-        later.note(a, how);
+        future.recordJob(a, how);
     }
 
     public void started(double at, Assignment a) {
@@ -286,20 +306,20 @@
             a.startedAt = now;
             pairs.countWait(a);
         }
-        rules.settle();
+        rules.applyAll();
     }
 
     /** A streamed answer has begun: the assignment is the client's from here. */
     public void accepted(double at, Assignment a) {
         now = at;
         a.task.ended = true;
-        rules.settle();
+        rules.applyAll();
     }
 
     public void progressed(double at, Assignment a, double share) {
         now = at;
         runs.progressed(a, share);
-        rules.settle();
+        rules.applyAll();
     }
 
     /**
@@ -309,15 +329,15 @@
     public void left(double at, Task t) {
         now = at;
         t.ended = true;
-        callBack(t);
-        rules.settle();
+        cancelInFlight(t);
+        rules.applyAll();
     }
 
     /** Cancels what is out for a task that has its end. */
-    private void callBack(Task t) {
-        for (int i = 0; i < t.tries && t.out > 0 && mayCancel; i++) {
-            if (!t.sent[i].over) {
-                out.cancel(t.sent[i]);
+    private void cancelInFlight(Task t) {
+        for (int i = 0; i < t.tries && t.inFlight > 0 && mayCancel; i++) {
+            if (!t.assignments[i].finished) {
+                actions.cancel(t.assignments[i]);
             }
         }
     }
@@ -327,7 +347,7 @@
         fleet.probing[w] = false;
         reportReader.reported(w, report);
         pending.reconsiderAfterReport(w);
-        rules.settle();
+        rules.applyAll();
     }
 
     /** The worker answered a request for a report with nothing in time, or turned it away. */
@@ -337,10 +357,10 @@
         health.avoid(w);
         // Guards tasks at workers that hang: what may go again is called back, and its outcome
         // decides anew.
-        for (Assignment a = fleet.oldest[w]; a != null && mayCancel; a = a.after) {
-            if (tries.mayCallBack(a)) {
+        for (Assignment a = fleet.oldest[w]; a != null && mayCancel; a = a.next) {
+            if (retryPolicy.mayCancelToRetry(a)) {
                 a.cancelled = true;
-                out.cancel(a);
+                actions.cancel(a);
             }
         }
         reconsiderAll();
@@ -352,28 +372,28 @@
      */
     public void peerTold(double at, int peer, byte[] message) {
         now = at;
-        peerSends.peerTold(peer, message);
-        rules.settle();
+        peerSends.messageReceived(peer, message);
+        rules.applyAll();
     }
 
     public void wake(double at) {
         now = at;
         pending.woken();
-        rules.settle();
+        rules.applyAll();
     }
 
     // ---- Beliefs, as logs and tests ask for them ----
 
-    double inTime(Task t, int w) {
-        return score.inTime(t, w);
+    double probabilityInTime(Task t, int w) {
+        return score.probabilityInTime(t, w);
     }
 
     double load(int w, double ofOthers) {
-        return queued.load(w, ofOthers);
+        return queue.load(w, ofOthers);
     }
 
-    double othersNow(int w) {
-        return queued.othersNow(w);
+    double peerJobs(int w) {
+        return queue.peerJobs(w);
     }
 
     double slotsOf(int w) {
@@ -384,23 +404,23 @@
         return speed.pace(w);
     }
 
-    double failNow(int w, int p) {
-        return health.failNow(w, p);
+    double failRate(int w, int p) {
+        return health.failRate(w, p);
     }
 
-    double lateNow() {
-        return givingUp.lateNow();
+    double lateShareNow() {
+        return admission.lateShareNow();
     }
 
     boolean inBudget(int w, double work) {
         return coldBudget.inBudget(w, work);
     }
 
-    double withinShare(Task t) {
-        return worth.withinShare(t);
+    double tenantShare(Task t) {
+        return taskValue.tenantShare(t);
     }
 
-    void count(int w, int believed, int told, int times) {
+    void countPairs(int w, int believed, int told, int times) {
         pairs.count(w, believed, told, times);
     }
 }
--- a/src/main/java/gingerspool/dispatch/Estimates.java
+++ b/src/main/java/gingerspool/dispatch/Estimates.java
@@ -9,24 +9,24 @@
     static final int SAMPLES = 64;
 
     final Workers fleet;
-    final double[][] pool;
+    final double[][] pooledPairs;
     final double[] profileWork;
-    final double[] profileSeen;
+    final double[] runsSeen;
 
     /** Least time that a task of the profile had been under way when it came. */
     final double[] firstTryAge;
 
     /** Work that came lately, and what of it was answered in time. */
-    final double[] came;
+    final double[] seen;
 
     final double[] served;
     final double[] hintsSeen;
-    final double[] hintLog;
+    final double[] hintLogMean;
     final double[] hintWorkMean;
-    final double[] runLog;
+    final double[] runLogMean;
     final double[] runVar;
     double hintVar = 16;
-    double hintRun = 8;
+    double hintRunCov = 8;
     double meanWork;
 
     /** How many times sooner than promised cold workers get warm, as their answers show. */
@@ -56,50 +56,50 @@
     double lastArrival;
     double firstArrival = Double.NaN;
     final double[] tenantRate;
-    final double[] tenantAt;
+    final double[] tenantRateAt;
 
     /** The time of the input being handled. */
     double now;
 
-    boolean reportsCome;
-    boolean reportsQueue;
-    private List<String> afresh = List.of();
+    boolean reportsReceived;
+    boolean reportsShowQueues;
+    private List<String> resetParts = List.of();
 
     Estimates(DispatcherSettings s, int regions, int bins) {
         super(s);
         int profiles = s.profiles.length;
         int tenants = s.allowance.length;
         fleet = new Workers(regions, bins, profiles);
-        pool = new double[regions][regions];
+        pooledPairs = new double[regions][regions];
         profileWork = new double[profiles];
-        profileSeen = new double[profiles];
+        runsSeen = new double[profiles];
         firstTryAge = new double[profiles];
-        came = new double[profiles];
+        seen = new double[profiles];
         served = new double[profiles];
         hintsSeen = new double[profiles];
-        hintLog = new double[profiles];
+        hintLogMean = new double[profiles];
         hintWorkMean = new double[profiles];
-        runLog = new double[profiles];
+        runLogMean = new double[profiles];
         runVar = new double[profiles];
         tenantRate = new double[tenants];
-        tenantAt = new double[tenants];
+        tenantRateAt = new double[tenants];
     }
 
-    final double fadeSpan() {
+    final double decaySpan() {
         return 8 * meanWork;
     }
 
     /** All that is learned, under names, for the next process of this scheduler. */
     public final Map<String, Object> learned() {
         LearnedSnapshot m = LearnedSnapshot.writer();
-        carry(m);
-        m.each("own", fleet.own, fleet.count);
+        transfer(m);
+        m.perWorker("own", fleet.ownSlots, fleet.count);
         return m.fields();
     }
 
     /** The parts of what was last told us that were not taken: machines, reports, tasks. */
     public final List<String> afresh() {
-        return afresh;
+        return resetParts;
     }
 
     /** When the worker is held to have started, at Unix time; 0 for long ago. */
@@ -110,35 +110,35 @@
     /**
      * Each part passes only to a process for which it means the same; the rest begins afresh there.
      */
-    final void carry(LearnedSnapshot m) {
-        fleet.carryStanding(m);
+    final void transfer(LearnedSnapshot m) {
+        fleet.transferAvailability(m);
         m.basis("machines", basisOfMachines);
-        fleet.carryMachines(m);
+        fleet.transferMachines(m);
         warmUp = m.number("thaw", warmUp);
         standardPace = m.number("unit", standardPace);
         m.basis("reports", basisOfReports);
-        fleet.carryReports(m);
-        reportsCome = m.flag("reportsCome", reportsCome);
-        reportsQueue = m.flag("reportsQueue", reportsQueue);
+        fleet.transferReports(m);
+        reportsReceived = m.flag("reportsCome", reportsReceived);
+        reportsShowQueues = m.flag("reportsQueue", reportsShowQueues);
         m.basis("tasks", basisOfTasks);
-        fleet.carryTasks(m);
-        for (int k = 0; k < pool.length; k++) {
-            m.numbers("pool." + k, pool[k]);
+        fleet.transferTasks(m);
+        for (int k = 0; k < pooledPairs.length; k++) {
+            m.numbers("pool." + k, pooledPairs[k]);
         }
         m.numbers("profileWork", profileWork);
-        m.numbers("profileSeen", profileSeen);
+        m.numbers("profileSeen", runsSeen);
         m.numbers("youngest", firstTryAge);
-        m.numbers("came", came);
+        m.numbers("came", seen);
         m.numbers("served", served);
         m.numbers("hintsSeen", hintsSeen);
-        m.numbers("hintLog", hintLog);
+        m.numbers("hintLog", hintLogMean);
         m.numbers("hintBend", hintWorkMean);
-        m.numbers("runLog", runLog);
+        m.numbers("runLog", runLogMean);
         m.numbers("runVar", runVar);
         m.numbers("tenantRate", tenantRate);
-        m.numbers("tenantAt", tenantAt);
+        m.numbers("tenantAt", tenantRateAt);
         hintVar = m.number("hintVar", hintVar);
-        hintRun = m.number("hintRun", hintRun);
+        hintRunCov = m.number("hintRun", hintRunCov);
         meanWork = m.number("mixWork", meanWork);
         commonPace = m.number("tide", commonPace);
         meanWorth = m.number("meanWorth", meanWorth);
@@ -149,7 +149,7 @@
         arrivalGap = m.number("gap", arrivalGap);
         lastArrival = m.number("lastArrival", lastArrival);
         firstArrival = m.number("firstArrival", firstArrival);
-        m.anyBasis();
-        afresh = m.afresh();
+        m.clearBasis();
+        resetParts = m.afresh();
     }
 }
--- a/src/main/java/gingerspool/dispatch/FutureArrivals.java
+++ b/src/main/java/gingerspool/dispatch/FutureArrivals.java
@@ -7,32 +7,32 @@
 
     private static final double BINS_PER_RUN = 4;
 
-    private final Estimates known;
+    private final Estimates model;
     private final Workers fleet;
     private final Speed speed;
-    private final QueuedWork queued;
-    private final LocalSends ownSends;
+    private final QueuedWork queue;
+    private final LocalSends localSends;
 
-    FutureArrivals(Estimates known, Speed speed, QueuedWork queued, LocalSends ownSends) {
-        this.known = known;
-        fleet = known.fleet;
+    FutureArrivals(Estimates model, Speed speed, QueuedWork queue, LocalSends localSends) {
+        this.model = model;
+        fleet = model.fleet;
         this.speed = speed;
-        this.queued = queued;
-        this.ownSends = ownSends;
+        this.queue = queue;
+        this.localSends = localSends;
     }
 
     private int bin(double run) {
-        return Math.min(BINS, Math.max(1, (int) Math.rint(run / known.meanWork * BINS_PER_RUN)));
+        return Math.min(BINS, Math.max(1, (int) Math.rint(run / model.meanWork * BINS_PER_RUN)));
     }
 
     /** Notes a job for the mixes of running times and profiles; one turned away runs for zero. */
-    void note(Assignment a, Outcome how) {
-        if (known.byPriority) {
+    void recordJob(Assignment a, Outcome how) {
+        if (model.byPriority) {
             int w = a.worker;
-            fleet.mixRun[w][how == Outcome.FULL ? 0 : bin(a.run)]++;
-            fleet.mixProfile[w][a.task.profile.index]++;
-            Workers.halve(fleet.mixRun[w], Estimates.SAMPLES);
-            Workers.halve(fleet.mixProfile[w], Estimates.SAMPLES);
+            fleet.runCounts[w][how == Outcome.FULL ? 0 : bin(a.run)]++;
+            fleet.profileCounts[w][a.task.profile.index]++;
+            Workers.halve(fleet.runCounts[w], Estimates.SAMPLES);
+            Workers.halve(fleet.profileCounts[w], Estimates.SAMPLES);
         }
     }
 
@@ -42,42 +42,42 @@
             return 1;
         }
         if (fleet.overtaken[w] == null) {
-            fleet.overtaken[w] = new double[known.profiles.length][QueuedWork.K][BINS + 1];
-            renew(w);
-        } else if (known.now >= fleet.overtakenAt[w] + Reports.REFRESH * known.meanWork) {
-            renew(w);
+            fleet.overtaken[w] = new double[model.profiles.length][QueuedWork.REGIONS][BINS + 1];
+            rebuildTables(w);
+        } else if (model.now >= fleet.overtakenAt[w] + Reports.REFRESH_PERIOD * model.meanWork) {
+            rebuildTables(w);
         }
         double[] within = fleet.overtaken[w][p.index][region];
-        return within[Math.min(BINS, (int) (x / known.meanWork * BINS_PER_RUN))];
+        return within[Math.min(BINS, (int) (x / model.meanWork * BINS_PER_RUN))];
     }
 
-    private void renew(int w) {
-        fleet.overtakenAt[w] = known.now;
+    private void rebuildTables(int w) {
+        fleet.overtakenAt[w] = model.now;
         double[] run = new double[BINS + 1];
-        double all = Workers.sum(fleet.mixRun[w]) + BINS + 1;
+        double all = Workers.sum(fleet.runCounts[w]) + BINS + 1;
         for (int i = 0; i <= BINS; i++) {
-            run[i] = (fleet.mixRun[w][i] + 1) / all;
+            run[i] = (fleet.runCounts[w][i] + 1) / all;
         }
-        for (Profile q : known.profiles) {
-            double lambda = tighterRate(w, q) * known.meanWork / BINS_PER_RUN;
-            for (int k = 0; k < QueuedWork.K; k++) {
-                int bins = Math.max(1, bin(queued.waitAt(w, k)));
-                BusyPeriods.within(bins, lambda, run, fleet.overtaken[w][q.index][k]);
+        for (Profile q : model.profiles) {
+            double lambda = higherPriorityRate(w, q) * model.meanWork / BINS_PER_RUN;
+            for (int k = 0; k < QueuedWork.REGIONS; k++) {
+                int bins = Math.max(1, bin(queue.waitInRegion(w, k)));
+                BusyPeriods.fillProbabilities(bins, lambda, run, fleet.overtaken[w][q.index][k]);
             }
         }
     }
 
     /** lambda_h a slot: the rate of jobs there times the share of those with a higher priority. */
-    private double tighterRate(int w, Profile profile) {
+    private double higherPriorityRate(int w, Profile profile) {
         double rate =
-                Reports.sane(fleet.reportedRate[w])
+                Reports.isValid(fleet.reportedRate[w])
                         ? fleet.reportedRate[w] / 1000
-                        : ownSends.sendRate(w, 0) * known.dispatchers;
+                        : localSends.sendRate(w, 0) * model.dispatchers;
         double higher = 0;
-        for (Profile o : known.profiles) {
-            higher += o.prio > profile.prio ? fleet.mixProfile[w][o.index] + 1 : 0;
+        for (Profile o : model.profiles) {
+            higher += o.prio > profile.prio ? fleet.profileCounts[w][o.index] + 1 : 0;
         }
-        double jobs = Workers.sum(fleet.mixProfile[w]) + known.profiles.length;
+        double jobs = Workers.sum(fleet.profileCounts[w]) + model.profiles.length;
         return rate * higher / speed.slotsOf(w) / jobs;
     }
 }
--- a/src/main/java/gingerspool/dispatch/Health.java
+++ b/src/main/java/gingerspool/dispatch/Health.java
@@ -2,57 +2,57 @@
 
 /** What a worker can be trusted with: failures lately, overdue sends, back-off, silence. */
 final class Health {
-    private final Estimates known;
+    private final Estimates model;
     private final Workers fleet;
 
-    Health(Estimates known) {
-        this.known = known;
-        fleet = known.fleet;
+    Health(Estimates model) {
+        this.model = model;
+        fleet = model.fleet;
     }
 
-    double trust(int w, int p) {
-        double t = 1 - failNow(w, p);
+    double reliability(int w, int p) {
+        double t = 1 - failRate(w, p);
         Assignment a = fleet.oldest[w];
-        double late = a == null ? 0 : (known.now - a.sentAt) / (a.wait + 3 * a.run + known.tick);
+        double late = a == null ? 0 : (model.now - a.sentAt) / (a.wait + 3 * a.run + model.tick);
         return late > 1 ? t / late : t;
     }
 
     /** Share of failures lately; the more in a row, the longer it is remembered. */
-    double failNow(int w, int p) {
-        if (fleet.fail[w][p] == 0) {
+    double failRate(int w, int p) {
+        if (fleet.failRate[w][p] == 0) {
             return 0;
         }
-        double span = Estimates.SAMPLES * known.tick * 20 * Math.max(1, fleet.failRow[w][p]);
-        return fleet.fail[w][p] * Math.exp((fleet.failAt[w][p] - known.now) / span);
+        double span = Estimates.SAMPLES * model.tick * 20 * Math.max(1, fleet.failsInRow[w][p]);
+        return fleet.failRate[w][p] * Math.exp((fleet.failRateAt[w][p] - model.now) / span);
     }
 
     /** An answer came: failures weigh less, and it is avoided no longer. */
     void answered(int w, int p) {
-        fleet.fail[w][p] = failNow(w, p) * 0.8;
-        fleet.failAt[w][p] = known.now;
-        fleet.failRow[w][p] = 0;
+        fleet.failRate[w][p] = failRate(w, p) * 0.8;
+        fleet.failRateAt[w][p] = model.now;
+        fleet.failsInRow[w][p] = 0;
         fleet.avoidSpan[w] = 0;
-        fleet.answeredAt[w] = known.now;
+        fleet.answeredAt[w] = model.now;
     }
 
     /** An error counts for its profile, and for a third of that for the others. */
     void failed(int w, int profile) {
-        for (int p = 0; p < known.profiles.length; p++) {
-            double f = failNow(w, p);
-            fleet.failRow[w][p] += p == profile ? 1 : 0;
-            fleet.fail[w][p] = f + (p == profile ? 0.3 : 0.1) * (1 - f);
-            fleet.failAt[w][p] = known.now;
+        for (int p = 0; p < model.profiles.length; p++) {
+            double f = failRate(w, p);
+            fleet.failsInRow[w][p] += p == profile ? 1 : 0;
+            fleet.failRate[w][p] = f + (p == profile ? 0.3 : 0.1) * (1 - f);
+            fleet.failRateAt[w][p] = model.now;
         }
     }
 
     void avoid(int w) {
         fleet.avoidSpan[w] =
-                Math.min(Math.max(known.meanWork, 2 * fleet.avoidSpan[w]), 16 * known.meanWork);
-        fleet.avoidUntil[w] = known.now + fleet.avoidSpan[w];
+                Math.min(Math.max(model.meanWork, 2 * fleet.avoidSpan[w]), 16 * model.meanWork);
+        fleet.avoidUntil[w] = model.now + fleet.avoidSpan[w];
     }
 
     /** Guards against workers that hang: other reports come in a few turns, theirs never. */
-    boolean silent(int w) {
-        return fleet.probing[w] && known.now > fleet.probedAt[w] + 8 * known.tick;
+    boolean isProbeOverdue(int w) {
+        return fleet.probing[w] && model.now > fleet.probedAt[w] + 8 * model.tick;
     }
 }
--- a/src/main/java/gingerspool/dispatch/LearnedSnapshot.java
+++ b/src/main/java/gingerspool/dispatch/LearnedSnapshot.java
@@ -14,20 +14,20 @@
  */
 public final class LearnedSnapshot {
     private final Map<String, Object> fields;
-    private final boolean taken;
+    private final boolean restoring;
 
     /** Whether what passes now was learned in the sense that it has here. */
-    private boolean same = true;
+    private boolean basisMatches = true;
 
     /** The parts that were not taken, since they mean something else here or were not told. */
-    private final List<String> afresh = new ArrayList<>();
+    private final List<String> resetParts = new ArrayList<>();
 
     /** Where each worker told of stands here, -1 for nowhere. */
-    private int[] places = new int[0];
+    private int[] localIndexes = new int[0];
 
     private LearnedSnapshot(Map<String, Object> fields, boolean taken) {
         this.fields = fields;
-        this.taken = taken;
+        this.restoring = taken;
     }
 
     /** One that notes what passes. */
@@ -43,7 +43,7 @@
     }
 
     List<String> afresh() {
-        return afresh;
+        return resetParts;
     }
 
     Map<String, Object> fields() {
@@ -52,30 +52,30 @@
 
     /** What passes from here on means the same only where this text is the same. */
     void basis(String part, String text) {
-        same = !taken || text.equals(fields.get("sense." + part));
-        if (!same) {
-            afresh.add(part);
+        basisMatches = !restoring || text.equals(fields.get("sense." + part));
+        if (!basisMatches) {
+            resetParts.add(part);
         }
         fields.putIfAbsent("sense." + part, text);
     }
 
     /** What passes from here on means the same everywhere. */
-    void anyBasis() {
-        same = true;
+    void clearBasis() {
+        basisMatches = true;
     }
 
     /** The tags of the workers that what is told by worker is told of, in its order. */
     void workers(int[] tags, int count) {
         double[] told = new double[count];
         Arrays.setAll(told, w -> tags[w]);
-        if (!taken) {
+        if (!restoring) {
             fields.put("workers", told);
         } else if (fields.get("workers") instanceof List<?> l) {
-            places = l.stream().mapToInt(t -> place(told, t)).toArray();
+            localIndexes = l.stream().mapToInt(t -> localIndex(told, t)).toArray();
         }
     }
 
-    private static int place(double[] tags, Object tag) {
+    private static int localIndex(double[] tags, Object tag) {
         for (int w = 0; w < tags.length; w++) {
             if (tag instanceof Number n && n.doubleValue() == tags[w]) {
                 return w;
@@ -85,11 +85,11 @@
     }
 
     /** What has no end is told as the largest number, since JSON has no word for it. */
-    private static double told(double v) {
+    private static double encode(double v) {
         return Double.isInfinite(v) ? Math.copySign(Double.MAX_VALUE, v) : v;
     }
 
-    private static double heard(Object told, double other) {
+    private static double decode(Object told, double other) {
         if (told == null) {
             return Double.NaN;
         }
@@ -98,10 +98,10 @@
     }
 
     double number(String name, double v) {
-        if (taken) {
-            return same && fields.containsKey(name) ? heard(fields.get(name), v) : v;
+        if (restoring) {
+            return basisMatches && fields.containsKey(name) ? decode(fields.get(name), v) : v;
         }
-        fields.put(name, told(v));
+        fields.put(name, encode(v));
         return v;
     }
 
@@ -110,33 +110,35 @@
     }
 
     void numbers(String name, double[] v) {
-        if (!taken) {
-            fields.put(name, Arrays.stream(v).map(LearnedSnapshot::told).toArray());
-        } else if (same && fields.get(name) instanceof List<?> l && l.size() == v.length) {
+        if (!restoring) {
+            fields.put(name, Arrays.stream(v).map(LearnedSnapshot::encode).toArray());
+        } else if (basisMatches && fields.get(name) instanceof List<?> l && l.size() == v.length) {
             for (int i = 0; i < v.length; i++) {
-                v[i] = heard(l.get(i), v[i]);
+                v[i] = decode(l.get(i), v[i]);
             }
         }
     }
 
     /** A number of each worker. */
-    void each(String name, double[] v, int count) {
-        if (!taken) {
-            fields.put(name, Arrays.stream(v, 0, count).map(LearnedSnapshot::told).toArray());
-        } else if (same && fields.get(name) instanceof List<?> l && l.size() == places.length) {
-            for (int i = 0; i < places.length; i++) {
-                int w = places[i];
+    void perWorker(String name, double[] v, int count) {
+        if (!restoring) {
+            fields.put(name, Arrays.stream(v, 0, count).map(LearnedSnapshot::encode).toArray());
+        } else if (basisMatches
+                && fields.get(name) instanceof List<?> l
+                && l.size() == localIndexes.length) {
+            for (int i = 0; i < localIndexes.length; i++) {
+                int w = localIndexes[i];
                 if (w >= 0) {
-                    v[w] = heard(l.get(i), v[w]);
+                    v[w] = decode(l.get(i), v[w]);
                 }
             }
         }
     }
 
     /** A row of each worker. */
-    void rows(String name, double[][] v, int count) {
-        for (int i = 0; i < (taken ? places.length : count); i++) {
-            int w = taken ? places[i] : i;
+    void rowPerWorker(String name, double[][] v, int count) {
+        for (int i = 0; i < (restoring ? localIndexes.length : count); i++) {
+            int w = restoring ? localIndexes[i] : i;
             if (w >= 0) {
                 numbers(name + "." + i, v[w]);
             }
@@ -144,11 +146,11 @@
     }
 
     /** A table of each worker, row by row, told only where something was counted. */
-    void tables(String name, double[][][] v, int count) {
-        for (int i = 0; i < (taken ? places.length : count); i++) {
-            int w = taken ? places[i] : i;
+    void tablePerWorker(String name, double[][][] v, int count) {
+        for (int i = 0; i < (restoring ? localIndexes.length : count); i++) {
+            int w = restoring ? localIndexes[i] : i;
             for (int j = 0; w >= 0 && j < v[w].length; j++) {
-                if (taken || Workers.sum(v[w][j]) > 0) {
+                if (restoring || Workers.sum(v[w][j]) > 0) {
                     numbers(name + "." + i + "." + j, v[w][j]);
                 }
             }
--- a/src/main/java/gingerspool/dispatch/PairTable.java
+++ b/src/main/java/gingerspool/dispatch/PairTable.java
@@ -2,30 +2,30 @@
 
 /** p(k given O): counts of the region believed at a send against the region told afterwards. */
 final class PairTable {
-    private final Estimates known;
+    private final Estimates model;
     private final Workers fleet;
     private final Speed speed;
-    private final QueuedWork queued;
+    private final QueuedWork queue;
 
-    PairTable(Estimates known, Speed speed, QueuedWork queued) {
-        this.known = known;
-        fleet = known.fleet;
+    PairTable(Estimates model, Speed speed, QueuedWork queue) {
+        this.model = model;
+        fleet = model.fleet;
         this.speed = speed;
-        this.queued = queued;
+        this.queue = queue;
     }
 
     /** The weight of a region, given the one believed: its count there and in all, from one on. */
     double weight(int w, int believed, int told) {
-        return 1 + fleet.pairs[w][believed][told] + known.pool[believed][told];
+        return 1 + fleet.pairCounts[w][believed][told] + model.pooledPairs[believed][told];
     }
 
     /** Counts pairs of the region believed at a send and the one reported next, or met. */
     void count(int w, int believed, int told, int times) {
         if (times > 0) {
-            fleet.pairs[w][believed][told] += times;
-            known.pool[believed][told] += times;
-            Workers.halve(fleet.pairs[w][believed], Estimates.SAMPLES);
-            Workers.halve(known.pool[believed], Estimates.SAMPLES);
+            fleet.pairCounts[w][believed][told] += times;
+            model.pooledPairs[believed][told] += times;
+            Workers.halve(fleet.pairCounts[w][believed], Estimates.SAMPLES);
+            Workers.halve(model.pooledPairs[believed], Estimates.SAMPLES);
         }
     }
 
@@ -35,27 +35,27 @@
 
     /** Counts the wait that a send met, as its start tells it. */
     void countWait(Assignment a) {
-        double load = queued.loadAtWait(a.worker, known.now - a.sentAt);
+        double load = queue.loadFromWait(a.worker, model.now - a.sentAt);
         count(a, load < 1 ? Math.min(1, a.region) : QueuedWork.region(load));
     }
 
     /** Counts how late an answer was beyond the expected run, where nothing else shows the wait. */
     void countLateness(Assignment a) {
-        if (waitsUnseen()) {
-            double wait = (known.now - a.sentAt - a.run) * speed.pace(a.worker) / known.meanWork;
+        if (queuesAreHidden()) {
+            double wait = (model.now - a.sentAt - a.run) * speed.pace(a.worker) / model.meanWork;
             count(a, wait > 0.5 ? QueuedWork.region(1 + wait) : Math.min(1, a.region));
         }
     }
 
     /** A worker that was full had the top region. */
     void countFull(Assignment a, Outcome how) {
-        if (known.tellsStart && how == Outcome.FULL) {
-            count(a, QueuedWork.K - 1);
+        if (model.notifiesStart && how == Outcome.FULL) {
+            count(a, QueuedWork.REGIONS - 1);
         }
     }
 
     /** Whether neither reports nor start notes show queues: then lateness is counted. */
-    boolean waitsUnseen() {
-        return !known.tellsStart && !known.reportsQueue;
+    boolean queuesAreHidden() {
+        return !model.notifiesStart && !model.reportsShowQueues;
     }
 }
--- a/src/main/java/gingerspool/dispatch/Parameters.java
+++ b/src/main/java/gingerspool/dispatch/Parameters.java
@@ -5,43 +5,43 @@
     /**
      * What telling others of sends may cost in service, and bytes of telling one's begin and end.
      */
-    private static final double TELLS_WORTH = 0.02;
+    private static final double MAX_PEER_MESSAGE_COST = 0.02;
 
-    private static final double TELLS = 32;
+    private static final double PEER_MESSAGE_BYTES = 32;
 
     /** What asking for reports may cost in service. */
-    private static final double ASKS_WORTH = 0.006;
+    private static final double MAX_PROBE_COST = 0.006;
 
     final Profile[] profiles;
     final double[] allowance;
-    final double excess;
+    final double excessUtility;
     final boolean byWork;
     final int zone;
     final int dispatchers;
     final boolean listOnRequest;
     final boolean fetchesReports;
-    final boolean fetchesAll;
+    final boolean reportsByProbe;
 
     /** Workers that are asked for a report on behalf of one task. */
-    final int asks;
+    final int probesPerTask;
 
     final boolean mayCancel;
 
     /** Share of our sends that the other dispatchers are told of. */
-    final double tellShare;
+    final double announceShare;
 
     final boolean byPriority;
-    final boolean tellsStart;
-    final double progressEvery;
-    final int mostTries;
-    final double longestAdvice;
-    final double askSpan;
+    final boolean notifiesStart;
+    final double progressInterval;
+    final int maxTries;
+    final double maxRetryAfter;
+    final double listRetryWindow;
     final double tick;
-    final double coldFrom;
-    final double warmWithin;
-    final double budgetSpan;
-    final double budgetShare;
-    final double crossFee;
+    final double coldShare;
+    final double warmUpSpan;
+    final double coldWindow;
+    final double coldBudget;
+    final double zoneFee;
     final double worstWeight;
 
     /**
@@ -59,35 +59,37 @@
         }
         profiles = s.profiles;
         allowance = s.allowance;
-        excess = s.excessUtility;
+        excessUtility = s.excessUtility;
         byWork = s.utilityByWork;
         zone = s.zone;
         dispatchers = Math.max(1, s.dispatchers);
         listOnRequest = s.listOnRequest;
         fetchesReports = s.mayProbe && (s.reportsByProbe || s.reportsInAnswers);
-        fetchesAll = s.reportsByProbe;
-        asks = (int) Math.max(1, Math.min(6, ASKS_WORTH / Math.max(s.probeFee, 1e-9)));
+        reportsByProbe = s.reportsByProbe;
+        probesPerTask = (int) Math.max(1, Math.min(6, MAX_PROBE_COST / Math.max(s.probeFee, 1e-9)));
         mayCancel = s.mayCancel;
-        tellShare =
+        announceShare =
                 !s.mayTell || dispatchers < 2
                         ? 0
                         : Math.min(
                                 1,
-                                TELLS_WORTH
+                                MAX_PEER_MESSAGE_COST
                                         * 256
-                                        / (TELLS * Math.max(s.tellFee, 1e-9) * (dispatchers - 1)));
+                                        / (PEER_MESSAGE_BYTES
+                                                * Math.max(s.tellFee, 1e-9)
+                                                * (dispatchers - 1)));
         byPriority = s.order == DispatcherSettings.Order.PRIORITY;
-        tellsStart = s.tellsStart;
-        progressEvery = s.progressEvery;
-        mostTries = Math.max(1, s.mostAssignments);
-        longestAdvice = s.mayAdvise ? s.maxAdvice : 0;
+        notifiesStart = s.tellsStart;
+        progressInterval = s.progressEvery;
+        maxTries = Math.max(1, s.mostAssignments);
+        maxRetryAfter = s.mayAdvise ? s.maxAdvice : 0;
         tick = Math.max(s.tick, 0.1);
-        askSpan = s.askWithin > 0 ? s.askWithin : 1000 * tick;
-        coldFrom = s.coldFrom;
-        warmWithin = s.warmWithin;
-        budgetSpan = s.fallWindow;
-        budgetShare = s.overloadFactor * s.fallWindow / dispatchers;
-        crossFee = s.crossFee;
+        listRetryWindow = s.askWithin > 0 ? s.askWithin : 1000 * tick;
+        coldShare = s.coldFrom;
+        warmUpSpan = s.warmWithin;
+        coldWindow = s.fallWindow;
+        coldBudget = s.overloadFactor * s.fallWindow / dispatchers;
+        zoneFee = s.crossFee;
         worstWeight = s.worstProfile;
         basisOfMachines = String.join(",", s.kinds);
         basisOfReports =
@@ -96,7 +98,7 @@
                         basisOfMachines,
                         "at " + s.place,
                         s.order.toString(),
-                        tellsStart ? "starts" : "",
+                        notifiesStart ? "starts" : "",
                         s.reportsByProbe ? "probes" : s.reportsInAnswers ? "answers" : "",
                         String.join(",", s.reportNames));
         StringBuilder tasks =
--- a/src/main/java/gingerspool/dispatch/PeerMessage.java
+++ b/src/main/java/gingerspool/dispatch/PeerMessage.java
@@ -6,14 +6,14 @@
  * two, from 1 on.
  */
 final class PeerMessage {
-    private static final double STEPS = 16;
+    private static final double STEPS_PER_DOUBLING = 16;
 
     private PeerMessage() {}
 
     /** A size of 0 tells an end. */
     static byte[] of(int tag, double size) {
         byte high = (byte) (tag >> 8);
-        double step = Math.rint(STEPS * Math.log(Math.max(1, size)) / Math.log(2));
+        double step = Math.rint(STEPS_PER_DOUBLING * Math.log(Math.max(1, size)) / Math.log(2));
         return size <= 0
                 ? new byte[] {high, (byte) tag}
                 : new byte[] {high, (byte) tag, (byte) Math.min(255, step)};
@@ -29,6 +29,6 @@
     }
 
     static double size(byte[] message) {
-        return Math.pow(2, (message[2] & 255) / STEPS);
+        return Math.pow(2, (message[2] & 255) / STEPS_PER_DOUBLING);
     }
 }
--- a/src/main/java/gingerspool/dispatch/PeerSends.java
+++ b/src/main/java/gingerspool/dispatch/PeerSends.java
@@ -2,45 +2,45 @@
 
 /** Notes the sends that other dispatchers tell of. */
 final class PeerSends {
-    private final Estimates known;
+    private final Estimates model;
     private final Workers fleet;
     private final Speed speed;
-    private final QueuedWork queued;
-    private final LocalSends ownSends;
+    private final QueuedWork queue;
+    private final LocalSends localSends;
 
-    PeerSends(Estimates known, Speed speed, QueuedWork queued, LocalSends ownSends) {
-        this.known = known;
-        fleet = known.fleet;
+    PeerSends(Estimates model, Speed speed, QueuedWork queue, LocalSends localSends) {
+        this.model = model;
+        fleet = model.fleet;
         this.speed = speed;
-        this.queued = queued;
-        this.ownSends = ownSends;
+        this.queue = queue;
+        this.localSends = localSends;
     }
 
     /** Another dispatcher tells that it has sent a task to a worker, or that one has ended. */
-    void peerTold(int peer, byte[] message) {
-        int w = fleet.withTag(PeerMessage.tag(message));
+    void messageReceived(int peer, byte[] message) {
+        int w = fleet.findByTag(PeerMessage.tag(message));
         if (w >= 0 && PeerMessage.begins(message)) {
             Task t = new Task("");
-            t.work = known.tick * PeerMessage.size(message);
+            t.work = model.tick * PeerMessage.size(message);
             t.hint = t.work;
             Assignment a =
                     new Assignment(
                             t,
                             w,
                             0,
-                            known.now,
+                            model.now,
                             t.work / speed.pace(w),
-                            queued.waitAt(w, queued.regionOf(w)),
+                            queue.waitInRegion(w, queue.regionOf(w)),
                             0);
             a.peer = peer;
-            ownSends.smoothOwn(w);
+            localSends.smoothSlots(w);
             fleet.link(a);
         } else if (w >= 0) {
             Assignment a = fleet.oldest[w];
             while (a != null && a.peer != peer) {
-                a = a.after;
+                a = a.next;
             }
-            ownSends.forget(a);
+            localSends.drop(a);
         }
     }
 }
--- a/src/main/java/gingerspool/dispatch/PendingTasks.java
+++ b/src/main/java/gingerspool/dispatch/PendingTasks.java
@@ -6,19 +6,19 @@
 
 /** The tasks that wait for a decision, and the timer that brings us back to them. */
 final class PendingTasks {
-    private final Estimates known;
-    private final DispatchActions out;
+    private final Estimates model;
+    private final DispatchActions actions;
     private final List<Task> tasks = new ArrayList<>();
     private double wakeAt = Double.POSITIVE_INFINITY;
 
-    PendingTasks(Estimates known, DispatchActions out) {
-        this.known = known;
-        this.out = out;
+    PendingTasks(Estimates model, DispatchActions actions) {
+        this.model = model;
+        this.actions = actions;
     }
 
     /** Adds a task that is to be looked at now. */
     void add(Task t) {
-        t.decideAt = known.now;
+        t.decideAt = model.now;
         if (!t.pending) {
             t.pending = true;
             tasks.add(t);
@@ -37,7 +37,7 @@
             if (t.ended) {
                 t.pending = false;
                 i.remove();
-            } else if (t.decideAt <= known.now) {
+            } else if (t.decideAt <= model.now) {
                 return t;
             }
         }
@@ -47,7 +47,7 @@
     /** Whoever waits is looked at anew, since other workers may take it now. */
     void reconsiderAll() {
         for (Task t : tasks) {
-            t.decideAt = t.out > 0 ? t.decideAt : Math.max(known.now, t.pauseUntil);
+            t.decideAt = t.inFlight > 0 ? t.decideAt : Math.max(model.now, t.pauseUntil);
         }
     }
 
@@ -55,16 +55,18 @@
     void reconsiderAfterReport(int w) {
         for (Task t : tasks) {
             t.decideAt =
-                    t.out == 0 && waitedFor(t, w) ? Math.max(known.now, t.pauseUntil) : t.decideAt;
+                    t.inFlight == 0 && waitedFor(t, w)
+                            ? Math.max(model.now, t.pauseUntil)
+                            : t.decideAt;
         }
     }
 
     /** Whether this worker's report was the last one that the task waited for. */
     private boolean waitedFor(Task t, int w) {
         boolean its = false;
-        for (int i = 0; t.asked != null && i < t.asked.length; i++) {
-            its |= t.asked[i] == w;
-            if (known.fleet.probing[t.asked[i]]) {
+        for (int i = 0; t.probedWorkers != null && i < t.probedWorkers.length; i++) {
+            its |= t.probedWorkers[i] == w;
+            if (model.fleet.probing[t.probedWorkers[i]]) {
                 return false;
             }
         }
@@ -76,7 +78,7 @@
      * before it.
      */
     void woken() {
-        wakeAt = known.now > wakeAt - known.tick / 2 ? Double.POSITIVE_INFINITY : wakeAt;
+        wakeAt = model.now > wakeAt - model.tick / 2 ? Double.POSITIVE_INFINITY : wakeAt;
     }
 
     /** Asks to be woken for the next task, or at this time if that is sooner. */
@@ -86,8 +88,8 @@
             next = Math.min(next, tasks.get(i).decideAt);
         }
         if (next < wakeAt) {
-            wakeAt = Math.max(next, known.now + known.tick);
-            out.wakeAfter(wakeAt - known.now);
+            wakeAt = Math.max(next, model.now + model.tick);
+            actions.wakeAfter(wakeAt - model.now);
         }
     }
 }
--- a/src/main/java/gingerspool/dispatch/Rules.java
+++ b/src/main/java/gingerspool/dispatch/Rules.java
@@ -4,85 +4,85 @@
 
 /** The rules, gone through in order after each input until none fires. */
 final class Rules {
-    private final Estimates known;
+    private final Estimates model;
     private final Reports reports;
     private final ServerChoice choice;
-    private final AdmissionPolicy givingUp;
-    private final RetryPolicy tries;
+    private final AdmissionPolicy admission;
+    private final RetryPolicy retryPolicy;
     private final PendingTasks pending;
     private final Sender sender;
-    private final SplittableRandom chance;
-    private final DispatchActions out;
+    private final SplittableRandom random;
+    private final DispatchActions actions;
 
     /** The task that the rules look at, or null. */
     private Task task;
 
     /** When to ask for the list, without end while it is asked for or held. */
-    private double askAt = Double.NEGATIVE_INFINITY;
+    private double listRequestAt = Double.NEGATIVE_INFINITY;
 
-    private double askGap;
+    private double listRetryDelay;
 
     Rules(
-            Estimates known,
+            Estimates model,
             Reports reports,
             ServerChoice choice,
-            AdmissionPolicy givingUp,
-            RetryPolicy tries,
+            AdmissionPolicy admission,
+            RetryPolicy retryPolicy,
             PendingTasks pending,
             Sender sender,
-            SplittableRandom chance,
-            DispatchActions out) {
-        this.known = known;
+            SplittableRandom random,
+            DispatchActions actions) {
+        this.model = model;
         this.reports = reports;
         this.choice = choice;
-        this.givingUp = givingUp;
-        this.tries = tries;
+        this.admission = admission;
+        this.retryPolicy = retryPolicy;
         this.pending = pending;
         this.sender = sender;
-        this.chance = chance;
-        this.out = out;
-        askGap = known.askSpan / 20;
+        this.random = random;
+        this.actions = actions;
+        listRetryDelay = model.listRetryWindow / 20;
     }
 
-    void settle() {
+    void applyAll() {
         do {
             task = pending.nextDue();
-        } while (ruleFires());
-        pending.planWake(known.listOnRequest ? askAt : Double.POSITIVE_INFINITY);
+        } while (applyFirstMatching());
+        pending.planWake(model.listOnRequest ? listRequestAt : Double.POSITIVE_INFINITY);
     }
 
     /** The list was asked for and has come whole. */
     void listAnswered() {
-        askAt = Double.POSITIVE_INFINITY;
-        askGap = known.askSpan / 20;
+        listRequestAt = Double.POSITIVE_INFINITY;
+        listRetryDelay = model.listRetryWindow / 20;
     }
 
     /** A call for the list failed: ask again, later each time. */
     void listFailed() {
-        askAt = known.now + askGap * (0.5 + chance.nextDouble());
-        askGap = Math.min(2 * askGap, known.askSpan / 2);
+        listRequestAt = model.now + listRetryDelay * (0.5 + random.nextDouble());
+        listRetryDelay = Math.min(2 * listRetryDelay, model.listRetryWindow / 2);
     }
 
     /** The rules, in order: the first whose condition holds acts, on the task that is due. */
-    private boolean ruleFires() {
-        if (known.listOnRequest && known.now >= askAt) {
-            askAt = Double.POSITIVE_INFINITY;
-            out.watchList();
+    private boolean applyFirstMatching() {
+        if (model.listOnRequest && model.now >= listRequestAt) {
+            listRequestAt = Double.POSITIVE_INFINITY;
+            actions.watchList();
         } else if (task == null) {
             return false;
-        } else if (task.out > 0) {
+        } else if (task.inFlight > 0) {
             sendCopy();
-        } else if (tries.mayNotRunAgain(task) || tries.budgetSpent(task)) {
+        } else if (retryPolicy.isRetryForbidden(task) || retryPolicy.budgetSpent(task)) {
             giveUp();
-        } else if (tries.pauseDue(task)) {
-            if (!tries.beginPause(task)) {
+        } else if (retryPolicy.pauseDue(task)) {
+            if (!retryPolicy.beginPause(task)) {
                 giveUp();
             }
-        } else if (nobodyReady()) {
-            hold();
-        } else if (reports.reportWanted(task, choice.best)) {
-            reports.fetchReport(task, choice.best);
-        } else if (givingUp.hopeless(task, choice.best, choice.bestChance)) {
+        } else if (noWorkerReady()) {
+            postpone();
+        } else if (reports.needsReport(task, choice.best)) {
+            reports.fetchReports(task, choice.best);
+        } else if (admission.shouldGiveUp(task, choice.best, choice.bestScore)) {
             giveUp();
         } else {
             sender.send(task, choice.best);
@@ -92,38 +92,38 @@
 
     /** A second copy, if the terms, the budget and the ordinary score allow one now. */
     private void sendCopy() {
-        boolean allowed = tries.mayCopy(task);
+        boolean allowed = retryPolicy.mayCopy(task);
         if (allowed) {
-            choice.weigh(task);
+            choice.choose(task);
         }
-        if (allowed && choice.best >= 0 && choice.bestChance >= AdmissionPolicy.HOPELESS) {
+        if (allowed && choice.best >= 0 && choice.bestScore >= AdmissionPolicy.MIN_SCORE) {
             sender.send(task, choice.best);
         } else {
             pending.remove(task);
         }
     }
 
-    private boolean nobodyReady() {
-        choice.weigh(task);
-        return !choice.anyReady && known.now + task.work < task.due;
+    private boolean noWorkerReady() {
+        choice.choose(task);
+        return !choice.anyReady && model.now + task.work < task.due;
     }
 
     /** Nobody may take it just now: look again shortly. */
-    private void hold() {
+    private void postpone() {
         // Guards rule one: absurd hints make that long, and a task may not outwait its last chance.
         task.decideAt =
                 Math.min(
-                        known.now + Math.max(known.tick, known.meanWork / 8),
-                        Math.max(known.now + known.tick, task.due - task.work));
+                        model.now + Math.max(model.tick, model.meanWork / 8),
+                        Math.max(model.now + model.tick, task.due - task.work));
     }
 
     private void giveUp() {
         task.ended = true;
         pending.remove(task);
-        if (AdmissionPolicy.harmless(task)) {
-            out.bounce(task, known.longestAdvice);
+        if (AdmissionPolicy.isRetrySafe(task)) {
+            actions.bounce(task, model.maxRetryAfter);
         } else {
-            out.abandon(task);
+            actions.abandon(task);
         }
     }
 }
--- a/src/main/java/gingerspool/dispatch/Score.java
+++ b/src/main/java/gingerspool/dispatch/Score.java
@@ -3,25 +3,25 @@
 /** The design's score of a worker for a task: its chance of finishing the task in time. */
 final class Score {
     /** Where running times are looked at, in standard deviations of their logarithm. */
-    private static final double[] LIKELY = {-1.15, -0.32, 0.32, 1.15};
+    private static final double[] QUANTILES = {-1.15, -0.32, 0.32, 1.15};
 
-    private final Estimates known;
+    private final Estimates model;
     private final Speed speed;
-    private final QueuedWork queued;
+    private final QueuedWork queue;
     private final PairTable pairs;
-    private final FutureArrivals later;
+    private final FutureArrivals future;
 
-    private final double[] likely = new double[LIKELY.length];
-    private final double[] allowed = new double[LIKELY.length];
-    private final double[] weight = new double[LIKELY.length];
-    private double shares;
+    private final double[] works = new double[QUANTILES.length];
+    private final double[] slack = new double[QUANTILES.length];
+    private final double[] weights = new double[QUANTILES.length];
+    private double totalWeight;
 
-    Score(Estimates known, Speed speed, QueuedWork queued, PairTable pairs, FutureArrivals later) {
-        this.known = known;
+    Score(Estimates model, Speed speed, QueuedWork queue, PairTable pairs, FutureArrivals future) {
+        this.model = model;
         this.speed = speed;
-        this.queued = queued;
+        this.queue = queue;
         this.pairs = pairs;
-        this.later = later;
+        this.future = future;
     }
 
     /**
@@ -29,43 +29,43 @@
      * running time is only expected, so the score is the mean over likely values of it, each with
      * its own l.
      */
-    double inTime(Task t, int w) {
-        prepare(t);
-        return chanceAt(t, w);
+    double probabilityInTime(Task t, int w) {
+        sampleWork(t);
+        return probabilityAt(t, w);
     }
 
     /** The likely works of the task: the same for every worker. */
-    void prepare(Task t) {
-        double spread = Math.sqrt(known.runVar[t.profile.index]);
-        shares = 0;
-        for (int q = 0; q < LIKELY.length; q++) {
-            likely[q] = t.work * Math.exp(spread * (LIKELY[q] - spread / 2));
-            weight[q] = known.byWork ? likely[q] : 1;
-            shares += weight[q];
+    void sampleWork(Task t) {
+        double spread = Math.sqrt(model.runVar[t.profile.index]);
+        totalWeight = 0;
+        for (int q = 0; q < QUANTILES.length; q++) {
+            works[q] = t.work * Math.exp(spread * (QUANTILES[q] - spread / 2));
+            weights[q] = model.byWork ? works[q] : 1;
+            totalWeight += weights[q];
         }
     }
 
-    double chanceAt(Task t, int w) {
-        int r = queued.regionOf(w);
-        double left = Math.min(t.due, t.expiry) - known.now;
+    double probabilityAt(Task t, int w) {
+        int r = queue.regionOf(w);
+        double left = Math.min(t.due, t.expiry) - model.now;
         double pace = speed.pace(w);
         double fits = 0;
-        for (int q = 0; q < LIKELY.length; q++) {
-            double due = left + t.profile.stretch * (likely[q] - t.work);
-            allowed[q] = Math.min(due, t.expiry - known.now) - likely[q] / pace;
+        for (int q = 0; q < QUANTILES.length; q++) {
+            double due = left + t.profile.stretch * (works[q] - t.work);
+            slack[q] = Math.min(due, t.expiry - model.now) - works[q] / pace;
         }
         double all = 0;
-        for (int k = QueuedWork.region(queued.load(w, 0)); k < QueuedWork.K; k++) {
+        for (int k = QueuedWork.region(queue.load(w, 0)); k < QueuedWork.REGIONS; k++) {
             double p = pairs.weight(w, r, k);
-            double wait = queued.waitAt(w, k);
+            double wait = queue.waitInRegion(w, k);
             all += p;
-            for (int q = 0; q < LIKELY.length; q++) {
-                if (wait <= allowed[q]) {
+            for (int q = 0; q < QUANTILES.length; q++) {
+                if (wait <= slack[q]) {
                     double x =
-                            known.byPriority
-                                    ? later.notOvertaken(w, t.profile, k, wait, allowed[q] - wait)
+                            model.byPriority
+                                    ? future.notOvertaken(w, t.profile, k, wait, slack[q] - wait)
                                     : 1;
-                    fits += p * x * weight[q] / shares;
+                    fits += p * x * weights[q] / totalWeight;
                 }
             }
         }
--- a/src/main/java/gingerspool/dispatch/Sender.java
+++ b/src/main/java/gingerspool/dispatch/Sender.java
@@ -2,73 +2,73 @@
 
 /** Sends a task to the worker chosen for it and tells every part that it is under way. */
 final class Sender {
-    private final Estimates known;
+    private final Estimates model;
     private final Workers fleet;
     private final Speed speed;
-    private final QueuedWork queued;
-    private final LocalSends ownSends;
+    private final QueuedWork queue;
+    private final LocalSends localSends;
     private final PairTable pairs;
     private final ColdBudget coldBudget;
     private final OverdueSends overdue;
     private final PendingTasks pending;
-    private final DispatchActions out;
+    private final DispatchActions actions;
     private long serial;
 
     Sender(
-            Estimates known,
+            Estimates model,
             Speed speed,
-            QueuedWork queued,
-            LocalSends ownSends,
+            QueuedWork queue,
+            LocalSends localSends,
             PairTable pairs,
             ColdBudget coldBudget,
             OverdueSends overdue,
             PendingTasks pending,
-            DispatchActions out) {
-        this.known = known;
-        fleet = known.fleet;
+            DispatchActions actions) {
+        this.model = model;
+        fleet = model.fleet;
         this.speed = speed;
-        this.queued = queued;
-        this.ownSends = ownSends;
+        this.queue = queue;
+        this.localSends = localSends;
         this.pairs = pairs;
         this.coldBudget = coldBudget;
         this.overdue = overdue;
         this.pending = pending;
-        this.out = out;
+        this.actions = actions;
     }
 
     void send(Task t, int w) {
         pending.remove(t);
-        t.terms.sent(t.tries, known.now);
+        t.terms.chargeBudget(t.tries, model.now);
         Assignment a =
                 new Assignment(
                         t,
                         w,
                         t.tries,
-                        known.now,
+                        model.now,
                         t.work / speed.pace(w),
-                        queued.waitAt(w, queued.regionOf(w)),
+                        queue.waitInRegion(w, queue.regionOf(w)),
                         serial++);
         t.add(a);
-        a.region = queued.regionOf(w);
-        a.metFree =
+        a.region = queue.regionOf(w);
+        a.sawFreeSlot =
                 a.region < 2
-                        && (!known.reportsCome
-                                ? fleet.own[w] == 0
-                                : known.now - fleet.heardAt[w] < 4 * known.meanWork
+                        && (!model.reportsReceived
+                                ? fleet.ownSlots[w] == 0
+                                : model.now - fleet.loadAt[w] < 4 * model.meanWork
                                         && fleet.lastReport[w][Report.FREE_SLOTS] > 0.5);
-        if (!known.tellsStart && !pairs.waitsUnseen()) {
-            fleet.sentIn[w][a.region]++;
+        if (!model.notifiesStart && !pairs.queuesAreHidden()) {
+            fleet.sendsByRegion[w][a.region]++;
         }
-        ownSends.sendRate(w, 1);
+        localSends.sendRate(w, 1);
         coldBudget.spend(w, t.work);
-        ownSends.smoothOwn(w);
+        localSends.smoothSlots(w);
         fleet.link(a);
         overdue.sent(a);
         if (t.terms.copies > 1) {
             pending.add(t);
-            t.decideAt = known.now + t.terms.copyAfter;
+            t.decideAt = model.now + t.terms.copyDelay;
         }
-        out.send(a, t.terms.timeout);
-        ownSends.tell(a, true);
+        actions.send(a, t.terms.timeout);
+        localSends.announce(a, true);
     }
 }
--- a/src/main/java/gingerspool/dispatch/Task.java
+++ b/src/main/java/gingerspool/dispatch/Task.java
@@ -26,7 +26,7 @@
     public boolean repeat;
 
     /** What the operator allows it. */
-    public Terms terms = Terms.PLAIN;
+    public Terms terms = Terms.DEFAULT;
 
     /**
      * It came over a limit of the operator's: it is turned away at once, best to come again after
@@ -49,20 +49,20 @@
     int pausedAfter;
 
     /** How its last assignment ended, or null. */
-    Outcome last;
+    Outcome lastOutcome;
 
     boolean pending;
 
     /** The workers asked for reports on its behalf; null: none yet. */
-    int[] asked;
+    int[] probedWorkers;
 
     boolean ended;
-    Assignment[] sent = new Assignment[1];
+    Assignment[] assignments = new Assignment[1];
     int tries;
-    int out;
+    int inFlight;
 
     /** The earliest assignment that may have run, if any. */
-    Assignment ran;
+    Assignment firstRun;
 
     public Task(String id) {
         this.id = id;
@@ -70,18 +70,18 @@
 
     /** Notes one more assignment, which may run until its outcome proves otherwise. */
     void add(Assignment a) {
-        if (tries == sent.length) {
-            sent = Arrays.copyOf(sent, 2 * tries);
+        if (tries == assignments.length) {
+            assignments = Arrays.copyOf(assignments, 2 * tries);
         }
-        sent[tries++] = a;
-        out++;
-        ran = ran == null ? a : ran;
+        assignments[tries++] = a;
+        inFlight++;
+        firstRun = firstRun == null ? a : firstRun;
     }
 
     /** Whether an assignment at this worker has no outcome yet. */
-    boolean outAt(int w) {
-        for (int i = 0; i < tries && out > 0; i++) {
-            if (sent[i].worker == w && !sent[i].over) {
+    boolean isInFlightAt(int w) {
+        for (int i = 0; i < tries && inFlight > 0; i++) {
+            if (assignments[i].worker == w && !assignments[i].finished) {
                 return true;
             }
         }
@@ -89,27 +89,27 @@
     }
 
     /** Notes that this worker was asked for a report on its behalf. */
-    void addAsked(int w) {
-        asked = Arrays.copyOf(asked, asked.length + 1);
-        asked[asked.length - 1] = w;
+    void addProbed(int w) {
+        probedWorkers = Arrays.copyOf(probedWorkers, probedWorkers.length + 1);
+        probedWorkers[probedWorkers.length - 1] = w;
     }
 
     /** Finds the earliest assignment that may have run. */
-    void findRan() {
-        ran = null;
+    void updateFirstRun() {
+        firstRun = null;
         for (int i = tries - 1; i >= 0; i--) {
-            ran = sent[i].neverRan ? ran : sent[i];
+            firstRun = assignments[i].neverRan ? firstRun : assignments[i];
         }
     }
 
     /** The assignment with this number, or null. */
     public Assignment assignment(int n) {
-        return n >= 0 && n < tries ? sent[n] : null;
+        return n >= 0 && n < tries ? assignments[n] : null;
     }
 
     /** How many assignments have no outcome yet. */
     public int outstanding() {
-        return out;
+        return inFlight;
     }
 
     public boolean ended() {
--- a/src/main/java/gingerspool/dispatch/Terms.java
+++ b/src/main/java/gingerspool/dispatch/Terms.java
@@ -9,15 +9,15 @@
  */
 public final class Terms {
     /** The settings alone: no time-out of its own, no pause, no copies, no budget. */
-    public static final Terms PLAIN = new Terms(Integer.MAX_VALUE, 0, 0, 0, 0, 1, 0, null, null);
+    public static final Terms DEFAULT = new Terms(Integer.MAX_VALUE, 0, 0, 0, 0, 1, 0, null, null);
 
-    final int assignments;
+    final int maxAssignments;
 
     /** Of one assignment; 0: until the task's expiry. */
     final double timeout;
 
     final double firstPause;
-    final double mostPause;
+    final double maxPause;
     final double jitter;
 
     /**
@@ -26,9 +26,9 @@
      */
     final int copies;
 
-    final double copyAfter;
+    final double copyDelay;
     final RetryBudget budget;
-    private final Set<Outcome> again;
+    private final Set<Outcome> retryableOutcomes;
 
     /** The budget may be null (none), and so may again (every outcome that the effect allows). */
     public Terms(
@@ -41,23 +41,23 @@
             double copyAfter,
             RetryBudget budget,
             Set<Outcome> again) {
-        this.assignments = assignments;
+        this.maxAssignments = assignments;
         this.timeout = timeout;
         this.firstPause = firstPause;
-        this.mostPause = mostPause;
+        this.maxPause = mostPause;
         this.jitter = jitter;
         this.copies = copies;
-        this.copyAfter = copyAfter;
+        this.copyDelay = copyAfter;
         this.budget = budget;
-        this.again = again == null ? EnumSet.allOf(Outcome.class) : again;
+        this.retryableOutcomes = again == null ? EnumSet.allOf(Outcome.class) : again;
     }
 
-    boolean goesAgainAfter(Outcome how) {
-        return how == null || how == Outcome.MOOT || again.contains(how);
+    boolean allowsRetryAfter(Outcome how) {
+        return how == null || how == Outcome.MOOT || retryableOutcomes.contains(how);
     }
 
     /** An assignment goes out after so many others of its task. */
-    void sent(int tries, double now) {
+    void chargeBudget(int tries, double now) {
         if (budget != null && tries == 0) {
             budget.earn(now);
         } else if (budget != null) {
@@ -67,6 +67,6 @@
 
     /** The pause after so many assignments; chance is from 0 to 1. */
     double pause(int tries, double chance) {
-        return Math.min(mostPause, firstPause * Math.pow(2, tries - 1)) * (1 - jitter * chance);
+        return Math.min(maxPause, firstPause * Math.pow(2, tries - 1)) * (1 - jitter * chance);
     }
 }
--- a/src/test/java/gingerspool/dispatch/Bench.java
+++ b/src/test/java/gingerspool/dispatch/Bench.java
@@ -99,7 +99,7 @@
     Assignment sentTo(Task t, int worker, double at) {
         t.work = t.hint;
         Assignment a = new Assignment(t, worker, 0, at, t.hint, 0, sent.size());
-        t.out++;
+        t.inFlight++;
         d.fleet.link(a);
         return a;
     }
--- a/src/test/java/gingerspool/dispatch/ColdBudgetTest.java
+++ b/src/test/java/gingerspool/dispatch/ColdBudgetTest.java
@@ -98,8 +98,8 @@
         b.d.listBegins(10000, false);
         b.d.listed(8, 0, 0, 0, Dispatcher.RUNNING, 2, 10000);
         b.d.listEnds(10000, false, false);
-        assertTrue(b.d.othersNow(7) > 2, "others " + b.d.othersNow(7));
-        assertEquals(b.d.othersNow(8), 0.0);
+        assertTrue(b.d.peerJobs(7) > 2, "others " + b.d.peerJobs(7));
+        assertEquals(b.d.peerJobs(8), 0.0);
     }
 
     /**
@@ -144,7 +144,7 @@
         assertEquals(b.count("send"), 0);
         b.d.resumed(1000, 0);
         assertEquals(b.d.fleet.startedAt[0], 1000.0);
-        assertEquals(b.d.failNow(0, 0), 0.0);
+        assertEquals(b.d.failRate(0, 0), 0.0);
         for (int i = 0; i < 50; i++) {
             b.arrive(0, 1000 + i);
         }
--- a/src/test/java/gingerspool/dispatch/DecisionTraceTest.java
+++ b/src/test/java/gingerspool/dispatch/DecisionTraceTest.java
@@ -266,7 +266,7 @@
 
         private void operate() {
             int w = random.nextInt(WORKERS);
-            if (!platform && dispatcher.banned(w)) {
+            if (!platform && dispatcher.isSuspended(w)) {
                 dispatcher.resumed(now, w);
             } else if (!platform && random.nextInt(4) == 0) {
                 dispatcher.suspended(now, w);
--- a/src/test/java/gingerspool/dispatch/DispatcherTest.java
+++ b/src/test/java/gingerspool/dispatch/DispatcherTest.java
@@ -185,10 +185,10 @@
             b.arrive(i % 2, 10 * i + 1);
             b.d.ended(10 * i + 6, b.last(), i % 2 == 0 ? Outcome.ERROR : Outcome.OK, true, null);
         }
-        assertTrue(b.d.failNow(0, 0) > 0.7, "failing " + b.d.failNow(0, 0));
-        assertTrue(b.d.failNow(0, 1) < 0.4, "sound " + b.d.failNow(0, 1));
+        assertTrue(b.d.failRate(0, 0) > 0.7, "failing " + b.d.failRate(0, 0));
+        assertTrue(b.d.failRate(0, 1) < 0.4, "sound " + b.d.failRate(0, 1));
         b.d.wake(3 * 2560);
-        assertTrue(b.d.failNow(0, 0) > 0.3, "remembered " + b.d.failNow(0, 0));
+        assertTrue(b.d.failRate(0, 0) > 0.3, "remembered " + b.d.failRate(0, 0));
     }
 
     @Test
@@ -270,8 +270,8 @@
         }
         for (int i = 0; i < 12; i++) {
             Task t = b.arrive(0, 701);
-            b.d.ended(701, t.sent[0], Outcome.FULL, true, null);
-            b.d.fleet.avoidUntil[t.sent[0].worker] = 0;
+            b.d.ended(701, t.assignments[0], Outcome.FULL, true, null);
+            b.d.fleet.avoidUntil[t.assignments[0].worker] = 0;
         }
         assertEquals(b.count("send 1"), 12);
     }
@@ -316,7 +316,7 @@
             b.arrive(0, 400 * i);
             if (i % 4 == 3) {
                 b.sent.stream()
-                        .filter(a -> !a.over)
+                        .filter(a -> !a.finished)
                         .toList()
                         .forEach(a -> b.d.ended(b.sent.size() * 400, a, Outcome.OK, true, null));
             }
@@ -387,9 +387,10 @@
             b.d.arrived(i * 300, t);
             b.d.ended(i * 300 + 250, b.last(), Outcome.OK, true, null);
         }
-        long told = b.sent.stream().filter(a -> a.told).count();
+        long told = b.sent.stream().filter(a -> a.announced).count();
         assertTrue(told > 20 && told < 60, "told " + told);
-        assertTrue(b.sent.stream().filter(a -> a.told && a.task.hint < 100).count() < told / 3);
+        assertTrue(
+                b.sent.stream().filter(a -> a.announced && a.task.hint < 100).count() < told / 3);
         assertEquals(b.messages.size(), 2 * told);
     }
 
@@ -412,11 +413,11 @@
         Task begun = b.arrive(0, 3);
         b.d.probed(4, 1, Bench.report(0, 2));
         assertEquals(b.count("send 1"), 3, b.acts.toString());
-        b.d.started(5, begun.sent[0]);
+        b.d.started(5, begun.assignments[0]);
         b.list(6, false, 1, Dispatcher.RUNNING, 0);
         b.d.reportMissing(60, 1);
         assertEquals(b.count("cancel"), 1);
-        b.d.ended(61, safe.sent[0], Outcome.CANCELLED, false, null);
+        b.d.ended(61, safe.assignments[0], Outcome.CANCELLED, false, null);
         assertEquals(b.last().task, safe);
         assertEquals(b.last().worker, 0);
         assertEquals(once.tries, 1);
@@ -456,7 +457,7 @@
             Task t = b.arrive(i % 2, i * 400);
             b.d.ended(
                     i * 400 + 80,
-                    t.sent[0],
+                    t.assignments[0],
                     i % 2 == 0 ? Outcome.OK : Outcome.FULL,
                     i % 2 == 0,
                     null);
@@ -498,7 +499,7 @@
             b.d.suspended(2, w);
         }
         Task t = b.arrive(0, 3);
-        for (int i = 0; i < 12 && t.out == 1; i++) {
+        for (int i = 0; i < 12 && t.inFlight == 1; i++) {
             b.d.ended(4 + i, b.last(), Outcome.UNREACHABLE, false, null);
             b.d.left(5 + i, t);
             t = b.arrive(0, 5 + i);
@@ -513,9 +514,9 @@
         Bench b = Bench.of(SAFE).start(2);
         b.arrive(0, 1);
         b.arrive(0, 2);
-        assertEquals(b.d.lateNow(), 0.0);
+        assertEquals(b.d.lateShareNow(), 0.0);
         b.d.wake(2000);
-        assertTrue(b.d.lateNow() > 0.02);
+        assertTrue(b.d.lateShareNow() > 0.02);
     }
 
     /**
@@ -620,7 +621,7 @@
             b.arrive(0, 43 + i);
         }
         assertTrue(b.sent.stream().noneMatch(a -> a.worker == 0));
-        assertTrue(b.d.banned(0) && !b.d.banned(1));
+        assertTrue(b.d.isSuspended(0) && !b.d.isSuspended(1));
     }
 
     @Test
@@ -648,7 +649,7 @@
                     i % 3 == 0 ? Outcome.ERROR : Outcome.OK,
                     i % 3 > 0,
                     Bench.report(Double.NaN, 2));
-            if (t.out > 0) {
+            if (t.inFlight > 0) {
                 b.d.ended(18 + 20 * i, b.last(), Outcome.OK, true, Bench.report(Double.NaN, 2));
             }
         }
@@ -665,7 +666,7 @@
         int atBad = 0;
         for (int i = 0; i < 100; i++) {
             Task t = b.arrive(0, 10 + 20 * i);
-            while (t.out > 0) {
+            while (t.inFlight > 0) {
                 Assignment a = b.last();
                 boolean bad = a.worker == 2;
                 atBad += bad && i >= 20 ? 1 : 0;
--- a/src/test/java/gingerspool/dispatch/LearnedSnapshotTest.java
+++ b/src/test/java/gingerspool/dispatch/LearnedSnapshotTest.java
@@ -32,15 +32,15 @@
         Bench next = Bench.of(SAFE, ONCE);
         next.d = new Dispatcher(next.settings, 99, next);
         next.list(390, true, 3, Dispatcher.RUNNING, 0);
-        double before = old.d.fleet.others[1];
+        double before = old.d.fleet.peerJobs[1];
         next.d.learn(400, told);
-        assertEquals(next.d.fleet.others[1], before + out.task.width, 1e-12);
-        assertEquals(next.d.fleet.out[1], 0);
-        next.d.fleet.others[1] = before;
-        old.d.fleet.own[1] = 0;
+        assertEquals(next.d.fleet.peerJobs[1], before + out.task.width, 1e-12);
+        assertEquals(next.d.fleet.inFlight[1], 0);
+        next.d.fleet.peerJobs[1] = before;
+        old.d.fleet.ownSlots[1] = 0;
         assertEquals(Json.write(next.d.learned()), Json.write(old.d.learned()));
         assertEquals(next.d.fleet.order, old.d.fleet.order);
-        assertEquals(next.d.failNow(0, 0), old.d.failNow(0, 0));
+        assertEquals(next.d.failRate(0, 0), old.d.failRate(0, 0));
     }
 
     /** A move: other tasks, a list in another order. Speeds and cold budgets hold by name. */
@@ -69,19 +69,19 @@
         next.d.listEnds(70001, true, false);
         double fresh = next.d.profileWork[0];
         next.d.learn(70002, told);
-        assertEquals(next.d.fleet.ownPace[1], old.d.fleet.ownPace[2]);
+        assertEquals(next.d.fleet.logPace[1], old.d.fleet.logPace[2]);
         assertTrue(next.d.pace(1) < 0.5 * next.d.pace(2), "worker-2 is the slow one");
-        assertEquals(next.d.fleet.ownPace[0], 0.0, "worker-3 is new");
+        assertEquals(next.d.fleet.logPace[0], 0.0, "worker-3 is new");
         assertEquals(next.d.fleet.coldLevel[3], old.d.fleet.coldLevel[0]);
         assertEquals(next.d.warmUp, old.d.warmUp);
         assertEquals(next.d.profileWork[0], fresh);
-        assertEquals(Workers.sum(next.d.pool[0]), 0.0);
+        assertEquals(Workers.sum(next.d.pooledPairs[0]), 0.0);
         assertEquals(next.d.lateShare, 0.0);
         // The first seconds: what is asked for is sent, most of it to the workers known to be fast.
         for (int i = 0; i < 40; i++) {
             Task t = next.task(0, 70010 + 50 * i, 100);
             next.d.arrived(70010 + 50 * i, t);
-            if (t.out > 0) {
+            if (t.inFlight > 0) {
                 next.d.ended(70040 + 50 * i, next.last(), Outcome.OK, true, Bench.report(0, 2));
             }
         }
@@ -107,8 +107,8 @@
                                         + tag1
                                         + "]}"));
         assertEquals(b.d.fleet.slots, work);
-        assertEquals(b.d.fleet.ownPace[0], 0.5);
-        assertEquals(b.d.fleet.ownPace[1], 0.0);
+        assertEquals(b.d.fleet.logPace[0], 0.5);
+        assertEquals(b.d.fleet.logPace[1], 0.0);
         b.arrive(0, 6);
         assertEquals(b.count("send"), 1);
     }
--- a/src/test/java/gingerspool/dispatch/ScoreTest.java
+++ b/src/test/java/gingerspool/dispatch/ScoreTest.java
@@ -21,7 +21,7 @@
         // 363.
         // Waits at midpoints 0, 0, 11, 37, 71, 120, 187, 300, 487 and more: 6, 7, 7 and 8 of 14
         // regions fit.
-        assertEquals(b.d.inTime(t, 0), (6 + 7 + 7 + 8) / 56.0, 1e-9);
+        assertEquals(b.d.probabilityInTime(t, 0), (6 + 7 + 7 + 8) / 56.0, 1e-9);
     }
 
     @Test
@@ -30,9 +30,9 @@
         Task t = b.task(0, 0, 0);
         t.work = 150;
         t.due = 400;
-        b.d.count(0, 0, 0, 30);
-        b.d.count(1, 0, 9, 30);
-        assertTrue(b.d.inTime(t, 0) > b.d.inTime(t, 1) + 0.2);
+        b.d.countPairs(0, 0, 0, 30);
+        b.d.countPairs(1, 0, 9, 30);
+        assertTrue(b.d.probabilityInTime(t, 0) > b.d.probabilityInTime(t, 1) + 0.2);
     }
 
     @Test
@@ -41,7 +41,7 @@
         run[1] = 1;
         double[] within = new double[17];
         double lambda = 0.3;
-        BusyPeriods.within(1, lambda, run, within);
+        BusyPeriods.fillProbabilities(1, lambda, run, within);
         // Unit jobs behind one unit of work: Borel's law, P(0) = e^-a, P(1) = a e^-2a, P(2) = 3/2
         // a^2 e^-3a.
         assertEquals(within[0], Math.exp(-lambda), 1e-12);
@@ -54,7 +54,7 @@
         double[] run = new double[17];
         run[0] = 1;
         double[] within = new double[17];
-        BusyPeriods.within(4, 0.5, run, within);
+        BusyPeriods.fillProbabilities(4, 0.5, run, within);
         assertEquals(within[0], 1, 1e-12);
     }
 
@@ -74,7 +74,7 @@
         high.work = 100;
         low.due = 1000;
         high.due = 1000;
-        assertTrue(b.d.inTime(low, 0) < b.d.inTime(high, 0));
+        assertTrue(b.d.probabilityInTime(low, 0) < b.d.probabilityInTime(high, 0));
     }
 
     @Test
@@ -108,10 +108,10 @@
     public void whatWasHeardFadesToTheMean() {
         Bench b = Bench.of(SAFE).start(4);
         b.d.probed(10, 3, Bench.report(6, 0));
-        double full = b.d.othersNow(3);
+        double full = b.d.peerJobs(3);
         b.d.wake(60000);
         assertTrue(full > 2);
-        assertTrue(b.d.othersNow(3) < 1);
+        assertTrue(b.d.peerJobs(3) < 1);
     }
 
     /** Found on both sites with hints: a hint far from the mean says less than it seems. */
@@ -154,9 +154,9 @@
         for (int i = 0; i < 400; i++) {
             b.d.probed(10 + i, i % 3 * 2, Bench.report(6 + i % 2, 0));
         }
-        assertTrue(b.d.othersNow(7) > 4, "others " + b.d.othersNow(7));
-        assertEquals(b.d.othersNow(6), 0.0);
-        assertTrue(b.d.othersNow(5) < 0.5, "others " + b.d.othersNow(5));
+        assertTrue(b.d.peerJobs(7) > 4, "others " + b.d.peerJobs(7));
+        assertEquals(b.d.peerJobs(6), 0.0);
+        assertTrue(b.d.peerJobs(5) < 0.5, "others " + b.d.peerJobs(5));
     }
 
     /**
@@ -170,7 +170,7 @@
             double[] r = Bench.report(3, 0);
             r[Report.IN_FLIGHT] = i == 0 ? 5 : Double.NaN;
             b.d.probed(10, 0, r);
-            believed[i] = b.d.othersNow(0);
+            believed[i] = b.d.peerJobs(0);
         }
         assertEquals(believed[0], believed[1]);
     }
@@ -180,9 +180,9 @@
     public void aReportMovesTheBeliefPartOfTheWay() {
         Bench b = Bench.of(SAFE).start(4);
         b.d.probed(10, 3, Bench.report(6, 0));
-        double once = b.d.othersNow(3);
+        double once = b.d.peerJobs(3);
         b.d.probed(11, 3, Bench.report(7, 0));
         assertTrue(once > 2 && once < 4, "once " + once);
-        assertTrue(b.d.othersNow(3) > once + 1);
+        assertTrue(b.d.peerJobs(3) > once + 1);
     }
 }
--- a/src/test/java/gingerspool/dispatch/TermsTest.java
+++ b/src/test/java/gingerspool/dispatch/TermsTest.java
@@ -382,7 +382,7 @@
                 }
                 over = t.ended();
                 assertTrue(
-                        seen <= Math.min(terms.assignments, b.settings.mostAssignments),
+                        seen <= Math.min(terms.maxAssignments, b.settings.mostAssignments),
                         "seed " + seed);
                 assertTrue(
                         b.count("bounce") + b.count("abandon") <= 1,
