--- a/src/main/java/gingerspool/dispatch/AdmissionPolicy.java
+++ b/src/main/java/gingerspool/dispatch/AdmissionPolicy.java
@@ -2,12 +2,12 @@
 
 import static gingerspool.dispatch.Estimates.SAMPLES;
 
-/** When a task is given up: its best chance is under a bound that rises with strain. */
+/** Gives up a task whose best score is below a bound that rises with strain. */
 final class AdmissionPolicy {
-    /** A task whose best chance is lower than this is given up. */
+    /** Minimum score without strain. */
     static final double MIN_SCORE = 0.08;
 
-    /** How much higher that bound is when every task waits: a late one costs another its place. */
+    /** Added to that bound under full strain, when a late task takes another's place. */
     private static final double STRAIN_WEIGHT = 0.6;
 
     private final Estimates model;
@@ -24,12 +24,11 @@
         this.overdue = overdue;
     }
 
-    /** An answer came, in time or late. */
     void answered(Task t) {
         model.lateShare += ((model.now > t.due ? 1 : 0) - model.lateShare) * runs.newestWeight();
     }
 
-    boolean shouldGiveUp(Task task, int best, double bestChance) {
+    boolean shouldGiveUp(Task task, int best, double bestScore) {
         if (best < 0 || fleet.grantedSlots[best] < Integer.MAX_VALUE) {
             return best < 0;
         }
@@ -38,30 +37,30 @@
         double weight = Math.max(0.5, Math.min(1.6, Math.sqrt(model.meanDensity / density)));
         model.meanDensity += (task.worth / task.work - model.meanDensity) / SAMPLES;
         model.queuedShare += ((queue.regionOf(best) > 1 ? 1 : 0) - model.queuedShare) / SAMPLES;
-        // Guards against refusing in vain: believed queues count in full where answers are late.
-        double missed = lateShareNow();
+        // Guards against needless refusals: estimated queues count fully only if answers are late.
+        double lateNow = lateShareNow();
         double strain =
                 Math.max(
-                        model.queuedShare * Math.min(1, 10 * missed),
-                        lateWeight() * Math.min(1, 5 * (missed - 0.16)));
-        return bestChance < (MIN_SCORE + STRAIN_WEIGHT * strain * strain) * weight;
+                        model.queuedShare * Math.min(1, 10 * lateNow),
+                        lateWeight() * Math.min(1, 5 * (lateNow - 0.16)));
+        return bestScore < (MIN_SCORE + STRAIN_WEIGHT * strain * strain) * weight;
     }
 
-    /** How far late answers count: in the first seconds, only as workers are believed full. */
+    /** Weight of late answers: at first only as far as workers are believed full. */
     private double lateWeight() {
         return Math.max(
                 1 - Math.exp((model.firstArrival - model.now) / (2 * model.decaySpan())),
                 Math.min(1, 2 * model.fullShare));
     }
 
-    /** Share of late answers; what is out past its due time counts, so a jam shows sooner. */
+    /** Share of late answers; overdue sends count too, so congestion shows sooner. */
     double lateShareNow() {
-        double seen = 1 / runs.newestWeight();
-        int out = overdue.count(model.now);
-        return (model.lateShare * seen + out) / (seen + out);
+        double samples = 1 / runs.newestWeight();
+        int overdueSends = overdue.count(model.now);
+        return (model.lateShare * samples + overdueSends) / (samples + overdueSends);
     }
 
-    /** Whether the client may be told to come again: nothing ran, or may run once more anywhere. */
+    /** Whether the client may retry: nothing ran, or it may run again on any worker. */
     static boolean isRetrySafe(Task t) {
         return t.firstRun == null
                 || t.profile.effect == Profile.Effect.IDEMPOTENT
--- a/src/main/java/gingerspool/dispatch/BusyPeriods.java
+++ b/src/main/java/gingerspool/dispatch/BusyPeriods.java
@@ -1,29 +1,29 @@
 package gingerspool.dispatch;
 
-/** The law of later work that runs first: a formula, no decision. */
+/** Distribution of the later work that overtakes a queued task (X in the design). */
 final class BusyPeriods {
     private BusyPeriods() {}
 
     /**
-     * Fills in P(X at most x given k) for each x, in bins: a Poisson number of busy periods at
-     * lambda. Their sum has a known form: P(X = y) = k / (k + y) P(compound Poisson work over k + y
-     * = y).
+     * Fills in P(X at most x given a wait of k) for each x, all in bins. X is the sum of a Poisson
+     * number of busy periods at arrival rate lambda, whose distribution is known: P(X = y) = k / (k
+     * + y) P(compound Poisson work over k + y = y). `run` holds the probabilities of running times.
      */
-    static void fillProbabilities(int k, double lambda, double[] run, double[] within) {
+    static void fillProbabilities(int k, double lambda, double[] run, double[] cumulative) {
         double sum = 0;
-        double[] f = new double[within.length];
-        for (int y = 0; y < within.length; y++) {
+        double[] work = new double[cumulative.length];
+        for (int y = 0; y < cumulative.length; y++) {
             double mean = lambda * (k + y);
-            f[0] = Math.exp(-mean * (1 - run[0]));
+            work[0] = Math.exp(-mean * (1 - run[0]));
             for (int i = 1; i <= y; i++) {
-                double s = 0;
+                double convolution = 0;
                 for (int j = 1; j <= i && j < run.length; j++) {
-                    s += j * run[j] * f[i - j];
+                    convolution += j * run[j] * work[i - j];
                 }
-                f[i] = mean / i * s;
+                work[i] = mean / i * convolution;
             }
-            sum += f[y] * k / (k + y);
-            within[y] = Math.min(1, sum);
+            sum += work[y] * k / (k + y);
+            cumulative[y] = Math.min(1, sum);
         }
     }
 }
--- a/src/main/java/gingerspool/dispatch/ColdBudget.java
+++ b/src/main/java/gingerspool/dispatch/ColdBudget.java
@@ -1,8 +1,8 @@
 package gingerspool.dispatch;
 
-/** What may be sent to a worker that is not warm yet. */
+/** Limits the work sent to a worker that is not warm yet, as a leaky bucket. */
 final class ColdBudget {
-    /** The part of all dispatchers' budget for a cold worker that one task may be. */
+    /** Largest share of all dispatchers' budget for a cold worker that one task may take. */
     private static final double MAX_TASK_SHARE = 1.0 / 6;
 
     private final Estimates model;
@@ -15,28 +15,26 @@
         this.speed = speed;
     }
 
-    /** A worker has begun: its level starts anywhere, so that dispatchers take turns. */
+    /** Sets a random initial level (phase 0 to 1), so that dispatchers take turns. */
     void workerStarted(int w, double phase) {
         fleet.coldLevel[w] = phase * model.meanWork;
         fleet.coldLevelAt[w] = model.now;
     }
 
     boolean inBudget(int w, double work) {
-        // Guards against idling for good: who answered or was seen to start is warm in time.
+        // Guards against idling forever: one that answered or was seen to start gets warm in time.
         if (model.coldWindow <= 0
                 || speed.warmth(w, 1) >= 1 && fleet.answeredAt[w] + fleet.startedAt[w] > 0) {
             return true;
         }
-        // Guards against new workers idling until warm: among many dispatchers a share is under one
-        // task, so
-        // one goes when the level has run down, in a phase of chance, if it is a small part of the
-        // whole.
+        // Guards against new workers idling until warm: with many dispatchers a share is below one
+        // task, so one small against the total budget is sent whenever the level reaches 0.
         double level = levelNow(w);
         return level + work <= budget(w) / 2
                 || level <= 0 && work <= budget(w) * model.dispatchers * MAX_TASK_SHARE;
     }
 
-    /** Work that we may send a cold worker in one window: half at once, half over the window. */
+    /** Work we may send a cold worker per window: half at once, half spread over the window. */
     private double budget(int w) {
         return model.coldBudget
                 * speed.slotsOf(w)
--- a/src/main/java/gingerspool/dispatch/DispatchActions.java
+++ b/src/main/java/gingerspool/dispatch/DispatchActions.java
@@ -1,31 +1,36 @@
 package gingerspool.dispatch;
 
-/** What a Dispatcher calls to act. Calls take effect in the order made. */
+/**
+ * The effects of a Dispatcher's decisions, implemented by its host. Called on the scheduler's
+ * thread, from within an input; calls take effect in the order made. Spans are milliseconds.
+ */
 public interface DispatchActions {
-    /** Starts the assignment; a time-out of 0 is until the task's expiry. */
+    /** Sends the assignment to its worker; a timeout of 0 lasts until the task's expiry. */
     void send(Assignment assignment, double timeout);
 
-    /** Final: turned away, trying again is harmless, best after this pause (0: no advice). */
+    /** Final: rejects the task. A retry is safe, best after this pause (0: no advice). */
     void bounce(Task task, double pause);
 
-    /** Final: failed, with no promise about its effect. */
+    /** Final: fails the task; it may or may not have had its effect. */
     void abandon(Task task);
 
+    /** Cancels the assignment at its worker; its outcome still arrives as an input. */
     void cancel(Assignment assignment);
 
+    /** Requests a load report from the worker. */
     void probe(int worker);
 
     /**
-     * Tells the dispatcher with this number, or all others at -1; only where settings say that it
-     * may.
+     * Sends a message to the dispatcher with this number, or to all others at -1. Called only if
+     * the settings allow it.
      */
     default void tell(int dispatcher, byte[] message) {
-        throw new IllegalStateException("this host has no way to other dispatchers");
+        throw new IllegalStateException("this host does not support messages between dispatchers");
     }
 
-    /** Asks for the list of workers and for its changes from now on. */
+    /** Requests the list of workers and its changes from now on. */
     void watchList();
 
-    /** Asks for a call of wake() after this span. */
+    /** Schedules a call of wake() after this span. */
     void wakeAfter(double span);
 }
--- a/src/main/java/gingerspool/dispatch/Dispatcher.java
+++ b/src/main/java/gingerspool/dispatch/Dispatcher.java
@@ -5,11 +5,13 @@
 import java.util.SplittableRandom;
 
 /**
- * All decisions of one scheduler. It is made from the deployment's Settings; then each input is one
- * call that carries the time (listed, arrived, ended, started, probed, wake ...), and it acts only
- * through DispatchActions. After every input the Rules are gone through in order until none fires.
- * Workers are dense indexes given by the caller; tasks and assignments are objects. Times are
- * milliseconds. See docs/design.md.
+ * Makes all decisions of one scheduler: which worker gets a task, admission and retries. Each input
+ * is one call that carries the current time (listed, arrived, ended, started, wake ...). After each
+ * input the {@link Rules} are applied in order until none matches; the only effects are calls of
+ * {@link DispatchActions}.
+ *
+ * <p>Not thread-safe: the host calls it on the scheduler's event loop. Workers are dense indexes
+ * given by the caller, times and spans are milliseconds. See docs/design.md.
  */
 public final class Dispatcher extends Estimates {
     public static final int GONE = 0;
@@ -38,9 +40,9 @@
     private final OverdueSends overdue;
     private final PendingTasks pending;
 
-    /** A dispatcher for this deployment; its chance is drawn from the seed. */
-    public Dispatcher(DispatcherSettings s, long seed, DispatchActions actions) {
-        super(s, QueuedWork.REGIONS, FutureArrivals.BINS + 1);
+    /** Creates a dispatcher for the deployment; the seed makes its random choices repeatable. */
+    public Dispatcher(DispatcherSettings settings, long seed, DispatchActions actions) {
+        super(settings, QueuedWork.REGIONS, FutureArrivals.BINS + 1);
         this.actions = actions;
         random = new SplittableRandom(seed);
         Arrays.fill(firstTryAge, Double.POSITIVE_INFINITY);
@@ -97,9 +99,9 @@
                         actions);
     }
 
-    // ---- Inputs: the list ----
+    // ---- Inputs: the worker list ----
 
-    /** A list, or changes to the one held, begins; a whole one names every worker there is. */
+    /** Begins a worker list, or changes to the one held; a whole list names every worker. */
     public void listBegins(double at, boolean whole) {
         now = at;
         if (whole) {
@@ -108,40 +110,36 @@
     }
 
     /**
-     * What this worker is called: the same at every dispatcher, and said before it is first listed.
+     * Sets the name of a worker. It is the same at every dispatcher and is set before the worker is
+     * first listed.
      */
     public void called(int w, String name) {
         fleet.ensureCapacity(w, 0);
         fleet.tag[w] = Workers.mixBits(name.hashCode());
     }
 
-    /** One entry of the list; the state is GONE, DRAINING or RUNNING. */
+    /**
+     * One entry of the list; the state is GONE, DRAINING or RUNNING, the start time is Unix time.
+     */
     public void listed(
-            int w,
-            int inZone,
-            int ofKind,
-            int inCell,
-            int newState,
-            double ofSize,
-            double started) {
-        fleet.ensureCapacity(w, ofKind);
-        fleet.rank[w] = fleet.rank[w] > 0 ? fleet.rank[w] : choice.randomRank(ofSize);
-        boolean again = started > fleet.startedAt[w];
+            int w, int zone, int kind, int cell, int state, double size, double started) {
+        fleet.ensureCapacity(w, kind);
+        fleet.rank[w] = fleet.rank[w] > 0 ? fleet.rank[w] : choice.randomRank(size);
+        boolean restarted = started > fleet.startedAt[w];
         fleet.listed[w] = true;
-        fleet.state[w] = newState;
-        fleet.zoneOf[w] = inZone;
-        fleet.kindOf[w] = Math.max(0, ofKind);
-        fleet.cellOf[w] = inCell;
-        fleet.size[w] = ofSize > 0 ? ofSize : 1;
-        if (again) {
+        fleet.state[w] = state;
+        fleet.zoneOf[w] = zone;
+        fleet.kindOf[w] = Math.max(0, kind);
+        fleet.cellOf[w] = cell;
+        fleet.size[w] = size > 0 ? size : 1;
+        if (restarted) {
             workerStarted(w, started);
         }
     }
 
     private void workerStarted(int w, double started) {
         fleet.startedAt[w] = started;
-        // Guards against taking a new worker for as full as the others: it has just begun with
-        // nothing.
+        // Guards against assuming that a new worker is as full as the others: it starts empty.
         fleet.loadAt[w] = started;
         fleet.peerJobs[w] = 0;
         fleet.answeredAt[w] = 0;
@@ -150,7 +148,7 @@
         coldBudget.workerStarted(w, random.nextDouble());
     }
 
-    /** The list is complete. A remembered one was not asked for, so it answers nothing. */
+    /** Ends the list. A remembered one was not requested, so it does not answer a request. */
     public void listEnds(double at, boolean whole, boolean remembered) {
         now = at;
         if (whole) {
@@ -165,36 +163,34 @@
         reconsiderAll();
     }
 
-    /** Whoever waits is looked at anew, since other workers may take it now. */
+    /** Decides on all pending tasks again, since other workers may take them now. */
     private void reconsiderAll() {
         pending.reconsiderAll();
         rules.applyAll();
     }
 
-    /** A call for the list failed, or the changes stopped coming: ask again, later each time. */
+    /** A list request failed, or the stream of changes ended: retries with backoff. */
     public void listFailed(double at) {
         now = at;
         rules.listFailed();
         rules.applyAll();
     }
 
-    // ---- Inputs: what operators say ----
+    // ---- Inputs: operator actions and slot grants ----
 
-    /**
-     * Nothing new goes to this worker until it is resumed, whatever the list says of it meanwhile.
-     */
+    /** Sends nothing new to the worker until it is resumed, whatever the list says meanwhile. */
     public void suspended(double at, int w) {
         now = at;
         fleet.suspendedAt[w] = fleet.isSuspended(w) ? fleet.suspendedAt[w] : now;
         rules.applyAll();
     }
 
-    /** Puts the worker back; what failed there under the ban says nothing of it now. */
+    /** Resumes a suspended worker; failures during the suspension no longer count. */
     public void resumed(double at, int w) {
         now = at;
         if (fleet.isSuspended(w)) {
-            // Guards rule four: it was restarted under the ban, and the list may tell so only
-            // later.
+            // Guards the limit on cold workers: it may have restarted while suspended, and the list
+            // may show that only later.
             workerStarted(w, fleet.startedAt[w] < fleet.suspendedAt[w] ? now : fleet.startedAt[w]);
             fleet.suspendedAt[w] = Double.NaN;
         }
@@ -202,7 +198,8 @@
     }
 
     /**
-     * So many slots are ours to use: who finds one is sent, as nobody queues. Never told: no bound.
+     * Sets how many slots of the worker this dispatcher may use. Tasks do not queue at workers with
+     * a grant: one that finds a granted slot free is sent. Without a grant there is no bound.
      */
     public void granted(double at, int w, int slots) {
         now = at;
@@ -214,16 +211,16 @@
         return fleet.isSuspended(w);
     }
 
-    // ---- Inputs: what another process has learned ----
+    // ---- Inputs: estimates of another process ----
 
-    /** Takes what the process before this one had learned and still means the same here. */
-    public void learn(double at, Map<?, ?> told) {
+    /** Restores the previous process's estimates, as far as they are valid in this deployment. */
+    public void learn(double at, Map<?, ?> learned) {
         now = at;
-        LearnedSnapshot m = LearnedSnapshot.reader(told);
-        transfer(m);
-        // What it still has out there is the work of others from here on.
+        LearnedSnapshot snapshot = LearnedSnapshot.reader(learned);
+        transfer(snapshot);
+        // Its unfinished sends count as jobs of a peer from here on.
         double[] previousOwn = new double[fleet.count];
-        m.perWorker("own", previousOwn, fleet.count);
+        snapshot.perWorker("own", previousOwn, fleet.count);
         for (int w = 0; w < fleet.count; w++) {
             fleet.peerJobs[w] += previousOwn[w];
         }
@@ -255,7 +252,7 @@
         rules.applyAll();
     }
 
-    public void ended(double at, Assignment a, Outcome how, boolean over, double[] report) {
+    public void ended(double at, Assignment a, Outcome outcome, boolean over, double[] report) {
         now = at;
         if (!a.finished) {
             a.finished = true;
@@ -266,10 +263,10 @@
             a.task.inFlight--;
         }
         Task t = a.task;
-        a.neverRan = how.neverRan();
+        a.neverRan = outcome.neverRan();
         t.updateFirstRun();
-        t.lastOutcome = how;
-        learnFrom(a, how);
+        t.lastOutcome = outcome;
+        learnFrom(a, outcome);
         reportReader.reported(a.worker, report);
         if (over) {
             t.ended = true;
@@ -280,9 +277,9 @@
         rules.applyAll();
     }
 
-    /** Each part learns what the outcome means to it. */
-    private void learnFrom(Assignment a, Outcome how) {
-        switch (how) {
+    /** Passes the outcome to the parts that learn from it. */
+    private void learnFrom(Assignment a, Outcome outcome) {
+        switch (outcome) {
             case OK -> {
                 health.answered(a.worker, a.task.profile.index);
                 runs.learnRun(a);
@@ -292,12 +289,12 @@
             }
             case ERROR, RESET -> health.failed(a.worker, a.task.profile.index);
             case FULL, UNREACHABLE -> {
-                pairs.countFull(a, how);
+                pairs.countFull(a, outcome);
                 health.avoid(a.worker);
             }
             default -> {}
         }
-        future.recordJob(a, how);
+        future.recordJob(a, outcome);
     }
 
     public void started(double at, Assignment a) {
@@ -309,7 +306,7 @@
         rules.applyAll();
     }
 
-    /** A streamed answer has begun: the assignment is the client's from here. */
+    /** A streamed answer has begun: the task is not assigned again. */
     public void accepted(double at, Assignment a) {
         now = at;
         a.task.ended = true;
@@ -323,8 +320,8 @@
     }
 
     /**
-     * The client left; nothing is owed any more, and what is out for it would take workers' time in
-     * vain.
+     * The client disconnected: it needs no answer, and assignments in flight are cancelled, since
+     * they would waste workers' time.
      */
     public void left(double at, Task t) {
         now = at;
@@ -333,7 +330,7 @@
         rules.applyAll();
     }
 
-    /** Cancels what is out for a task that has its end. */
+    /** Cancels assignments still in flight for an ended task. */
     private void cancelInFlight(Task t) {
         for (int i = 0; i < t.tries && t.inFlight > 0 && mayCancel; i++) {
             if (!t.assignments[i].finished) {
@@ -350,13 +347,13 @@
         rules.applyAll();
     }
 
-    /** The worker answered a request for a report with nothing in time, or turned it away. */
+    /** The worker did not answer a probe for a report in time, or refused it. */
     public void reportMissing(double at, int w) {
         now = at;
         fleet.probing[w] = false;
         health.avoid(w);
-        // Guards tasks at workers that hang: what may go again is called back, and its outcome
-        // decides anew.
+        // Guards tasks at workers that hang: those that may be retried are cancelled and decided
+        // again by that outcome.
         for (Assignment a = fleet.oldest[w]; a != null && mayCancel; a = a.next) {
             if (retryPolicy.mayCancelToRetry(a)) {
                 a.cancelled = true;
@@ -366,10 +363,7 @@
         reconsiderAll();
     }
 
-    /**
-     * A message of another dispatcher: it has sent a task of so much work to a worker, or that has
-     * ended.
-     */
+    /** Handles a message of another dispatcher, see {@link PeerMessage}. */
     public void peerTold(double at, int peer, byte[] message) {
         now = at;
         peerSends.messageReceived(peer, message);
@@ -382,14 +376,14 @@
         rules.applyAll();
     }
 
-    // ---- Beliefs, as logs and tests ask for them ----
+    // ---- Estimates, for logs and tests ----
 
     double probabilityInTime(Task t, int w) {
         return score.probabilityInTime(t, w);
     }
 
-    double load(int w, double ofOthers) {
-        return queue.load(w, ofOthers);
+    double load(int w, double peerJobs) {
+        return queue.load(w, peerJobs);
     }
 
     double peerJobs(int w) {
@@ -420,7 +414,7 @@
         return taskValue.tenantShare(t);
     }
 
-    void countPairs(int w, int believed, int told, int times) {
-        pairs.count(w, believed, told, times);
+    void countPairs(int w, int believed, int observed, int times) {
+        pairs.count(w, believed, observed, times);
     }
 }
--- a/src/main/java/gingerspool/dispatch/Estimates.java
+++ b/src/main/java/gingerspool/dispatch/Estimates.java
@@ -3,65 +3,93 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a Dispatcher has learned: figures only, and how they pass from one process to the next. */
+/**
+ * The Dispatcher's model of tasks and workers: everything it has learned, as plain figures, and
+ * their transfer to the next process through a {@link LearnedSnapshot}. The parts of the Dispatcher
+ * read and update it; like them it is confined to the scheduler's thread. Times and spans are
+ * milliseconds, work is running time in milliseconds on a standard core.
+ */
 abstract class Estimates extends Parameters {
-    /** N_S: pair rows, mixes and running times look back over about this many samples. */
+    /** Window (N_S) of pair counts, histograms and running times, in samples. */
     static final int SAMPLES = 64;
 
     final Workers fleet;
+
+    /** Pair counts over all workers, see Workers.pairCounts. */
     final double[][] pooledPairs;
+
+    /** By profile: mean work, and running times seen. */
     final double[] profileWork;
+
     final double[] runsSeen;
 
-    /** Least time that a task of the profile had been under way when it came. */
+    /** By profile: lowest age of an arriving task, which is a first try's. */
     final double[] firstTryAge;
 
-    /** Work that came lately, and what of it was answered in time. */
+    /** By profile: recent work (or tasks) that arrived, and the part answered in time. */
     final double[] seen;
 
     final double[] served;
+
+    /** By profile: hints seen, mean log hint, and mean of the work scaled by hints. */
     final double[] hintsSeen;
+
     final double[] hintLogMean;
     final double[] hintWorkMean;
+
+    /** By profile: mean and variance of the logarithm of running times. */
     final double[] runLogMean;
+
     final double[] runVar;
+
+    /** Decayed sums of squared log hints and of their products with log running times. */
     double hintVar = 16;
+
     double hintRunCov = 8;
+
+    /** Mean work of recent tasks. */
     double meanWork;
 
-    /** How many times sooner than promised cold workers get warm, as their answers show. */
+    /** Factor by which cold workers warm up faster than configured, as their answers show. */
     double warmUp = 4;
 
-    /** Pace that counts as a standard core's. */
+    /** Pace of a standard core. */
     double standardPace = 1;
 
-    /** Logarithm of the whole fleet's pace lately over what its kinds have shown. */
+    /** Logarithm of the whole fleet's recent pace relative to the paces of its kinds. */
     double commonPace;
 
+    /** Mean worth of recent tasks, and mean worth per work. */
     double meanWorth;
+
     double meanDensity;
 
-    /** Share of tasks that met no free slot lately. */
+    /** Recent share of tasks without a free slot at their best worker. */
     double queuedShare;
 
-    /** Share of answers that came after the due time lately. */
+    /** Recent share of answers after the due time. */
     double lateShare;
 
-    /** Share of the workers weighed that were believed full, lately. */
+    /** Recent share of scored workers that were believed full. */
     double fullShare;
 
-    /** Time between tasks that come to us. */
+    /** Mean time between arriving tasks. */
     double arrivalGap;
 
     double lastArrival;
     double firstArrival = Double.NaN;
+
+    /** By tenant: tasks per second, and when that was updated. */
     final double[] tenantRate;
+
     final double[] tenantRateAt;
 
     /** The time of the input being handled. */
     double now;
 
+    /** Whether any report has arrived, and whether one showed a queue. */
     boolean reportsReceived;
+
     boolean reportsShowQueues;
     private List<String> resetParts = List.of();
 
@@ -85,71 +113,73 @@
         tenantRateAt = new double[tenants];
     }
 
+    /** Time constant with which reported load decays to the mean. */
     final double decaySpan() {
         return 8 * meanWork;
     }
 
-    /** All that is learned, under names, for the next process of this scheduler. */
+    /** All estimates by name, for the next process of this scheduler. */
     public final Map<String, Object> learned() {
-        LearnedSnapshot m = LearnedSnapshot.writer();
-        transfer(m);
-        m.perWorker("own", fleet.ownSlots, fleet.count);
-        return m.fields();
+        LearnedSnapshot snapshot = LearnedSnapshot.writer();
+        transfer(snapshot);
+        snapshot.perWorker("own", fleet.ownSlots, fleet.count);
+        return snapshot.fields();
     }
 
-    /** The parts of what was last told us that were not taken: machines, reports, tasks. */
+    /** Parts (machines, reports, tasks) of the last snapshot that could not be restored. */
     public final List<String> afresh() {
         return resetParts;
     }
 
-    /** When the worker is held to have started, at Unix time; 0 for long ago. */
+    /** When the worker is believed to have started, in Unix time; 0: long ago. */
     public final double startedAt(int w) {
         return fleet.startedAt[w];
     }
 
     /**
-     * Each part passes only to a process for which it means the same; the rest begins afresh there.
+     * Transfers all estimates to or from the snapshot. Each part is restored only where its basis
+     * is the same; otherwise it starts from its initial values.
      */
-    final void transfer(LearnedSnapshot m) {
-        fleet.transferAvailability(m);
-        m.basis("machines", basisOfMachines);
-        fleet.transferMachines(m);
-        warmUp = m.number("thaw", warmUp);
-        standardPace = m.number("unit", standardPace);
-        m.basis("reports", basisOfReports);
-        fleet.transferReports(m);
-        reportsReceived = m.flag("reportsCome", reportsReceived);
-        reportsShowQueues = m.flag("reportsQueue", reportsShowQueues);
-        m.basis("tasks", basisOfTasks);
-        fleet.transferTasks(m);
+    final void transfer(LearnedSnapshot snapshot) {
+        fleet.transferAvailability(snapshot);
+        snapshot.basis("machines", basisOfMachines);
+        fleet.transferMachines(snapshot);
+        warmUp = snapshot.number("thaw", warmUp);
+        standardPace = snapshot.number("unit", standardPace);
+        snapshot.basis("reports", basisOfReports);
+        fleet.transferReports(snapshot);
+        reportsReceived = snapshot.flag("reportsCome", reportsReceived);
+        reportsShowQueues = snapshot.flag("reportsQueue", reportsShowQueues);
+        snapshot.basis("tasks", basisOfTasks);
+        fleet.transferTasks(snapshot);
         for (int k = 0; k < pooledPairs.length; k++) {
-            m.numbers("pool." + k, pooledPairs[k]);
+            snapshot.numbers("pool." + k, pooledPairs[k]);
         }
-        m.numbers("profileWork", profileWork);
-        m.numbers("profileSeen", runsSeen);
-        m.numbers("youngest", firstTryAge);
-        m.numbers("came", seen);
-        m.numbers("served", served);
-        m.numbers("hintsSeen", hintsSeen);
-        m.numbers("hintLog", hintLogMean);
-        m.numbers("hintBend", hintWorkMean);
-        m.numbers("runLog", runLogMean);
-        m.numbers("runVar", runVar);
-        m.numbers("tenantRate", tenantRate);
-        m.numbers("tenantAt", tenantRateAt);
-        hintVar = m.number("hintVar", hintVar);
-        hintRunCov = m.number("hintRun", hintRunCov);
-        meanWork = m.number("mixWork", meanWork);
-        commonPace = m.number("tide", commonPace);
-        meanWorth = m.number("meanWorth", meanWorth);
-        meanDensity = m.number("meanDensity", meanDensity);
-        queuedShare = m.number("press", queuedShare);
-        lateShare = m.number("late", lateShare);
-        fullShare = m.number("full", fullShare);
-        arrivalGap = m.number("gap", arrivalGap);
-        lastArrival = m.number("lastArrival", lastArrival);
-        firstArrival = m.number("firstArrival", firstArrival);
-        m.clearBasis();
-        resetParts = m.afresh();
+        snapshot.numbers("profileWork", profileWork);
+        snapshot.numbers("profileSeen", runsSeen);
+        snapshot.numbers("youngest", firstTryAge);
+        snapshot.numbers("came", seen);
+        snapshot.numbers("served", served);
+        snapshot.numbers("hintsSeen", hintsSeen);
+        snapshot.numbers("hintLog", hintLogMean);
+        snapshot.numbers("hintBend", hintWorkMean);
+        snapshot.numbers("runLog", runLogMean);
+        snapshot.numbers("runVar", runVar);
+        snapshot.numbers("tenantRate", tenantRate);
+        snapshot.numbers("tenantAt", tenantRateAt);
+        hintVar = snapshot.number("hintVar", hintVar);
+        hintRunCov = snapshot.number("hintRun", hintRunCov);
+        meanWork = snapshot.number("mixWork", meanWork);
+        commonPace = snapshot.number("tide", commonPace);
+        meanWorth = snapshot.number("meanWorth", meanWorth);
+        meanDensity = snapshot.number("meanDensity", meanDensity);
+        queuedShare = snapshot.number("press", queuedShare);
+        lateShare = snapshot.number("late", lateShare);
+        fullShare = snapshot.number("full", fullShare);
+        arrivalGap = snapshot.number("gap", arrivalGap);
+        lastArrival = snapshot.number("lastArrival", lastArrival);
+        firstArrival = snapshot.number("firstArrival", firstArrival);
+        snapshot.clearBasis();
+        resetParts = snapshot.resetParts();
     }
 }
--- a/src/main/java/gingerspool/dispatch/FutureArrivals.java
+++ b/src/main/java/gingerspool/dispatch/FutureArrivals.java
@@ -1,8 +1,8 @@
 package gingerspool.dispatch;
 
-/** X: later work that runs first, on workers that order by priority. */
+/** Estimates X: work of later arrivals that runs first on workers with priority queues. */
 final class FutureArrivals {
-    /** Bins of running time and of X; a bin is a quarter of the mean running time. */
+    /** Histogram bins of running time and X; a bin is a quarter of the mean running time. */
     static final int BINS = 16;
 
     private static final double BINS_PER_RUN = 4;
@@ -25,18 +25,18 @@
         return Math.min(BINS, Math.max(1, (int) Math.rint(run / model.meanWork * BINS_PER_RUN)));
     }
 
-    /** Notes a job for the mixes of running times and profiles; one turned away runs for zero. */
-    void recordJob(Assignment a, Outcome how) {
+    /** Counts a job in the running-time and profile histograms; a refused job runs for 0 ms. */
+    void recordJob(Assignment a, Outcome outcome) {
         if (model.byPriority) {
             int w = a.worker;
-            fleet.runCounts[w][how == Outcome.FULL ? 0 : bin(a.run)]++;
+            fleet.runCounts[w][outcome == Outcome.FULL ? 0 : bin(a.run)]++;
             fleet.profileCounts[w][a.task.profile.index]++;
             Workers.halve(fleet.runCounts[w], Estimates.SAMPLES);
             Workers.halve(fleet.profileCounts[w], Estimates.SAMPLES);
         }
     }
 
-    /** P(X at most x given a wait of k), from a table that is renewed every T_p. */
+    /** P(X at most x given a wait in the region), from a table rebuilt every REFRESH_PERIOD. */
     double notOvertaken(int w, Profile p, int region, double wait, double x) {
         if (wait <= 0) {
             return 1;
@@ -47,16 +47,16 @@
         } else if (model.now >= fleet.overtakenAt[w] + Reports.REFRESH_PERIOD * model.meanWork) {
             rebuildTables(w);
         }
-        double[] within = fleet.overtaken[w][p.index][region];
-        return within[Math.min(BINS, (int) (x / model.meanWork * BINS_PER_RUN))];
+        double[] cumulative = fleet.overtaken[w][p.index][region];
+        return cumulative[Math.min(BINS, (int) (x / model.meanWork * BINS_PER_RUN))];
     }
 
     private void rebuildTables(int w) {
         fleet.overtakenAt[w] = model.now;
         double[] run = new double[BINS + 1];
-        double all = Workers.sum(fleet.runCounts[w]) + BINS + 1;
+        double total = Workers.sum(fleet.runCounts[w]) + BINS + 1;
         for (int i = 0; i <= BINS; i++) {
-            run[i] = (fleet.runCounts[w][i] + 1) / all;
+            run[i] = (fleet.runCounts[w][i] + 1) / total;
         }
         for (Profile q : model.profiles) {
             double lambda = higherPriorityRate(w, q) * model.meanWork / BINS_PER_RUN;
@@ -67,15 +67,15 @@
         }
     }
 
-    /** lambda_h a slot: the rate of jobs there times the share of those with a higher priority. */
+    /** Arrival rate per ms and slot of jobs with a higher priority (lambda_h in the design). */
     private double higherPriorityRate(int w, Profile profile) {
         double rate =
                 Reports.isValid(fleet.reportedRate[w])
                         ? fleet.reportedRate[w] / 1000
                         : localSends.sendRate(w, 0) * model.dispatchers;
         double higher = 0;
-        for (Profile o : model.profiles) {
-            higher += o.prio > profile.prio ? fleet.profileCounts[w][o.index] + 1 : 0;
+        for (Profile q : model.profiles) {
+            higher += q.prio > profile.prio ? fleet.profileCounts[w][q.index] + 1 : 0;
         }
         double jobs = Workers.sum(fleet.profileCounts[w]) + model.profiles.length;
         return rate * higher / speed.slotsOf(w) / jobs;
--- a/src/main/java/gingerspool/dispatch/LearnedSnapshot.java
+++ b/src/main/java/gingerspool/dispatch/LearnedSnapshot.java
@@ -7,22 +7,22 @@
 import java.util.Map;
 
 /**
- * What a Dispatcher has learned, on its way from one process to the next: each field passes through
- * it once, under its name. One to tell notes what passes; one to take puts what was told in its
- * place, where that has the same size and was learned in the same sense. What is of workers goes by
- * their names. No decisions here.
+ * A Dispatcher's estimates as named fields, for the transfer from one process to the next. Every
+ * field is passed through the same method once under its name: a writer records the value, a reader
+ * replaces it by the recorded one if that has the same size and was learned on the same basis (see
+ * basis()). Values of workers are matched by the tags of their names. Makes no decisions.
  */
 public final class LearnedSnapshot {
     private final Map<String, Object> fields;
     private final boolean restoring;
 
-    /** Whether what passes now was learned in the sense that it has here. */
+    /** Whether the fields that follow were learned on the basis that holds here. */
     private boolean basisMatches = true;
 
-    /** The parts that were not taken, since they mean something else here or were not told. */
+    /** Parts that were not restored: their basis differs or is missing. */
     private final List<String> resetParts = new ArrayList<>();
 
-    /** Where each worker told of stands here, -1 for nowhere. */
+    /** Local index of each recorded worker; -1: unknown here. */
     private int[] localIndexes = new int[0];
 
     private LearnedSnapshot(Map<String, Object> fields, boolean taken) {
@@ -30,19 +30,19 @@
         this.restoring = taken;
     }
 
-    /** One that notes what passes. */
+    /** Creates a snapshot that records the values passed. */
     static LearnedSnapshot writer() {
         return new LearnedSnapshot(new LinkedHashMap<>(), false);
     }
 
-    /** One that gives back what another noted: names with numbers and lists of them. */
-    static LearnedSnapshot reader(Map<?, ?> told) {
+    /** Creates a snapshot that restores recorded fields: names with numbers or lists of numbers. */
+    static LearnedSnapshot reader(Map<?, ?> recorded) {
         Map<String, Object> fields = new LinkedHashMap<>();
-        told.forEach((name, value) -> fields.put(String.valueOf(name), value));
+        recorded.forEach((name, value) -> fields.put(String.valueOf(name), value));
         return new LearnedSnapshot(fields, true);
     }
 
-    List<String> afresh() {
+    List<String> resetParts() {
         return resetParts;
     }
 
@@ -50,7 +50,7 @@
         return fields;
     }
 
-    /** What passes from here on means the same only where this text is the same. */
+    /** Starts a part that is restored only if it was recorded with the same basis text. */
     void basis(String part, String text) {
         basisMatches = !restoring || text.equals(fields.get("sense." + part));
         if (!basisMatches) {
@@ -59,19 +59,19 @@
         fields.putIfAbsent("sense." + part, text);
     }
 
-    /** What passes from here on means the same everywhere. */
+    /** Ends the last part: fields that follow are valid on any basis. */
     void clearBasis() {
         basisMatches = true;
     }
 
-    /** The tags of the workers that what is told by worker is told of, in its order. */
+    /** Passes the tags of the workers; values by worker are recorded in their order. */
     void workers(int[] tags, int count) {
-        double[] told = new double[count];
-        Arrays.setAll(told, w -> tags[w]);
+        double[] tagValues = new double[count];
+        Arrays.setAll(tagValues, w -> tags[w]);
         if (!restoring) {
-            fields.put("workers", told);
+            fields.put("workers", tagValues);
         } else if (fields.get("workers") instanceof List<?> l) {
-            localIndexes = l.stream().mapToInt(t -> localIndex(told, t)).toArray();
+            localIndexes = l.stream().mapToInt(t -> localIndex(tagValues, t)).toArray();
         }
     }
 
@@ -84,16 +84,16 @@
         return -1;
     }
 
-    /** What has no end is told as the largest number, since JSON has no word for it. */
+    /** Encodes infinity as the largest number, since JSON cannot represent it. */
     private static double encode(double v) {
         return Double.isInfinite(v) ? Math.copySign(Double.MAX_VALUE, v) : v;
     }
 
-    private static double decode(Object told, double other) {
-        if (told == null) {
+    private static double decode(Object recorded, double fallback) {
+        if (recorded == null) {
             return Double.NaN;
         }
-        double v = told instanceof Number n ? n.doubleValue() : other;
+        double v = recorded instanceof Number n ? n.doubleValue() : fallback;
         return Math.abs(v) == Double.MAX_VALUE ? Math.copySign(Double.POSITIVE_INFINITY, v) : v;
     }
 
@@ -119,7 +119,7 @@
         }
     }
 
-    /** A number of each worker. */
+    /** Passes one number per worker. */
     void perWorker(String name, double[] v, int count) {
         if (!restoring) {
             fields.put(name, Arrays.stream(v, 0, count).map(LearnedSnapshot::encode).toArray());
@@ -135,7 +135,7 @@
         }
     }
 
-    /** A row of each worker. */
+    /** Passes one row per worker. */
     void rowPerWorker(String name, double[][] v, int count) {
         for (int i = 0; i < (restoring ? localIndexes.length : count); i++) {
             int w = restoring ? localIndexes[i] : i;
@@ -145,7 +145,7 @@
         }
     }
 
-    /** A table of each worker, row by row, told only where something was counted. */
+    /** Passes one table per worker, row by row; rows without counts are not recorded. */
     void tablePerWorker(String name, double[][][] v, int count) {
         for (int i = 0; i < (restoring ? localIndexes.length : count); i++) {
             int w = restoring ? localIndexes[i] : i;
--- a/src/main/java/gingerspool/dispatch/LocalSends.java
+++ b/src/main/java/gingerspool/dispatch/LocalSends.java
@@ -1,12 +1,12 @@
 package gingerspool.dispatch;
 
-/** Own unfinished sends, which count in O at once, and the sends that other dispatchers tell of. */
+/** Accounts for unfinished sends at workers: our own, and those that peers announced. */
 final class LocalSends {
     private final Estimates model;
     private final Workers fleet;
     private final DispatchActions actions;
 
-    /** Work from which on a send is told, in shares of the mean. */
+    /** Minimum work of a send that is announced to peers, in mean works. */
     private double announceThreshold;
 
     LocalSends(Estimates model, DispatchActions actions) {
@@ -16,7 +16,7 @@
         announceThreshold = -Math.log(Math.max(1e-9, model.announceShare));
     }
 
-    /** Guards against lost messages: what others told of is not believed out for ever. */
+    /** Guards against lost end messages: announced sends of peers expire. */
     void dropExpired(int w) {
         for (Assignment a = fleet.oldest[w]; a != null; ) {
             Assignment next = a.next;
@@ -34,30 +34,30 @@
         }
     }
 
-    /** Guards against messages that cost more than they tell: only the largest sends are told. */
-    void announce(Assignment a, boolean begins) {
-        if (begins && model.announceShare > 0) {
+    /** Announces start or end to peers; only of the largest sends, to bound the message cost. */
+    void announce(Assignment a, boolean starts) {
+        if (starts && model.announceShare > 0) {
             a.announced = a.task.work >= announceThreshold * model.meanWork;
             announceThreshold *= Math.exp(((a.announced ? 1 : 0) - model.announceShare) / 4);
         }
         if (a.announced) {
             actions.tell(
-                    -1, PeerMessage.of(fleet.tag[a.worker], begins ? a.task.work / model.tick : 0));
+                    -1, PeerMessage.of(fleet.tag[a.worker], starts ? a.task.work / model.tick : 0));
         }
     }
 
-    /** Own sends are taken off a report as they were on average when it was made. */
+    /** Updates the smoothed own slots in use, which are subtracted from a report's jobs. */
     void smoothSlots(int w) {
-        double past = 1 - Math.exp(-(model.now - fleet.smoothedAt[w]) / (2 * model.meanWork));
-        fleet.smoothedSlots[w] += (fleet.ownSlots[w] - fleet.smoothedSlots[w]) * past;
+        double weight = 1 - Math.exp(-(model.now - fleet.smoothedAt[w]) / (2 * model.meanWork));
+        fleet.smoothedSlots[w] += (fleet.ownSlots[w] - fleet.smoothedSlots[w]) * weight;
         fleet.smoothedAt[w] = model.now;
     }
 
-    /** Our sends to the worker a millisecond, counting so many more now. */
-    double sendRate(int w, int more) {
+    /** Our send rate to the worker per ms, after counting this many new sends. */
+    double sendRate(int w, int sends) {
         double span = Estimates.SAMPLES * model.meanWork;
         fleet.sendRate[w] =
-                fleet.sendRate[w] * Math.exp((fleet.rateAt[w] - model.now) / span) + more / span;
+                fleet.sendRate[w] * Math.exp((fleet.rateAt[w] - model.now) / span) + sends / span;
         fleet.rateAt[w] = model.now;
         return fleet.sendRate[w];
     }
--- a/src/main/java/gingerspool/dispatch/OverdueSends.java
+++ b/src/main/java/gingerspool/dispatch/OverdueSends.java
@@ -3,9 +3,9 @@
 import java.util.Comparator;
 import java.util.TreeSet;
 
-/** Counts the sends under way whose task's due time has passed. */
+/** Counts the sends in flight whose task's due time has passed. */
 final class OverdueSends {
-    /** Sends under way whose due time is still to come, and how many there are whose has passed. */
+    /** Sends in flight that are not yet due, by due time, and the number of those past it. */
     private final TreeSet<Assignment> notYetDue =
             new TreeSet<>(
                     Comparator.comparingDouble((Assignment a) -> a.task.due)
--- a/src/main/java/gingerspool/dispatch/PairTable.java
+++ b/src/main/java/gingerspool/dispatch/PairTable.java
@@ -1,6 +1,6 @@
 package gingerspool.dispatch;
 
-/** p(k given O): counts of the region believed at a send against the region told afterwards. */
+/** Learns p(k given O): counts pairs of the region believed at a send and the one observed. */
 final class PairTable {
     private final Estimates model;
     private final Workers fleet;
@@ -14,32 +14,32 @@
         this.queue = queue;
     }
 
-    /** The weight of a region, given the one believed: its count there and in all, from one on. */
-    double weight(int w, int believed, int told) {
-        return 1 + fleet.pairCounts[w][believed][told] + model.pooledPairs[believed][told];
+    /** Weight of an observed region given the believed one: worker and pooled counts, plus 1. */
+    double weight(int w, int believed, int observed) {
+        return 1 + fleet.pairCounts[w][believed][observed] + model.pooledPairs[believed][observed];
     }
 
-    /** Counts pairs of the region believed at a send and the one reported next, or met. */
-    void count(int w, int believed, int told, int times) {
+    /** Counts pairs of the region believed at a send and the one observed afterwards. */
+    void count(int w, int believed, int observed, int times) {
         if (times > 0) {
-            fleet.pairCounts[w][believed][told] += times;
-            model.pooledPairs[believed][told] += times;
+            fleet.pairCounts[w][believed][observed] += times;
+            model.pooledPairs[believed][observed] += times;
             Workers.halve(fleet.pairCounts[w][believed], Estimates.SAMPLES);
             Workers.halve(model.pooledPairs[believed], Estimates.SAMPLES);
         }
     }
 
-    private void count(Assignment a, int told) {
-        count(a.worker, a.region, told, 1);
+    private void count(Assignment a, int observed) {
+        count(a.worker, a.region, observed, 1);
     }
 
-    /** Counts the wait that a send met, as its start tells it. */
+    /** Counts the wait that a start notice shows. */
     void countWait(Assignment a) {
         double load = queue.loadFromWait(a.worker, model.now - a.sentAt);
         count(a, load < 1 ? Math.min(1, a.region) : QueuedWork.region(load));
     }
 
-    /** Counts how late an answer was beyond the expected run, where nothing else shows the wait. */
+    /** Counts the delay beyond the expected run, where nothing else shows the wait. */
     void countLateness(Assignment a) {
         if (queuesAreHidden()) {
             double wait = (model.now - a.sentAt - a.run) * speed.pace(a.worker) / model.meanWork;
@@ -47,14 +47,14 @@
         }
     }
 
-    /** A worker that was full had the top region. */
-    void countFull(Assignment a, Outcome how) {
-        if (model.notifiesStart && how == Outcome.FULL) {
+    /** A worker that refused as full was in the top region. */
+    void countFull(Assignment a, Outcome outcome) {
+        if (model.notifiesStart && outcome == Outcome.FULL) {
             count(a, QueuedWork.REGIONS - 1);
         }
     }
 
-    /** Whether neither reports nor start notes show queues: then lateness is counted. */
+    /** Whether neither reports nor start notices show queues, so lateness is counted instead. */
     boolean queuesAreHidden() {
         return !model.notifiesStart && !model.reportsShowQueues;
     }
--- a/src/main/java/gingerspool/dispatch/Parameters.java
+++ b/src/main/java/gingerspool/dispatch/Parameters.java
@@ -1,106 +1,134 @@
 package gingerspool.dispatch;
 
-/** The deployment, as the few figures that decisions use. */
+/** The parameters that decisions use, derived from the {@link DispatcherSettings}. */
 abstract class Parameters {
-    /**
-     * What telling others of sends may cost in service, and bytes of telling one's begin and end.
-     */
+    /** Share of the service that messages to peers may cost. */
     private static final double MAX_PEER_MESSAGE_COST = 0.02;
 
+    /** Bytes for announcing the start and end of one send, with overhead. */
     private static final double PEER_MESSAGE_BYTES = 32;
 
-    /** What asking for reports may cost in service. */
+    /** Share of the service that probing for reports may cost. */
     private static final double MAX_PROBE_COST = 0.006;
 
     final Profile[] profiles;
+
+    /** Tasks per second that each tenant may send, and the utility share of tasks beyond that. */
     final double[] allowance;
+
     final double excessUtility;
+
+    /** Whether utility counts per work, else per task. */
     final boolean byWork;
+
     final int zone;
     final int dispatchers;
     final boolean listOnRequest;
     final boolean fetchesReports;
     final boolean reportsByProbe;
 
-    /** Workers that are asked for a report on behalf of one task. */
+    /** Maximum number of workers probed for a report on behalf of one task. */
     final int probesPerTask;
 
     final boolean mayCancel;
 
-    /** Share of our sends that the other dispatchers are told of. */
+    /** Share of our sends that is announced to the other dispatchers. */
     final double announceShare;
 
+    /** Whether workers order their queues by priority. */
     final boolean byPriority;
+
+    /** Whether workers send a notice when a task starts. */
     final boolean notifiesStart;
+
     final double progressInterval;
     final int maxTries;
     final double maxRetryAfter;
+
+    /** Span within which a failed list request is retried at least once, in ms. */
     final double listRetryWindow;
+
+    /** Time resolution of the host, in ms. */
     final double tick;
+
+    /** Share of its capacity that a worker has at its start. */
     final double coldShare;
+
     final double warmUpSpan;
+
+    /** Window of the cold budget in ms; 0: no limit. */
     final double coldWindow;
+
+    /** Cold budget of this dispatcher per warm slot and window, in work. */
     final double coldBudget;
+
+    /** Cost of sending to another zone, in shares of the mean worth. */
     final double zoneFee;
+
+    /** Weight of the worst-served profile in the goal, from 0 to below 1. */
     final double worstWeight;
 
     /**
-     * What learned figures of machines, of reports and of tasks rest on; they mean nothing
-     * elsewhere.
+     * Settings that the learned estimates of machines, reports and tasks depend on: they are
+     * restored only by a process with the same text.
      */
     final String basisOfMachines;
 
     final String basisOfReports;
     final String basisOfTasks;
 
-    Parameters(DispatcherSettings s) {
-        if (s.profiles.length == 0) {
-            throw new IllegalArgumentException("settings without profiles");
+    Parameters(DispatcherSettings settings) {
+        if (settings.profiles.length == 0) {
+            throw new IllegalArgumentException("dispatcher settings contain no task profile");
         }
-        profiles = s.profiles;
-        allowance = s.allowance;
-        excessUtility = s.excessUtility;
-        byWork = s.utilityByWork;
-        zone = s.zone;
-        dispatchers = Math.max(1, s.dispatchers);
-        listOnRequest = s.listOnRequest;
-        fetchesReports = s.mayProbe && (s.reportsByProbe || s.reportsInAnswers);
-        reportsByProbe = s.reportsByProbe;
-        probesPerTask = (int) Math.max(1, Math.min(6, MAX_PROBE_COST / Math.max(s.probeFee, 1e-9)));
-        mayCancel = s.mayCancel;
+        profiles = settings.profiles;
+        allowance = settings.allowance;
+        excessUtility = settings.excessUtility;
+        byWork = settings.utilityByWork;
+        zone = settings.zone;
+        dispatchers = Math.max(1, settings.dispatchers);
+        listOnRequest = settings.listOnRequest;
+        fetchesReports =
+                settings.mayProbe && (settings.reportsByProbe || settings.reportsInAnswers);
+        reportsByProbe = settings.reportsByProbe;
+        probesPerTask =
+                (int) Math.max(1, Math.min(6, MAX_PROBE_COST / Math.max(settings.probeFee, 1e-9)));
+        mayCancel = settings.mayCancel;
         announceShare =
-                !s.mayTell || dispatchers < 2
+                !settings.mayTell || dispatchers < 2
                         ? 0
                         : Math.min(
                                 1,
                                 MAX_PEER_MESSAGE_COST
                                         * 256
                                         / (PEER_MESSAGE_BYTES
-                                                * Math.max(s.tellFee, 1e-9)
+                                                * Math.max(settings.tellFee, 1e-9)
                                                 * (dispatchers - 1)));
-        byPriority = s.order == DispatcherSettings.Order.PRIORITY;
-        notifiesStart = s.tellsStart;
-        progressInterval = s.progressEvery;
-        maxTries = Math.max(1, s.mostAssignments);
-        maxRetryAfter = s.mayAdvise ? s.maxAdvice : 0;
-        tick = Math.max(s.tick, 0.1);
-        listRetryWindow = s.askWithin > 0 ? s.askWithin : 1000 * tick;
-        coldShare = s.coldFrom;
-        warmUpSpan = s.warmWithin;
-        coldWindow = s.fallWindow;
-        coldBudget = s.overloadFactor * s.fallWindow / dispatchers;
-        zoneFee = s.crossFee;
-        worstWeight = s.worstProfile;
-        basisOfMachines = String.join(",", s.kinds);
+        byPriority = settings.order == DispatcherSettings.Order.PRIORITY;
+        notifiesStart = settings.tellsStart;
+        progressInterval = settings.progressEvery;
+        maxTries = Math.max(1, settings.mostAssignments);
+        maxRetryAfter = settings.mayAdvise ? settings.maxAdvice : 0;
+        tick = Math.max(settings.tick, 0.1);
+        listRetryWindow = settings.askWithin > 0 ? settings.askWithin : 1000 * tick;
+        coldShare = settings.coldFrom;
+        warmUpSpan = settings.warmWithin;
+        coldWindow = settings.fallWindow;
+        coldBudget = settings.overloadFactor * settings.fallWindow / dispatchers;
+        zoneFee = settings.crossFee;
+        worstWeight = settings.worstProfile;
+        basisOfMachines = String.join(",", settings.kinds);
         basisOfReports =
                 String.join(
                         " ",
                         basisOfMachines,
-                        "at " + s.place,
-                        s.order.toString(),
+                        "at " + settings.place,
+                        settings.order.toString(),
                         notifiesStart ? "starts" : "",
-                        s.reportsByProbe ? "probes" : s.reportsInAnswers ? "answers" : "",
-                        String.join(",", s.reportNames));
+                        settings.reportsByProbe
+                                ? "probes"
+                                : settings.reportsInAnswers ? "answers" : "",
+                        String.join(",", settings.reportNames));
         StringBuilder tasks =
                 new StringBuilder(basisOfReports).append(byWork ? " by work" : " by task");
         for (Profile p : profiles) {
--- a/src/main/java/gingerspool/dispatch/PeerMessage.java
+++ b/src/main/java/gingerspool/dispatch/PeerMessage.java
@@ -1,16 +1,16 @@
 package gingerspool.dispatch;
 
 /**
- * What dispatchers tell each other: two bytes for the worker and, where a task has been sent there,
- * one for its size; without it the task has ended. The size is told in sixteenths of a power of
- * two, from 1 on.
+ * Encodes messages between dispatchers: two bytes for the worker's tag and, if a task was sent
+ * there, one for its size; without that byte a task there has ended. The size, in ticks, is encoded
+ * logarithmically in sixteenths of a power of two, from 1 on.
  */
 final class PeerMessage {
     private static final double STEPS_PER_DOUBLING = 16;
 
     private PeerMessage() {}
 
-    /** A size of 0 tells an end. */
+    /** Encodes a message; a size of 0 means that the task has ended. */
     static byte[] of(int tag, double size) {
         byte high = (byte) (tag >> 8);
         double step = Math.rint(STEPS_PER_DOUBLING * Math.log(Math.max(1, size)) / Math.log(2));
@@ -19,7 +19,7 @@
                 : new byte[] {high, (byte) tag, (byte) Math.min(255, step)};
     }
 
-    /** The last two bytes of the worker's tag, or -1 where the message is too short. */
+    /** The last two bytes of the worker's tag, or -1 if the message is too short. */
     static int tag(byte[] message) {
         return message.length < 2 ? -1 : (message[0] & 255) << 8 | message[1] & 255;
     }
--- a/src/main/java/gingerspool/dispatch/PeerSends.java
+++ b/src/main/java/gingerspool/dispatch/PeerSends.java
@@ -1,6 +1,6 @@
 package gingerspool.dispatch;
 
-/** Notes the sends that other dispatchers tell of. */
+/** Tracks the sends that other dispatchers announce, so that they count in the load at once. */
 final class PeerSends {
     private final Estimates model;
     private final Workers fleet;
@@ -16,7 +16,7 @@
         this.localSends = localSends;
     }
 
-    /** Another dispatcher tells that it has sent a task to a worker, or that one has ended. */
+    /** Handles an announcement that a peer has sent a task to a worker, or that one has ended. */
     void messageReceived(int peer, byte[] message) {
         int w = fleet.findByTag(PeerMessage.tag(message));
         if (w >= 0 && PeerMessage.begins(message)) {
--- a/src/main/java/gingerspool/dispatch/PendingTasks.java
+++ b/src/main/java/gingerspool/dispatch/PendingTasks.java
@@ -4,7 +4,7 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** The tasks that wait for a decision, and the timer that brings us back to them. */
+/** The tasks waiting for a decision, in order of arrival, and the timer for the next decision. */
 final class PendingTasks {
     private final Estimates model;
     private final DispatchActions actions;
@@ -16,7 +16,7 @@
         this.actions = actions;
     }
 
-    /** Adds a task that is to be looked at now. */
+    /** Adds a task to be decided now. */
     void add(Task t) {
         t.decideAt = model.now;
         if (!t.pending) {
@@ -30,7 +30,7 @@
         tasks.remove(t);
     }
 
-    /** The first task whose time to be looked at has come, or null; drops those that have ended. */
+    /** The first task whose decision is due, or null; drops ended tasks. */
     Task nextDue() {
         for (Iterator<Task> i = tasks.iterator(); i.hasNext(); ) {
             Task t = i.next();
@@ -44,14 +44,14 @@
         return null;
     }
 
-    /** Whoever waits is looked at anew, since other workers may take it now. */
+    /** Makes all tasks due that neither pause nor wait to send a copy. */
     void reconsiderAll() {
         for (Task t : tasks) {
             t.decideAt = t.inFlight > 0 ? t.decideAt : Math.max(model.now, t.pauseUntil);
         }
     }
 
-    /** This worker's report came: tasks that waited for nothing else are looked at. */
+    /** Makes those tasks due for which this worker's report was the last one awaited. */
     void reconsiderAfterReport(int w) {
         for (Task t : tasks) {
             t.decideAt =
@@ -63,26 +63,26 @@
 
     /** Whether this worker's report was the last one that the task waited for. */
     private boolean waitedFor(Task t, int w) {
-        boolean its = false;
+        boolean probed = false;
         for (int i = 0; t.probedWorkers != null && i < t.probedWorkers.length; i++) {
-            its |= t.probedWorkers[i] == w;
+            probed |= t.probedWorkers[i] == w;
             if (model.fleet.probing[t.probedWorkers[i]]) {
                 return false;
             }
         }
-        return its;
+        return probed;
     }
 
     /**
-     * Guards against waiting forever: hosts count time in steps, so a timer may fire a little
-     * before it.
+     * Handles the timer. Guards against waiting forever: host clocks have a limited resolution, so
+     * a timer may fire slightly early.
      */
     void woken() {
         wakeAt = model.now > wakeAt - model.tick / 2 ? Double.POSITIVE_INFINITY : wakeAt;
     }
 
-    /** Asks to be woken for the next task, or at this time if that is sooner. */
-    void planWake(double other) {
+    /** Schedules a wake-up for the next due task, or at the other time if that is sooner. */
+    void scheduleWake(double other) {
         double next = other;
         for (int i = 0; i < tasks.size(); i++) {
             next = Math.min(next, tasks.get(i).decideAt);
--- a/src/main/java/gingerspool/dispatch/QueuedWork.java
+++ b/src/main/java/gingerspool/dispatch/QueuedWork.java
@@ -1,8 +1,8 @@
 package gingerspool.dispatch;
 
-/** O, the work believed queued at a worker, and the K regions that it is cut into. */
+/** Estimates O, the work queued at a worker, and maps it to one of a few regions. */
 final class QueuedWork {
-    /** Upper ends of the K regions of O, in shares of a worker's slots; the last is open. */
+    /** Upper bounds of the regions, as load (see load()); the last region is unbounded. */
     private static final double[] BOUNDS = {0.5, 1, 1.15, 1.35, 1.6, 2, 2.5, 3.5, 5, 7, 10, 14, 20};
 
     static final int REGIONS = BOUNDS.length + 1;
@@ -17,22 +17,22 @@
         this.speed = speed;
     }
 
-    /** The others' jobs: what was heard fades to their mean as it ages; unheard, it is the mean. */
+    /** Estimated jobs of peers: the last report, decaying to the group's mean with age. */
     double peerJobs(int w) {
         double mean = fleet.groupPeerJobs[group(w)] * speed.slotsOf(w);
-        double fresh =
+        double freshness =
                 Double.isNaN(fleet.loadAt[w])
                         ? 0
                         : Math.exp((fleet.loadAt[w] - model.now) / model.decaySpan());
-        return mean + (fleet.peerJobs[w] - mean) * fresh;
+        return mean + (fleet.peerJobs[w] - mean) * freshness;
     }
 
-    /** Workers of a kind, here or elsewhere: a mean of all would follow the few mostly asked. */
+    /** Group by kind and local zone: one overall mean would follow the few workers probed most. */
     int group(int w) {
         return 2 * fleet.kindOf[w] + (fleet.zoneOf[w] == model.zone ? 0 : 1);
     }
 
-    /** O: the work believed ahead of a new job at the worker, as a region. */
+    /** Region of the estimated work ahead of a new job at the worker. */
     int regionOf(int w) {
         double load = load(w, peerJobs(w));
         for (Assignment a = model.notifiesStart ? fleet.oldest[w] : null; a != null; a = a.next) {
@@ -45,41 +45,40 @@
     }
 
     /**
-     * O with our unfinished sends at their own expected rest and so many jobs of others at the mean
-     * running time: below 1 the share of busy slots, from 1 on the wait in mean running times. The
-     * next slot is free as the first running job ends; what waits is shared by slots whose jobs end
-     * within a mean running time.
+     * Load O, with own sends at their remaining and peers' jobs at the mean running time: below 1
+     * the share of busy slots, else 1 plus the wait in mean running times. That is the time to the
+     * first end plus the backlog, shared by the slots that free up within a mean running time.
      */
-    double load(int w, double ofOthers) {
-        double n = speed.slotsOf(w);
-        if (!model.notifiesStart && ofOthers + fleet.inFlight[w] + 1 <= n) {
-            // Every job has a slot, and there is one more: the long way round comes to the same.
-            return (ofOthers + fleet.inFlight[w]) / n;
+    double load(int w, double peerJobs) {
+        double slots = speed.slotsOf(w);
+        if (!model.notifiesStart && peerJobs + fleet.inFlight[w] + 1 <= slots) {
+            // Shortcut with the same result: every job has a slot and at least one is free.
+            return (peerJobs + fleet.inFlight[w]) / slots;
         }
-        double mean = model.meanWork / speed.pace(w);
-        double busy = Math.min(n, ofOthers);
-        double ending = busy / mean;
-        double turning = busy;
-        double queue = (ofOthers - busy) * mean;
+        double meanRun = model.meanWork / speed.pace(w);
+        double busy = Math.min(slots, peerJobs);
+        double endRate = busy / meanRun;
+        double turnover = busy;
+        double backlog = (peerJobs - busy) * meanRun;
         for (Assignment a = fleet.oldest[w]; a != null; a = a.next) {
-            double rest = remainingRun(a);
-            if (busy + 1 <= n
+            double remaining = remainingRun(a);
+            if (busy + 1 <= slots
                     && (!model.notifiesStart
                             || !Double.isNaN(a.startedAt)
-                            || model.now - a.sentAt < mean / 4)) {
+                            || model.now - a.sentAt < meanRun / 4)) {
                 busy++;
-                ending += 1 / rest;
-                turning += Math.min(1, mean / rest);
+                endRate += 1 / remaining;
+                turnover += Math.min(1, meanRun / remaining);
             } else {
-                queue += rest;
+                backlog += remaining;
             }
         }
-        return queue == 0 && busy + 1 <= n
-                ? busy / n
-                : 1 + (1 / ending + queue / Math.max(0.25, turning)) / mean;
+        return backlog == 0 && busy + 1 <= slots
+                ? busy / slots
+                : 1 + (1 / endRate + backlog / Math.max(0.25, turnover)) / meanRun;
     }
 
-    /** Running time still expected: a job without a hint hardly gets nearer its end by running. */
+    /** Remaining running time; without a hint, elapsed time says little about the remainder. */
     private double remainingRun(Assignment a) {
         double since = Double.isNaN(a.startedAt) ? a.sentAt + a.wait : a.startedAt;
         return Math.max(
@@ -94,7 +93,7 @@
         return k;
     }
 
-    /** The wait at a region's midpoint; a worker has several servers: a free slot means none. */
+    /** Wait in ms at a region's midpoint; 0 below load 1, where the worker has a free slot. */
     double waitInRegion(int w, int k) {
         if (k < 2) {
             return 0;
@@ -103,7 +102,7 @@
         return model.meanWork / speed.pace(w) * (mid - 1);
     }
 
-    /** The load that a wait tells; connecting takes the first part of a mean run. */
+    /** Load implied by a wait, less a quarter of a mean running time for connecting. */
     double loadFromWait(int w, double wait) {
         return 1 + wait * speed.pace(w) / model.meanWork - 0.25;
     }
--- a/src/main/java/gingerspool/dispatch/Report.java
+++ b/src/main/java/gingerspool/dispatch/Report.java
@@ -1,6 +1,6 @@
 package gingerspool.dispatch;
 
-/** Places of the values in a load report, given as an array; NaN where a value was not told. */
+/** Indexes of the values in a load report, an array; values not reported are NaN. */
 public final class Report {
     public static final int IN_FLIGHT = 0;
     public static final int QUEUE = 1;
--- a/src/main/java/gingerspool/dispatch/ReportReader.java
+++ b/src/main/java/gingerspool/dispatch/ReportReader.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Notes what a load report says of a worker and passes its jobs on. */
+/** Reads a load report: updates slots and rate of the worker and passes the job count on. */
 final class ReportReader {
     private final Estimates model;
     private final Workers fleet;
@@ -14,26 +14,26 @@
         this.reports = reports;
     }
 
-    void reported(int w, double[] r) {
-        if (r == null) {
+    void reported(int w, double[] report) {
+        if (report == null) {
             return;
         }
         model.reportsReceived = true;
         double[] last = fleet.lastReport[w];
         fleet.answeredAt[w] = model.now;
-        if (Arrays.equals(r, last) && model.now - fleet.loadAt[w] < 4 * model.meanWork) {
+        if (Arrays.equals(report, last) && model.now - fleet.loadAt[w] < 4 * model.meanWork) {
             return;
         }
-        System.arraycopy(r, 0, last, 0, r.length);
-        if (Reports.isValid(r[Report.FREE_SLOTS])) {
-            fleet.slots[w] = Math.max(fleet.slots[w], Math.rint(r[Report.FREE_SLOTS]));
+        System.arraycopy(report, 0, last, 0, report.length);
+        if (Reports.isValid(report[Report.FREE_SLOTS])) {
+            fleet.slots[w] = Math.max(fleet.slots[w], Math.rint(report[Report.FREE_SLOTS]));
             fleet.kindSlots[fleet.kindOf[w]] =
                     Math.max(fleet.kindSlots[fleet.kindOf[w]], fleet.slots[w]);
         }
-        fleet.reportedRate[w] = r[Report.RATE];
-        double n = reports.reportedJobs(w, r);
-        if (!Double.isNaN(n)) {
-            reports.updatePeerJobs(w, n);
+        fleet.reportedRate[w] = report[Report.RATE];
+        double jobs = reports.reportedJobs(w, report);
+        if (!Double.isNaN(jobs)) {
+            reports.updatePeerJobs(w, jobs);
         }
     }
 }
--- a/src/main/java/gingerspool/dispatch/Reports.java
+++ b/src/main/java/gingerspool/dispatch/Reports.java
@@ -1,8 +1,8 @@
 package gingerspool.dispatch;
 
-/** Load reports: what one says of a worker, and when one is fetched. */
+/** Load reports: updates the load estimates from them and decides when to fetch one. */
 final class Reports {
-    /** T_p, the period of fetching reports and renewing tables of X, in mean running times. */
+    /** Period T_p of fetching reports and rebuilding tables of X, in mean running times. */
     static final double REFRESH_PERIOD = 0.5;
 
     private final Estimates model;
@@ -29,24 +29,24 @@
         this.actions = actions;
     }
 
-    /** Corrects what is believed of the others' jobs by so many jobs, ours among them. */
-    void updatePeerJobs(int w, double n) {
+    /** Corrects the estimate of peers' jobs by the reported job count, which includes ours. */
+    void updatePeerJobs(int w, double jobs) {
         localSends.smoothSlots(w);
-        double before = queue.peerJobs(w);
+        double previous = queue.peerJobs(w);
         fleet.loadAt[w] = model.now;
-        // Guards against flocking: all follow the same reports, so one moves a belief only so far.
-        fleet.peerJobs[w] = before + (Math.max(0, n - fleet.smoothedSlots[w]) - before) / 3;
+        // Guards against herding: all see the same reports, so each applies a third of the change.
+        fleet.peerJobs[w] = previous + (Math.max(0, jobs - fleet.smoothedSlots[w]) - previous) / 3;
         int g = queue.group(w);
         fleet.groupPeerJobs[g] +=
                 (fleet.peerJobs[w] / speed.slotsOf(w) - fleet.groupPeerJobs[g]) / Estimates.SAMPLES;
-        int k = QueuedWork.region(queue.load(w, fleet.peerJobs[w]));
+        int region = QueuedWork.region(queue.load(w, fleet.peerJobs[w]));
         for (int i = 0; i < QueuedWork.REGIONS; i++) {
-            pairs.count(w, i, k, fleet.sendsByRegion[w][i]);
+            pairs.count(w, i, region, fleet.sendsByRegion[w][i]);
             fleet.sendsByRegion[w][i] = 0;
         }
     }
 
-    /** Jobs as reported: in flight, which holds those waiting, else waiting and busy slots. */
+    /** Job count of report r: in flight (includes queued), else queued plus busy slots. */
     double reportedJobs(int w, double[] r) {
         model.reportsShowQueues |= isValid(r[Report.QUEUE]) || isValid(r[Report.IN_FLIGHT]);
         if (isValid(r[Report.IN_FLIGHT])) {
@@ -65,9 +65,9 @@
         return v >= 0 && v < 1e6;
     }
 
-    /** Whether the task should wait for reports: once, if the best worker's is older than T_p. */
+    /** Whether to wait for reports first: once per task, if the best worker's is older than T_p. */
     boolean needsReport(Task task, int best) {
-        // Guards rule one: near its due time, which is never after its expiry, nothing waits.
+        // Guards the answer deadline: near its due time, at latest its expiry, no task waits.
         return model.fetchesReports
                 && task.probedWorkers == null
                 && best >= 0
@@ -83,7 +83,7 @@
                                 : Math.max(fleet.probedAt[w], fleet.answeredAt[w]));
     }
 
-    /** Guards against fetching what no task needs: only the best workers for it are asked. */
+    /** Probes only the best workers for the task, to avoid fetching unneeded reports. */
     void fetchReports(Task task, int best) {
         task.probedWorkers = new int[0];
         for (int i = 0, next = best; i < model.probesPerTask && next >= 0; i++) {
--- a/src/main/java/gingerspool/dispatch/RetryBudget.java
+++ b/src/main/java/gingerspool/dispatch/RetryBudget.java
@@ -1,13 +1,14 @@
 package gingerspool.dispatch;
 
 /**
- * A budget of further assignments and copies, as the Dispatcher uses it. Times are milliseconds.
+ * A budget of retries and copies, implemented by the host and shared by the tasks of a route. Times
+ * are milliseconds.
  */
 public interface RetryBudget {
-    /** A first assignment goes out, which earns a part of a further one. */
+    /** Adds the share of a retry that a first assignment earns. */
     void earn(double now);
 
-    /** Whether a further assignment or copy is allowed now. */
+    /** Whether a retry or copy is allowed now. */
     boolean allows(double now);
 
     void spend(double now);
--- a/src/main/java/gingerspool/dispatch/RetryPolicy.java
+++ b/src/main/java/gingerspool/dispatch/RetryPolicy.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** Further assignments: whether a task's effect, its terms and its budget allow one, and when. */
+/** Decides whether and when a task is assigned again: effect, terms, retry budget. */
 final class RetryPolicy {
     private final Estimates model;
     private final SplittableRandom random;
@@ -12,7 +12,7 @@
         this.random = random;
     }
 
-    /** Guards rule two: what may have run goes out again only as its profile allows. */
+    /** Guards against double effects: what may have run is resent only if its profile allows. */
     boolean isRetryForbidden(Task task) {
         return task.tries >= maxTries(task)
                 || model.now >= task.expiry
@@ -27,12 +27,12 @@
         return Math.min(model.maxTries, t.terms.maxAssignments);
     }
 
-    /** Guards against storms: further assignments are a share of first ones. */
+    /** Guards against retry storms: retries are limited to a share of first assignments. */
     boolean budgetSpent(Task task) {
         return task.tries > 0 && task.terms.budget != null && !task.terms.budget.allows(model.now);
     }
 
-    /** Whether a second copy may join what is out. */
+    /** Whether a further copy may run beside those in flight. */
     boolean mayCopy(Task t) {
         return t.inFlight < t.terms.copies
                 && t.tries < maxTries(t)
@@ -40,7 +40,7 @@
                 && !budgetSpent(t);
     }
 
-    /** Whether an assignment at a worker that hangs is called back, so that it may go elsewhere. */
+    /** Whether to cancel an assignment at a hanging worker so that it can go elsewhere. */
     boolean mayCancelToRetry(Assignment a) {
         Task t = a.task;
         return a.peer < 0
@@ -56,7 +56,7 @@
         return task.tries > task.pausedAfter && task.terms.firstPause > 0;
     }
 
-    /** Begins a pause; false where it would outlast the task, which is then given up now. */
+    /** Begins a backoff pause; false if it would outlast the task, which is then given up. */
     boolean beginPause(Task task) {
         task.pausedAfter = task.tries;
         task.pauseUntil = model.now + task.terms.pause(task.tries, random.nextDouble());
--- a/src/main/java/gingerspool/dispatch/Rules.java
+++ b/src/main/java/gingerspool/dispatch/Rules.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** The rules, gone through in order after each input until none fires. */
+/** The decision rules. The Dispatcher applies them in order after each input until none matches. */
 final class Rules {
     private final Estimates model;
     private final Reports reports;
@@ -14,10 +14,10 @@
     private final SplittableRandom random;
     private final DispatchActions actions;
 
-    /** The task that the rules look at, or null. */
+    /** The task being decided, or null if none is due. */
     private Task task;
 
-    /** When to ask for the list, without end while it is asked for or held. */
+    /** When to request the worker list; infinite while a request is open or the list is held. */
     private double listRequestAt = Double.NEGATIVE_INFINITY;
 
     private double listRetryDelay;
@@ -44,26 +44,27 @@
         listRetryDelay = model.listRetryWindow / 20;
     }
 
+    /** Applies the rules until none matches, then schedules the next wake-up. */
     void applyAll() {
         do {
             task = pending.nextDue();
         } while (applyFirstMatching());
-        pending.planWake(model.listOnRequest ? listRequestAt : Double.POSITIVE_INFINITY);
+        pending.scheduleWake(model.listOnRequest ? listRequestAt : Double.POSITIVE_INFINITY);
     }
 
-    /** The list was asked for and has come whole. */
+    /** The requested worker list has arrived completely. */
     void listAnswered() {
         listRequestAt = Double.POSITIVE_INFINITY;
         listRetryDelay = model.listRetryWindow / 20;
     }
 
-    /** A call for the list failed: ask again, later each time. */
+    /** A list request failed: retries with jittered exponential backoff. */
     void listFailed() {
         listRequestAt = model.now + listRetryDelay * (0.5 + random.nextDouble());
         listRetryDelay = Math.min(2 * listRetryDelay, model.listRetryWindow / 2);
     }
 
-    /** The rules, in order: the first whose condition holds acts, on the task that is due. */
+    /** Applies the first rule whose condition holds to the due task; false if none does. */
     private boolean applyFirstMatching() {
         if (model.listOnRequest && model.now >= listRequestAt) {
             listRequestAt = Double.POSITIVE_INFINITY;
@@ -90,7 +91,7 @@
         return true;
     }
 
-    /** A second copy, if the terms, the budget and the ordinary score allow one now. */
+    /** Sends a further copy (hedging) if terms, retry budget and minimum score allow it now. */
     private void sendCopy() {
         boolean allowed = retryPolicy.mayCopy(task);
         if (allowed) {
@@ -108,9 +109,9 @@
         return !choice.anyReady && model.now + task.work < task.due;
     }
 
-    /** Nobody may take it just now: look again shortly. */
+    /** No worker may take the task now: decides again shortly. */
     private void postpone() {
-        // Guards rule one: absurd hints make that long, and a task may not outwait its last chance.
+        // Guards the answer deadline: absurd hints make meanWork, and so this delay, too long.
         task.decideAt =
                 Math.min(
                         model.now + Math.max(model.tick, model.meanWork / 8),
--- a/src/main/java/gingerspool/dispatch/RunningTimes.java
+++ b/src/main/java/gingerspool/dispatch/RunningTimes.java
@@ -2,9 +2,9 @@
 
 import static gingerspool.dispatch.Estimates.SAMPLES;
 
-/** Learning of running times: the work to expect of a task, and how fast workers do it. */
+/** Learns running times: the expected work of tasks and the pace of workers. */
 final class RunningTimes {
-    /** What is kept of a sum at each new sample, where it looks back over eight times N_S. */
+    /** Decay of a sum at each new sample, for a window of 8 * SAMPLES. */
     private static final double SUM_DECAY = 1 - 1.0 / (8 * SAMPLES);
 
     private final Estimates model;
@@ -17,16 +17,16 @@
         this.speed = speed;
     }
 
-    /** Work to expect at a hint: far hints are drawn to the profile's mean, as runs show. */
+    /** Expected work given a hint, shrunk toward the profile's mean as far as past runs suggest. */
     double workFromHint(int p, double hint) {
-        double n = Math.min(++model.hintsSeen[p], 4 * SAMPLES);
-        double x = Math.log(hint);
-        model.profileWork[p] += (hint - model.profileWork[p]) / n;
-        model.hintLogMean[p] += (x - model.hintLogMean[p]) / n;
-        double power = hintExponent();
-        double spreadWork = Math.exp(power * (x - model.hintLogMean[p]));
-        model.hintWorkMean[p] += (spreadWork - model.hintWorkMean[p]) / n;
-        double work = model.profileWork[p] * spreadWork / model.hintWorkMean[p];
+        double samples = Math.min(++model.hintsSeen[p], 4 * SAMPLES);
+        double logHint = Math.log(hint);
+        model.profileWork[p] += (hint - model.profileWork[p]) / samples;
+        model.hintLogMean[p] += (logHint - model.hintLogMean[p]) / samples;
+        double exponent = hintExponent();
+        double scaledWork = Math.exp(exponent * (logHint - model.hintLogMean[p]));
+        model.hintWorkMean[p] += (scaledWork - model.hintWorkMean[p]) / samples;
+        double work = model.profileWork[p] * scaledWork / model.hintWorkMean[p];
         model.meanWork += (work - model.meanWork) / (2 * SAMPLES);
         return work;
     }
@@ -35,64 +35,64 @@
         return Math.max(0, Math.min(1, model.hintRunCov / model.hintVar));
     }
 
-    /** Learns how far hints can be believed, from a running time in standard work. */
+    /** Learns how reliable hints are, from a running time converted to standard work. */
     private void learnHint(int p, double hint, double work) {
-        double y = Math.log(work);
-        double n = Math.min(++model.runsSeen[p], 4 * SAMPLES);
-        model.runLogMean[p] += (y - model.runLogMean[p]) / n;
-        double x = Math.log(hint) - model.hintLogMean[p];
-        model.hintVar = model.hintVar * SUM_DECAY + x * x;
-        model.hintRunCov = model.hintRunCov * SUM_DECAY + x * (y - model.runLogMean[p]);
-        double off = y - model.runLogMean[p] - x * hintExponent();
-        model.runVar[p] += (off * off - model.runVar[p]) / (n + 8);
+        double logRun = Math.log(work);
+        double samples = Math.min(++model.runsSeen[p], 4 * SAMPLES);
+        model.runLogMean[p] += (logRun - model.runLogMean[p]) / samples;
+        double hintDev = Math.log(hint) - model.hintLogMean[p];
+        model.hintVar = model.hintVar * SUM_DECAY + hintDev * hintDev;
+        model.hintRunCov = model.hintRunCov * SUM_DECAY + hintDev * (logRun - model.runLogMean[p]);
+        double residual = logRun - model.runLogMean[p] - hintDev * hintExponent();
+        model.runVar[p] += (residual * residual - model.runVar[p]) / (samples + 8);
     }
 
-    /** Learns from a running time, known by the start note or by a send that met a free slot. */
+    /** Learns from a running time, measured from the start notice or a send to a free slot. */
     void learnRun(Assignment a) {
-        boolean noted = !Double.isNaN(a.startedAt);
-        if (!noted && (model.notifiesStart || !a.sawFreeSlot)) {
+        boolean startKnown = !Double.isNaN(a.startedAt);
+        if (!startKnown && (model.notifiesStart || !a.sawFreeSlot)) {
             return;
         }
-        double run = Math.max(model.tick, model.now - (noted ? a.startedAt : a.sentAt));
+        double run = Math.max(model.tick, model.now - (startKnown ? a.startedAt : a.sentAt));
         int w = a.worker;
         int k = fleet.kindOf[w];
         int p = a.task.profile.index;
         double warm = speed.warmth(w, model.warmUp);
         if (a.task.hint <= 0) {
-            // Without hints the fastest kind is the standard core: only the relation can be seen.
+            // Without hints only relative paces are visible: the fastest kind is the standard core.
             model.standardPace = 0;
             for (int i = 0; i < fleet.kindWork.length; i++) {
                 model.standardPace = Math.max(model.standardPace, speed.kindPace(i));
             }
-            double n = Math.min(++model.runsSeen[p] + 8, 4 * SAMPLES);
-            model.profileWork[p] += (run * speed.pace(w) - model.profileWork[p]) / n;
-            double off = Math.log(run * speed.pace(w)) - model.runLogMean[p];
-            model.runLogMean[p] += off / n;
-            model.runVar[p] += (off * off - model.runVar[p]) / n;
+            double samples = Math.min(++model.runsSeen[p] + 8, 4 * SAMPLES);
+            model.profileWork[p] += (run * speed.pace(w) - model.profileWork[p]) / samples;
+            double error = Math.log(run * speed.pace(w)) - model.runLogMean[p];
+            model.runLogMean[p] += error / samples;
+            model.runVar[p] += (error * error - model.runVar[p]) / samples;
             model.meanWork += (a.task.work - model.meanWork) / SAMPLES;
         } else {
             learnHint(p, a.task.hint, run * speed.pace(w));
         }
-        // In logarithms, since running times are spread so widely that sums follow the few longest.
-        double told =
+        // In logarithms, since sums of widely spread running times follow the few longest.
+        double expected =
                 a.task.hint > 0 ? Math.log(a.task.work) - model.runVar[p] / 2 : model.runLogMean[p];
-        double off = told - Math.log(run * warm * speed.kindPace(k) / model.standardPace);
-        // Guards against a slowdown of all, which one worker's few answers show much too late.
+        double error = expected - Math.log(run * warm * speed.kindPace(k) / model.standardPace);
+        // commonPace guards against a fleet-wide slowdown, which one worker shows much too late.
         model.warmUp =
-                warm < 1 ? Math.max(1, model.warmUp * Math.exp(off * 4 / SAMPLES)) : model.warmUp;
-        double common = model.commonPace;
+                warm < 1 ? Math.max(1, model.warmUp * Math.exp(error * 4 / SAMPLES)) : model.warmUp;
+        double previous = model.commonPace;
         if (a.task.hint > 0) {
-            model.commonPace += (off - common) * 2 / SAMPLES - common / (4 * SAMPLES);
+            model.commonPace += (error - previous) * 2 / SAMPLES - previous / (4 * SAMPLES);
         }
         double weight = a.task.hint > 0 ? newestWeight() : 1.0 / SAMPLES;
-        fleet.logPace[w] += (off - model.commonPace - fleet.logPace[w]) * 2 * weight;
+        fleet.logPace[w] += (error - model.commonPace - fleet.logPace[w]) * 2 * weight;
         fleet.kindWork[k] = fleet.kindWork[k] * SUM_DECAY + a.task.work;
         fleet.kindRunTime[k] = fleet.kindRunTime[k] * SUM_DECAY + run * warm;
     }
 
-    /** Progress tells how long the whole run will take. */
+    /** Extrapolates the running time from the reported share of progress. */
     void progressed(Assignment a, double share) {
-        // Where starts are not told, the first progress tells one: it comes so long after it.
+        // Without start notices, the first progress report implies a start one interval earlier.
         if (Double.isNaN(a.startedAt) && !model.notifiesStart && model.progressInterval > 0) {
             a.startedAt = Math.max(a.sentAt, model.now - model.progressInterval);
         }
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Weight of the newest task in what shows strain: larger where few tasks come to us. */
+    /** Weight of the newest task in measures of strain: larger when few tasks arrive. */
     double newestWeight() {
         return Math.max(
                 1.0 / SAMPLES, Math.min(4.0 / SAMPLES, model.arrivalGap / model.decaySpan()));
--- a/src/main/java/gingerspool/dispatch/Score.java
+++ b/src/main/java/gingerspool/dispatch/Score.java
@@ -1,8 +1,8 @@
 package gingerspool.dispatch;
 
-/** The design's score of a worker for a task: its chance of finishing the task in time. */
+/** The score of a worker for a task: the probability that it finishes the task in time. */
 final class Score {
-    /** Where running times are looked at, in standard deviations of their logarithm. */
+    /** Quantiles at which running times are sampled, in standard deviations of their logarithm. */
     private static final double[] QUANTILES = {-1.15, -0.32, 0.32, 1.15};
 
     private final Estimates model;
@@ -25,50 +25,51 @@
     }
 
     /**
-     * The design's score: the sum over k up to l of P(X at most l - k) p(k given O). Departure: the
-     * running time is only expected, so the score is the mean over likely values of it, each with
-     * its own l.
+     * Sum over regions k up to the slack l of P(X at most l - k) p(k given O), as in the design.
+     * Departure from it: the running time is only an estimate, so the score is the mean over
+     * sampled running times, each with its own l.
      */
     double probabilityInTime(Task t, int w) {
         sampleWork(t);
         return probabilityAt(t, w);
     }
 
-    /** The likely works of the task: the same for every worker. */
+    /** Samples the task's work; the samples serve all workers scored next. */
     void sampleWork(Task t) {
-        double spread = Math.sqrt(model.runVar[t.profile.index]);
+        double deviation = Math.sqrt(model.runVar[t.profile.index]);
         totalWeight = 0;
         for (int q = 0; q < QUANTILES.length; q++) {
-            works[q] = t.work * Math.exp(spread * (QUANTILES[q] - spread / 2));
+            works[q] = t.work * Math.exp(deviation * (QUANTILES[q] - deviation / 2));
             weights[q] = model.byWork ? works[q] : 1;
             totalWeight += weights[q];
         }
     }
 
+    /** Probability that the worker finishes the task given to sampleWork() in time. */
     double probabilityAt(Task t, int w) {
-        int r = queue.regionOf(w);
-        double left = Math.min(t.due, t.expiry) - model.now;
+        int believed = queue.regionOf(w);
+        double timeLeft = Math.min(t.due, t.expiry) - model.now;
         double pace = speed.pace(w);
-        double fits = 0;
+        double inTime = 0;
         for (int q = 0; q < QUANTILES.length; q++) {
-            double due = left + t.profile.stretch * (works[q] - t.work);
+            double due = timeLeft + t.profile.stretch * (works[q] - t.work);
             slack[q] = Math.min(due, t.expiry - model.now) - works[q] / pace;
         }
-        double all = 0;
+        double total = 0;
         for (int k = QueuedWork.region(queue.load(w, 0)); k < QueuedWork.REGIONS; k++) {
-            double p = pairs.weight(w, r, k);
+            double weight = pairs.weight(w, believed, k);
             double wait = queue.waitInRegion(w, k);
-            all += p;
+            total += weight;
             for (int q = 0; q < QUANTILES.length; q++) {
                 if (wait <= slack[q]) {
-                    double x =
+                    double notOvertaken =
                             model.byPriority
                                     ? future.notOvertaken(w, t.profile, k, wait, slack[q] - wait)
                                     : 1;
-                    fits += p * x * weights[q] / totalWeight;
+                    inTime += weight * notOvertaken * weights[q] / totalWeight;
                 }
             }
         }
-        return fits / all;
+        return inTime / total;
     }
 }
--- a/src/main/java/gingerspool/dispatch/Sender.java
+++ b/src/main/java/gingerspool/dispatch/Sender.java
@@ -1,6 +1,8 @@
 package gingerspool.dispatch;
 
-/** Sends a task to the worker chosen for it and tells every part that it is under way. */
+/**
+ * Sends a task to the worker chosen for it and updates the estimates of all parts. Called by Rules.
+ */
 final class Sender {
     private final Estimates model;
     private final Workers fleet;
--- a/src/main/java/gingerspool/dispatch/ServerChoice.java
+++ b/src/main/java/gingerspool/dispatch/ServerChoice.java
@@ -4,15 +4,15 @@
 
 import java.util.SplittableRandom;
 
-/** The location rule: scores the ready workers and picks at random among the near-best. */
+/** Chooses a worker: scores those that are ready and picks at random among the near-best. */
 final class ServerChoice {
-    /** Scores this close to the best are alike (the design's figure). */
+    /** Scores this close to the best count as equal (from the design). */
     static final double TOLERANCE = 0.02;
 
-    /** The least size of a buddy set. */
+    /** Minimum number of candidate workers scored in each zone group. */
     static final int MIN_CANDIDATES = 4;
 
-    /** What a queue costs in score, since a task that joins it makes those behind it wait. */
+    /** Score penalty of a full queue, since a task that joins it delays later arrivals. */
     private static final double QUEUE_PENALTY = 0.2;
 
     private final Estimates model;
@@ -25,7 +25,7 @@
     private final Score score;
     private final SplittableRandom random;
 
-    /** The worker picked last, or -1, its score, and whether any was ready. */
+    /** Result of choose(): the worker or -1, the top score, and whether any worker was ready. */
     int best;
 
     double bestScore;
@@ -51,57 +51,57 @@
         this.random = random;
     }
 
-    /** Scores every ready worker for the task and picks at random among those near the best. */
+    /** Scores the ready workers for the task and picks at random among those near the best. */
     void choose(Task task) {
         double top = Double.NEGATIVE_INFINITY;
-        double crossing =
+        double crossingCost =
                 model.zoneFee * model.meanWorth / Math.max(task.worth, model.meanWorth * TOLERANCE);
-        // The paper's buddy sets: no more workers than our own traffic keeps us informed of.
-        double room = Math.max(MIN_CANDIDATES, model.decaySpan() / model.arrivalGap);
-        double away = Math.max(MIN_CANDIDATES, room / 2);
+        // Bounded candidate set (the paper's buddy sets): as many as our traffic keeps known.
+        double localLeft = Math.max(MIN_CANDIDATES, model.decaySpan() / model.arrivalGap);
+        double remoteLeft = Math.max(MIN_CANDIDATES, localLeft / 2);
         anyReady = false;
         score.sampleWork(task);
-        int weighed = 0;
-        int busyAll = 0;
+        int scored = 0;
+        int full = 0;
         for (int i = 0; i < fleet.count; i++) {
             int w = fleet.order[i];
             fleet.score[w] = Double.NEGATIVE_INFINITY;
-            // Cold workers are open to all dispatchers, since each has a share of them.
+            // Cold workers are always candidates: every dispatcher has a share of their budget.
             boolean warm = speed.warmth(w, 1) >= 1;
-            double here = fleet.zoneOf[w] == model.zone ? 1 : 0;
-            if (warm && (here == 1 ? room : away) <= 0 || !ready(w, task)) {
-                // Guards against trying a cut-off zone one by one: those avoided keep their seats.
-                away -= warm && model.now < fleet.avoidUntil[w] ? 1 - here : 0;
+            double local = fleet.zoneOf[w] == model.zone ? 1 : 0;
+            if (warm && (local == 1 ? localLeft : remoteLeft) <= 0 || !ready(w, task)) {
+                // Guards against probing an unreachable zone worker by worker: avoided ones count.
+                remoteLeft -= warm && model.now < fleet.avoidUntil[w] ? 1 - local : 0;
                 continue;
             }
-            room -= warm ? here : 0;
-            away -= warm ? 1 - here : 0;
+            localLeft -= warm ? local : 0;
+            remoteLeft -= warm ? 1 - local : 0;
             anyReady = true;
             localSends.dropExpired(w);
-            double c = score.probabilityAt(task, w) * health.reliability(w, task.profile.index);
+            double value = score.probabilityAt(task, w) * health.reliability(w, task.profile.index);
             double load = queue.load(w, queue.peerJobs(w));
-            weighed++;
-            busyAll += load < 1 ? 0 : 1;
-            // Where reports hide queues, own sends pile up at slow workers: busy slots cost.
+            scored++;
+            full += load < 1 ? 0 : 1;
+            // Reports without queue lengths let sends pile up at slow workers: penalize busy slots.
             double busy = model.reportsShowQueues ? 0 : Math.min(1, load) / 2;
-            c -= QUEUE_PENALTY * (busy + (load < 1 ? 0 : 1 - 1 / load));
+            value -= QUEUE_PENALTY * (busy + (load < 1 ? 0 : 1 - 1 / load));
             for (int j = 0; j < task.tries; j++) {
-                c = task.assignments[j].worker == w ? c / 2 : c;
+                value = task.assignments[j].worker == w ? value / 2 : value;
             }
-            // Departure: a crossing costs its fee, in shares of what this task is worth.
-            fleet.score[w] = c - (1 - here) * crossing;
+            // Departure from the design: the cross-zone fee, relative to the task's worth.
+            fleet.score[w] = value - (1 - local) * crossingCost;
             top = Math.max(top, fleet.score[w]);
         }
         model.fullShare +=
-                weighed == 0 ? 0 : ((double) busyAll / weighed - model.fullShare) * 4 / SAMPLES;
+                scored == 0 ? 0 : ((double) full / scored - model.fullShare) * 4 / SAMPLES;
         best = -1;
-        for (int w = 0, near = 0; w < fleet.count && anyReady; w++) {
-            best = fleet.score[w] >= top - TOLERANCE && random.nextInt(++near) == 0 ? w : best;
+        for (int w = 0, ties = 0; w < fleet.count && anyReady; w++) {
+            best = fleet.score[w] >= top - TOLERANCE && random.nextInt(++ties) == 0 ? w : best;
         }
         bestScore = best < 0 ? 0 : top;
     }
 
-    /** Listed as running, of the task's kind, with room, not avoided, inside the cold budget. */
+    /** Whether the worker may get the task now: running, suitable, healthy, and within limits. */
     private boolean ready(int w, Task t) {
         return fleet.state[w] == Dispatcher.RUNNING
                 && !fleet.isSuspended(w)
@@ -128,7 +128,7 @@
         };
     }
 
-    /** A place in an order of our own, so that dispatchers don't all lean on the same workers. */
+    /** Size-weighted random rank, so that dispatchers prefer different workers. */
     double randomRank(double size) {
         return -Math.log(random.nextDouble()) / Math.max(0.1, size);
     }
--- a/src/main/java/gingerspool/dispatch/Task.java
+++ b/src/main/java/gingerspool/dispatch/Task.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 
 /**
- * One client request in our hands. Holds facts only; the Dispatcher decides. A host may add its
- * own.
+ * One client request held by this scheduler. Holds state only; the Dispatcher decides. Hosts extend
+ * it with their own state. Times and spans are milliseconds.
  */
 public class Task {
-    /** What the door calls it; never looked at inside. */
+    /** Identifier given by the front end; the dispatcher does not interpret it. */
     public final String id;
 
     public Profile profile;
@@ -15,49 +15,60 @@
     /** Index of the tenant, or -1. */
     public int tenant = -1;
 
-    /** When the client gives up on this try. */
+    /** When the client gives up on this try; the answer is due before that. */
     public double expiry;
 
-    /** Expected work on a standard core, or 0 when not told. */
+    /** Expected running time on a standard core, or 0 if the client gives none. */
     public double hint;
 
+    /** Slots that it occupies. */
     public int width = 1;
+
     public double memory;
+
+    /** Whether the client sends it again; only logged. */
     public boolean repeat;
 
-    /** What the operator allows it. */
+    /** Limits set by the operator. */
     public Terms terms = Terms.DEFAULT;
 
     /**
-     * It came over a limit of the operator's: it is turned away at once, best to come again after
-     * `advice`.
+     * Whether it exceeded an operator's limit on arrival: it is rejected at once, to be retried
+     * after `retryAfter`.
      */
     public boolean overLimit;
 
-    /** Milliseconds, or 0 for none of its own. */
+    /** Pause to advise for a task over the limit; 0: the longest allowed. */
     public double advice;
 
+    /** Arrival time, due time, expected work, worth to the goal, and time of the next decision. */
     double arrived;
+
     double due;
     double work;
     double worth;
     double decideAt;
 
-    /** Until then it rests between two assignments, and after how many of them it last began to. */
+    /** End of the current backoff pause, and the number of tries before the last pause began. */
     double pauseUntil;
 
     int pausedAfter;
 
-    /** How its last assignment ended, or null. */
+    /** Outcome of its last assignment, or null. */
     Outcome lastOutcome;
 
+    /** Whether it is among the PendingTasks. */
     boolean pending;
 
-    /** The workers asked for reports on its behalf; null: none yet. */
+    /** Workers probed for reports on its behalf; null: none yet. */
     int[] probedWorkers;
 
+    /** Whether nothing more is to be decided: answered, given up or left by the client. */
     boolean ended;
+
+    /** All assignments so far, in the first `tries` places, and how many have no outcome yet. */
     Assignment[] assignments = new Assignment[1];
+
     int tries;
     int inFlight;
 
@@ -68,7 +79,7 @@
         this.id = id;
     }
 
-    /** Notes one more assignment, which may run until its outcome proves otherwise. */
+    /** Adds an assignment, which may have run unless its outcome proves otherwise. */
     void add(Assignment a) {
         if (tries == assignments.length) {
             assignments = Arrays.copyOf(assignments, 2 * tries);
@@ -88,13 +99,13 @@
         return false;
     }
 
-    /** Notes that this worker was asked for a report on its behalf. */
+    /** Records that the worker was probed for a report on its behalf. */
     void addProbed(int w) {
         probedWorkers = Arrays.copyOf(probedWorkers, probedWorkers.length + 1);
         probedWorkers[probedWorkers.length - 1] = w;
     }
 
-    /** Finds the earliest assignment that may have run. */
+    /** Updates firstRun after an outcome. */
     void updateFirstRun() {
         firstRun = null;
         for (int i = tries - 1; i >= 0; i--) {
@@ -103,8 +114,8 @@
     }
 
     /** The assignment with this number, or null. */
-    public Assignment assignment(int n) {
-        return n >= 0 && n < tries ? assignments[n] : null;
+    public Assignment assignment(int number) {
+        return number >= 0 && number < tries ? assignments[number] : null;
     }
 
     /** How many assignments have no outcome yet. */
@@ -116,7 +127,7 @@
         return ended;
     }
 
-    /** The span from this time to when it is believed due, for a log. */
+    /** Time until it is due, rounded, for logs. */
     public double dueIn(double now) {
         return Math.rint(due - now);
     }
--- a/src/main/java/gingerspool/dispatch/TaskValue.java
+++ b/src/main/java/gingerspool/dispatch/TaskValue.java
@@ -1,6 +1,6 @@
 package gingerspool.dispatch;
 
-/** What a task is worth, and until when. */
+/** Computes what a task is worth to the goal, and its due time. */
 final class TaskValue {
     private final Estimates model;
 
@@ -8,10 +8,10 @@
         this.model = model;
     }
 
-    /** The due time counts from the client's first try. */
+    /** Due time in ms, counted from the client's first try. */
     double due(Task t) {
         int p = t.profile.index;
-        // The expiry tells a later try's age: none is served after the due time of the first.
+        // The expiry shows a client retry's age: the due time of the first try still applies.
         double age = model.now - t.expiry + t.profile.expiry;
         model.firstTryAge[p] = Math.min(model.firstTryAge[p], age);
         double due =
@@ -29,14 +29,14 @@
         return worth;
     }
 
-    /** An answer came; what is late serves nobody. */
+    /** Counts an answer as served unless it is late. */
     void answered(Task t) {
         model.served[t.profile.index] += model.now > t.due ? 0 : model.byWork ? t.work : 1;
     }
 
     /**
-     * What a task of the profile served worst is worth beyond its utility: it counts in the whole,
-     * and its profile's part of the goal besides, which is spread over that profile's tasks only.
+     * Extra worth of a task of the worst-served profile: besides the overall goal it counts for
+     * that profile's part of the goal, which is spread over that profile's tasks only.
      */
     private double worstBonus(Task t) {
         int p = t.profile.index;
@@ -57,15 +57,15 @@
         return (model.served[p] + prior) / (model.seen[p] + prior);
     }
 
-    /** What a task's utility is cut to, in expectation, if its tenant is over its allowance. */
+    /** Expected utility factor: below 1 if the tenant exceeds its allowance (per second). */
     double tenantShare(Task t) {
         if (t.tenant < 0) {
             return 1;
         }
         int i = t.tenant;
-        double span = 1000;
-        double past = Math.min(1, (model.now - model.tenantRateAt[i]) / (5 * span));
-        model.tenantRate[i] = model.tenantRate[i] * (1 - past) + 1 / 5.0;
+        double secondMs = 1000;
+        double elapsed = Math.min(1, (model.now - model.tenantRateAt[i]) / (5 * secondMs));
+        model.tenantRate[i] = model.tenantRate[i] * (1 - elapsed) + 1 / 5.0;
         model.tenantRateAt[i] = model.now;
         double share = model.allowance[i] / (model.tenantRate[i] * model.dispatchers);
         return share >= 1 ? 1 : share + (1 - share) * model.excessUtility;
--- a/src/main/java/gingerspool/dispatch/Terms.java
+++ b/src/main/java/gingerspool/dispatch/Terms.java
@@ -4,25 +4,28 @@
 import java.util.Set;
 
 /**
- * What an operator allows a task, within what its effect and the settings allow. Spans are
- * milliseconds.
+ * An operator's limits on the retries of a task. They only narrow what its effect and the settings
+ * allow. Immutable apart from the shared budget; spans are milliseconds.
  */
 public final class Terms {
-    /** The settings alone: no time-out of its own, no pause, no copies, no budget. */
+    /** No limits besides the settings: no timeout, pause, copies or budget. */
     public static final Terms DEFAULT = new Terms(Integer.MAX_VALUE, 0, 0, 0, 0, 1, 0, null, null);
 
+    /** Maximum number of assignments, copies included. */
     final int maxAssignments;
 
-    /** Of one assignment; 0: until the task's expiry. */
+    /** Timeout of one assignment; 0: until the task's expiry. */
     final double timeout;
 
+    /** Exponential backoff between tries: first pause (0: none), longest pause, share of jitter. */
     final double firstPause;
+
     final double maxPause;
     final double jitter;
 
     /**
-     * How many assignments may be out at once, and how long the last one must have been out before
-     * another.
+     * Maximum number of assignments in flight at once (hedging), and how long after the last one a
+     * further copy may be sent.
      */
     final int copies;
 
@@ -30,7 +33,7 @@
     final RetryBudget budget;
     private final Set<Outcome> retryableOutcomes;
 
-    /** The budget may be null (none), and so may again (every outcome that the effect allows). */
+    /** Creates terms; budget null: none, retryableOutcomes null: all that the effect allows. */
     public Terms(
             int assignments,
             double timeout,
@@ -40,7 +43,7 @@
             int copies,
             double copyAfter,
             RetryBudget budget,
-            Set<Outcome> again) {
+            Set<Outcome> retryableOutcomes) {
         this.maxAssignments = assignments;
         this.timeout = timeout;
         this.firstPause = firstPause;
@@ -49,14 +52,15 @@
         this.copies = copies;
         this.copyDelay = copyAfter;
         this.budget = budget;
-        this.retryableOutcomes = again == null ? EnumSet.allOf(Outcome.class) : again;
+        this.retryableOutcomes =
+                retryableOutcomes == null ? EnumSet.allOf(Outcome.class) : retryableOutcomes;
     }
 
-    boolean allowsRetryAfter(Outcome how) {
-        return how == null || how == Outcome.MOOT || retryableOutcomes.contains(how);
+    boolean allowsRetryAfter(Outcome outcome) {
+        return outcome == null || outcome == Outcome.MOOT || retryableOutcomes.contains(outcome);
     }
 
-    /** An assignment goes out after so many others of its task. */
+    /** Charges the budget for an assignment after the given number of tries. */
     void chargeBudget(int tries, double now) {
         if (budget != null && tries == 0) {
             budget.earn(now);
@@ -65,8 +69,8 @@
         }
     }
 
-    /** The pause after so many assignments; chance is from 0 to 1. */
-    double pause(int tries, double chance) {
-        return Math.min(maxPause, firstPause * Math.pow(2, tries - 1)) * (1 - jitter * chance);
+    /** The pause after the given number of tries; random is from 0 to 1. */
+    double pause(int tries, double random) {
+        return Math.min(maxPause, firstPause * Math.pow(2, tries - 1)) * (1 - jitter * random);
     }
 }
--- a/src/main/java/gingerspool/dispatch/Workers.java
+++ b/src/main/java/gingerspool/dispatch/Workers.java
@@ -4,8 +4,8 @@
 import java.util.Comparator;
 
 /**
- * What a Dispatcher knows of each worker, in parallel arrays under a dense index. No decisions
- * here.
+ * What a Dispatcher knows of each worker: parallel arrays indexed by the dense worker index. Times
+ * and spans are milliseconds. Makes no decisions.
  */
 final class Workers {
     private static final int INITIAL_CAPACITY = 32;
@@ -15,104 +15,112 @@
     /** GONE, DRAINING or RUNNING. */
     int[] state = new int[INITIAL_CAPACITY];
 
+    /** Zone, machine kind and cell, as dense numbers given by the host. */
     int[] zoneOf = new int[INITIAL_CAPACITY];
+
     int[] kindOf = new int[INITIAL_CAPACITY];
     int[] cellOf = new int[INITIAL_CAPACITY];
+
+    /** Whether the list being received names the worker. */
     boolean[] listed = new boolean[INITIAL_CAPACITY];
 
-    /** From its name, the same at every dispatcher. */
+    /** Hash of the name, the same at every dispatcher. */
     int[] tag = new int[INITIAL_CAPACITY];
 
+    /** Whether a probe for a report is unanswered. */
     boolean[] probing = new boolean[INITIAL_CAPACITY];
+
     double[] startedAt = new double[INITIAL_CAPACITY];
 
-    /** What the list says of its size, 0 if nothing. */
+    /** Size given in the list, in slots; 1 if it gives none. */
     double[] size = new double[INITIAL_CAPACITY];
 
+    /** Most free slots reported so far; 0: none reported. */
     double[] slots = new double[INITIAL_CAPACITY];
 
-    /** How many sends of ours are unfinished. */
+    /** Unfinished sends, of this dispatcher and announced by peers. */
     int[] inFlight = new int[INITIAL_CAPACITY];
 
-    /** How many of its slots we may use, without bound where nobody shares them out. */
+    /** Slots this dispatcher may use; Integer.MAX_VALUE without a grant. */
     int[] grantedSlots = new int[INITIAL_CAPACITY];
 
-    /** Our unfinished sends, in slots, now and smoothed over about a report's age. */
+    /** Slots of unfinished sends, now and smoothed over about a report's age. */
     double[] ownSlots = new double[INITIAL_CAPACITY];
 
     double[] smoothedSlots = new double[INITIAL_CAPACITY];
     double[] smoothedAt = new double[INITIAL_CAPACITY];
 
-    /** Jobs of others, as last heard. */
+    /** Jobs of other dispatchers, as last estimated from a report. */
     double[] peerJobs = new double[INITIAL_CAPACITY];
 
-    /** When load was last heard; NaN: never. */
+    /** When load was last reported; NaN: never. */
     double[] loadAt = new double[INITIAL_CAPACITY];
 
-    /** Logarithm of its pace over its kind's. */
+    /** Logarithm of its pace relative to its kind's. */
     double[] logPace = new double[INITIAL_CAPACITY];
 
-    /** By profile: share of failures lately, when it was set, and failures in a row. */
+    /** By profile: decayed share of failures, when it was updated, and failures in a row. */
     double[][] failRate = new double[INITIAL_CAPACITY][];
 
     double[][] failRateAt = new double[INITIAL_CAPACITY][];
     int[][] failsInRow = new int[INITIAL_CAPACITY][];
+
+    /** End of the current backoff; its length is in avoidSpan. */
     double[] avoidUntil = new double[INITIAL_CAPACITY];
 
-    /** Since when operators have kept it out of use; NaN: they don't. */
+    /** When operators suspended the worker; NaN: not suspended. */
     double[] suspendedAt = new double[INITIAL_CAPACITY];
 
     double[] avoidSpan = new double[INITIAL_CAPACITY];
 
-    /** Work counted against the cold budget, and when. */
+    /** Level of the cold budget in work, and when it was updated. */
     double[] coldLevel = new double[INITIAL_CAPACITY];
 
     double[] coldLevelAt = new double[INITIAL_CAPACITY];
     double[] probedAt = new double[INITIAL_CAPACITY];
     double[] answeredAt = new double[INITIAL_CAPACITY];
+
+    /** Score in the choice being made; negative infinity: no candidate. */
     double[] score = new double[INITIAL_CAPACITY];
+
     double[][] lastReport = new double[INITIAL_CAPACITY][];
 
-    /** Counts of the region believed at a send against the one told. */
+    /** Counts of pairs: region believed at a send, region observed afterwards. */
     double[][][] pairCounts = new double[INITIAL_CAPACITY][][];
 
-    /** Sends by believed region that wait for the next report. */
+    /** Sends by believed region since the last report. */
     int[][] sendsByRegion = new int[INITIAL_CAPACITY][];
 
+    /** Own sends per ms, when that was updated, and all jobs per s as reported. */
     double[] sendRate = new double[INITIAL_CAPACITY];
+
     double[] rateAt = new double[INITIAL_CAPACITY];
     double[] reportedRate = new double[INITIAL_CAPACITY];
     double[] overtakenAt = new double[INITIAL_CAPACITY];
 
-    /** Mixes of running times (in bins) and profiles over the last jobs there. */
+    /** Histograms of running times (in bins) and profiles over the last jobs. */
     double[][] runCounts = new double[INITIAL_CAPACITY][];
 
     double[][] profileCounts = new double[INITIAL_CAPACITY][];
 
-    /** Tables of X: by profile, region and bin. */
+    /** P(X at most a bin) by profile, region and bin, see FutureArrivals; null: not built. */
     double[][][][] overtaken = new double[INITIAL_CAPACITY][][][];
 
-    /** Ends of the list of unfinished sends, in order of sending. */
+    /** Ends of the linked list of unfinished sends, in order of sending. */
     Assignment[] oldest = new Assignment[INITIAL_CAPACITY];
 
     Assignment[] newest = new Assignment[INITIAL_CAPACITY];
 
-    /** The same by machine kind: slots at most, work done and running time. */
+    /** By machine kind: most slots of a worker, and decayed sums of work done and running time. */
     double[] kindSlots = new double[0];
 
     double[] kindWork = new double[0];
     double[] kindRunTime = new double[0];
 
-    /**
-     * Jobs of others a slot, as the mean of what was heard lately: of each kind here, and
-     * elsewhere.
-     */
+    /** Mean peer jobs per slot lately, by group (kind, and own zone or another). */
     double[] groupPeerJobs = new double[0];
 
-    /**
-     * A place in this dispatcher's own order of workers, 0 if none yet, and the workers in that
-     * order.
-     */
+    /** Rank in this dispatcher's own order of workers (0: none yet), and the workers by rank. */
     double[] rank = new double[INITIAL_CAPACITY];
 
     Integer[] order = new Integer[0];
@@ -127,7 +135,7 @@
         this.profiles = profiles;
     }
 
-    /** Makes room for this worker and this kind. */
+    /** Makes room for the worker and the kind. */
     void ensureCapacity(int w, int kind) {
         if (kind >= kindSlots.length) {
             kindSlots = Arrays.copyOf(kindSlots, kind + 1);
@@ -155,51 +163,48 @@
         }
     }
 
-    /**
-     * Passes on what holds of a worker whatever its work: our place for it, its rest, its cold
-     * budget.
-     */
-    void transferAvailability(LearnedSnapshot m) {
-        m.workers(tag, count);
-        m.perWorker("rank", rank, count);
-        m.perWorker("shunUntil", avoidUntil, count);
-        m.perWorker("shunSpan", avoidSpan, count);
-        m.perWorker("coldLevel", coldLevel, count);
-        m.perWorker("coldAt", coldLevelAt, count);
-        m.perWorker("answeredAt", answeredAt, count);
+    /** Transfers what does not depend on tasks: rank, backoff and cold budget. */
+    void transferAvailability(LearnedSnapshot snapshot) {
+        snapshot.workers(tag, count);
+        snapshot.perWorker("rank", rank, count);
+        snapshot.perWorker("shunUntil", avoidUntil, count);
+        snapshot.perWorker("shunSpan", avoidSpan, count);
+        snapshot.perWorker("coldLevel", coldLevel, count);
+        snapshot.perWorker("coldAt", coldLevelAt, count);
+        snapshot.perWorker("answeredAt", answeredAt, count);
     }
 
-    /** Passes on what holds of a worker's machine. */
-    void transferMachines(LearnedSnapshot m) {
-        m.perWorker("slots", slots, count);
-        m.perWorker("swift", logPace, count);
-        m.numbers("kindSlots", kindSlots);
-        m.numbers("kindWork", kindWork);
-        m.numbers("kindRun", kindRunTime);
+    /** Transfers estimates of the workers' machines. */
+    void transferMachines(LearnedSnapshot snapshot) {
+        snapshot.perWorker("slots", slots, count);
+        snapshot.perWorker("swift", logPace, count);
+        snapshot.numbers("kindSlots", kindSlots);
+        snapshot.numbers("kindWork", kindWork);
+        snapshot.numbers("kindRun", kindRunTime);
     }
 
-    /** Passes on what reports have shown. */
-    void transferReports(LearnedSnapshot m) {
-        m.perWorker("others", peerJobs, count);
-        m.perWorker("heardAt", loadAt, count);
-        m.perWorker("probedAt", probedAt, count);
-        m.perWorker("reportedRate", reportedRate, count);
-        m.rowPerWorker("lastReport", lastReport, count);
-        m.numbers("groupOthers", groupPeerJobs);
+    /** Transfers estimates from load reports. */
+    void transferReports(LearnedSnapshot snapshot) {
+        snapshot.perWorker("others", peerJobs, count);
+        snapshot.perWorker("heardAt", loadAt, count);
+        snapshot.perWorker("probedAt", probedAt, count);
+        snapshot.perWorker("reportedRate", reportedRate, count);
+        snapshot.rowPerWorker("lastReport", lastReport, count);
+        snapshot.numbers("groupOthers", groupPeerJobs);
     }
 
-    /** Passes on what the tasks there have shown. */
-    void transferTasks(LearnedSnapshot m) {
-        m.perWorker("sendRate", sendRate, count);
-        m.perWorker("rateAt", rateAt, count);
-        m.rowPerWorker("fail", failRate, count);
-        m.rowPerWorker("failAt", failRateAt, count);
-        m.rowPerWorker("mixRun", runCounts, count);
-        m.rowPerWorker("mixProfile", profileCounts, count);
-        m.tablePerWorker("pairs", pairCounts, count);
+    /** Transfers estimates from the tasks that ran there. */
+    void transferTasks(LearnedSnapshot snapshot) {
+        snapshot.perWorker("sendRate", sendRate, count);
+        snapshot.perWorker("rateAt", rateAt, count);
+        snapshot.rowPerWorker("fail", failRate, count);
+        snapshot.rowPerWorker("failAt", failRateAt, count);
+        snapshot.rowPerWorker("mixRun", runCounts, count);
+        snapshot.rowPerWorker("mixProfile", profileCounts, count);
+        snapshot.tablePerWorker("pairs", pairCounts, count);
     }
 
-    /** Adds an unfinished send to those of its worker. */
+    /** Appends an unfinished send to the list of its worker. */
     void link(Assignment a) {
         int w = a.worker;
         ownSlots[w] += a.task.width;
@@ -235,7 +240,7 @@
         return !Double.isNaN(suspendedAt[w]);
     }
 
-    /** The worker with the highest value, or -1 if none has one. */
+    /** The worker with the highest score, or -1 if there is no candidate. */
     int highestScored() {
         int best = -1;
         for (int w = 0; w < count; w++) {
@@ -245,16 +250,16 @@
         return best;
     }
 
-    /** The worker whose tag ends like this, or -1. */
-    int findByTag(int end) {
+    /** A worker whose tag ends in these 16 bits, or -1. */
+    int findByTag(int tagEnd) {
         int w = count - 1;
-        while (w >= 0 && (tag[w] & 0xFFFF) != end) {
+        while (w >= 0 && (tag[w] & 0xFFFF) != tagEnd) {
             w--;
         }
         return w;
     }
 
-    /** Spreads the bits of a hash. */
+    /** Mixes the bits of a hash (finalizer of MurmurHash3). */
     static int mixBits(int h) {
         h = (h ^ h >>> 16) * 0x85EBCA6B;
         h = (h ^ h >>> 13) * 0xC2B2AE35;
@@ -268,9 +273,9 @@
         Arrays.sort(order, Comparator.comparingDouble(w -> rank[w]));
     }
 
-    /** Halves counts once they sum to more than this, so that new ones weigh more. */
-    static void halve(double[] counts, double most) {
-        if (sum(counts) > most) {
+    /** Halves counts once their sum exceeds the maximum, so that new ones weigh more. */
+    static void halve(double[] counts, double max) {
+        if (sum(counts) > max) {
             for (int i = 0; i < counts.length; i++) {
                 counts[i] /= 2;
             }
