--- a/src/main/java/gingerspool/dispatch/AdmissionPolicy.java
+++ b/src/main/java/gingerspool/dispatch/AdmissionPolicy.java
@@ -4,7 +4,7 @@
 
 /** Gives up a task whose best score is below a bound that rises with strain. */
 final class AdmissionPolicy {
-    /** Minimum score without strain. */
+    /** A task whose best score is lower than this is given up, even without strain. */
     static final double MIN_SCORE = 0.08;
 
     /** Added to that bound under full strain, when a late task takes another's place. */
--- a/src/main/java/gingerspool/dispatch/Dispatcher.java
+++ b/src/main/java/gingerspool/dispatch/Dispatcher.java
@@ -230,6 +230,7 @@
 
     // ---- Inputs: tasks ----
 
+    /** A task arrived. It is rejected at once if it exceeded a limit set by the operator. */
     public void arrived(double at, Task t) {
         now = at;
         t.arrived = now;
@@ -252,6 +253,7 @@
         rules.applyAll();
     }
 
+    /** An assignment ended; over: the task is answered by it. The report may be null. */
     public void ended(double at, Assignment a, Outcome outcome, boolean over, double[] report) {
         now = at;
         if (!a.finished) {
@@ -297,6 +299,7 @@
         future.recordJob(a, outcome);
     }
 
+    /** A worker sent a start notice for the assignment. */
     public void started(double at, Assignment a) {
         now = at;
         if (Double.isNaN(a.startedAt)) {
@@ -313,6 +316,7 @@
         rules.applyAll();
     }
 
+    /** A worker reported progress; share is from 0 to 1. */
     public void progressed(double at, Assignment a, double share) {
         now = at;
         runs.progressed(a, share);
@@ -339,6 +343,7 @@
         }
     }
 
+    /** The report requested by a probe arrived. */
     public void probed(double at, int w, double[] report) {
         now = at;
         fleet.probing[w] = false;
@@ -370,6 +375,7 @@
         rules.applyAll();
     }
 
+    /** The timer set by DispatchActions.wakeAfter() fired. */
     public void wake(double at) {
         now = at;
         pending.woken();
--- a/src/main/java/gingerspool/dispatch/Estimates.java
+++ b/src/main/java/gingerspool/dispatch/Estimates.java
@@ -31,7 +31,7 @@
 
     final double[] served;
 
-    /** By profile: hints seen, mean log hint, and mean of the work scaled by hints. */
+    /** By profile: hints seen, mean log hint, and mean of the scaling of work by hints. */
     final double[] hintsSeen;
 
     final double[] hintLogMean;
@@ -93,10 +93,10 @@
     boolean reportsShowQueues;
     private List<String> resetParts = List.of();
 
-    Estimates(DispatcherSettings s, int regions, int bins) {
-        super(s);
-        int profiles = s.profiles.length;
-        int tenants = s.allowance.length;
+    Estimates(DispatcherSettings settings, int regions, int bins) {
+        super(settings);
+        int profiles = settings.profiles.length;
+        int tenants = settings.allowance.length;
         fleet = new Workers(regions, bins, profiles);
         pooledPairs = new double[regions][regions];
         profileWork = new double[profiles];
--- a/src/main/java/gingerspool/dispatch/LearnedSnapshot.java
+++ b/src/main/java/gingerspool/dispatch/LearnedSnapshot.java
@@ -25,9 +25,9 @@
     /** Local index of each recorded worker; -1: unknown here. */
     private int[] localIndexes = new int[0];
 
-    private LearnedSnapshot(Map<String, Object> fields, boolean taken) {
+    private LearnedSnapshot(Map<String, Object> fields, boolean restoring) {
         this.fields = fields;
-        this.restoring = taken;
+        this.restoring = restoring;
     }
 
     /** Creates a snapshot that records the values passed. */
--- a/src/main/java/gingerspool/dispatch/Parameters.java
+++ b/src/main/java/gingerspool/dispatch/Parameters.java
@@ -5,7 +5,7 @@
     /** Share of the service that messages to peers may cost. */
     private static final double MAX_PEER_MESSAGE_COST = 0.02;
 
-    /** Bytes for announcing the start and end of one send, with overhead. */
+    /** Bytes for announcing the start and the end of one send. */
     private static final double PEER_MESSAGE_BYTES = 32;
 
     /** Share of the service that probing for reports may cost. */
@@ -24,7 +24,11 @@
     final int zone;
     final int dispatchers;
     final boolean listOnRequest;
+
+    /** Whether workers may be probed and a probe yields a report. */
     final boolean fetchesReports;
+
+    /** Whether probes are the way to get reports; else every answer counts as a fresh one too. */
     final boolean reportsByProbe;
 
     /** Maximum number of workers probed for a report on behalf of one task. */
--- a/src/main/java/gingerspool/dispatch/PendingTasks.java
+++ b/src/main/java/gingerspool/dispatch/PendingTasks.java
@@ -4,7 +4,7 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** The tasks waiting for a decision, in order of arrival, and the timer for the next decision. */
+/** The tasks waiting for a decision, in the order added, and the timer for the next decision. */
 final class PendingTasks {
     private final Estimates model;
     private final DispatchActions actions;
--- a/src/main/java/gingerspool/dispatch/Rules.java
+++ b/src/main/java/gingerspool/dispatch/Rules.java
@@ -111,7 +111,8 @@
 
     /** No worker may take the task now: decides again shortly. */
     private void postpone() {
-        // Guards the answer deadline: absurd hints make meanWork, and so this delay, too long.
+        // Guards the answer deadline: absurd hints lengthen this delay, so the last start bounds
+        // it.
         task.decideAt =
                 Math.min(
                         model.now + Math.max(model.tick, model.meanWork / 8),
--- a/src/main/java/gingerspool/dispatch/ServerChoice.java
+++ b/src/main/java/gingerspool/dispatch/ServerChoice.java
@@ -9,7 +9,7 @@
     /** Scores this close to the best count as equal (from the design). */
     static final double TOLERANCE = 0.02;
 
-    /** Minimum number of candidate workers scored in each zone group. */
+    /** Lower bound of the limit on warm candidates, in the own zone and in others. */
     static final int MIN_CANDIDATES = 4;
 
     /** Score penalty of a full queue, since a task that joins it delays later arrivals. */
@@ -56,7 +56,7 @@
         double top = Double.NEGATIVE_INFINITY;
         double crossingCost =
                 model.zoneFee * model.meanWorth / Math.max(task.worth, model.meanWorth * TOLERANCE);
-        // Bounded candidate set (the paper's buddy sets): as many as our traffic keeps known.
+        // Bounds the candidates (the paper's buddy sets) to those our traffic keeps up to date.
         double localLeft = Math.max(MIN_CANDIDATES, model.decaySpan() / model.arrivalGap);
         double remoteLeft = Math.max(MIN_CANDIDATES, localLeft / 2);
         anyReady = false;
@@ -70,7 +70,8 @@
             boolean warm = speed.warmth(w, 1) >= 1;
             double local = fleet.zoneOf[w] == model.zone ? 1 : 0;
             if (warm && (local == 1 ? localLeft : remoteLeft) <= 0 || !ready(w, task)) {
-                // Guards against probing an unreachable zone worker by worker: avoided ones count.
+                // Guards against trying a cut-off zone one by one: avoided workers use up the
+                // limit.
                 remoteLeft -= warm && model.now < fleet.avoidUntil[w] ? 1 - local : 0;
                 continue;
             }
--- a/src/main/java/gingerspool/dispatch/Task.java
+++ b/src/main/java/gingerspool/dispatch/Task.java
@@ -24,6 +24,7 @@
     /** Slots that it occupies. */
     public int width = 1;
 
+    /** Memory that it needs, in units of a slot's share of it. */
     public double memory;
 
     /** Whether the client sends it again; only logged. */
--- a/src/main/java/gingerspool/dispatch/Terms.java
+++ b/src/main/java/gingerspool/dispatch/Terms.java
@@ -35,22 +35,22 @@
 
     /** Creates terms; budget null: none, retryableOutcomes null: all that the effect allows. */
     public Terms(
-            int assignments,
+            int maxAssignments,
             double timeout,
             double firstPause,
-            double mostPause,
+            double maxPause,
             double jitter,
             int copies,
-            double copyAfter,
+            double copyDelay,
             RetryBudget budget,
             Set<Outcome> retryableOutcomes) {
-        this.maxAssignments = assignments;
+        this.maxAssignments = maxAssignments;
         this.timeout = timeout;
         this.firstPause = firstPause;
-        this.maxPause = mostPause;
+        this.maxPause = maxPause;
         this.jitter = jitter;
         this.copies = copies;
-        this.copyDelay = copyAfter;
+        this.copyDelay = copyDelay;
         this.budget = budget;
         this.retryableOutcomes =
                 retryableOutcomes == null ? EnumSet.allOf(Outcome.class) : retryableOutcomes;
