--- a/src/main/java/gingerspool/dispatch/Rules.java
+++ b/src/main/java/gingerspool/dispatch/Rules.java
@@ -111,8 +111,7 @@
 
     /** No worker may take the task now: decides again shortly. */
     private void postpone() {
-        // Guards the answer deadline: absurd hints lengthen this delay, so the last start bounds
-        // it.
+        // Guards the answer deadline: absurd hints lengthen this delay; the last start bounds it.
         task.decideAt =
                 Math.min(
                         model.now + Math.max(model.tick, model.meanWork / 8),
--- a/src/main/java/gingerspool/dispatch/ServerChoice.java
+++ b/src/main/java/gingerspool/dispatch/ServerChoice.java
@@ -70,8 +70,7 @@
             boolean warm = speed.warmth(w, 1) >= 1;
             double local = fleet.zoneOf[w] == model.zone ? 1 : 0;
             if (warm && (local == 1 ? localLeft : remoteLeft) <= 0 || !ready(w, task)) {
-                // Guards against trying a cut-off zone one by one: avoided workers use up the
-                // limit.
+                // Guards against trying a cut-off zone one by one: avoided ones use up the limit.
                 remoteLeft -= warm && model.now < fleet.avoidUntil[w] ? 1 - local : 0;
                 continue;
             }
