--- a/src/main/java/gingerspool/dispatch/Dispatcher.java
+++ b/src/main/java/gingerspool/dispatch/Dispatcher.java
@@ -5,137 +5,155 @@
 import java.util.SplittableRandom;
 
 /**
- * All decisions of one scheduler. It is made from the deployment's Settings; then each input is one
- * call that carries the time (listed, arrived, ended, started, probed, wake ...), and it acts only
- * through DispatchActions. After every input the Rules are gone through in order until none fires.
- * Workers are dense indexes given by the caller; tasks and assignments are objects. Times are
- * milliseconds. See docs/design.md.
+ * Makes all decisions of one scheduler: which worker gets a task, admission and retries. Each input
+ * is one call that carries the current time (listed, arrived, ended, started, wake ...). After each
+ * input the {@link Rules} are applied in order until none matches; the only effects are calls of
+ * {@link DispatchActions}.
+ *
+ * <p>Not thread-safe: the host calls it on the scheduler's event loop. Workers are dense indexes
+ * given by the caller, times and spans are milliseconds. See docs/design.md.
  */
 public final class Dispatcher extends Estimates {
     public static final int GONE = 0;
     public static final int DRAINING = 1;
     public static final int RUNNING = 2;
 
-    private final DispatchActions out;
-    private final SplittableRandom chance;
+    private final DispatchActions actions;
+    private final SplittableRandom random;
     private final Speed speed;
     private final RunningTimes runs;
-    private final QueuedWork queued;
-    private final LocalSends ownSends;
+    private final QueuedWork queue;
+    private final LocalSends localSends;
     private final PeerSends peerSends;
     private final PairTable pairs;
     private final Reports reports;
     private final ReportReader reportReader;
-    private final FutureArrivals later;
+    private final FutureArrivals future;
     private final ColdBudget coldBudget;
     private final Health health;
     private final Score score;
     private final ServerChoice choice;
-    private final AdmissionPolicy givingUp;
-    private final RetryPolicy tries;
-    private final TaskValue worth;
+    private final AdmissionPolicy admission;
+    private final RetryPolicy retryPolicy;
+    private final TaskValue taskValue;
     private final Rules rules;
     private final OverdueSends overdue;
     private final PendingTasks pending;
 
-    /** A dispatcher for this deployment; its chance is drawn from the seed. */
-    public Dispatcher(DispatcherSettings s, long seed, DispatchActions out) {
-        super(s, QueuedWork.K, FutureArrivals.BINS + 1);
-        this.out = out;
-        chance = new SplittableRandom(seed);
+    /** Creates a dispatcher for the deployment; the seed makes its random choices repeatable. */
+    public Dispatcher(DispatcherSettings settings, long seed, DispatchActions actions) {
+        super(settings, QueuedWork.REGIONS, FutureArrivals.BINS + 1);
+        this.actions = actions;
+        random = new SplittableRandom(seed);
         Arrays.fill(firstTryAge, Double.POSITIVE_INFINITY);
         for (int p = 0; p < profiles.length; p++) {
             runVar[p] = 0.5;
             profileWork[p] = Math.max(profiles[p].firstWork(), tick);
-            runLog[p] = Math.log(profileWork[p]) - runVar[p] / 2;
+            runLogMean[p] = Math.log(profileWork[p]) - runVar[p] / 2;
             meanWork += profileWork[p] / profiles.length;
             meanWorth += profiles[p].utility / profiles.length;
         }
         meanDensity = byWork ? meanWorth : meanWorth / meanWork;
         meanWorth *= byWork ? meanWork : 1;
-        arrivalGap = fadeSpan() / ServerChoice.BUDDIES;
+        arrivalGap = decaySpan() / ServerChoice.MIN_CANDIDATES;
         speed = new Speed(this);
         runs = new RunningTimes(this, speed);
-        queued = new QueuedWork(this, speed);
-        ownSends = new LocalSends(this, out);
-        pairs = new PairTable(this, speed, queued);
-        reports = new Reports(this, speed, queued, ownSends, pairs, out);
+        queue = new QueuedWork(this, speed);
+        localSends = new LocalSends(this, actions);
+        pairs = new PairTable(this, speed, queue);
+        reports = new Reports(this, speed, queue, localSends, pairs, actions);
         reportReader = new ReportReader(this, reports);
-        peerSends = new PeerSends(this, speed, queued, ownSends);
-        later = new FutureArrivals(this, speed, queued, ownSends);
+        peerSends = new PeerSends(this, speed, queue, localSends);
+        future = new FutureArrivals(this, speed, queue, localSends);
         coldBudget = new ColdBudget(this, speed);
         health = new Health(this);
-        score = new Score(this, speed, queued, pairs, later);
-        choice = new ServerChoice(this, speed, queued, ownSends, coldBudget, health, score, chance);
+        score = new Score(this, speed, queue, pairs, future);
+        choice =
+                new ServerChoice(this, speed, queue, localSends, coldBudget, health, score, random);
         overdue = new OverdueSends();
-        givingUp = new AdmissionPolicy(this, queued, runs, overdue);
-        tries = new RetryPolicy(this, chance);
-        worth = new TaskValue(this);
-        pending = new PendingTasks(this, out);
+        admission = new AdmissionPolicy(this, queue, runs, overdue);
+        retryPolicy = new RetryPolicy(this, random);
+        taskValue = new TaskValue(this);
+        pending = new PendingTasks(this, actions);
         Sender sender =
-                new Sender(this, speed, queued, ownSends, pairs, coldBudget, overdue, pending, out);
-        rules = new Rules(this, reports, choice, givingUp, tries, pending, sender, chance, out);
-    }
-
-    // ---- Inputs: the list ----
-
-    /** A list, or changes to the one held, begins; a whole one names every worker there is. */
+                new Sender(
+                        this,
+                        speed,
+                        queue,
+                        localSends,
+                        pairs,
+                        coldBudget,
+                        overdue,
+                        pending,
+                        actions);
+        rules =
+                new Rules(
+                        this,
+                        reports,
+                        choice,
+                        admission,
+                        retryPolicy,
+                        pending,
+                        sender,
+                        random,
+                        actions);
+    }
+
+    // ---- Inputs: the worker list ----
+
+    /** Begins a worker list, or changes to the one held; a whole list names every worker. */
     public void listBegins(double at, boolean whole) {
         now = at;
         if (whole) {
-            Arrays.fill(fleet.named, 0, fleet.count, false);
+            Arrays.fill(fleet.listed, 0, fleet.count, false);
         }
     }
 
     /**
-     * What this worker is called: the same at every dispatcher, and said before it is first listed.
+     * Sets the name of a worker. It is the same at every dispatcher and is set before the worker is
+     * first listed.
      */
     public void called(int w, String name) {
-        fleet.reach(w, 0);
-        fleet.tag[w] = Workers.mixed(name.hashCode());
+        fleet.ensureCapacity(w, 0);
+        fleet.tag[w] = Workers.mixBits(name.hashCode());
     }
 
-    /** One entry of the list; the state is GONE, DRAINING or RUNNING. */
+    /**
+     * One entry of the list; the state is GONE, DRAINING or RUNNING, the start time is Unix time.
+     */
     public void listed(
-            int w,
-            int inZone,
-            int ofKind,
-            int inCell,
-            int newState,
-            double ofSize,
-            double started) {
-        fleet.reach(w, ofKind);
-        fleet.rank[w] = fleet.rank[w] > 0 ? fleet.rank[w] : choice.rank(ofSize);
-        boolean again = started > fleet.startedAt[w];
-        fleet.named[w] = true;
-        fleet.state[w] = newState;
-        fleet.zoneOf[w] = inZone;
-        fleet.kindOf[w] = Math.max(0, ofKind);
-        fleet.cellOf[w] = inCell;
-        fleet.size[w] = ofSize > 0 ? ofSize : 1;
-        if (again) {
-            began(w, started);
+            int w, int zone, int kind, int cell, int state, double size, double started) {
+        fleet.ensureCapacity(w, kind);
+        fleet.rank[w] = fleet.rank[w] > 0 ? fleet.rank[w] : choice.randomRank(size);
+        boolean restarted = started > fleet.startedAt[w];
+        fleet.listed[w] = true;
+        fleet.state[w] = state;
+        fleet.zoneOf[w] = zone;
+        fleet.kindOf[w] = Math.max(0, kind);
+        fleet.cellOf[w] = cell;
+        fleet.size[w] = size > 0 ? size : 1;
+        if (restarted) {
+            workerStarted(w, started);
         }
     }
 
-    private void began(int w, double started) {
+    private void workerStarted(int w, double started) {
         fleet.startedAt[w] = started;
-        // Guards against taking a new worker for as full as the others: it has just begun with
-        // nothing.
-        fleet.heardAt[w] = started;
-        fleet.others[w] = 0;
+        // Guards against assuming that a new worker is as full as the others: it starts empty.
+        fleet.loadAt[w] = started;
+        fleet.peerJobs[w] = 0;
         fleet.answeredAt[w] = 0;
         fleet.avoidUntil[w] = 0;
-        Arrays.fill(fleet.fail[w], 0);
-        coldBudget.begin(w, chance.nextDouble());
+        Arrays.fill(fleet.failRate[w], 0);
+        coldBudget.workerStarted(w, random.nextDouble());
     }
 
-    /** The list is complete. A remembered one was not asked for, so it answers nothing. */
+    /** Ends the list. A remembered one was not requested, so it does not answer a request. */
     public void listEnds(double at, boolean whole, boolean remembered) {
         now = at;
         if (whole) {
             for (int w = 0; w < fleet.count; w++) {
-                fleet.state[w] = fleet.named[w] ? fleet.state[w] : GONE;
+                fleet.state[w] = fleet.listed[w] ? fleet.state[w] : GONE;
             }
         }
         if (!remembered) {
@@ -145,67 +163,66 @@
         reconsiderAll();
     }
 
-    /** Whoever waits is looked at anew, since other workers may take it now. */
+    /** Decides on all pending tasks again, since other workers may take them now. */
     private void reconsiderAll() {
         pending.reconsiderAll();
-        rules.settle();
+        rules.applyAll();
     }
 
-    /** A call for the list failed, or the changes stopped coming: ask again, later each time. */
+    /** A list request failed, or the stream of changes ended: retries with backoff. */
     public void listFailed(double at) {
         now = at;
         rules.listFailed();
-        rules.settle();
+        rules.applyAll();
     }
 
-    // ---- Inputs: what operators say ----
+    // ---- Inputs: operator actions and slot grants ----
 
-    /**
-     * Nothing new goes to this worker until it is resumed, whatever the list says of it meanwhile.
-     */
+    /** Sends nothing new to the worker until it is resumed, whatever the list says meanwhile. */
     public void suspended(double at, int w) {
         now = at;
-        fleet.bannedAt[w] = fleet.banned(w) ? fleet.bannedAt[w] : now;
-        rules.settle();
+        fleet.suspendedAt[w] = fleet.isSuspended(w) ? fleet.suspendedAt[w] : now;
+        rules.applyAll();
     }
 
-    /** Puts the worker back; what failed there under the ban says nothing of it now. */
+    /** Resumes a suspended worker; failures during the suspension no longer count. */
     public void resumed(double at, int w) {
         now = at;
-        if (fleet.banned(w)) {
-            // Guards rule four: it was restarted under the ban, and the list may tell so only
-            // later.
-            began(w, fleet.startedAt[w] < fleet.bannedAt[w] ? now : fleet.startedAt[w]);
-            fleet.bannedAt[w] = Double.NaN;
+        if (fleet.isSuspended(w)) {
+            // Guards the limit on cold workers: it may have restarted while suspended, and the list
+            // may show that only later.
+            workerStarted(w, fleet.startedAt[w] < fleet.suspendedAt[w] ? now : fleet.startedAt[w]);
+            fleet.suspendedAt[w] = Double.NaN;
         }
         reconsiderAll();
     }
 
     /**
-     * So many slots are ours to use: who finds one is sent, as nobody queues. Never told: no bound.
+     * Sets how many slots of the worker this dispatcher may use. Tasks do not queue at workers with
+     * a grant: one that finds a granted slot free is sent. Without a grant there is no bound.
      */
     public void granted(double at, int w, int slots) {
         now = at;
-        fleet.granted[w] = slots;
+        fleet.grantedSlots[w] = slots;
         reconsiderAll();
     }
 
-    public boolean banned(int w) {
-        return fleet.banned(w);
+    public boolean isSuspended(int w) {
+        return fleet.isSuspended(w);
     }
 
-    // ---- Inputs: what another process has learned ----
+    // ---- Inputs: estimates of another process ----
 
-    /** Takes what the process before this one had learned and still means the same here. */
-    public void learn(double at, Map<?, ?> told) {
+    /** Restores the previous process's estimates, as far as they are valid in this deployment. */
+    public void learn(double at, Map<?, ?> learned) {
         now = at;
-        LearnedSnapshot m = LearnedSnapshot.reader(told);
-        carry(m);
-        // What it still has out there is the work of others from here on.
-        double[] out = new double[fleet.count];
-        m.each("own", out, fleet.count);
+        LearnedSnapshot snapshot = LearnedSnapshot.reader(learned);
+        transfer(snapshot);
+        // Its unfinished sends count as jobs of a peer from here on.
+        double[] previousOwn = new double[fleet.count];
+        snapshot.perWorker("own", previousOwn, fleet.count);
         for (int w = 0; w < fleet.count; w++) {
-            fleet.others[w] += out[w];
+            fleet.peerJobs[w] += previousOwn[w];
         }
         fleet.order();
         reconsiderAll();
@@ -213,12 +230,13 @@
 
     // ---- Inputs: tasks ----
 
+    /** A task arrived. It is rejected at once if it exceeded a limit set by the operator. */
     public void arrived(double at, Task t) {
         now = at;
         t.arrived = now;
         if (t.overLimit) {
             t.ended = true;
-            out.bounce(t, t.advice > 0 ? Math.min(t.advice, longestAdvice) : longestAdvice);
+            actions.bounce(t, t.advice > 0 ? Math.min(t.advice, maxRetryAfter) : maxRetryAfter);
             return;
         }
         arrivalGap += (Math.min(now - lastArrival, arrivalGap * SAMPLES) - arrivalGap) / SAMPLES;
@@ -227,153 +245,155 @@
         int p = t.profile.index;
         t.work =
                 t.hint > 0 && t.hint < t.profile.expiry * SAMPLES
-                        ? runs.fromHint(p, t.hint)
+                        ? runs.workFromHint(p, t.hint)
                         : profileWork[p];
-        t.due = worth.due(t);
-        t.worth = worth.of(t);
+        t.due = taskValue.due(t);
+        t.worth = taskValue.worthOf(t);
         pending.add(t);
-        rules.settle();
+        rules.applyAll();
     }
 
-    public void ended(double at, Assignment a, Outcome how, boolean over, double[] report) {
+    /** An assignment ended; over: the task is answered by it. The report may be null. */
+    public void ended(double at, Assignment a, Outcome outcome, boolean over, double[] report) {
         now = at;
-        if (!a.over) {
-            a.over = true;
+        if (!a.finished) {
+            a.finished = true;
             overdue.ended(a);
-            ownSends.tell(a, false);
-            ownSends.smoothOwn(a.worker);
+            localSends.announce(a, false);
+            localSends.smoothSlots(a.worker);
             fleet.unlink(a);
-            a.task.out--;
+            a.task.inFlight--;
         }
         Task t = a.task;
-        a.neverRan = how.neverRan();
-        t.findRan();
-        t.last = how;
-        learnFrom(a, how);
+        a.neverRan = outcome.neverRan();
+        t.updateFirstRun();
+        t.lastOutcome = outcome;
+        learnFrom(a, outcome);
         reportReader.reported(a.worker, report);
         if (over) {
             t.ended = true;
-            callBack(t);
-        } else if (!t.ended && t.out == 0) {
+            cancelInFlight(t);
+        } else if (!t.ended && t.inFlight == 0) {
             pending.add(t);
         }
-        rules.settle();
+        rules.applyAll();
     }
 
-    /** Each part learns what the outcome means to it. */
-    private void learnFrom(Assignment a, Outcome how) {
-        switch (how) {
+    /** Passes the outcome to the parts that learn from it. */
+    private void learnFrom(Assignment a, Outcome outcome) {
+        switch (outcome) {
             case OK -> {
                 health.answered(a.worker, a.task.profile.index);
                 runs.learnRun(a);
-                worth.answered(a.task);
-                givingUp.answered(a.task);
+                taskValue.answered(a.task);
+                admission.answered(a.task);
                 pairs.countLateness(a);
             }
             case ERROR, RESET -> health.failed(a.worker, a.task.profile.index);
             case FULL, UNREACHABLE -> {
-                pairs.countFull(a, how);
+                pairs.countFull(a, outcome);
                 health.avoid(a.worker);
             }
             default -> {}
         }
-        later.note(a, how);
+        future.recordJob(a, outcome);
     }
 
+    /** A worker sent a start notice for the assignment. */
     public void started(double at, Assignment a) {
         now = at;
         if (Double.isNaN(a.startedAt)) {
             a.startedAt = now;
             pairs.countWait(a);
         }
-        rules.settle();
+        rules.applyAll();
     }
 
-    /** A streamed answer has begun: the assignment is the client's from here. */
+    /** A streamed answer has begun: the task is not assigned again. */
     public void accepted(double at, Assignment a) {
         now = at;
         a.task.ended = true;
-        rules.settle();
+        rules.applyAll();
     }
 
+    /** A worker reported progress; share is from 0 to 1. */
     public void progressed(double at, Assignment a, double share) {
         now = at;
         runs.progressed(a, share);
-        rules.settle();
+        rules.applyAll();
     }
 
     /**
-     * The client left; nothing is owed any more, and what is out for it would take workers' time in
-     * vain.
+     * The client disconnected: it needs no answer, and assignments in flight are cancelled, since
+     * they would waste workers' time.
      */
     public void left(double at, Task t) {
         now = at;
         t.ended = true;
-        callBack(t);
-        rules.settle();
+        cancelInFlight(t);
+        rules.applyAll();
     }
 
-    /** Cancels what is out for a task that has its end. */
-    private void callBack(Task t) {
-        for (int i = 0; i < t.tries && t.out > 0 && mayCancel; i++) {
-            if (!t.sent[i].over) {
-                out.cancel(t.sent[i]);
+    /** Cancels assignments still in flight for an ended task. */
+    private void cancelInFlight(Task t) {
+        for (int i = 0; i < t.tries && t.inFlight > 0 && mayCancel; i++) {
+            if (!t.assignments[i].finished) {
+                actions.cancel(t.assignments[i]);
             }
         }
     }
 
+    /** The report requested by a probe arrived. */
     public void probed(double at, int w, double[] report) {
         now = at;
         fleet.probing[w] = false;
         reportReader.reported(w, report);
         pending.reconsiderAfterReport(w);
-        rules.settle();
+        rules.applyAll();
     }
 
-    /** The worker answered a request for a report with nothing in time, or turned it away. */
+    /** The worker did not answer a probe for a report in time, or refused it. */
     public void reportMissing(double at, int w) {
         now = at;
         fleet.probing[w] = false;
         health.avoid(w);
-        // Guards tasks at workers that hang: what may go again is called back, and its outcome
-        // decides anew.
-        for (Assignment a = fleet.oldest[w]; a != null && mayCancel; a = a.after) {
-            if (tries.mayCallBack(a)) {
+        // Guards tasks at workers that hang: those that may be retried are cancelled and decided
+        // again by that outcome.
+        for (Assignment a = fleet.oldest[w]; a != null && mayCancel; a = a.next) {
+            if (retryPolicy.mayCancelToRetry(a)) {
                 a.cancelled = true;
-                out.cancel(a);
+                actions.cancel(a);
             }
         }
         reconsiderAll();
     }
 
-    /**
-     * A message of another dispatcher: it has sent a task of so much work to a worker, or that has
-     * ended.
-     */
+    /** Handles a message of another dispatcher, see {@link PeerMessage}. */
     public void peerTold(double at, int peer, byte[] message) {
         now = at;
-        peerSends.peerTold(peer, message);
-        rules.settle();
+        peerSends.messageReceived(peer, message);
+        rules.applyAll();
     }
 
+    /** The timer set by DispatchActions.wakeAfter() fired. */
     public void wake(double at) {
         now = at;
         pending.woken();
-        rules.settle();
+        rules.applyAll();
     }
 
-    // ---- Beliefs, as logs and tests ask for them ----
+    // ---- Estimates, for logs and tests ----
 
-    double inTime(Task t, int w) {
-        return score.inTime(t, w);
+    double probabilityInTime(Task t, int w) {
+        return score.probabilityInTime(t, w);
     }
 
-    double load(int w, double ofOthers) {
-        return queued.load(w, ofOthers);
+    double load(int w, double peerJobs) {
+        return queue.load(w, peerJobs);
     }
 
-    double othersNow(int w) {
-        return queued.othersNow(w);
+    double peerJobs(int w) {
+        return queue.peerJobs(w);
     }
 
     double slotsOf(int w) {
@@ -384,23 +404,23 @@
         return speed.pace(w);
     }
 
-    double failNow(int w, int p) {
-        return health.failNow(w, p);
+    double failRate(int w, int p) {
+        return health.failRate(w, p);
     }
 
-    double lateNow() {
-        return givingUp.lateNow();
+    double lateShareNow() {
+        return admission.lateShareNow();
     }
 
     boolean inBudget(int w, double work) {
         return coldBudget.inBudget(w, work);
     }
 
-    double withinShare(Task t) {
-        return worth.withinShare(t);
+    double tenantShare(Task t) {
+        return taskValue.tenantShare(t);
     }
 
-    void count(int w, int believed, int told, int times) {
-        pairs.count(w, believed, told, times);
+    void countPairs(int w, int believed, int observed, int times) {
+        pairs.count(w, believed, observed, times);
     }
 }
--- a/src/main/java/gingerspool/dispatch/LearnedSnapshot.java
+++ b/src/main/java/gingerspool/dispatch/LearnedSnapshot.java
@@ -7,75 +7,75 @@
 import java.util.Map;
 
 /**
- * What a Dispatcher has learned, on its way from one process to the next: each field passes through
- * it once, under its name. One to tell notes what passes; one to take puts what was told in its
- * place, where that has the same size and was learned in the same sense. What is of workers goes by
- * their names. No decisions here.
+ * A Dispatcher's estimates as named fields, for the transfer from one process to the next. Every
+ * field is passed through the same method once under its name: a writer records the value, a reader
+ * replaces it by the recorded one if that has the same size and was learned on the same basis (see
+ * basis()). Values of workers are matched by the tags of their names. Makes no decisions.
  */
 public final class LearnedSnapshot {
     private final Map<String, Object> fields;
-    private final boolean taken;
+    private final boolean restoring;
 
-    /** Whether what passes now was learned in the sense that it has here. */
-    private boolean same = true;
+    /** Whether the fields that follow were learned on the basis that holds here. */
+    private boolean basisMatches = true;
 
-    /** The parts that were not taken, since they mean something else here or were not told. */
-    private final List<String> afresh = new ArrayList<>();
+    /** Parts that were not restored: their basis differs or is missing. */
+    private final List<String> resetParts = new ArrayList<>();
 
-    /** Where each worker told of stands here, -1 for nowhere. */
-    private int[] places = new int[0];
+    /** Local index of each recorded worker; -1: unknown here. */
+    private int[] localIndexes = new int[0];
 
-    private LearnedSnapshot(Map<String, Object> fields, boolean taken) {
+    private LearnedSnapshot(Map<String, Object> fields, boolean restoring) {
         this.fields = fields;
-        this.taken = taken;
+        this.restoring = restoring;
     }
 
-    /** One that notes what passes. */
+    /** Creates a snapshot that records the values passed. */
     static LearnedSnapshot writer() {
         return new LearnedSnapshot(new LinkedHashMap<>(), false);
     }
 
-    /** One that gives back what another noted: names with numbers and lists of them. */
-    static LearnedSnapshot reader(Map<?, ?> told) {
+    /** Creates a snapshot that restores recorded fields: names with numbers or lists of numbers. */
+    static LearnedSnapshot reader(Map<?, ?> recorded) {
         Map<String, Object> fields = new LinkedHashMap<>();
-        told.forEach((name, value) -> fields.put(String.valueOf(name), value));
+        recorded.forEach((name, value) -> fields.put(String.valueOf(name), value));
         return new LearnedSnapshot(fields, true);
     }
 
-    List<String> afresh() {
-        return afresh;
+    List<String> resetParts() {
+        return resetParts;
     }
 
     Map<String, Object> fields() {
         return fields;
     }
 
-    /** What passes from here on means the same only where this text is the same. */
+    /** Starts a part that is restored only if it was recorded with the same basis text. */
     void basis(String part, String text) {
-        same = !taken || text.equals(fields.get("sense." + part));
-        if (!same) {
-            afresh.add(part);
+        basisMatches = !restoring || text.equals(fields.get("sense." + part));
+        if (!basisMatches) {
+            resetParts.add(part);
         }
         fields.putIfAbsent("sense." + part, text);
     }
 
-    /** What passes from here on means the same everywhere. */
-    void anyBasis() {
-        same = true;
+    /** Ends the last part: fields that follow are valid on any basis. */
+    void clearBasis() {
+        basisMatches = true;
     }
 
-    /** The tags of the workers that what is told by worker is told of, in its order. */
+    /** Passes the tags of the workers; values by worker are recorded in their order. */
     void workers(int[] tags, int count) {
-        double[] told = new double[count];
-        Arrays.setAll(told, w -> tags[w]);
-        if (!taken) {
-            fields.put("workers", told);
+        double[] tagValues = new double[count];
+        Arrays.setAll(tagValues, w -> tags[w]);
+        if (!restoring) {
+            fields.put("workers", tagValues);
         } else if (fields.get("workers") instanceof List<?> l) {
-            places = l.stream().mapToInt(t -> place(told, t)).toArray();
+            localIndexes = l.stream().mapToInt(t -> localIndex(tagValues, t)).toArray();
         }
     }
 
-    private static int place(double[] tags, Object tag) {
+    private static int localIndex(double[] tags, Object tag) {
         for (int w = 0; w < tags.length; w++) {
             if (tag instanceof Number n && n.doubleValue() == tags[w]) {
                 return w;
@@ -84,24 +84,24 @@
         return -1;
     }
 
-    /** What has no end is told as the largest number, since JSON has no word for it. */
-    private static double told(double v) {
+    /** Encodes infinity as the largest number, since JSON cannot represent it. */
+    private static double encode(double v) {
         return Double.isInfinite(v) ? Math.copySign(Double.MAX_VALUE, v) : v;
     }
 
-    private static double heard(Object told, double other) {
-        if (told == null) {
+    private static double decode(Object recorded, double fallback) {
+        if (recorded == null) {
             return Double.NaN;
         }
-        double v = told instanceof Number n ? n.doubleValue() : other;
+        double v = recorded instanceof Number n ? n.doubleValue() : fallback;
         return Math.abs(v) == Double.MAX_VALUE ? Math.copySign(Double.POSITIVE_INFINITY, v) : v;
     }
 
     double number(String name, double v) {
-        if (taken) {
-            return same && fields.containsKey(name) ? heard(fields.get(name), v) : v;
+        if (restoring) {
+            return basisMatches && fields.containsKey(name) ? decode(fields.get(name), v) : v;
         }
-        fields.put(name, told(v));
+        fields.put(name, encode(v));
         return v;
     }
 
@@ -110,45 +110,47 @@
     }
 
     void numbers(String name, double[] v) {
-        if (!taken) {
-            fields.put(name, Arrays.stream(v).map(LearnedSnapshot::told).toArray());
-        } else if (same && fields.get(name) instanceof List<?> l && l.size() == v.length) {
+        if (!restoring) {
+            fields.put(name, Arrays.stream(v).map(LearnedSnapshot::encode).toArray());
+        } else if (basisMatches && fields.get(name) instanceof List<?> l && l.size() == v.length) {
             for (int i = 0; i < v.length; i++) {
-                v[i] = heard(l.get(i), v[i]);
+                v[i] = decode(l.get(i), v[i]);
             }
         }
     }
 
-    /** A number of each worker. */
-    void each(String name, double[] v, int count) {
-        if (!taken) {
-            fields.put(name, Arrays.stream(v, 0, count).map(LearnedSnapshot::told).toArray());
-        } else if (same && fields.get(name) instanceof List<?> l && l.size() == places.length) {
-            for (int i = 0; i < places.length; i++) {
-                int w = places[i];
+    /** Passes one number per worker. */
+    void perWorker(String name, double[] v, int count) {
+        if (!restoring) {
+            fields.put(name, Arrays.stream(v, 0, count).map(LearnedSnapshot::encode).toArray());
+        } else if (basisMatches
+                && fields.get(name) instanceof List<?> l
+                && l.size() == localIndexes.length) {
+            for (int i = 0; i < localIndexes.length; i++) {
+                int w = localIndexes[i];
                 if (w >= 0) {
-                    v[w] = heard(l.get(i), v[w]);
+                    v[w] = decode(l.get(i), v[w]);
                 }
             }
         }
     }
 
-    /** A row of each worker. */
-    void rows(String name, double[][] v, int count) {
-        for (int i = 0; i < (taken ? places.length : count); i++) {
-            int w = taken ? places[i] : i;
+    /** Passes one row per worker. */
+    void rowPerWorker(String name, double[][] v, int count) {
+        for (int i = 0; i < (restoring ? localIndexes.length : count); i++) {
+            int w = restoring ? localIndexes[i] : i;
             if (w >= 0) {
                 numbers(name + "." + i, v[w]);
             }
         }
     }
 
-    /** A table of each worker, row by row, told only where something was counted. */
-    void tables(String name, double[][][] v, int count) {
-        for (int i = 0; i < (taken ? places.length : count); i++) {
-            int w = taken ? places[i] : i;
+    /** Passes one table per worker, row by row; rows without counts are not recorded. */
+    void tablePerWorker(String name, double[][][] v, int count) {
+        for (int i = 0; i < (restoring ? localIndexes.length : count); i++) {
+            int w = restoring ? localIndexes[i] : i;
             for (int j = 0; w >= 0 && j < v[w].length; j++) {
-                if (taken || Workers.sum(v[w][j]) > 0) {
+                if (restoring || Workers.sum(v[w][j]) > 0) {
                     numbers(name + "." + i + "." + j, v[w][j]);
                 }
             }
