--- a/src/main/java/gingerspool/daemon/Configuration.java
+++ b/src/main/java/gingerspool/daemon/Configuration.java
@@ -95,8 +95,8 @@
             kinds.putIfAbsent(kind.text(""), kinds.size());
         }
         settings.kinds = kinds.keySet().toArray(String[]::new);
-        settings.place = root.at("locality").text("");
-        settings.zone = zones.getOrDefault(settings.place, -1);
+        settings.zoneName = root.at("locality").text("");
+        settings.zone = zones.getOrDefault(settings.zoneName, -1);
         settings.dispatchers = Math.max(1, root.at("groupSize").integer(1));
         List<ConfigurationValue> list = root.at("tenants").list();
         settings.allowance = new double[list.size()];
@@ -122,7 +122,7 @@
             p.expiry = profile.at("expiryMs").number(0);
             p.utility = profile.at("utility").number(1);
             p.tardyUtility = profile.at("tardyUtility").number(0);
-            p.window = profile.at("windowMs").number(0);
+            p.dedupWindow = profile.at("windowMs").number(0);
             p.effect =
                     switch (profile.at("effect").text("")) {
                         case "safe" -> Profile.Effect.IDEMPOTENT;
@@ -140,7 +140,7 @@
                         .fault("asks for one task per key at a time, which is no longer supported");
             }
             p.kind = (int) specifics.at("classKind").entry(i).signedNumber(-1);
-            p.prio = (int) specifics.at("classPriority").entry(i).signedNumber(0);
+            p.priority = (int) specifics.at("classPriority").entry(i).signedNumber(0);
             p.stretch =
                     profile.at("aimStretch")
                             .number(specifics.at("classStretch").entry(i).number(0));
@@ -160,8 +160,8 @@
                     case "backfill" -> DispatcherSettings.Order.BACKFILL;
                     default -> DispatcherSettings.Order.FIRST_COME;
                 };
-        settings.progressEvery = root.at("specifics").at("progressMs").number(0);
-        settings.tellsStart = root.at("specifics").at("tellsStart").flag();
+        settings.progressInterval = root.at("specifics").at("progressMs").number(0);
+        settings.notifiesStart = root.at("specifics").at("tellsStart").flag();
     }
 
     private void readLimits(ConfigurationValue root, ConfigurationValue limits)
@@ -171,24 +171,24 @@
         s.utilityByWork = root.at("utilityBy").text("").equals("work");
         s.mayProbe = limits.at("probes").flag();
         s.mayCancel = limits.at("cancelling").flag();
-        s.mayTell = limits.at("mayTell").flag();
-        s.tellFee = root.at("fees").object().at("peer").number(0);
-        s.mayAdvise = limits.at("retryAfter").flag();
-        s.maxAdvice = limits.at("maxRetryAfterMs").number(0);
-        s.mostAssignments = limits.at("mostAssignments").integer(1);
+        s.mayMessagePeers = limits.at("mayTell").flag();
+        s.peerMessageFee = root.at("fees").object().at("peer").number(0);
+        s.mayAdviseRetryAfter = limits.at("retryAfter").flag();
+        s.maxRetryAfter = limits.at("maxRetryAfterMs").number(0);
+        s.maxAssignments = limits.at("mostAssignments").integer(1);
         ConfigurationValue rules = root.at("obligations").object();
-        s.askWithin = rules.at("askWithinMs").number(0);
+        s.listRequestWindow = rules.at("askWithinMs").number(0);
         s.drainBindsAlone = rules.at("drainBindsAlone").flag();
         ConfigurationValue goal = root.at("goal").object();
-        s.worstProfile = Math.min(0.9, goal.at("worstClass").number(0));
-        s.tail = goal.at("tail").number(0);
-        s.borneMisses = goal.at("borneMisses").number(0);
-        if (s.tail > 0 && goal.at("borneMisses").raw() == null) {
+        s.worstProfileWeight = Math.min(0.9, goal.at("worstClass").number(0));
+        s.tailWeight = goal.at("tail").number(0);
+        s.toleratedMissShare = goal.at("borneMisses").number(0);
+        if (s.tailWeight > 0 && goal.at("borneMisses").raw() == null) {
             throw goal.at("borneMisses").fault("is missing, and goal.tail needs it");
         }
-        s.coldFrom = rules.at("coldFrom").number(1);
-        s.warmWithin = rules.at("warmWithinMs").number(0);
-        s.fallWindow = rules.at("fallMs").number(0);
+        s.coldShare = rules.at("coldFrom").number(1);
+        s.warmUpSpan = rules.at("warmWithinMs").number(0);
+        s.coldWindow = rules.at("fallMs").number(0);
         s.overloadFactor = rules.at("overloadFactor").number(1);
         s.tick = root.at("tickMs").number(1);
         if (root.at("fees").at("origin").number(0) > 0) {
@@ -196,6 +196,6 @@
                     "settings.fees.origin is ignored: tasks are no longer kept where their key is");
         }
         s.probeFee = root.at("fees").object().at("probe").number(0);
-        s.crossFee = root.at("fees").object().at("crossZone").number(0);
+        s.zoneFee = root.at("fees").object().at("crossZone").number(0);
     }
 }
--- a/src/main/java/gingerspool/daemon/NodeConfiguration.java
+++ b/src/main/java/gingerspool/daemon/NodeConfiguration.java
@@ -87,10 +87,10 @@
         }
         knownList = root.at("known").object().raw();
         deployment = new Configuration(root.at("settings").raw());
-        if (deployment.settings.mayTell) {
+        if (deployment.settings.mayMessagePeers) {
             LOG.warn(
                     "settings.limits.mayTell is ignored: this host has no connection to other schedulers");
-            deployment.settings.mayTell = false;
+            deployment.settings.mayMessagePeers = false;
         }
     }
 
--- a/src/main/java/gingerspool/daemon/Scheduler.java
+++ b/src/main/java/gingerspool/daemon/Scheduler.java
@@ -212,7 +212,7 @@
         int listedBefore = workers.size();
         int w = workers.index(host);
         if (w == listedBefore) {
-            dispatcher.called(w, host);
+            dispatcher.workerNamed(w, host);
         }
         if (workers.setAddress(w, dial)) {
             pool.empty(w);
@@ -371,10 +371,10 @@
 
     /** Adopts the estimates of the previous process; logs the parts that could not be adopted. */
     void restoreEstimates(Map<?, ?> estimates) {
-        dispatcher.learn(loop.now(), estimates);
-        if (!dispatcher.afresh().isEmpty()) {
+        dispatcher.restoreLearned(loop.now(), estimates);
+        if (!dispatcher.resetParts().isEmpty()) {
             LOG.atInfo()
-                    .addKeyValue("parts", String.join(",", dispatcher.afresh()))
+                    .addKeyValue("parts", String.join(",", dispatcher.resetParts()))
                     .log("estimates.reset");
         }
     }
@@ -463,7 +463,7 @@
         releaseClient(t, false);
         clientsGone++;
         Trace.answered(loop.now(), t, "left");
-        dispatcher.left(loop.now(), t);
+        dispatcher.clientLeft(loop.now(), t);
         tasks.release(t);
     }
 
@@ -663,7 +663,7 @@
     }
 
     private void recordProbe(int worker, double[] report) {
-        dispatcher.probed(loop.now(), worker, report);
+        dispatcher.reportReceived(loop.now(), worker, report);
     }
 
     @Override
@@ -685,7 +685,7 @@
                 releaseClient(t, false);
                 abandoned++;
                 ClientEndpoint.abandoned(client);
-                dispatcher.left(loop.now(), t);
+                dispatcher.clientLeft(loop.now(), t);
             }
         }
     }
--- a/src/main/java/gingerspool/daemon/Trace.java
+++ b/src/main/java/gingerspool/daemon/Trace.java
@@ -35,7 +35,7 @@
                     .addKeyValue("n", a.number)
                     .addKeyValue("worker", worker)
                     .addKeyValue("connects", connects)
-                    .addKeyValue("believed", a.beliefs())
+                    .addKeyValue("believed", a.estimates())
                     .log("assignment.sent");
         }
     }
--- a/src/main/java/gingerspool/dataplane/FunctionDispatcher.java
+++ b/src/main/java/gingerspool/dataplane/FunctionDispatcher.java
@@ -52,16 +52,16 @@
         DispatcherSettings dispatcherSettings = new DispatcherSettings();
         dispatcherSettings.profiles = profiles.toNumberedArray();
         dispatcherSettings.zone = settings.zoneNumber(settings.zone);
-        dispatcherSettings.place = settings.zone;
+        dispatcherSettings.zoneName = settings.zone;
         dispatcherSettings.dispatchers = Math.max(1, environment.schedulerCount());
         dispatcherSettings.kinds = new String[] {"instance"};
         dispatcherSettings.reportNames = new String[] {"free"};
         dispatcherSettings.reportsInAnswers = true;
         dispatcherSettings.mayCancel = true;
-        dispatcherSettings.mayAdvise = true;
-        dispatcherSettings.maxAdvice = startupTime;
-        dispatcherSettings.mostAssignments = AttemptTerms.MAX_ASSIGNMENTS;
-        dispatcherSettings.crossFee = CROSS_ZONE_COST;
+        dispatcherSettings.mayAdviseRetryAfter = true;
+        dispatcherSettings.maxRetryAfter = startupTime;
+        dispatcherSettings.maxAssignments = AttemptTerms.MAX_ASSIGNMENTS;
+        dispatcherSettings.zoneFee = CROSS_ZONE_COST;
         dispatcher = new Dispatcher(dispatcherSettings, seed, actions);
         inventory.all().forEach(this::publish);
     }
@@ -70,7 +70,7 @@
     void publish(InstanceSlot slot) {
         double now = environment.loop().now();
         dispatcher.listBegins(now, false);
-        dispatcher.called(slot.worker, slot.instance);
+        dispatcher.workerNamed(slot.worker, slot.instance);
         dispatcher.listed(
                 slot.worker,
                 settings.zoneNumber(slot.zone),
@@ -100,7 +100,7 @@
         // use.
         int grantedToOthers = Math.max(0, grantedSlots - slot.granted);
         report[Report.FREE_SLOTS] = Math.max(0, slot.capacity - grantedToOthers - slot.inUse);
-        dispatcher.probed(environment.loop().now(), slot.worker, report);
+        dispatcher.reportReceived(environment.loop().now(), slot.worker, report);
     }
 
     void onArrival(PendingRequest request) {
@@ -109,7 +109,7 @@
 
     /** The client of a dispatched request has disconnected, or the request has expired. */
     void onDiscarded(PendingRequest request) {
-        dispatcher.left(environment.loop().now(), request);
+        dispatcher.clientLeft(environment.loop().now(), request);
     }
 
     void onAttemptEnded(Assignment assignment, Outcome outcome, boolean isOver) {
--- a/src/main/java/gingerspool/dataplane/RouteProfiles.java
+++ b/src/main/java/gingerspool/dataplane/RouteProfiles.java
@@ -55,7 +55,7 @@
         profile.dueTime = isLate ? profile.expiry : target;
         profile.stretch = 0;
         profile.work = INITIAL_SERVICE_TIME_FRACTION * target;
-        profile.prio = -route.getPriority();
+        profile.priority = -route.getPriority();
         profile.effect = mayRepeat ? Profile.Effect.IDEMPOTENT : Profile.Effect.SIDE_EFFECTING;
         return profile;
     }
--- a/src/main/java/gingerspool/dispatch/Assignment.java
+++ b/src/main/java/gingerspool/dispatch/Assignment.java
@@ -73,7 +73,7 @@
     /**
      * Estimates when it was sent, for logs: region, running time, wait, whether a slot was free.
      */
-    public String beliefs() {
+    public String estimates() {
         return region + "," + Math.round(run) + "," + Math.round(wait) + "," + sawFreeSlot;
     }
 }
--- a/src/main/java/gingerspool/dispatch/DispatchActions.java
+++ b/src/main/java/gingerspool/dispatch/DispatchActions.java
@@ -24,7 +24,7 @@
      * Sends a message to the dispatcher with this number, or to all others at -1. Called only if
      * the settings allow it.
      */
-    default void tell(int dispatcher, byte[] message) {
+    default void sendToPeer(int dispatcher, byte[] message) {
         throw new IllegalStateException("this host does not support messages between dispatchers");
     }
 
--- a/src/main/java/gingerspool/dispatch/Dispatcher.java
+++ b/src/main/java/gingerspool/dispatch/Dispatcher.java
@@ -113,7 +113,7 @@
      * Sets the name of a worker. It is the same at every dispatcher and is set before the worker is
      * first listed.
      */
-    public void called(int w, String name) {
+    public void workerNamed(int w, String name) {
         fleet.ensureCapacity(w, 0);
         fleet.tag[w] = Workers.mixBits(name.hashCode());
     }
@@ -214,7 +214,7 @@
     // ---- Inputs: estimates of another process ----
 
     /** Restores the previous process's estimates, as far as they are valid in this deployment. */
-    public void learn(double at, Map<?, ?> learned) {
+    public void restoreLearned(double at, Map<?, ?> learned) {
         now = at;
         LearnedSnapshot snapshot = LearnedSnapshot.reader(learned);
         transfer(snapshot);
@@ -236,7 +236,8 @@
         t.arrived = now;
         if (t.overLimit) {
             t.ended = true;
-            actions.bounce(t, t.advice > 0 ? Math.min(t.advice, maxRetryAfter) : maxRetryAfter);
+            actions.bounce(
+                    t, t.retryAfter > 0 ? Math.min(t.retryAfter, maxRetryAfter) : maxRetryAfter);
             return;
         }
         arrivalGap += (Math.min(now - lastArrival, arrivalGap * SAMPLES) - arrivalGap) / SAMPLES;
@@ -327,7 +328,7 @@
      * The client disconnected: it needs no answer, and assignments in flight are cancelled, since
      * they would waste workers' time.
      */
-    public void left(double at, Task t) {
+    public void clientLeft(double at, Task t) {
         now = at;
         t.ended = true;
         cancelInFlight(t);
@@ -344,7 +345,7 @@
     }
 
     /** The report requested by a probe arrived. */
-    public void probed(double at, int w, double[] report) {
+    public void reportReceived(double at, int w, double[] report) {
         now = at;
         fleet.probing[w] = false;
         reportReader.reported(w, report);
@@ -369,7 +370,7 @@
     }
 
     /** Handles a message of another dispatcher, see {@link PeerMessage}. */
-    public void peerTold(double at, int peer, byte[] message) {
+    public void peerMessageReceived(double at, int peer, byte[] message) {
         now = at;
         peerSends.messageReceived(peer, message);
         rules.applyAll();
--- a/src/main/java/gingerspool/dispatch/DispatcherSettings.java
+++ b/src/main/java/gingerspool/dispatch/DispatcherSettings.java
@@ -27,7 +27,7 @@
     public int zone = -1;
 
     /** Name of that zone. */
-    public String place = "";
+    public String zoneName = "";
 
     public int dispatchers = 1;
 
@@ -46,30 +46,30 @@
     public Order order = Order.FIRST_COME;
 
     /** Whether workers send a notice when a task starts. */
-    public boolean tellsStart;
+    public boolean notifiesStart;
 
     /** Interval of progress reports of a running task; 0: none. */
-    public double progressEvery;
+    public double progressInterval;
 
     public boolean mayProbe;
     public boolean mayCancel;
 
     /** Whether dispatchers may send each other short messages. */
-    public boolean mayTell;
+    public boolean mayMessagePeers;
 
     /** Share of the service lost if 256 bytes are sent to peers for each task. */
-    public double tellFee;
+    public double peerMessageFee;
 
     /** Whether a rejected client may be told when to retry, and the longest such pause. */
-    public boolean mayAdvise;
+    public boolean mayAdviseRetryAfter;
 
-    public double maxAdvice;
+    public double maxRetryAfter;
 
     /** Maximum assignments of a task. */
-    public int mostAssignments = 1;
+    public int maxAssignments = 1;
 
     /** Span within which a failed list request is to be retried; 0: a default. */
-    public double askWithin;
+    public double listRequestWindow;
 
     /**
      * Whether only a listing as draining forbids new tasks. The dispatcher is stricter: workers
@@ -80,20 +80,20 @@
     /**
      * Weight of the tail in the goal, and the share of tasks that may miss their due time there.
      */
-    public double tail;
+    public double tailWeight;
 
-    public double borneMisses;
+    public double toleratedMissShare;
 
     /** Weight of the worst-served profile in the goal. */
-    public double worstProfile;
+    public double worstProfileWeight;
 
     /** Share of its capacity that a worker has at its start, and the time until it has all. */
-    public double coldFrom = 1;
+    public double coldShare = 1;
 
-    public double warmWithin;
+    public double warmUpSpan;
 
     /** Window of the limit on cold workers (0: none), and the load they bear in it. */
-    public double fallWindow;
+    public double coldWindow;
 
     public double overloadFactor = 1;
 
@@ -101,7 +101,7 @@
     public double tick = 1;
 
     /** Cost of sending a task to another zone, in shares of the mean worth. */
-    public double crossFee;
+    public double zoneFee;
 
     /** Share of the service lost if one report is fetched for each task. */
     public double probeFee;
--- a/src/main/java/gingerspool/dispatch/Estimates.java
+++ b/src/main/java/gingerspool/dispatch/Estimates.java
@@ -127,7 +127,7 @@
     }
 
     /** Parts (machines, reports, tasks) of the last snapshot that could not be restored. */
-    public final List<String> afresh() {
+    public final List<String> resetParts() {
         return resetParts;
     }
 
--- a/src/main/java/gingerspool/dispatch/FutureArrivals.java
+++ b/src/main/java/gingerspool/dispatch/FutureArrivals.java
@@ -75,7 +75,7 @@
                         : localSends.sendRate(w, 0) * model.dispatchers;
         double higher = 0;
         for (Profile q : model.profiles) {
-            higher += q.prio > profile.prio ? fleet.profileCounts[w][q.index] + 1 : 0;
+            higher += q.priority > profile.priority ? fleet.profileCounts[w][q.index] + 1 : 0;
         }
         double jobs = Workers.sum(fleet.profileCounts[w]) + model.profiles.length;
         return rate * higher / speed.slotsOf(w) / jobs;
--- a/src/main/java/gingerspool/dispatch/LocalSends.java
+++ b/src/main/java/gingerspool/dispatch/LocalSends.java
@@ -41,7 +41,7 @@
             announceThreshold *= Math.exp(((a.announced ? 1 : 0) - model.announceShare) / 4);
         }
         if (a.announced) {
-            actions.tell(
+            actions.sendToPeer(
                     -1, PeerMessage.of(fleet.tag[a.worker], starts ? a.task.work / model.tick : 0));
         }
     }
--- a/src/main/java/gingerspool/dispatch/Parameters.java
+++ b/src/main/java/gingerspool/dispatch/Parameters.java
@@ -99,34 +99,34 @@
                 (int) Math.max(1, Math.min(6, MAX_PROBE_COST / Math.max(settings.probeFee, 1e-9)));
         mayCancel = settings.mayCancel;
         announceShare =
-                !settings.mayTell || dispatchers < 2
+                !settings.mayMessagePeers || dispatchers < 2
                         ? 0
                         : Math.min(
                                 1,
                                 MAX_PEER_MESSAGE_COST
                                         * 256
                                         / (PEER_MESSAGE_BYTES
-                                                * Math.max(settings.tellFee, 1e-9)
+                                                * Math.max(settings.peerMessageFee, 1e-9)
                                                 * (dispatchers - 1)));
         byPriority = settings.order == DispatcherSettings.Order.PRIORITY;
-        notifiesStart = settings.tellsStart;
-        progressInterval = settings.progressEvery;
-        maxTries = Math.max(1, settings.mostAssignments);
-        maxRetryAfter = settings.mayAdvise ? settings.maxAdvice : 0;
+        notifiesStart = settings.notifiesStart;
+        progressInterval = settings.progressInterval;
+        maxTries = Math.max(1, settings.maxAssignments);
+        maxRetryAfter = settings.mayAdviseRetryAfter ? settings.maxRetryAfter : 0;
         tick = Math.max(settings.tick, 0.1);
-        listRetryWindow = settings.askWithin > 0 ? settings.askWithin : 1000 * tick;
-        coldShare = settings.coldFrom;
-        warmUpSpan = settings.warmWithin;
-        coldWindow = settings.fallWindow;
-        coldBudget = settings.overloadFactor * settings.fallWindow / dispatchers;
-        zoneFee = settings.crossFee;
-        worstWeight = settings.worstProfile;
+        listRetryWindow = settings.listRequestWindow > 0 ? settings.listRequestWindow : 1000 * tick;
+        coldShare = settings.coldShare;
+        warmUpSpan = settings.warmUpSpan;
+        coldWindow = settings.coldWindow;
+        coldBudget = settings.overloadFactor * settings.coldWindow / dispatchers;
+        zoneFee = settings.zoneFee;
+        worstWeight = settings.worstProfileWeight;
         basisOfMachines = String.join(",", settings.kinds);
         basisOfReports =
                 String.join(
                         " ",
                         basisOfMachines,
-                        "at " + settings.place,
+                        "at " + settings.zoneName,
                         settings.order.toString(),
                         notifiesStart ? "starts" : "",
                         settings.reportsByProbe
--- a/src/main/java/gingerspool/dispatch/Profile.java
+++ b/src/main/java/gingerspool/dispatch/Profile.java
@@ -40,13 +40,13 @@
     public Scope scope = Scope.ALL;
 
     /** How long after its first assignment a FINGERPRINTED task may be sent again. */
-    public double window;
+    public double dedupWindow;
 
     /** Expected work until running times have been seen; 0: unknown. */
     public double work;
 
     /** Priority in the queues of workers; higher runs first. */
-    public int prio;
+    public int priority;
 
     /** Required machine kind, or -1. */
     public int kind = -1;
@@ -65,7 +65,7 @@
                 dueTime + "+" + stretch,
                 expiry + "",
                 utility + "",
-                prio + "",
+                priority + "",
                 kind + "");
     }
 }
--- a/src/main/java/gingerspool/dispatch/RetryPolicy.java
+++ b/src/main/java/gingerspool/dispatch/RetryPolicy.java
@@ -20,7 +20,8 @@
                 || task.firstRun != null
                         && (task.profile.effect == Profile.Effect.SIDE_EFFECTING
                                 || task.profile.effect == Profile.Effect.FINGERPRINTED
-                                        && model.now >= task.firstRun.sentAt + task.profile.window);
+                                        && model.now
+                                                >= task.firstRun.sentAt + task.profile.dedupWindow);
     }
 
     private int maxTries(Task t) {
--- a/src/main/java/gingerspool/dispatch/Task.java
+++ b/src/main/java/gingerspool/dispatch/Task.java
@@ -40,7 +40,7 @@
     public boolean overLimit;
 
     /** Pause to advise for a task over the limit; 0: the longest allowed. */
-    public double advice;
+    public double retryAfter;
 
     /** Arrival time, due time, expected work, worth to the goal, and time of the next decision. */
     double arrived;
--- a/src/main/java/gingerspool/route/Routes.java
+++ b/src/main/java/gingerspool/route/Routes.java
@@ -182,7 +182,7 @@
         if (wait > 0) {
             e.turnedAway++;
             t.overLimit = true;
-            t.advice = Double.isInfinite(wait) ? 0 : wait;
+            t.retryAfter = Double.isInfinite(wait) ? 0 : wait;
             return null;
         }
         e.taken++;
--- a/src/main/java/gingerspool/simhost/Instance.java
+++ b/src/main/java/gingerspool/simhost/Instance.java
@@ -49,14 +49,14 @@
                 if (f.text("how").equals("timeout") || f.text("how").equals("full")) {
                     dispatcher.reportMissing(at, worker(f));
                 } else {
-                    dispatcher.probed(at, worker(f), report(f));
+                    dispatcher.reportReceived(at, worker(f), report(f));
                 }
             }
             case "FIRED" -> dispatcher.wake(at);
             case "ABANDONED" -> {
                 Task t = tasks.get(f.text("xid"));
                 if (t != null) {
-                    dispatcher.left(at, t);
+                    dispatcher.clientLeft(at, t);
                     forget(t);
                 }
             }
@@ -68,7 +68,7 @@
                 }
             }
             case "NEIGHBOUR_SAYS" -> {
-                dispatcher.peerTold(
+                dispatcher.peerMessageReceived(
                         at, (int) f.whole("who"), HexFormat.of().parseHex(f.text("payload")));
             }
             default -> throw new WireException("unknown event");
@@ -164,7 +164,7 @@
 
     private int newWorker(String name) {
         workerNames.add(name);
-        dispatcher.called(workerNames.size() - 1, name);
+        dispatcher.workerNamed(workerNames.size() - 1, name);
         return workerNames.size() - 1;
     }
 
@@ -265,7 +265,7 @@
     }
 
     @Override
-    public void tell(int other, byte[] word) {
+    public void sendToPeer(int other, byte[] word) {
         line("POST")
                 .append(",\"peer\":")
                 .append(other)
--- a/src/test/java/gingerspool/daemon/ConfigurationTest.java
+++ b/src/test/java/gingerspool/daemon/ConfigurationTest.java
@@ -66,9 +66,9 @@
     public void daemonDisablesMessagesToOtherSchedulers()
             throws BadMessage, ConfigurationException {
         String text = SETTINGS.replace("'maxOpen':9", "'maxOpen':9,'mayTell':true");
-        assertTrue(new Configuration(parse(text)).settings.mayTell);
+        assertTrue(new Configuration(parse(text)).settings.mayMessagePeers);
         NodeConfiguration n = new NodeConfiguration(parse(NODE.replace(SETTINGS, text)), Map.of());
-        assertEquals(n.deployment.settings.mayTell, false);
+        assertEquals(n.deployment.settings.mayMessagePeers, false);
         assertEquals(n.deployment.settings.probeFee, 0.0);
     }
 
--- a/src/test/java/gingerspool/dispatch/Bench.java
+++ b/src/test/java/gingerspool/dispatch/Bench.java
@@ -33,20 +33,20 @@
             p.dueTime = 100;
             p.stretch = 2;
             p.expiry = 5000;
-            p.window = 1000;
+            p.dedupWindow = 1000;
             p.effect = effects[i];
             b.settings.profiles[i] = p;
         }
         b.settings.zone = 0;
         b.settings.dispatchers = 3;
-        b.settings.mostAssignments = 4;
-        b.settings.askWithin = 10000;
-        b.settings.coldFrom = 0.25;
-        b.settings.warmWithin = 10000;
-        b.settings.fallWindow = 1000;
+        b.settings.maxAssignments = 4;
+        b.settings.listRequestWindow = 10000;
+        b.settings.coldShare = 0.25;
+        b.settings.warmUpSpan = 10000;
+        b.settings.coldWindow = 1000;
         b.settings.overloadFactor = 3;
-        b.settings.mayAdvise = true;
-        b.settings.maxAdvice = 2000;
+        b.settings.mayAdviseRetryAfter = true;
+        b.settings.maxRetryAfter = 2000;
         return b;
     }
 
@@ -58,7 +58,7 @@
         d = new Dispatcher(settings, 7, this);
         list(0, true, workers, Dispatcher.RUNNING, 0);
         for (int w = 0; w < workers; w++) {
-            d.probed(1, w, report(Double.NaN, 2));
+            d.reportReceived(1, w, report(Double.NaN, 2));
         }
         acts.clear();
         return this;
@@ -67,7 +67,7 @@
     void list(double at, boolean whole, int workers, int state, double startedAt) {
         d.listBegins(at, whole);
         for (int w = 0; w < workers; w++) {
-            d.called(w, "worker-" + w);
+            d.workerNamed(w, "worker-" + w);
             d.listed(w, w % 2, 0, w / 2, state, 2, startedAt);
         }
         d.listEnds(at, whole, false);
@@ -139,7 +139,7 @@
     }
 
     @Override
-    public void tell(int dispatcher, byte[] message) {
+    public void sendToPeer(int dispatcher, byte[] message) {
         acts.add("tell " + dispatcher);
         messages.add(message);
     }
--- a/src/test/java/gingerspool/dispatch/ColdBudgetTest.java
+++ b/src/test/java/gingerspool/dispatch/ColdBudgetTest.java
@@ -54,9 +54,9 @@
     public void aWorkerSeenToStartIsWarmInTimeHeardOfOrNot() {
         Bench b = Bench.of(SAFE).start(1);
         b.list(20000, false, 1, Dispatcher.RUNNING, 20000);
-        b.d.wake(20000 + b.settings.warmWithin - 1);
+        b.d.wake(20000 + b.settings.warmUpSpan - 1);
         assertFalse(b.d.inBudget(0, 5000));
-        b.d.wake(20000 + b.settings.warmWithin);
+        b.d.wake(20000 + b.settings.warmUpSpan);
         assertTrue(b.d.inBudget(0, 5000));
     }
 
@@ -73,11 +73,11 @@
         b.d.listEnds(10000, false, false);
         for (int i = 0; i < 8; i++) {
             for (int w = 0; w < 40; w++) {
-                b.d.probed(18980 + i, w, Bench.report(20 + i, 0));
+                b.d.reportReceived(18980 + i, w, Bench.report(20 + i, 0));
             }
         }
         for (int i = 0; i < 4; i++) {
-            b.d.probed(18990 + i, 40, Bench.report(0, 2 - i / 10.0));
+            b.d.reportReceived(18990 + i, 40, Bench.report(0, 2 - i / 10.0));
         }
         b.arrive(0, 19000);
         assertEquals(b.last().worker, 40);
@@ -92,7 +92,7 @@
         Bench b = Bench.of(SAFE).start(8);
         for (int i = 0; i < 40; i++) {
             for (int w = 0; w < 8; w++) {
-                b.d.probed(10 + i, w, Bench.report(9 + i, 0));
+                b.d.reportReceived(10 + i, w, Bench.report(9 + i, 0));
             }
         }
         b.d.listBegins(10000, false);
@@ -108,7 +108,7 @@
     @Test
     public void whatSomeColdWorkersShowHoldsForTheOtherColdOnes() {
         Bench b = Bench.of(SAFE);
-        b.settings.tellsStart = true;
+        b.settings.notifiesStart = true;
         b.start(7);
         b.list(20000, false, 6, Dispatcher.RUNNING, 20000);
         b.d.wake(20500);
--- a/src/test/java/gingerspool/dispatch/DecisionTraceTest.java
+++ b/src/test/java/gingerspool/dispatch/DecisionTraceTest.java
@@ -82,10 +82,10 @@
             p.dueTime = 60 + 90 * index;
             p.stretch = index % 2;
             p.expiry = 1500 + 800 * index;
-            p.window = 700;
+            p.dedupWindow = 700;
             p.utility = 1 + index;
             p.tardyUtility = 0.2 * index;
-            p.prio = index % 3;
+            p.priority = index % 3;
             p.effect = effect;
             p.scope = index == 1 ? Profile.Scope.ZONE : Profile.Scope.ALL;
             return p;
@@ -102,21 +102,21 @@
             settings.order = DispatcherSettings.Order.values()[(int) (seed % 3)];
             settings.mayProbe = settings.reportsByProbe;
             settings.mayCancel = seed % 2 == 1;
-            settings.mayTell = seed % 2 == 0;
-            settings.mayAdvise = true;
-            settings.maxAdvice = 900;
-            settings.mostAssignments = 4;
-            settings.askWithin = 5000;
-            settings.tail = 0.1;
-            settings.borneMisses = 0.05;
-            settings.worstProfile = 0.15;
-            settings.coldFrom = 0.25;
-            settings.warmWithin = 3000;
-            settings.fallWindow = 1000;
+            settings.mayMessagePeers = seed % 2 == 0;
+            settings.mayAdviseRetryAfter = true;
+            settings.maxRetryAfter = 900;
+            settings.maxAssignments = 4;
+            settings.listRequestWindow = 5000;
+            settings.tailWeight = 0.1;
+            settings.toleratedMissShare = 0.05;
+            settings.worstProfileWeight = 0.15;
+            settings.coldShare = 0.25;
+            settings.warmUpSpan = 3000;
+            settings.coldWindow = 1000;
             settings.overloadFactor = 3;
-            settings.crossFee = 0.05;
+            settings.zoneFee = 0.05;
             settings.probeFee = 0.02;
-            settings.tellsStart = true;
+            settings.notifiesStart = true;
             settings.allowance = new double[] {40, 60};
         }
 
@@ -127,10 +127,10 @@
             settings.reportNames = new String[] {"free"};
             settings.reportsInAnswers = true;
             settings.mayCancel = true;
-            settings.mayAdvise = true;
-            settings.maxAdvice = 500;
-            settings.mostAssignments = 8;
-            settings.crossFee = 0.05;
+            settings.mayAdviseRetryAfter = true;
+            settings.maxRetryAfter = 500;
+            settings.maxAssignments = 8;
+            settings.zoneFee = 0.05;
         }
 
         private void list(boolean whole) {
@@ -138,7 +138,7 @@
             for (int w = 0; w < WORKERS; w++) {
                 if (whole || random.nextInt(3) == 0) {
                     boolean drains = now > 0 && random.nextInt(8) == 0;
-                    dispatcher.called(w, "worker-" + w);
+                    dispatcher.workerNamed(w, "worker-" + w);
                     dispatcher.listed(
                             w,
                             w % 3,
@@ -233,7 +233,7 @@
                 if (random.nextInt(5) == 0) {
                     dispatcher.reportMissing(now, w);
                 } else {
-                    dispatcher.probed(now, w, report());
+                    dispatcher.reportReceived(now, w, report());
                 }
             }
         }
@@ -241,7 +241,7 @@
         private void leave() {
             List<Task> open = tasks.stream().filter(t -> !t.ended()).toList();
             if (!open.isEmpty()) {
-                dispatcher.left(now, open.get(random.nextInt(open.size())));
+                dispatcher.clientLeft(now, open.get(random.nextInt(open.size())));
             }
         }
 
@@ -249,7 +249,7 @@
             int w = random.nextInt(WORKERS);
             if (platform) {
                 dispatcher.granted(now, w, random.nextInt(4));
-                dispatcher.probed(now, w, report());
+                dispatcher.reportReceived(now, w, report());
             }
         }
 
@@ -274,12 +274,12 @@
         }
 
         private void peer() {
-            if (!platform && settings.mayTell) {
+            if (!platform && settings.mayMessagePeers) {
                 byte[] message = new byte[random.nextInt(12)];
                 for (int i = 0; i < message.length; i++) {
                     message[i] = (byte) random.nextInt(256);
                 }
-                dispatcher.peerTold(now, random.nextInt(4), message);
+                dispatcher.peerMessageReceived(now, random.nextInt(4), message);
             }
         }
 
@@ -319,7 +319,7 @@
         }
 
         @Override
-        public void tell(int other, byte[] message) {
+        public void sendToPeer(int other, byte[] message) {
             trace.add(now, "tell", other, message);
         }
 
--- a/src/test/java/gingerspool/dispatch/DispatcherTest.java
+++ b/src/test/java/gingerspool/dispatch/DispatcherTest.java
@@ -46,9 +46,9 @@
         double at = 0;
         for (int i = 0; i < 12; i++) {
             b.d.listFailed(at);
-            b.d.wake(at + b.settings.askWithin * 0.76);
+            b.d.wake(at + b.settings.listRequestWindow * 0.76);
             assertEquals(b.count("watch"), i + 2);
-            at += b.settings.askWithin * 0.76;
+            at += b.settings.listRequestWindow * 0.76;
         }
     }
 
@@ -109,7 +109,7 @@
     public void oneFinalAnswerAndNothingAfterIt() {
         Bench b = Bench.of(SAFE).start(2);
         Task t = b.arrive(0, 1);
-        b.d.left(30, t);
+        b.d.clientLeft(30, t);
         b.acts.clear();
         b.d.ended(40, b.last(), Outcome.ERROR, false, null);
         b.d.wake(50);
@@ -125,9 +125,9 @@
         b.start(2);
         Task t = b.arrive(0, 1);
         b.d.ended(2, b.last(), Outcome.FULL, false, null);
-        b.d.left(3, t);
+        b.d.clientLeft(3, t);
         assertEquals(b.count("cancel"), 1);
-        b.d.left(4, b.task(0, 4, 100));
+        b.d.clientLeft(4, b.task(0, 4, 100));
         assertEquals(b.count("cancel"), 1);
     }
 
@@ -245,7 +245,7 @@
     @Test
     public void aSlowdownOfAllShowsInEveryWorkersPace() {
         Bench b = Bench.of(SAFE);
-        b.settings.tellsStart = true;
+        b.settings.notifiesStart = true;
         b.start(30);
         double before = b.d.pace(29);
         for (int i = 0; i < 60; i++) {
@@ -265,8 +265,8 @@
     public void whereQueuesAreHiddenTheEmptierWorkerIsTaken() {
         Bench b = Bench.of(SAFE).start(2);
         for (int w = 0; w < 2; w++) {
-            b.d.probed(10, w, Bench.report(Double.NaN, 10));
-            b.d.probed(700, w, Bench.report(Double.NaN, w == 0 ? 0 : 10));
+            b.d.reportReceived(10, w, Bench.report(Double.NaN, 10));
+            b.d.reportReceived(700, w, Bench.report(Double.NaN, w == 0 ? 0 : 10));
         }
         for (int i = 0; i < 12; i++) {
             Task t = b.arrive(0, 701);
@@ -339,7 +339,7 @@
         assertEquals(b.count("probe"), 2);
         for (String act : b.acts.stream().filter(a -> a.startsWith("probe")).toList()) {
             assertEquals(b.count("send"), 0);
-            b.d.probed(5002, Integer.parseInt(act.substring(6)), Bench.report(0, 2));
+            b.d.reportReceived(5002, Integer.parseInt(act.substring(6)), Bench.report(0, 2));
         }
         assertEquals(b.count("send"), 1);
         Task late = b.task(0, 0, 100);
@@ -353,33 +353,34 @@
     @Test
     public void whatAnotherDispatcherTellsCountsLikeOurOwnSendsUntilItEnds() {
         Bench from = Bench.of(ONCE);
-        from.settings.mayTell = true;
+        from.settings.mayMessagePeers = true;
         from.start(1);
         from.d.arrived(2, from.task(0, 2, 1600));
         Bench to = Bench.of(ONCE).start(2);
         double idle = to.d.load(0, 0);
-        to.d.peerTold(3, 1, from.messages.get(0));
+        to.d.peerMessageReceived(3, 1, from.messages.get(0));
         assertEquals(to.d.load(0, 0), idle + 0.5);
-        to.d.peerTold(4, 2, new byte[] {from.messages.get(0)[0], from.messages.get(0)[1]});
+        to.d.peerMessageReceived(
+                4, 2, new byte[] {from.messages.get(0)[0], from.messages.get(0)[1]});
         assertEquals(to.d.load(0, 0), idle + 0.5, "an end told by one who had sent nothing");
         from.d.ended(900, from.last(), Outcome.OK, true, null);
-        to.d.peerTold(901, 1, from.messages.get(1));
+        to.d.peerMessageReceived(901, 1, from.messages.get(1));
         assertEquals(to.d.load(0, 0), idle);
-        to.d.peerTold(902, 1, from.messages.get(0));
+        to.d.peerMessageReceived(902, 1, from.messages.get(0));
         to.d.wake(60000);
         to.arrive(0, 60000);
         assertEquals(
                 to.d.load(1 - to.last().worker, 0), 0.0, "a word that was lost counts for ever");
-        to.d.peerTold(60001, 1, new byte[] {1});
-        to.d.peerTold(60001, 1, new byte[] {0, 0, 0, 0});
+        to.d.peerMessageReceived(60001, 1, new byte[] {1});
+        to.d.peerMessageReceived(60001, 1, new byte[] {0, 0, 0, 0});
     }
 
     /** Found on sofia-topup big-1: telling all sends to 158 others cost 0.06 of service. */
     @Test
     public void amongManyOnlyTheLargestSendsAreTold() {
         Bench b = Bench.of(SAFE);
-        b.settings.mayTell = true;
-        b.settings.tellFee = 0.016;
+        b.settings.mayMessagePeers = true;
+        b.settings.peerMessageFee = 0.016;
         b.settings.dispatchers = 100;
         b.start(8);
         for (int i = 0; i < 400; i++) {
@@ -403,7 +404,7 @@
         b.settings.mayProbe = true;
         b.settings.reportsByProbe = true;
         b.settings.mayCancel = true;
-        b.settings.tellsStart = true;
+        b.settings.notifiesStart = true;
         b.settings.profiles[0].dueTime = 2000;
         b.settings.profiles[1].dueTime = 2000;
         b.start(2);
@@ -411,7 +412,7 @@
         Task safe = b.arrive(0, 3);
         Task once = b.arrive(1, 3);
         Task begun = b.arrive(0, 3);
-        b.d.probed(4, 1, Bench.report(0, 2));
+        b.d.reportReceived(4, 1, Bench.report(0, 2));
         assertEquals(b.count("send 1"), 3, b.acts.toString());
         b.d.started(5, begun.assignments[0]);
         b.list(6, false, 1, Dispatcher.RUNNING, 0);
@@ -436,7 +437,7 @@
         b.start(2);
         Task t = b.arrive(0, 3);
         assertEquals(b.count("probe"), 2, b.acts.toString());
-        b.d.probed(4, 1, Bench.report(3, 0));
+        b.d.reportReceived(4, 1, Bench.report(3, 0));
         assertEquals(b.count("send"), 0);
         b.d.wake(t.decideAt);
         assertEquals(b.last().worker, 1);
@@ -449,7 +450,7 @@
     public void theProfileServedWorstIsWorthWhatTheGoalGivesForIt() {
         Bench b = Bench.of(SAFE, SAFE);
         b.settings.utilityByWork = true;
-        b.settings.worstProfile = 0.4;
+        b.settings.worstProfileWeight = 0.4;
         b.settings.profiles[0].utility = 8;
         b.settings.profiles[1].utility = 3;
         b.start(8);
@@ -461,7 +462,7 @@
                     i % 2 == 0 ? Outcome.OK : Outcome.FULL,
                     i % 2 == 0,
                     null);
-            b.d.left(i * 400 + 100, t);
+            b.d.clientLeft(i * 400 + 100, t);
         }
         Task well = b.arrive(0, 30000);
         Task badly = b.arrive(1, 30001);
@@ -473,7 +474,7 @@
     @Test
     public void whereStartsAreNotToldTheFirstProgressTellsOne() {
         Bench b = Bench.of(SAFE);
-        b.settings.progressEvery = 1000;
+        b.settings.progressInterval = 1000;
         b.start(1);
         Assignment a = b.sentTo(b.task(0, 10, 3000), 0, 10);
         b.d.progressed(1510, a, 0.25);
@@ -482,7 +483,7 @@
         b.d.progressed(2510, a, 0.5);
         assertEquals(a.startedAt, 510.0);
         Assignment unsaid = Bench.of(SAFE).start(1).sentTo(b.task(0, 10, 3000), 0, 10);
-        b.settings.progressEvery = 0;
+        b.settings.progressInterval = 0;
         b.start(1).d.progressed(1510, unsaid, 0.25);
         assertTrue(Double.isNaN(unsaid.startedAt));
     }
@@ -501,7 +502,7 @@
         Task t = b.arrive(0, 3);
         for (int i = 0; i < 12 && t.inFlight == 1; i++) {
             b.d.ended(4 + i, b.last(), Outcome.UNREACHABLE, false, null);
-            b.d.left(5 + i, t);
+            b.d.clientLeft(5 + i, t);
             t = b.arrive(0, 5 + i);
         }
         assertEquals(
@@ -527,7 +528,7 @@
     public void aCrossingCostsItsFeeFromTheFirstTask() {
         Bench b = Bench.of(SAFE);
         b.settings.utilityByWork = true;
-        b.settings.crossFee = 0.3;
+        b.settings.zoneFee = 0.3;
         b.start(2);
         b.arrive(0, 2);
         b.arrive(0, 3);
@@ -538,7 +539,7 @@
     @Test
     public void whereFewTasksComeAWorkersOwnPaceShowsSoon() {
         Bench b = Bench.of(SAFE);
-        b.settings.tellsStart = true;
+        b.settings.notifiesStart = true;
         b.start(2);
         for (int i = 0; i < 24; i++) {
             double at = 2000 * (i + 1);
@@ -566,9 +567,9 @@
         b.d.listed(0, 0, 0, 0, Dispatcher.RUNNING, 8, 0);
         b.d.listEnds(0, true, false);
         b.arrive(0, 1);
-        b.d.probed(2, 0, Bench.report(0, 1));
+        b.d.reportReceived(2, 0, Bench.report(0, 1));
         assertEquals(b.d.slotsOf(0), 8.0);
-        b.d.probed(9000, 0, Bench.report(0, 3));
+        b.d.reportReceived(9000, 0, Bench.report(0, 3));
         assertEquals(b.d.slotsOf(0), 3.0, "later what was told counts");
     }
 
--- a/src/test/java/gingerspool/dispatch/LearnedSnapshotTest.java
+++ b/src/test/java/gingerspool/dispatch/LearnedSnapshotTest.java
@@ -33,7 +33,7 @@
         next.d = new Dispatcher(next.settings, 99, next);
         next.list(390, true, 3, Dispatcher.RUNNING, 0);
         double before = old.d.fleet.peerJobs[1];
-        next.d.learn(400, told);
+        next.d.restoreLearned(400, told);
         assertEquals(next.d.fleet.peerJobs[1], before + out.task.width, 1e-12);
         assertEquals(next.d.fleet.inFlight[1], 0);
         next.d.fleet.peerJobs[1] = before;
@@ -47,7 +47,7 @@
     @Test
     public void overAMoveMachinesAreKnownByNameAndTasksBeginAfresh() throws Exception {
         Bench old = Bench.of(SAFE, ONCE);
-        old.settings.tellsStart = true;
+        old.settings.notifiesStart = true;
         old.start(3);
         for (int i = 0; i < 90; i++) {
             Assignment a = old.sentTo(old.task(0, 300 * i, 100), i % 3, 300 * i);
@@ -58,17 +58,17 @@
         old.arrive(0, 70000);
         Map<?, ?> told = (Map<?, ?>) Json.read(Json.write(old.d.learned()));
         Bench next = Bench.of(SAFE, ONCE);
-        next.settings.tellsStart = true;
+        next.settings.notifiesStart = true;
         next.settings.profiles[0].dueTime = 2000;
         next.d = new Dispatcher(next.settings, 99, next);
         next.d.listBegins(70001, true);
         for (int w = 0; w < 4; w++) {
-            next.d.called(w, "worker-" + (3 - w));
+            next.d.workerNamed(w, "worker-" + (3 - w));
             next.d.listed(w, w % 2, 0, 0, Dispatcher.RUNNING, 2, w == 3 ? 69990 : 0);
         }
         next.d.listEnds(70001, true, false);
         double fresh = next.d.profileWork[0];
-        next.d.learn(70002, told);
+        next.d.restoreLearned(70002, told);
         assertEquals(next.d.fleet.logPace[1], old.d.fleet.logPace[2]);
         assertTrue(next.d.pace(1) < 0.5 * next.d.pace(2), "worker-2 is the slow one");
         assertEquals(next.d.fleet.logPace[0], 0.0, "worker-3 is new");
@@ -96,7 +96,7 @@
         double[] work = b.d.fleet.slots.clone();
         double tag0 = b.d.fleet.tag[0];
         double tag1 = b.d.fleet.tag[1];
-        b.d.learn(
+        b.d.restoreLearned(
                 5,
                 (Map<?, ?>)
                         Json.read(
--- a/src/test/java/gingerspool/dispatch/ScoreTest.java
+++ b/src/test/java/gingerspool/dispatch/ScoreTest.java
@@ -62,7 +62,7 @@
     public void onPriorityWorkersOnlyHigherPriorityCostsChance() {
         Bench b = Bench.of(SAFE, SAFE);
         b.settings.order = DispatcherSettings.Order.PRIORITY;
-        b.settings.profiles[1].prio = 1;
+        b.settings.profiles[1].priority = 1;
         b.start(1);
         for (int i = 0; i < 3; i++) {
             b.arrive(1, i);
@@ -107,7 +107,7 @@
     @Test
     public void whatWasHeardFadesToTheMean() {
         Bench b = Bench.of(SAFE).start(4);
-        b.d.probed(10, 3, Bench.report(6, 0));
+        b.d.reportReceived(10, 3, Bench.report(6, 0));
         double full = b.d.peerJobs(3);
         b.d.wake(60000);
         assertTrue(full > 2);
@@ -132,8 +132,8 @@
         double[] r = new double[Report.SIZE];
         for (double v : new double[] {-1, 1e18, Double.NaN, Double.POSITIVE_INFINITY}) {
             Arrays.fill(r, v);
-            b.d.probed(5, 0, r);
-            b.d.probed(5, 1, null);
+            b.d.reportReceived(5, 0, r);
+            b.d.reportReceived(5, 1, null);
         }
         assertEquals(b.d.slotsOf(0), 2.0);
         b.d.arrived(6, b.task(0, 6, Double.MAX_VALUE));
@@ -152,7 +152,7 @@
         b.d.listed(7, 0, 0, 0, Dispatcher.RUNNING, 2, 0);
         b.d.listEnds(2, false, false);
         for (int i = 0; i < 400; i++) {
-            b.d.probed(10 + i, i % 3 * 2, Bench.report(6 + i % 2, 0));
+            b.d.reportReceived(10 + i, i % 3 * 2, Bench.report(6 + i % 2, 0));
         }
         assertTrue(b.d.peerJobs(7) > 4, "others " + b.d.peerJobs(7));
         assertEquals(b.d.peerJobs(6), 0.0);
@@ -169,7 +169,7 @@
             Bench b = Bench.of(SAFE).start(1);
             double[] r = Bench.report(3, 0);
             r[Report.IN_FLIGHT] = i == 0 ? 5 : Double.NaN;
-            b.d.probed(10, 0, r);
+            b.d.reportReceived(10, 0, r);
             believed[i] = b.d.peerJobs(0);
         }
         assertEquals(believed[0], believed[1]);
@@ -179,9 +179,9 @@
     @Test
     public void aReportMovesTheBeliefPartOfTheWay() {
         Bench b = Bench.of(SAFE).start(4);
-        b.d.probed(10, 3, Bench.report(6, 0));
+        b.d.reportReceived(10, 3, Bench.report(6, 0));
         double once = b.d.peerJobs(3);
-        b.d.probed(11, 3, Bench.report(7, 0));
+        b.d.reportReceived(11, 3, Bench.report(7, 0));
         assertTrue(once > 2 && once < 4, "once " + once);
         assertTrue(b.d.peerJobs(3) > once + 1);
     }
--- a/src/test/java/gingerspool/dispatch/TermsTest.java
+++ b/src/test/java/gingerspool/dispatch/TermsTest.java
@@ -72,7 +72,7 @@
     @Test
     public void termsNeverAllowMoreThanTheSettings() {
         Bench b = Bench.of(SAFE);
-        b.settings.mostAssignments = 1;
+        b.settings.maxAssignments = 1;
         b.start(4);
         arrive(b, 1, terms(4, 0, 0, null));
         b.d.ended(2, b.last(), Outcome.ERROR, false, null);
@@ -207,7 +207,7 @@
         Bench b = Bench.of(SAFE).start(4);
         Task t = b.task(0, 1, 100);
         t.overLimit = true;
-        t.advice = 300;
+        t.retryAfter = 300;
         b.d.arrived(1, t);
         assertEquals(b.acts, List.of("bounce 300.0"));
         assertTrue(t.ended());
@@ -311,12 +311,12 @@
     public void aClientThatLeavesEndsThePauseAndTheCopies() {
         Bench b = Bench.of(SAFE).start(4);
         Task t = arrive(b, 1, copies(2, 50, null));
-        b.d.left(10, t);
+        b.d.clientLeft(10, t);
         b.d.wake(60);
         assertEquals(b.sent.size(), 1);
         Task u = arrive(b, 70, terms(4, 20, 20, null));
         b.d.ended(75, b.last(), Outcome.ERROR, false, null);
-        b.d.left(80, u);
+        b.d.clientLeft(80, u);
         b.d.wake(100);
         assertEquals(b.sent.size(), 2);
     }
@@ -343,7 +343,7 @@
             SplittableRandom r = new SplittableRandom(seed);
             Bench b = Bench.of(effect);
             b.settings.mayCancel = r.nextBoolean();
-            b.settings.mostAssignments = 1 + r.nextInt(4);
+            b.settings.maxAssignments = 1 + r.nextInt(4);
             b.start(1 + r.nextInt(5));
             Set<Outcome> again = r.nextInt(3) == 0 ? EnumSet.of(Outcome.ERROR, Outcome.FULL) : null;
             Terms terms =
@@ -382,7 +382,7 @@
                 }
                 over = t.ended();
                 assertTrue(
-                        seen <= Math.min(terms.maxAssignments, b.settings.mostAssignments),
+                        seen <= Math.min(terms.maxAssignments, b.settings.maxAssignments),
                         "seed " + seed);
                 assertTrue(
                         b.count("bounce") + b.count("abandon") <= 1,
--- a/src/test/java/gingerspool/route/LimitsTest.java
+++ b/src/test/java/gingerspool/route/LimitsTest.java
@@ -180,7 +180,7 @@
         routes.admit(0, task(), "/p", null, "t");
         Task second = task();
         routes.admit(50, second, "/p", null, "t");
-        assertEquals(second.advice, 200, 1e-6);
+        assertEquals(second.retryAfter, 200, 1e-6);
     }
 
     /** A new set of routes counts on: what the old one took is given back to the same count. */
