--- a/src/main/java/gingerspool/consensus/Contacts.java
+++ b/src/main/java/gingerspool/consensus/Contacts.java
@@ -10,34 +10,37 @@
  */
 final class Contacts {
     /** The most addresses that are kept of those that others named. */
-    private static final int KNOWN_ADDRESSES_MOST = 32;
+    private static final int MAX_KNOWN_ADDRESSES = 32;
 
     /** Leases without a leader until a voter asks beyond the voters that it knows. */
-    private static final double ASK_SEEDS_AFTER_LEASES = 2;
+    private static final double WIDEN_SEARCH_AFTER_LEASES = 2;
 
     private final ReplicaContext context;
     private final Election election;
     private final LinkedHashSet<String> knownAddresses = new LinkedHashSet<>();
-    private double askAt;
-    private double leaderHeardAt;
+    private double nextRequestAt;
+    private double leaderLastSeenAt;
 
     Contacts(ReplicaContext context, Election election) {
         this.context = context;
         this.election = election;
-        leaderHeardAt = context.now;
+        leaderLastSeenAt = context.now;
     }
 
     /** The addresses of the voters, and of all that may know the leader where that is not known. */
     Set<String> addresses(Set<Member> learners) {
         Set<String> addresses = new LinkedHashSet<>();
-        context.log.voters().all().forEach(m -> addresses.add(m.ip()));
-        context.log.votersAt(context.commitIndex).all().forEach(m -> addresses.add(m.ip()));
-        learners.forEach(m -> addresses.add(m.ip()));
+        context.log.voters().all().forEach(member -> addresses.add(member.ip()));
+        context.log
+                .votersAt(context.commitIndex)
+                .all()
+                .forEach(member -> addresses.add(member.ip()));
+        learners.forEach(member -> addresses.add(member.ip()));
         if (context.leader != null) {
             addresses.add(context.leader.ip());
         }
-        if (isLost()) {
-            addresses.addAll(context.settings.seeds());
+        if (isSearching()) {
+            addresses.addAll(context.settings.seedAddresses());
             addresses.addAll(knownAddresses);
         }
         addresses.remove(context.self.ip());
@@ -45,13 +48,13 @@
     }
 
     /** Whether this member knows no leader, and could not find one among the voters it knows. */
-    private boolean isLost() {
-        return !knowsLeader() && (!context.isVoter() || context.now >= askSeedsFrom());
+    private boolean isSearching() {
+        return !knowsLeader() && (!context.isVoter() || context.now >= widenSearchAt());
     }
 
     /** A voter first tries to have a leader elected by the voters it knows. */
-    private double askSeedsFrom() {
-        return leaderHeardAt + ASK_SEEDS_AFTER_LEASES * context.lease();
+    private double widenSearchAt() {
+        return leaderLastSeenAt + WIDEN_SEARCH_AFTER_LEASES * context.leaseMs();
     }
 
     private boolean knowsLeader() {
@@ -59,33 +62,33 @@
     }
 
     double nextTick() {
-        return context.isVoter() ? Math.max(askAt, askSeedsFrom()) : askAt;
+        return context.isVoter() ? Math.max(nextRequestAt, widenSearchAt()) : nextRequestAt;
     }
 
     /** A leader was heard. */
-    void heardLeader() {
-        leaderHeardAt = context.now;
+    void onLeaderMessage() {
+        leaderLastSeenAt = context.now;
     }
 
     /** Asks all contacts while no leader is known. */
     void tick() {
-        if (context.now < askAt) {
+        if (context.now < nextRequestAt) {
             return;
         }
-        askAt = context.now + context.heartbeat();
+        nextRequestAt = context.now + context.heartbeatIntervalMs();
         if (knowsLeader()) {
-            leaderHeardAt = context.now;
-        } else if (isLost()) {
-            addresses(Set.of()).forEach(this::ask);
+            leaderLastSeenAt = context.now;
+        } else if (isSearching()) {
+            addresses(Set.of()).forEach(this::sendJoinRequest);
         }
     }
 
-    private void ask(String address) {
+    private void sendJoinRequest(String address) {
         context.send(new Member(address, ""), new ConsensusMessage.JoinRequest(context.term));
     }
 
     /** Tells another where the leader and the members are. */
-    void refer(Member to) {
+    void sendReferral(Member to) {
         Member leader = election.leader(context.now);
         Set<String> known = addresses(Set.of());
         known.add(context.self.ip());
@@ -96,20 +99,20 @@
     }
 
     void onReferral(ConsensusMessage.Referral referral) {
-        referral.addresses().forEach(this::noteAddress);
+        referral.addresses().forEach(this::addKnownAddress);
         if (!referral.leader().isEmpty()) {
-            noteAddress(referral.leader());
+            addKnownAddress(referral.leader());
             if (!knowsLeader() && !referral.leader().equals(context.self.ip())) {
-                ask(referral.leader());
+                sendJoinRequest(referral.leader());
             }
         }
     }
 
     /** The newest addresses are kept. */
-    void noteAddress(String address) {
+    void addKnownAddress(String address) {
         knownAddresses.remove(address);
         knownAddresses.add(address);
-        if (knownAddresses.size() > KNOWN_ADDRESSES_MOST) {
+        if (knownAddresses.size() > MAX_KNOWN_ADDRESSES) {
             knownAddresses.remove(knownAddresses.iterator().next());
         }
     }
--- a/src/main/java/gingerspool/consensus/Departure.java
+++ b/src/main/java/gingerspool/consensus/Departure.java
@@ -15,9 +15,9 @@
     private final Election election;
     private final Membership membership;
     private final LeadershipTransfer transfer;
-    private double begunAt;
-    private double askAt;
-    private boolean noReplacement;
+    private double startedAt;
+    private double nextAttemptAt;
+    private boolean noReplacementAvailable;
 
     Departure(
             ReplicaContext context,
@@ -32,40 +32,41 @@
 
     void begin() {
         if (!context.leaving) {
-            begunAt = context.now;
+            startedAt = context.now;
         }
         context.leaving = true;
-        askAt = context.now;
+        nextAttemptAt = context.now;
         tick();
     }
 
     void tick() {
-        if (!context.leaving || context.now < askAt) {
+        if (!context.leaving || context.now < nextAttemptAt) {
             return;
         }
-        askAt = context.now + context.heartbeat();
+        nextAttemptAt = context.now + context.heartbeatIntervalMs();
         if (context.role == Role.LEADER) {
             leaveAsLeader();
         } else if (context.isVoter()) {
-            askForReplacement();
+            requestReplacement();
         }
     }
 
     double nextTick() {
-        return context.leaving ? askAt : Double.POSITIVE_INFINITY;
+        return context.leaving ? nextAttemptAt : Double.POSITIVE_INFINITY;
     }
 
     private void leaveAsLeader() {
-        boolean replaced = membership.hasReadyLearner() || membership.isChanging();
-        double from = Math.max(begunAt, membership.electedAt());
-        if (replaced && context.now < from + REPLACEMENT_WAIT_LEASES * context.lease()) {
+        boolean canBeReplaced = membership.hasReadyLearner() || membership.isChanging();
+        double waitingSince = Math.max(startedAt, membership.electedAt());
+        if (canBeReplaced
+                && context.now < waitingSince + REPLACEMENT_WAIT_LEASES * context.leaseMs()) {
             membership.advance();
         } else {
-            transfer.run();
+            transfer.start();
         }
     }
 
-    private void askForReplacement() {
+    private void requestReplacement() {
         Member leader = election.leader(context.now);
         if (leader != null) {
             context.send(leader, new ConsensusMessage.LeaveRequest(context.term));
@@ -74,7 +75,7 @@
 
     void onLeaveReply(ConsensusMessage.LeaveReply reply) {
         if (reply.term() == context.term) {
-            noReplacement = !reply.replacementWaits();
+            noReplacementAvailable = !reply.replacementWaits();
         }
     }
 
@@ -84,7 +85,8 @@
                 || !context.isVoter()) {
             return true;
         }
-        boolean alone = context.log.voters().all().size() == 1;
-        return context.leaving && context.role != Role.LEADER && noReplacement || alone;
+        boolean isOnlyVoter = context.log.voters().all().size() == 1;
+        return context.leaving && context.role != Role.LEADER && noReplacementAvailable
+                || isOnlyVoter;
     }
 }
--- a/src/main/java/gingerspool/consensus/Durability.java
+++ b/src/main/java/gingerspool/consensus/Durability.java
@@ -4,13 +4,13 @@
 
 /** Which writes of this replica are durable, and what waits for one to be. */
 final class Durability {
-    private record Waiting(long ticket, Runnable then) {}
+    private record PendingAction(long ticket, Runnable action) {}
 
     private final ReplicaContext context;
     private final Runnable onDurableEntries;
-    private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
-    private long ticket;
-    private long savedTicket;
+    private final ArrayDeque<PendingAction> pendingActions = new ArrayDeque<>();
+    private long lastTicket;
+    private long durableTicket;
     private long voteTicket;
     private long durableIndex;
 
@@ -30,29 +30,29 @@
                 : context.log.lastIndex();
     }
 
-    boolean voteIsDurable() {
-        return savedTicket >= voteTicket;
+    boolean isVoteDurable() {
+        return durableTicket >= voteTicket;
     }
 
     /** Writes the entries from an index on, and a new snapshot where that is not null. */
-    void saveEntries(long from, Snapshot snapshot) {
+    void saveEntries(long fromIndex, Snapshot snapshot) {
         context.environment.persist(
                 new LogWrite(
-                        ++ticket,
+                        ++lastTicket,
                         context.self,
                         context.term,
                         context.votedFor,
-                        from,
-                        context.log.from(from),
+                        fromIndex,
+                        context.log.entriesFrom(fromIndex),
                         snapshot));
-        long upTo = context.log.lastIndex();
-        long before = truncations;
-        whenSaved(
+        long lastIndex = context.log.lastIndex();
+        long truncationsBefore = truncations;
+        whenDurable(
                 () -> {
-                    if (truncations == before
+                    if (truncations == truncationsBefore
                             || !context.hasSafeguard(
                                     ConsensusSafeguard.TRUNCATION_RESETS_DURABLE)) {
-                        durableIndex = Math.max(durableIndex, upTo);
+                        durableIndex = Math.max(durableIndex, lastIndex);
                         onDurableEntries.run();
                     }
                 });
@@ -61,31 +61,31 @@
     /** Writes the term and the vote. */
     void saveVote() {
         saveEntries(context.log.lastIndex() + 1, null);
-        voteTicket = ticket;
+        voteTicket = lastTicket;
     }
 
     /** Entries beyond this index were removed. */
-    void truncated(long lastKept) {
+    void onTruncated(long lastKeptIndex) {
         truncations++;
         if (context.hasSafeguard(ConsensusSafeguard.TRUNCATION_RESETS_DURABLE)) {
-            durableIndex = Math.min(durableIndex, lastKept);
+            durableIndex = Math.min(durableIndex, lastKeptIndex);
         }
     }
 
     /** Runs this once all that was written until now is durable. */
-    void whenSaved(Runnable then) {
-        if (savedTicket >= ticket) {
-            then.run();
+    void whenDurable(Runnable action) {
+        if (durableTicket >= lastTicket) {
+            action.run();
         } else {
-            waiting.add(new Waiting(ticket, then));
+            pendingActions.add(new PendingAction(lastTicket, action));
         }
     }
 
     /** All writes up to a ticket are durable. */
-    void persisted(long upTo) {
-        savedTicket = Math.max(savedTicket, upTo);
-        while (!waiting.isEmpty() && waiting.peek().ticket() <= savedTicket) {
-            waiting.poll().then().run();
+    void onPersisted(long upToTicket) {
+        durableTicket = Math.max(durableTicket, upToTicket);
+        while (!pendingActions.isEmpty() && pendingActions.peek().ticket() <= durableTicket) {
+            pendingActions.poll().action().run();
         }
     }
 
@@ -93,12 +93,12 @@
     LogWrite fullState() {
         Snapshot base = context.log.snapshot();
         return new LogWrite(
-                ++ticket,
+                ++lastTicket,
                 context.self,
                 context.term,
                 context.votedFor,
                 base.index() + 1,
-                context.log.from(base.index() + 1),
+                context.log.entriesFrom(base.index() + 1),
                 base);
     }
 }
--- a/src/main/java/gingerspool/consensus/Election.java
+++ b/src/main/java/gingerspool/consensus/Election.java
@@ -15,7 +15,7 @@
 
     private final ReplicaContext context;
     private final Durability durability;
-    private final BooleanSupplier leads;
+    private final BooleanSupplier isActiveLeader;
     private final Runnable onElected;
 
     /** Until then this member votes for nobody but whom it follows. */
@@ -39,28 +39,29 @@
             ReplicaContext context,
             Durability durability,
             boolean bootstraps,
-            BooleanSupplier leads,
+            BooleanSupplier isActiveLeader,
             Runnable onElected) {
         this.context = context;
         this.durability = durability;
-        this.leads = leads;
+        this.isActiveLeader = isActiveLeader;
         this.onElected = onElected;
         // An earlier life may have granted a lease to whom it followed. Its own lease ended with
         // its process, and in its own term it granted nobody else one.
-        boolean ownTerm = context.self.equals(context.votedFor);
-        boolean free =
+        boolean votedForSelf = context.self.equals(context.votedFor);
+        boolean mayVoteAtOnce =
                 bootstraps
-                        || ownTerm
+                        || votedForSelf
                         || !context.hasSafeguard(ConsensusSafeguard.LEASE_WAITED_OUT_AFTER_RESTART);
-        voteWithheldUntil = free ? context.now : context.now + context.lease();
-        double spread = ownTerm ? 2 * ReplicaContext.HEARTBEATS_PER_LEASE : 2;
+        voteWithheldUntil = mayVoteAtOnce ? context.now : context.now + context.leaseMs();
+        double timeoutDivisor = votedForSelf ? 2 * ReplicaContext.HEARTBEATS_PER_LEASE : 2;
         electionTimeoutAt =
-                voteWithheldUntil + context.lease() * context.random.nextDouble() / spread;
+                voteWithheldUntil
+                        + context.leaseMs() * context.random.nextDouble() / timeoutDivisor;
     }
 
     /** The leader as far as it was heard of within a lease, or null. */
-    Member leader(double at) {
-        return at < voteWithheldUntil ? context.leader : null;
+    Member leader(double now) {
+        return now < voteWithheldUntil ? context.leader : null;
     }
 
     void tick() {
@@ -68,46 +69,46 @@
             return;
         }
         if (context.now >= electionTimeoutAt && context.now >= voteWithheldUntil) {
-            standForPreVote();
+            startPreVote();
         } else if (isCandidate() && context.now >= retryAt) {
-            askForVotes();
+            requestVotes();
         }
     }
 
     double nextTick() {
-        double stands = Math.max(electionTimeoutAt, voteWithheldUntil);
-        return isCandidate() ? Math.min(retryAt, stands) : stands;
+        double nextElectionAt = Math.max(electionTimeoutAt, voteWithheldUntil);
+        return isCandidate() ? Math.min(retryAt, nextElectionAt) : nextElectionAt;
     }
 
     private boolean isCandidate() {
         return context.role == Role.PRE_CANDIDATE || context.role == Role.CANDIDATE;
     }
 
-    private void delayElection() {
-        double leases = (context.leaving ? LEAVING_DELAY_LEASES : 0) + 0.5;
+    private void resetElectionTimeout() {
+        double delayLeases = (context.leaving ? LEAVING_DELAY_LEASES : 0) + 0.5;
         electionTimeoutAt =
-                context.now + context.lease() * (leases + context.random.nextDouble() / 2);
+                context.now + context.leaseMs() * (delayLeases + context.random.nextDouble() / 2);
     }
 
     // ---- As a candidate ----
 
     /** Asks first whether a majority would vote: a member that was cut off raises no term. */
-    private void standForPreVote() {
+    private void startPreVote() {
         context.leader = null;
         candidateTerm = Math.max(candidateTerm, context.term + 1);
-        delayElection();
+        resetElectionTimeout();
         if (!context.hasSafeguard(ConsensusSafeguard.PRE_VOTE)) {
-            stand();
+            startElection();
             return;
         }
         context.role = Role.PRE_CANDIDATE;
         votes.clear();
         votes.add(context.self);
-        askForVotes();
+        requestVotes();
         countVotes();
     }
 
-    private void stand() {
+    private void startElection() {
         context.role = Role.CANDIDATE;
         context.term = Math.max(context.term + 1, candidateTerm);
         context.votedFor = context.self;
@@ -115,24 +116,24 @@
         retryAt = electionTimeoutAt;
         durability.saveVote();
         long term = context.term;
-        Runnable ask =
+        Runnable sendRequests =
                 () -> {
                     if (context.role == Role.CANDIDATE && context.term == term) {
                         votes.add(context.self);
-                        askForVotes();
+                        requestVotes();
                         countVotes();
                     }
                 };
         if (context.hasSafeguard(ConsensusSafeguard.VOTE_DURABLE_BEFORE_REPLY)) {
-            durability.whenSaved(ask);
+            durability.whenDurable(sendRequests);
         } else {
-            ask.run();
+            sendRequests.run();
         }
     }
 
     /** Asks those that have not granted yet, again and again: links may come up only now. */
-    private void askForVotes() {
-        retryAt = context.now + context.heartbeat();
+    private void requestVotes() {
+        retryAt = context.now + context.heartbeatIntervalMs();
         RaftLog log = context.log;
         ConsensusMessage request =
                 context.role == Role.PRE_CANDIDATE
@@ -167,7 +168,7 @@
             return;
         }
         if (context.role == Role.PRE_CANDIDATE) {
-            stand();
+            startElection();
         } else {
             context.role = Role.LEADER;
             context.leader = context.self;
@@ -180,7 +181,7 @@
     void onPreVote(Member from, ConsensusMessage.PreVote request) {
         boolean granted =
                 mayVote(from, request.term())
-                        && upToDate(request.lastLogTerm(), request.lastLogIndex());
+                        && isUpToDate(request.lastLogTerm(), request.lastLogIndex());
         context.send(
                 from, new ConsensusMessage.PreVoteReply(request.term(), granted, context.term));
     }
@@ -189,9 +190,9 @@
         boolean repeated =
                 from.equals(context.votedFor)
                         || !context.hasSafeguard(ConsensusSafeguard.ONE_VOTE_PER_TERM)
-                                && upToDate(request.lastLogTerm(), request.lastLogIndex());
+                                && isUpToDate(request.lastLogTerm(), request.lastLogIndex());
         if (request.term() == context.term && repeated && context.role != Role.LEADER) {
-            grant(from, request.term());
+            grantVote(from, request.term());
             return;
         }
         if (!mayVote(from, request.term())) {
@@ -201,14 +202,14 @@
         context.term = request.term();
         context.votedFor = null;
         context.follow(null);
-        boolean granted = upToDate(request.lastLogTerm(), request.lastLogIndex());
+        boolean granted = isUpToDate(request.lastLogTerm(), request.lastLogIndex());
         if (granted) {
             context.votedFor = from;
-            delayElection();
+            resetElectionTimeout();
         }
         durability.saveVote();
         if (granted) {
-            grant(from, request.term());
+            grantVote(from, request.term());
         }
     }
 
@@ -219,17 +220,17 @@
                         && context.hasSafeguard(ConsensusSafeguard.VOTE_WITHHELD_DURING_LEASE);
         return term > context.term
                 && (!withheld || from.equals(context.votedFor))
-                && !leads.getAsBoolean();
+                && !isActiveLeader.getAsBoolean();
     }
 
-    private boolean upToDate(long lastTerm, long last) {
+    private boolean isUpToDate(long lastTerm, long lastIndex) {
         RaftLog log = context.log;
         return !context.hasSafeguard(ConsensusSafeguard.VOTE_ONLY_FOR_UP_TO_DATE_LOG)
                 || lastTerm > log.lastTerm()
-                || lastTerm == log.lastTerm() && last >= log.lastIndex();
+                || lastTerm == log.lastTerm() && lastIndex >= log.lastIndex();
     }
 
-    private void grant(Member to, long term) {
+    private void grantVote(Member to, long term) {
         Runnable reply =
                 () -> {
                     if (context.term == term) {
@@ -237,7 +238,7 @@
                     }
                 };
         if (context.hasSafeguard(ConsensusSafeguard.VOTE_DURABLE_BEFORE_REPLY)) {
-            durability.whenSaved(reply);
+            durability.whenDurable(reply);
         } else {
             reply.run();
         }
@@ -249,7 +250,7 @@
      * A leader was heard in its term, not older than ours: its lease is granted, unless it gave it
      * up and this message was sent before.
      */
-    void heardLeader(Member from, long term) {
+    void onLeaderMessage(Member from, long term) {
         if (term == resignedTerm) {
             return;
         }
@@ -259,14 +260,16 @@
             durability.saveVote();
         }
         context.follow(from);
-        voteWithheldUntil = Math.max(voteWithheldUntil, context.now + context.lease());
-        double leaving = context.leaving ? LEAVING_DELAY_LEASES : 0;
+        voteWithheldUntil = Math.max(voteWithheldUntil, context.now + context.leaseMs());
+        double leavingDelayLeases = context.leaving ? LEAVING_DELAY_LEASES : 0;
         electionTimeoutAt =
-                voteWithheldUntil + context.lease() * (leaving + context.random.nextDouble() / 2);
+                voteWithheldUntil
+                        + context.leaseMs()
+                                * (leavingDelayLeases + context.random.nextDouble() / 2);
     }
 
     /** Another member is in a higher term: this one leads no more. */
-    void sawHigherTerm(long term) {
+    void onHigherTerm(long term) {
         context.term = term;
         context.votedFor = null;
         stepDown();
@@ -276,13 +279,13 @@
     /** Leads no more, and stands again after a while. */
     void stepDown() {
         context.follow(null);
-        electionTimeoutAt = context.now + context.lease();
+        electionTimeoutAt = context.now + context.leaseMs();
         delayElectionIfLeaving();
     }
 
     private void delayElectionIfLeaving() {
         if (context.leaving) {
-            electionTimeoutAt = context.now + LEAVING_DELAY_LEASES * context.lease();
+            electionTimeoutAt = context.now + LEAVING_DELAY_LEASES * context.leaseMs();
         }
     }
 
@@ -295,7 +298,7 @@
             if (message.successor().equals(context.self)) {
                 electionTimeoutAt = context.now;
             } else {
-                delayElection();
+                resetElectionTimeout();
             }
         }
     }
--- a/src/main/java/gingerspool/consensus/Follower.java
+++ b/src/main/java/gingerspool/consensus/Follower.java
@@ -5,13 +5,13 @@
     private final ReplicaContext context;
     private final Durability durability;
     private final Runnable onCommitted;
-    private final SnapshotReceiver receiver;
+    private final SnapshotReceiver snapshotReceiver;
 
     Follower(ReplicaContext context, Durability durability, Runnable onCommitted) {
         this.context = context;
         this.durability = durability;
         this.onCommitted = onCommitted;
-        receiver = new SnapshotReceiver(context);
+        snapshotReceiver = new SnapshotReceiver(context);
     }
 
     // ---- Entries ----
@@ -20,35 +20,39 @@
         RaftLog log = context.log;
         if (log.voters().isEmpty()) {
             // Without a snapshot that names the voters no entries are of use.
-            refuse(from, -1, 0, message.sentAt());
+            reject(from, -1, 0, message.sentAt());
             return;
         }
-        long previous = message.previousIndex();
-        if (previous > log.lastIndex()) {
-            refuse(from, log.lastIndex(), 0, message.sentAt());
+        long previousIndex = message.previousIndex();
+        if (previousIndex > log.lastIndex()) {
+            reject(from, log.lastIndex(), 0, message.sentAt());
             return;
         }
-        if (!log.matches(previous, message.previousTerm())) {
-            refuse(from, log.firstOfTermAt(previous) - 1, log.termAt(previous), message.sentAt());
+        if (!log.matches(previousIndex, message.previousTerm())) {
+            reject(
+                    from,
+                    log.firstIndexOfTermAt(previousIndex) - 1,
+                    log.termAt(previousIndex),
+                    message.sentAt());
             return;
         }
-        long changedFrom = store(message);
+        long changedFrom = storeEntries(message);
         if (changedFrom <= log.lastIndex()) {
             durability.saveEntries(changedFrom, null);
         }
-        long matching = previous + message.entries().size();
-        accept(from, matching, message.commitIndex(), message.sentAt());
+        long matchIndex = previousIndex + message.entries().size();
+        acknowledge(from, matchIndex, message.commitIndex(), message.sentAt());
     }
 
-    private void refuse(Member from, long last, long conflictTerm, double sentAt) {
+    private void reject(Member from, long lastIndex, long conflictTerm, double sentAt) {
         context.send(
                 from,
                 new ConsensusMessage.AppendReply(
-                        context.term, false, last, conflictTerm, leaseAnswer(sentAt)));
+                        context.term, false, lastIndex, conflictTerm, leaseSentAt(sentAt)));
     }
 
     /** Appends what is new, and removes what differs; the first index that changed. */
-    private long store(ConsensusMessage.AppendEntries message) {
+    private long storeEntries(ConsensusMessage.AppendEntries message) {
         RaftLog log = context.log;
         long changedFrom = Long.MAX_VALUE;
         long index = message.previousIndex();
@@ -65,7 +69,7 @@
             if (differs) {
                 // What the leader does not have was never committed.
                 log.truncate(index);
-                durability.truncated(index - 1);
+                durability.onTruncated(index - 1);
                 changedFrom = Math.min(changedFrom, index);
             }
             if (index > log.lastIndex()) {
@@ -80,36 +84,38 @@
      * A heartbeat counts for the lease through a restart of this member only once the vote for its
      * sender is durable.
      */
-    private double leaseAnswer(double sentAt) {
+    private double leaseSentAt(double sentAt) {
         boolean durable =
-                durability.voteIsDurable()
+                durability.isVoteDurable()
                         || !context.hasSafeguard(ConsensusSafeguard.LEASE_COUNTS_DURABLE_VOTES);
         return durable ? sentAt : Double.NEGATIVE_INFINITY;
     }
 
     /** Answers with what is durable now, and again once all that matches is. */
-    private void accept(Member from, long matching, long leaderCommitted, double sentAt) {
-        answer(from, matching, leaseAnswer(sentAt));
-        if (durability.durableIndex() < matching || !durability.voteIsDurable()) {
+    private void acknowledge(Member from, long matchIndex, long leaderCommitIndex, double sentAt) {
+        sendAppendReply(from, matchIndex, leaseSentAt(sentAt));
+        if (durability.durableIndex() < matchIndex || !durability.isVoteDurable()) {
             long term = context.term;
-            durability.whenSaved(
+            durability.whenDurable(
                     () -> {
-                        if (context.term == term && matching <= context.log.lastIndex()) {
-                            answer(from, matching, sentAt);
+                        if (context.term == term && matchIndex <= context.log.lastIndex()) {
+                            sendAppendReply(from, matchIndex, sentAt);
                         }
                     });
         }
-        context.commitIndex = Math.max(context.commitIndex, Math.min(leaderCommitted, matching));
+        context.commitIndex =
+                Math.max(context.commitIndex, Math.min(leaderCommitIndex, matchIndex));
         onCommitted.run();
     }
 
-    private void answer(Member to, long matching, double sentAt) {
-        long durable = durability.durableIndex();
-        long last =
+    private void sendAppendReply(Member to, long matchIndex, double sentAt) {
+        long durableIndex = durability.durableIndex();
+        long lastIndex =
                 context.hasSafeguard(ConsensusSafeguard.ACKNOWLEDGE_MATCHED_PREFIX)
-                        ? Math.min(durable, matching)
-                        : durable;
-        context.send(to, new ConsensusMessage.AppendReply(context.term, true, last, 0, sentAt));
+                        ? Math.min(durableIndex, matchIndex)
+                        : durableIndex;
+        context.send(
+                to, new ConsensusMessage.AppendReply(context.term, true, lastIndex, 0, sentAt));
     }
 
     // ---- Snapshots ----
@@ -117,18 +123,18 @@
     void onInstallSnapshot(Member from, ConsensusMessage.InstallSnapshot message) {
         SnapshotPiece piece = message.piece();
         if (!isAhead(piece)) {
-            reply(from, piece, piece.pieces(), message.sentAt());
-            accept(from, piece.index(), message.commitIndex(), message.sentAt());
+            sendSnapshotReply(from, piece, piece.pieces(), message.sentAt());
+            acknowledge(from, piece.index(), message.commitIndex(), message.sentAt());
             return;
         }
-        Snapshot complete = receiver.take(message.term(), piece);
+        Snapshot complete = snapshotReceiver.add(message.term(), piece);
         if (complete == null) {
-            reply(from, piece, receiver.received(piece), message.sentAt());
+            sendSnapshotReply(from, piece, snapshotReceiver.received(piece), message.sentAt());
             return;
         }
         install(complete);
-        reply(from, piece, piece.pieces(), message.sentAt());
-        accept(from, complete.index(), message.commitIndex(), message.sentAt());
+        sendSnapshotReply(from, piece, piece.pieces(), message.sentAt());
+        acknowledge(from, complete.index(), message.commitIndex(), message.sentAt());
     }
 
     private boolean isAhead(SnapshotPiece piece) {
@@ -137,7 +143,7 @@
                 || !context.hasSafeguard(ConsensusSafeguard.SNAPSHOT_ONLY_FORWARD);
     }
 
-    private void reply(Member to, SnapshotPiece piece, int received, double sentAt) {
+    private void sendSnapshotReply(Member to, SnapshotPiece piece, int received, double sentAt) {
         context.send(
                 to,
                 new ConsensusMessage.SnapshotReply(
@@ -145,23 +151,24 @@
                         piece.index(),
                         piece.digest(),
                         received,
-                        leaseAnswer(sentAt)));
+                        leaseSentAt(sentAt)));
     }
 
     /** Puts a snapshot in place of the log up to it; entries after it stay where they match. */
     private void install(Snapshot snapshot) {
         RaftLog log = context.log;
-        boolean matches =
+        boolean keepsLaterEntries =
                 snapshot.index() > log.snapshot().index()
                         && log.matches(snapshot.index(), snapshot.term())
                         && context.hasSafeguard(ConsensusSafeguard.SNAPSHOT_KEEPS_MATCHING_LOG);
-        if (matches) {
+        if (keepsLaterEntries) {
             log.compact(snapshot);
         } else {
             log.reset(snapshot);
-            durability.truncated(0);
+            durability.onTruncated(0);
         }
-        context.commitIndex = Math.max(snapshot.index(), matches ? context.commitIndex : 0);
+        context.commitIndex =
+                Math.max(snapshot.index(), keepsLaterEntries ? context.commitIndex : 0);
         context.lastApplied = snapshot.index();
         if (snapshot.state() != null) {
             context.environment.restore(snapshot.index(), snapshot.state());
--- a/src/main/java/gingerspool/consensus/FollowerProgress.java
+++ b/src/main/java/gingerspool/consensus/FollowerProgress.java
@@ -6,11 +6,11 @@
 /** What the leader knows of a follower or learner: what it has, and what is on its way to it. */
 final class FollowerProgress {
     /** Bounds of what is on its way to one follower, in entries and in bytes. */
-    private static final int ENTRIES_IN_FLIGHT = 1024;
+    private static final int MAX_ENTRIES_IN_FLIGHT = 1024;
 
-    private static final long BYTES_IN_FLIGHT = 1 << 20;
+    private static final long MAX_BYTES_IN_FLIGHT = 1 << 20;
 
-    private record Batch(long last, int entries, long bytes) {}
+    private record Batch(long lastIndex, int entries, long bytes) {}
 
     /** The next entry to send. */
     long nextIndex;
@@ -22,19 +22,19 @@
     boolean probing;
 
     /** When the newest heartbeat that it answered, with a durable vote, was sent. */
-    double leaseAt = Double.NEGATIVE_INFINITY;
+    double leaseStartAt = Double.NEGATIVE_INFINITY;
 
     /** When it last answered, or when it was first known. */
-    double heardAt;
+    double lastReplyAt;
 
     /** Whether it has answered in this term. */
     boolean answered;
 
     /** When it last said that it is about to leave. */
-    double leavingAt = Double.NEGATIVE_INFINITY;
+    double leaveRequestedAt = Double.NEGATIVE_INFINITY;
 
     /** The snapshot that it is sent, or null. */
-    SnapshotSender snapshot;
+    SnapshotSender snapshotSender;
 
     private final ArrayDeque<Batch> inFlight = new ArrayDeque<>();
     private int entriesInFlight;
@@ -42,15 +42,15 @@
 
     FollowerProgress(long nextIndex, double now) {
         this.nextIndex = nextIndex;
-        heardAt = now;
+        lastReplyAt = now;
     }
 
-    boolean hasRoom() {
-        return entriesInFlight < ENTRIES_IN_FLIGHT && bytesInFlight < BYTES_IN_FLIGHT;
+    boolean hasCapacity() {
+        return entriesInFlight < MAX_ENTRIES_IN_FLIGHT && bytesInFlight < MAX_BYTES_IN_FLIGHT;
     }
 
-    void sent(List<LogEntry> batch) {
-        long bytes = batch.stream().mapToLong(LogEntry::size).sum();
+    void recordSent(List<LogEntry> batch) {
+        long bytes = batch.stream().mapToLong(LogEntry::sizeBytes).sum();
         nextIndex += batch.size();
         if (!batch.isEmpty()) {
             inFlight.add(new Batch(nextIndex - 1, batch.size(), bytes));
@@ -60,19 +60,19 @@
     }
 
     /** All up to here has arrived and matches. */
-    void matchedUpTo(long index) {
+    void recordMatched(long index) {
         matchIndex = Math.max(matchIndex, index);
         probing = false;
         nextIndex = Math.max(nextIndex, matchIndex + 1);
-        while (!inFlight.isEmpty() && inFlight.peek().last() <= matchIndex) {
-            Batch arrived = inFlight.poll();
-            entriesInFlight -= arrived.entries();
-            bytesInFlight -= arrived.bytes();
+        while (!inFlight.isEmpty() && inFlight.peek().lastIndex() <= matchIndex) {
+            Batch acknowledged = inFlight.poll();
+            entriesInFlight -= acknowledged.entries();
+            bytesInFlight -= acknowledged.bytes();
         }
     }
 
     /** What is on its way is lost or does not fit: goes on from this index, 0 for a snapshot. */
-    void resumeAt(long index) {
+    void restartFrom(long index) {
         nextIndex = index == 0 ? 0 : Math.max(matchIndex + 1, index);
         probing = false;
         inFlight.clear();
--- a/src/main/java/gingerspool/consensus/LeaderLease.java
+++ b/src/main/java/gingerspool/consensus/LeaderLease.java
@@ -8,7 +8,7 @@
  */
 final class LeaderLease {
     /** The part of the lease that is trusted, since clocks run a little apart. */
-    private static final double TRUSTED_PART = 0.75;
+    private static final double TRUSTED_FRACTION = 0.75;
 
     private final ReplicaContext context;
     private final Replication replication;
@@ -19,34 +19,35 @@
     }
 
     /** Until when the lease is trusted. */
-    double end() {
-        double trusted =
+    double expiresAt() {
+        double trustedFraction =
                 context.hasSafeguard(ConsensusSafeguard.LEASE_TRUSTED_IN_PART)
-                        ? TRUSTED_PART
-                        : 1 / TRUSTED_PART;
-        return context.quorumSet().reached(replication::leaseAcknowledgedAt, 0)
-                + trusted * context.lease();
+                        ? TRUSTED_FRACTION
+                        : 1 / TRUSTED_FRACTION;
+        return context.quorumSet().quorumValue(replication::leaseStartOf, 0)
+                + trustedFraction * context.leaseMs();
     }
 
     /**
      * Whether this member leads, has its lease, and has applied all that was committed before its
      * term: only then it may answer for the state, and do what only one may.
      */
-    boolean isActiveLeader(double at) {
+    boolean isActiveLeader(double now) {
         return context.role == Role.LEADER
                 && (replication.isOwnTermCommitted()
                         || !context.hasSafeguard(ConsensusSafeguard.SERVE_AFTER_OWN_TERM_COMMITTED))
-                && at < end();
+                && now < expiresAt();
     }
 
     /**
      * Whether it has had no lease for the length of one: no majority hears it and is heard, so it
      * would only keep others from electing a leader that is.
      */
-    boolean isLost() {
-        double since = Math.max(end(), replication.electedAt() + context.lease());
+    boolean mustStepDown() {
+        double withoutLeaseSince =
+                Math.max(expiresAt(), replication.electedAt() + context.leaseMs());
         return context.role == Role.LEADER
                 && context.hasSafeguard(ConsensusSafeguard.STEP_DOWN_WITHOUT_LEASE)
-                && context.now > since + context.lease();
+                && context.now > withoutLeaseSince + context.leaseMs();
     }
 }
--- a/src/main/java/gingerspool/consensus/LeadershipTransfer.java
+++ b/src/main/java/gingerspool/consensus/LeadershipTransfer.java
@@ -18,8 +18,8 @@
      * The voter with the longest log that answers is to lead at once; learners are told, too, and
      * look for the new leader. Nothing happens where no voter answers.
      */
-    void run() {
-        Member successor = successor();
+    void start() {
+        Member successor = chooseSuccessor();
         if (successor == null) {
             return;
         }
@@ -28,15 +28,16 @@
         election.stepDown();
     }
 
-    private Member successor() {
+    private Member chooseSuccessor() {
         Member successor = null;
-        long most = -1;
-        for (Map.Entry<Member, FollowerProgress> e : replication.followers().entrySet()) {
-            boolean able =
-                    context.log.voters().contains(e.getKey()) && replication.isHeard(e.getKey(), 1);
-            if (able && e.getValue().matchIndex > most) {
-                successor = e.getKey();
-                most = e.getValue().matchIndex;
+        long highestMatchIndex = -1;
+        for (Map.Entry<Member, FollowerProgress> follower : replication.followers().entrySet()) {
+            boolean eligible =
+                    context.log.voters().contains(follower.getKey())
+                            && replication.hasAnsweredWithin(follower.getKey(), 1);
+            if (eligible && follower.getValue().matchIndex > highestMatchIndex) {
+                successor = follower.getKey();
+                highestMatchIndex = follower.getValue().matchIndex;
             }
         }
         return successor;
--- a/src/main/java/gingerspool/consensus/LogEntry.java
+++ b/src/main/java/gingerspool/consensus/LogEntry.java
@@ -3,10 +3,10 @@
 /** One log entry: the term of the leader that appended it, and a command, or the new voters. */
 public record LogEntry(long term, byte[] command, VoterSet voters) {
     /** What an entry takes besides its command, about, in bytes. */
-    private static final int OVERHEAD = 64;
+    private static final int OVERHEAD_BYTES = 64;
 
     /** The first entry of each term; once it is committed, so is everything before it. */
-    static LogEntry begin(long term) {
+    static LogEntry termStart(long term) {
         return new LogEntry(term, null, null);
     }
 
@@ -19,7 +19,7 @@
     }
 
     /** About how much room it takes, in bytes. */
-    int size() {
-        return OVERHEAD + (command == null ? 0 : command.length);
+    int sizeBytes() {
+        return OVERHEAD_BYTES + (command == null ? 0 : command.length);
     }
 }
--- a/src/main/java/gingerspool/consensus/Membership.java
+++ b/src/main/java/gingerspool/consensus/Membership.java
@@ -12,21 +12,21 @@
  */
 final class Membership {
     /** The least voters wanted, where there are machines for so many. */
-    private static final int LEAST_VOTERS = 3;
+    private static final int MIN_VOTERS = 3;
 
     /**
      * A voter that has not answered a new leader at all counts as silent after so many leases: its
      * silence began before.
      */
-    private static final double SILENT_AT_START_LEASES = 0.5;
+    private static final double UNRESPONSIVE_TO_NEW_LEADER_LEASES = 0.5;
 
     /** Leases within which a learner finds a new leader. */
-    private static final double LEARNER_SEARCH_LEASES = 2;
+    private static final double LEARNER_DISCOVERY_LEASES = 2;
 
     /** Why a voter is to be replaced, the most urgent reason last. */
-    private enum Replaceable {
-        NO,
-        SILENT,
+    private enum ReplacementReason {
+        NONE,
+        UNRESPONSIVE,
         LEAVING,
 
         /** Another member, without its log, is on its machine. */
@@ -41,7 +41,7 @@
     /** What was committed a heartbeat ago: a learner that has it is caught up. */
     private long caughtUpIndex;
 
-    private double measuredAt;
+    private double caughtUpIndexUpdatedAt;
     private long nextCaughtUpIndex;
 
     Membership(
@@ -56,17 +56,17 @@
     }
 
     /** A new term is led: a learner must have its first entry to be caught up. */
-    void begin() {
+    void onElected() {
         caughtUpIndex = replication.termStart();
         nextCaughtUpIndex = caughtUpIndex;
-        measuredAt = context.now;
+        caughtUpIndexUpdatedAt = context.now;
     }
 
-    private void measure() {
-        if (context.now >= measuredAt + context.heartbeat()) {
+    private void updateCaughtUpIndex() {
+        if (context.now >= caughtUpIndexUpdatedAt + context.heartbeatIntervalMs()) {
             caughtUpIndex = Math.max(caughtUpIndex, nextCaughtUpIndex);
             nextCaughtUpIndex = context.commitIndex;
-            measuredAt = context.now;
+            caughtUpIndexUpdatedAt = context.now;
         }
     }
 
@@ -94,18 +94,20 @@
 
     /** A member is about to leave; tells it whether there is one to replace it. */
     void onLeaveRequest(Member from) {
-        replication.progress(from).leavingAt = context.now;
+        replication.progress(from).leaveRequestedAt = context.now;
         // A new leader does not know the learners yet: they find it within about a lease.
-        boolean maybe =
-                context.now < replication.electedAt() + LEARNER_SEARCH_LEASES * context.lease();
-        boolean waits = maybe || learners().stream().anyMatch(this::isPresent);
-        context.send(from, new ConsensusMessage.LeaveReply(context.term, waits));
+        boolean learnersMayBeUnknown =
+                context.now
+                        < replication.electedAt() + LEARNER_DISCOVERY_LEASES * context.leaseMs();
+        boolean replacementWaits =
+                learnersMayBeUnknown || learners().stream().anyMatch(this::isAvailable);
+        context.send(from, new ConsensusMessage.LeaveReply(context.term, replacementWaits));
         advance();
     }
 
     /** Takes the next step of a change that is under way, or begins one that is wanted. */
     void advance() {
-        measure();
+        updateCaughtUpIndex();
         RaftLog log = context.log;
         VoterSet voters = log.voters();
         if (!lease.isActiveLeader(context.now)
@@ -117,18 +119,18 @@
             return;
         }
         if (voters.isJoint()) {
-            append(VoterSet.of(voters.incoming()));
+            appendVoters(VoterSet.of(voters.incoming()));
         } else if (!voters.contains(context.self)) {
-            transfer.run();
+            transfer.start();
         } else {
             List<Member> next = nextVoters(voters.voters());
             if (!next.equals(voters.voters())) {
-                append(voters.changedTo(next));
+                appendVoters(voters.jointWith(next));
             }
         }
     }
 
-    private void append(VoterSet voters) {
+    private void appendVoters(VoterSet voters) {
         for (Member member : context.log.voters().all()) {
             if (!voters.contains(member) && !member.equals(context.self)) {
                 replication.progress(member).answered = false;
@@ -141,7 +143,7 @@
     private List<Member> nextVoters(List<Member> voters) {
         List<Member> next = new ArrayList<>(voters);
         List<Member> ready = new ArrayList<>(learners().stream().filter(this::isReady).toList());
-        for (Member voter : replaceable(voters)) {
+        for (Member voter : votersToReplace(voters)) {
             if (ready.isEmpty()) {
                 return next;
             }
@@ -149,8 +151,8 @@
             ready.remove(learner);
             next.set(next.indexOf(voter), learner);
         }
-        int wanted = Math.max(LEAST_VOTERS, 2 * context.settings.toleratedLosses() + 1);
-        while (next.size() < wanted && !ready.isEmpty()) {
+        int targetSize = Math.max(MIN_VOTERS, 2 * context.settings.toleratedLosses() + 1);
+        while (next.size() < targetSize && !ready.isEmpty()) {
             next.add(ready.remove(0));
         }
         return next;
@@ -167,53 +169,57 @@
     }
 
     /** Voters to be replaced: disk lost first, then leaving, then silent. */
-    private List<Member> replaceable(List<Member> voters) {
-        List<Member> found = new ArrayList<>();
+    private List<Member> votersToReplace(List<Member> voters) {
+        List<Member> selected = new ArrayList<>();
         for (Member voter : voters) {
-            if (reasonToReplace(voter) != Replaceable.NO) {
-                found.add(voter);
+            if (reasonToReplace(voter) != ReplacementReason.NONE) {
+                selected.add(voter);
             }
         }
-        found.sort(Comparator.comparing(this::reasonToReplace).reversed());
-        return found;
+        selected.sort(Comparator.comparing(this::reasonToReplace).reversed());
+        return selected;
     }
 
-    private Replaceable reasonToReplace(Member voter) {
+    private ReplacementReason reasonToReplace(Member voter) {
         if (voter.equals(context.self)) {
-            return context.leaving ? Replaceable.LEAVING : Replaceable.NO;
+            return context.leaving ? ReplacementReason.LEAVING : ReplacementReason.NONE;
         }
         FollowerProgress progress = replication.progress(voter);
-        if (learners().stream().anyMatch(l -> l.ip().equals(voter.ip()) && isPresent(l))) {
-            return Replaceable.DISK_LOST;
+        if (learners().stream()
+                .anyMatch(learner -> learner.ip().equals(voter.ip()) && isAvailable(learner))) {
+            return ReplacementReason.DISK_LOST;
         }
         if (isLeaving(voter)) {
-            return Replaceable.LEAVING;
+            return ReplacementReason.LEAVING;
         }
-        double silentLeases =
-                progress.answered ? ReplicaContext.SILENT_LEASES : SILENT_AT_START_LEASES;
-        boolean isSilent = context.now > progress.heardAt + silentLeases * context.lease();
-        return isSilent ? Replaceable.SILENT : Replaceable.NO;
+        double timeoutLeases =
+                progress.answered
+                        ? ReplicaContext.UNRESPONSIVE_AFTER_LEASES
+                        : UNRESPONSIVE_TO_NEW_LEADER_LEASES;
+        boolean isUnresponsive =
+                context.now > progress.lastReplyAt + timeoutLeases * context.leaseMs();
+        return isUnresponsive ? ReplacementReason.UNRESPONSIVE : ReplacementReason.NONE;
     }
 
     private boolean isLeaving(Member member) {
         FollowerProgress progress = replication.followers().get(member);
-        return progress != null && context.now <= progress.leavingAt + context.lease();
+        return progress != null && context.now <= progress.leaveRequestedAt + context.leaseMs();
     }
 
     private List<Member> learners() {
         VoterSet voters = context.log.voters();
         List<Member> learners = new ArrayList<>();
-        for (Map.Entry<Member, FollowerProgress> e : replication.followers().entrySet()) {
-            if (!voters.contains(e.getKey())) {
-                learners.add(e.getKey());
+        for (Map.Entry<Member, FollowerProgress> follower : replication.followers().entrySet()) {
+            if (!voters.contains(follower.getKey())) {
+                learners.add(follower.getKey());
             }
         }
         return learners;
     }
 
     /** Whether a learner is there to stay: it answers, and is not about to leave. */
-    private boolean isPresent(Member learner) {
-        return replication.isHeard(learner, 1) && !isLeaving(learner);
+    private boolean isAvailable(Member learner) {
+        return replication.hasAnsweredWithin(learner, 1) && !isLeaving(learner);
     }
 
     private boolean isReady(Member learner) {
@@ -221,6 +227,6 @@
                 replication.progress(learner).matchIndex >= caughtUpIndex
                         || !context.hasSafeguard(
                                 ConsensusSafeguard.LEARNER_CAUGHT_UP_BEFORE_VOTING);
-        return isPresent(learner) && caughtUp;
+        return isAvailable(learner) && caughtUp;
     }
 }
--- a/src/main/java/gingerspool/consensus/RaftLog.java
+++ b/src/main/java/gingerspool/consensus/RaftLog.java
@@ -11,7 +11,7 @@
     private Snapshot snapshot;
     private final List<LogEntry> entries = new ArrayList<>();
     private final TreeMap<Long, VoterSet> voterChanges = new TreeMap<>();
-    private long bytes;
+    private long sizeBytes;
 
     RaftLog(Snapshot snapshot, List<LogEntry> entries) {
         this.snapshot = snapshot;
@@ -24,7 +24,7 @@
 
     /** The size of the entries after the snapshot, about, in bytes. */
     long bytes() {
-        return bytes;
+        return sizeBytes;
     }
 
     /** The index of the last entry. */
@@ -41,10 +41,10 @@
     }
 
     LogEntry entry(long index) {
-        return entries.get(position(index));
+        return entries.get(offset(index));
     }
 
-    private int position(long index) {
+    private int offset(long index) {
         return (int) (index - snapshot.index() - 1);
     }
 
@@ -54,19 +54,19 @@
     }
 
     /** All entries from an index on. */
-    List<LogEntry> from(long index) {
+    List<LogEntry> entriesFrom(long index) {
         return index > lastIndex()
                 ? List.of()
-                : List.copyOf(entries.subList(position(index), entries.size()));
+                : List.copyOf(entries.subList(offset(index), entries.size()));
     }
 
     /** Entries from an index on, at least one if there is any, up to a number and a size. */
-    List<LogEntry> batch(long index, int mostEntries, long mostBytes) {
+    List<LogEntry> batch(long index, int maxEntries, long maxBytes) {
         List<LogEntry> batch = new ArrayList<>();
         long size = 0;
-        for (long i = index; i <= lastIndex() && batch.size() < mostEntries; i++) {
-            size += entry(i).size();
-            if (size > mostBytes && !batch.isEmpty()) {
+        for (long i = index; i <= lastIndex() && batch.size() < maxEntries; i++) {
+            size += entry(i).sizeBytes();
+            if (size > maxBytes && !batch.isEmpty()) {
                 break;
             }
             batch.add(entry(i));
@@ -75,7 +75,7 @@
     }
 
     /** The first index after the snapshot from which on up to this one all have its term. */
-    long firstOfTermAt(long index) {
+    long firstIndexOfTermAt(long index) {
         long first = index;
         while (first - 1 > snapshot.index() && termAt(first - 1) == termAt(index)) {
             first--;
@@ -84,7 +84,7 @@
     }
 
     /** The last index not beyond this one whose term is not above that. */
-    long lastUpToTerm(long index, long term) {
+    long lastIndexUpToTerm(long index, long term) {
         long found = Math.min(index, lastIndex());
         while (found > snapshot.index() && termAt(found) > term) {
             found--;
@@ -94,7 +94,7 @@
 
     void append(LogEntry entry) {
         entries.add(entry);
-        bytes += entry.size();
+        sizeBytes += entry.sizeBytes();
         if (entry.voters() != null) {
             voterChanges.put(lastIndex(), entry.voters());
         }
@@ -102,29 +102,29 @@
 
     /** Removes all entries from an index on. */
     void truncate(long index) {
-        entries.subList(position(index), entries.size()).clear();
+        entries.subList(offset(index), entries.size()).clear();
         voterChanges.tailMap(index, true).clear();
-        measure();
+        recomputeSize();
     }
 
     /** Replaces all entries up to the snapshot's by it, and keeps those after. */
-    void compact(Snapshot next) {
-        entries.subList(0, position(next.index()) + 1).clear();
-        snapshot = next;
-        voterChanges.headMap(next.index(), true).clear();
-        measure();
+    void compact(Snapshot newSnapshot) {
+        entries.subList(0, offset(newSnapshot.index()) + 1).clear();
+        snapshot = newSnapshot;
+        voterChanges.headMap(newSnapshot.index(), true).clear();
+        recomputeSize();
     }
 
     /** Replaces everything by a snapshot. */
-    void reset(Snapshot next) {
-        snapshot = next;
+    void reset(Snapshot newSnapshot) {
+        snapshot = newSnapshot;
         entries.clear();
         voterChanges.clear();
-        bytes = 0;
+        sizeBytes = 0;
     }
 
-    private void measure() {
-        bytes = entries.stream().mapToLong(LogEntry::size).sum();
+    private void recomputeSize() {
+        sizeBytes = entries.stream().mapToLong(LogEntry::sizeBytes).sum();
     }
 
     /** The voters by the newest entry, committed or not: these are in force. */
--- a/src/main/java/gingerspool/consensus/Replica.java
+++ b/src/main/java/gingerspool/consensus/Replica.java
@@ -37,25 +37,25 @@
      */
     public Replica(
             Member self,
-            PersistedState disk,
+            PersistedState recovered,
             List<Member> founders,
             ReplicaSettings settings,
             double now,
             ReplicaEnvironment environment) {
-        boolean bootstraps = disk == null && founders.contains(self);
+        boolean bootstraps = recovered == null && founders.contains(self);
         Snapshot base =
-                disk != null
-                        ? disk.snapshot()
+                recovered != null
+                        ? recovered.snapshot()
                         : new Snapshot(0, 0, bootstraps ? founders : List.of(), null);
-        RaftLog log = new RaftLog(base, disk == null ? List.of() : disk.entries());
-        Member member = disk == null ? self : disk.self();
+        RaftLog log = new RaftLog(base, recovered == null ? List.of() : recovered.entries());
+        Member member = recovered == null ? self : recovered.self();
         context = new ReplicaContext(settings, environment, member, log);
         context.now = now;
         context.commitIndex = base.index();
         context.lastApplied = base.index();
-        if (disk != null) {
-            context.term = disk.term();
-            context.votedFor = disk.votedFor();
+        if (recovered != null) {
+            context.term = recovered.term();
+            context.votedFor = recovered.votedFor();
         }
         durability = new Durability(context, log.lastIndex(), this::onDurableEntries);
         stateMachine = new StateMachineDriver(context, durability);
@@ -76,7 +76,7 @@
         if (base.state() != null) {
             environment.restore(base.index(), base.state());
         }
-        if (disk == null) {
+        if (recovered == null) {
             durability.saveEntries(1, base);
         }
     }
@@ -102,19 +102,19 @@
     }
 
     /** The leader, as far as it was heard of within a lease, or null. */
-    public Member leader(double at) {
+    public Member leader(double now) {
         if (context.role == Role.LEADER) {
-            return isActiveLeader(at) ? context.self : null;
+            return isActiveLeader(now) ? context.self : null;
         }
-        return election.leader(at);
+        return election.leader(now);
     }
 
     /**
      * Whether this member leads, has its lease, and has applied all that was committed before its
      * term: only then it may answer for the state, and do what only one may.
      */
-    public boolean isActiveLeader(double at) {
-        return lease.isActiveLeader(at);
+    public boolean isActiveLeader(double now) {
+        return lease.isActiveLeader(now);
     }
 
     /** Whether this member was elected for its term and has not stepped down; see leads(). */
@@ -139,9 +139,9 @@
     // ---- Time ----
 
     /** Does what is due; nextTick() says when to call it next, and any earlier call is harmless. */
-    public void tick(double at) {
-        context.now = at;
-        if (lease.isLost()) {
+    public void tick(double now) {
+        context.now = now;
+        if (lease.mustStepDown()) {
             election.stepDown();
         }
         if (context.role == Role.LEADER) {
@@ -169,9 +169,9 @@
      * Appends a command; false where this member does not lead. ReplicaEnvironment.apply tells that
      * it is committed.
      */
-    public boolean propose(double at, byte[] command) {
-        context.now = at;
-        if (!isActiveLeader(at)) {
+    public boolean propose(double now, byte[] command) {
+        context.now = now;
+        if (!isActiveLeader(now)) {
             return false;
         }
         replication.append(LogEntry.command(context.term, command));
@@ -180,18 +180,18 @@
     }
 
     /** The state was repaired: a new snapshot of it is made. */
-    public void compact(double at) {
-        context.now = at;
+    public void compact(double now) {
+        context.now = now;
         if (!context.log.voters().isEmpty()) {
-            stateMachine.makeSnapshot();
+            stateMachine.takeSnapshot();
         }
     }
 
     // ---- Leaving ----
 
     /** This member's process is about to end: another is to lead, and one to replace it. */
-    public void leave(double at) {
-        context.now = at;
+    public void leave(double now) {
+        context.now = now;
         departure.begin();
     }
 
@@ -199,17 +199,17 @@
      * Whether the replacement of this member was agreed on, or there is none and another was asked
      * to lead: nothing is lost then if its process ends.
      */
-    public boolean mayStop(double at) {
-        context.now = at;
+    public boolean mayStop(double now) {
+        context.now = now;
         return departure.mayStop();
     }
 
     // ---- Disk ----
 
     /** The write with this ticket and all before it are durable. */
-    public void persisted(double at, long ticket) {
-        context.now = at;
-        durability.persisted(ticket);
+    public void persisted(double now, long ticket) {
+        context.now = now;
+        durability.onPersisted(ticket);
     }
 
     /**
@@ -225,8 +225,8 @@
     }
 
     private void onElected() {
-        replication.begin();
-        membership.begin();
+        replication.onElected();
+        membership.onElected();
         replication.advanceCommit();
     }
 
@@ -243,63 +243,63 @@
     /** A message came for an earlier member of this machine: its sender may know the leader. */
     public void noteSender(Member from) {
         if (!from.ip().equals(context.self.ip())) {
-            contacts.noteAddress(from.ip());
+            contacts.addKnownAddress(from.ip());
         }
     }
 
     /** A message for this member. */
-    public void receive(double at, Member from, ConsensusMessage message) {
-        context.now = at;
+    public void receive(double now, Member from, ConsensusMessage message) {
+        context.now = now;
         noteSender(from);
-        if (message instanceof ConsensusMessage.AppendEntries m) {
-            if (heardLeader(from, m.term())) {
-                follower.onAppendEntries(from, m);
+        if (message instanceof ConsensusMessage.AppendEntries append) {
+            if (acceptLeader(from, append.term())) {
+                follower.onAppendEntries(from, append);
             }
-        } else if (message instanceof ConsensusMessage.InstallSnapshot m) {
-            if (heardLeader(from, m.term())) {
-                follower.onInstallSnapshot(from, m);
+        } else if (message instanceof ConsensusMessage.InstallSnapshot install) {
+            if (acceptLeader(from, install.term())) {
+                follower.onInstallSnapshot(from, install);
             }
-        } else if (message instanceof ConsensusMessage.AppendReply m) {
-            if (isAnswerToLeader(m.term())) {
-                replication.onAppendReply(from, m);
+        } else if (message instanceof ConsensusMessage.AppendReply appendReply) {
+            if (isReplyToLeader(appendReply.term())) {
+                replication.onAppendReply(from, appendReply);
                 advanceMembership(from);
             }
-        } else if (message instanceof ConsensusMessage.SnapshotReply m) {
-            if (isAnswerToLeader(m.term())) {
-                replication.onSnapshotReply(from, m);
+        } else if (message instanceof ConsensusMessage.SnapshotReply snapshotReply) {
+            if (isReplyToLeader(snapshotReply.term())) {
+                replication.onSnapshotReply(from, snapshotReply);
             }
         } else if (message instanceof ConsensusMessage.JoinRequest) {
             onJoinRequest(from);
-        } else if (message instanceof ConsensusMessage.Referral m) {
-            contacts.onReferral(m);
+        } else if (message instanceof ConsensusMessage.Referral referral) {
+            contacts.onReferral(referral);
         } else if (message instanceof ConsensusMessage.LeaveRequest) {
             onLeaveRequest(from);
-        } else if (message instanceof ConsensusMessage.LeaveReply m) {
-            departure.onLeaveReply(m);
+        } else if (message instanceof ConsensusMessage.LeaveReply leaveReply) {
+            departure.onLeaveReply(leaveReply);
         } else {
             receiveForElection(from, message);
         }
     }
 
     private void receiveForElection(Member from, ConsensusMessage message) {
-        if (message instanceof ConsensusMessage.PreVote m) {
-            election.onPreVote(from, m);
+        if (message instanceof ConsensusMessage.PreVote preVote) {
+            election.onPreVote(from, preVote);
             if (!context.log.voters().contains(from)) {
                 onJoinRequest(from);
             }
-        } else if (message instanceof ConsensusMessage.PreVoteReply m) {
-            election.onPreVoteReply(from, m);
-        } else if (message instanceof ConsensusMessage.RequestVote m) {
-            election.onRequestVote(from, m);
-        } else if (message instanceof ConsensusMessage.VoteReply m) {
-            election.onVoteReply(from, m);
-        } else if (message instanceof ConsensusMessage.TimeoutNow m) {
-            election.onTimeoutNow(from, m);
+        } else if (message instanceof ConsensusMessage.PreVoteReply preVoteReply) {
+            election.onPreVoteReply(from, preVoteReply);
+        } else if (message instanceof ConsensusMessage.RequestVote voteRequest) {
+            election.onRequestVote(from, voteRequest);
+        } else if (message instanceof ConsensusMessage.VoteReply voteReply) {
+            election.onVoteReply(from, voteReply);
+        } else if (message instanceof ConsensusMessage.TimeoutNow timeoutNow) {
+            election.onTimeoutNow(from, timeoutNow);
         }
     }
 
     /** Whether it comes from the leader of our term or a newer one; others are told so. */
-    private boolean heardLeader(Member from, long term) {
+    private boolean acceptLeader(Member from, long term) {
         if (term < context.term && context.hasSafeguard(ConsensusSafeguard.OLD_TERMS_REFUSED)) {
             context.send(
                     from,
@@ -307,14 +307,14 @@
                             context.term, false, 0, 0, Double.NEGATIVE_INFINITY));
             return false;
         }
-        election.heardLeader(from, Math.max(term, context.term));
-        contacts.heardLeader();
+        election.onLeaderMessage(from, Math.max(term, context.term));
+        contacts.onLeaderMessage();
         return true;
     }
 
-    private boolean isAnswerToLeader(long term) {
+    private boolean isReplyToLeader(long term) {
         if (term > context.term && context.role == Role.LEADER) {
-            election.sawHigherTerm(term);
+            election.onHigherTerm(term);
         }
         return context.role == Role.LEADER && term == context.term;
     }
@@ -330,7 +330,7 @@
         if (context.role == Role.LEADER) {
             membership.onJoinRequest(from);
         } else {
-            contacts.refer(from);
+            contacts.sendReferral(from);
         }
     }
 
@@ -338,7 +338,7 @@
         if (context.role == Role.LEADER) {
             membership.onLeaveRequest(from);
         } else {
-            contacts.refer(from);
+            contacts.sendReferral(from);
         }
     }
 }
--- a/src/main/java/gingerspool/consensus/ReplicaContext.java
+++ b/src/main/java/gingerspool/consensus/ReplicaContext.java
@@ -16,7 +16,7 @@
     static final double HEARTBEATS_PER_LEASE = 6;
 
     /** A member that was not heard for so many leases is silent. */
-    static final double SILENT_LEASES = 2;
+    static final double UNRESPONSIVE_AFTER_LEASES = 2;
 
     final ReplicaSettings settings;
     final ReplicaEnvironment environment;
@@ -53,12 +53,12 @@
         return settings.hasSafeguard(safeguard);
     }
 
-    double lease() {
-        return settings.lease();
+    double leaseMs() {
+        return settings.leaseMs();
     }
 
-    double heartbeat() {
-        return settings.lease() / HEARTBEATS_PER_LEASE;
+    double heartbeatIntervalMs() {
+        return settings.leaseMs() / HEARTBEATS_PER_LEASE;
     }
 
     void send(Member to, ConsensusMessage message) {
@@ -94,8 +94,8 @@
     }
 
     /** Follows a leader, or nobody for now. */
-    void follow(Member who) {
+    void follow(Member newLeader) {
         role = Role.FOLLOWER;
-        leader = who;
+        leader = newLeader;
     }
 }
--- a/src/main/java/gingerspool/consensus/ReplicaSettings.java
+++ b/src/main/java/gingerspool/consensus/ReplicaSettings.java
@@ -16,21 +16,29 @@
  */
 public record ReplicaSettings(
         int toleratedLosses,
-        double lease,
-        List<String> seeds,
+        double leaseMs,
+        List<String> seedAddresses,
         long randomSeed,
-        int snapshotFloor,
-        int pieceBytes,
-        Set<ConsensusSafeguard> disabled) {
-    private static final int SNAPSHOT_FLOOR = 1 << 20;
-    private static final int PIECE_BYTES = 1 << 16;
+        int snapshotThresholdBytes,
+        int maxPieceBytes,
+        Set<ConsensusSafeguard> disabledSafeguards) {
+    private static final int DEFAULT_SNAPSHOT_THRESHOLD_BYTES = 1 << 20;
+    private static final int DEFAULT_MAX_PIECE_BYTES = 1 << 16;
 
     /** Settings of a production replica. */
-    public ReplicaSettings(int toleratedLosses, double lease, List<String> seeds, long randomSeed) {
-        this(toleratedLosses, lease, seeds, randomSeed, SNAPSHOT_FLOOR, PIECE_BYTES, Set.of());
+    public ReplicaSettings(
+            int toleratedLosses, double leaseMs, List<String> seedAddresses, long randomSeed) {
+        this(
+                toleratedLosses,
+                leaseMs,
+                seedAddresses,
+                randomSeed,
+                DEFAULT_SNAPSHOT_THRESHOLD_BYTES,
+                DEFAULT_MAX_PIECE_BYTES,
+                Set.of());
     }
 
     boolean hasSafeguard(ConsensusSafeguard safeguard) {
-        return !disabled.contains(safeguard);
+        return !disabledSafeguards.contains(safeguard);
     }
 }
--- a/src/main/java/gingerspool/consensus/Replication.java
+++ b/src/main/java/gingerspool/consensus/Replication.java
@@ -11,22 +11,22 @@
  */
 final class Replication {
     /** Bounds of one message, in entries and in bytes. */
-    private static final int BATCH_ENTRIES = 256;
+    private static final int MAX_BATCH_ENTRIES = 256;
 
-    private static final long BATCH_BYTES = 1 << 18;
+    private static final long MAX_BATCH_BYTES = 1 << 18;
 
     private final ReplicaContext context;
     private final Durability durability;
     private final Runnable onCommitted;
     private final Map<Member, FollowerProgress> followers = new LinkedHashMap<>();
-    private double heartbeatAt;
+    private double nextHeartbeatAt;
 
     /** The first entry of the term that this member leads. */
-    private long termStart;
+    private long termStartIndex;
 
     private double electedAt;
-    private Snapshot digested;
-    private String digest;
+    private Snapshot digestedSnapshot;
+    private String cachedDigest;
 
     Replication(ReplicaContext context, Durability durability, Runnable onCommitted) {
         this.context = context;
@@ -41,15 +41,15 @@
     }
 
     double nextHeartbeat() {
-        return heartbeatAt;
+        return nextHeartbeatAt;
     }
 
     long termStart() {
-        return termStart;
+        return termStartIndex;
     }
 
     boolean isOwnTermCommitted() {
-        return context.commitIndex >= termStart;
+        return context.commitIndex >= termStartIndex;
     }
 
     Map<Member, FollowerProgress> followers() {
@@ -58,36 +58,37 @@
 
     FollowerProgress progress(Member member) {
         return followers.computeIfAbsent(
-                member, k -> new FollowerProgress(context.log.lastIndex() + 1, context.now));
+                member,
+                newMember -> new FollowerProgress(context.log.lastIndex() + 1, context.now));
     }
 
     /** When the newest heartbeat was sent that this voter answered. */
-    double leaseAcknowledgedAt(Member member) {
-        return member.equals(context.self) ? context.now : progress(member).leaseAt;
+    double leaseStartOf(Member member) {
+        return member.equals(context.self) ? context.now : progress(member).leaseStartAt;
     }
 
-    private double durableAt(Member member) {
+    private double durableIndexOf(Member member) {
         return member.equals(context.self)
                 ? durability.durableIndex()
                 : progress(member).matchIndex;
     }
 
     /** Whether a member has answered within so many leases. */
-    boolean isHeard(Member member, double leases) {
+    boolean hasAnsweredWithin(Member member, double leases) {
         FollowerProgress progress = followers.get(member);
         return progress != null
                 && progress.answered
-                && context.now <= progress.heardAt + leases * context.lease();
+                && context.now <= progress.lastReplyAt + leases * context.leaseMs();
     }
 
     // ---- Sending ----
 
     /** Begins to lead: the term's first entry goes out. */
-    void begin() {
+    void onElected() {
         followers.clear();
         electedAt = context.now;
-        termStart = context.log.lastIndex() + 1;
-        append(LogEntry.begin(context.term));
+        termStartIndex = context.log.lastIndex() + 1;
+        append(LogEntry.termStart(context.term));
     }
 
     /** Appends an entry and sends it. */
@@ -110,15 +111,19 @@
 
     /** Sends heartbeats where they are due, to learners too; who is silent and no voter goes. */
     void tick() {
-        if (context.now < heartbeatAt) {
+        if (context.now < nextHeartbeatAt) {
             return;
         }
-        heartbeatAt = context.now + context.heartbeat();
+        nextHeartbeatAt = context.now + context.heartbeatIntervalMs();
         VoterSet voters = context.log.voters();
-        double silentSince = context.now - ReplicaContext.SILENT_LEASES * context.lease();
+        double unresponsiveSince =
+                context.now - ReplicaContext.UNRESPONSIVE_AFTER_LEASES * context.leaseMs();
         followers
                 .entrySet()
-                .removeIf(e -> !voters.contains(e.getKey()) && e.getValue().heardAt < silentSince);
+                .removeIf(
+                        follower ->
+                                !voters.contains(follower.getKey())
+                                        && follower.getValue().lastReplyAt < unresponsiveSince);
         for (Member member : recipients()) {
             send(member, true);
         }
@@ -139,40 +144,41 @@
             sendSnapshot(to, progress, heartbeat);
             return;
         }
-        progress.snapshot = null;
-        boolean due = heartbeat;
-        while (due
+        progress.snapshotSender = null;
+        boolean heartbeatPending = heartbeat;
+        while (heartbeatPending
                 || progress.nextIndex <= context.log.lastIndex()
-                        && progress.hasRoom()
+                        && progress.hasCapacity()
                         && !progress.probing) {
-            due = false;
+            heartbeatPending = false;
             List<LogEntry> batch =
-                    progress.hasRoom()
-                            ? context.log.batch(progress.nextIndex, BATCH_ENTRIES, BATCH_BYTES)
+                    progress.hasCapacity()
+                            ? context.log.batch(
+                                    progress.nextIndex, MAX_BATCH_ENTRIES, MAX_BATCH_BYTES)
                             : List.of();
-            long previous = progress.nextIndex - 1;
+            long previousIndex = progress.nextIndex - 1;
             context.send(
                     to,
                     new ConsensusMessage.AppendEntries(
                             context.term,
-                            previous,
-                            context.log.termAt(previous),
+                            previousIndex,
+                            context.log.termAt(previousIndex),
                             batch,
                             context.commitIndex,
                             context.now));
             if (!progress.probing) {
-                progress.sent(batch);
+                progress.recordSent(batch);
             }
         }
     }
 
     private void sendSnapshot(Member to, FollowerProgress progress, boolean heartbeat) {
         Snapshot base = context.log.snapshot();
-        if (progress.snapshot == null || progress.snapshot.snapshot != base) {
-            progress.snapshot =
-                    new SnapshotSender(base, digestOf(base), context.settings.pieceBytes());
+        if (progress.snapshotSender == null || progress.snapshotSender.snapshot != base) {
+            progress.snapshotSender =
+                    new SnapshotSender(base, digestOf(base), context.settings.maxPieceBytes());
         }
-        SnapshotSender sender = progress.snapshot;
+        SnapshotSender sender = progress.snapshotSender;
         sender.send(
                 heartbeat,
                 number ->
@@ -186,32 +192,32 @@
     }
 
     private String digestOf(Snapshot snapshot) {
-        if (digested != snapshot) {
-            digested = snapshot;
-            digest = SnapshotDigest.of(SnapshotDigest.bytes(snapshot));
+        if (digestedSnapshot != snapshot) {
+            digestedSnapshot = snapshot;
+            cachedDigest = SnapshotDigest.of(SnapshotDigest.stateBytes(snapshot));
         }
-        return digest;
+        return cachedDigest;
     }
 
     // ---- Answers ----
 
-    private FollowerProgress heard(Member from, double sentAt) {
+    private FollowerProgress recordReply(Member from, double sentAt) {
         FollowerProgress progress = followers.get(from);
         if (progress != null) {
-            progress.heardAt = context.now;
+            progress.lastReplyAt = context.now;
             progress.answered = true;
-            progress.leaseAt = Math.max(progress.leaseAt, sentAt);
+            progress.leaseStartAt = Math.max(progress.leaseStartAt, sentAt);
         }
         return progress;
     }
 
     void onAppendReply(Member from, ConsensusMessage.AppendReply reply) {
-        FollowerProgress progress = heard(from, reply.sentAt());
+        FollowerProgress progress = recordReply(from, reply.sentAt());
         if (progress == null) {
             return;
         }
         if (reply.matched()) {
-            progress.matchedUpTo(reply.lastIndex());
+            progress.recordMatched(reply.lastIndex());
             advanceCommit();
         } else if (progress.probing
                 && reply.conflictTerm() == 0
@@ -219,7 +225,7 @@
             // Others of the messages that did not match were in flight: the probe is, too.
             return;
         } else {
-            progress.resumeAt(resumption(progress, reply));
+            progress.restartFrom(resumeIndex(progress, reply));
             progress.probing = true;
         }
         if (context.role == Role.LEADER && followers.containsKey(from)) {
@@ -228,24 +234,24 @@
     }
 
     /** Backs up by whole terms: past all entries of a term that the follower does not have. */
-    private long resumption(FollowerProgress progress, ConsensusMessage.AppendReply reply) {
+    private long resumeIndex(FollowerProgress progress, ConsensusMessage.AppendReply reply) {
         long resume = Math.min(progress.nextIndex - 1, reply.lastIndex() + 1);
         if (reply.conflictTerm() == 0 || resume <= context.log.snapshot().index()) {
             return resume;
         }
-        return Math.min(resume, context.log.lastUpToTerm(resume, reply.conflictTerm()) + 1);
+        return Math.min(resume, context.log.lastIndexUpToTerm(resume, reply.conflictTerm()) + 1);
     }
 
     void onSnapshotReply(Member from, ConsensusMessage.SnapshotReply reply) {
-        FollowerProgress progress = heard(from, reply.sentAt());
+        FollowerProgress progress = recordReply(from, reply.sentAt());
         if (progress == null
-                || progress.snapshot == null
-                || !progress.snapshot.isAnsweredBy(reply)) {
+                || progress.snapshotSender == null
+                || !progress.snapshotSender.matches(reply)) {
             return;
         }
-        if (progress.snapshot.received(reply.received())) {
-            progress.resumeAt(reply.index() + 1);
-            progress.snapshot = null;
+        if (progress.snapshotSender.onAcknowledged(reply.received())) {
+            progress.restartFrom(reply.index() + 1);
+            progress.snapshotSender = null;
         }
         send(from, false);
     }
@@ -257,15 +263,17 @@
         if (context.role != Role.LEADER) {
             return;
         }
-        boolean copies = context.hasSafeguard(ConsensusSafeguard.MORE_COPIES_THAN_LOSSES);
-        int least = copies ? context.settings.toleratedLosses() + 1 : 0;
-        long held = (long) context.quorumSet().reached(this::durableAt, least);
+        boolean requiresExtraCopies =
+                context.hasSafeguard(ConsensusSafeguard.MORE_COPIES_THAN_LOSSES);
+        int minCopies = requiresExtraCopies ? context.settings.toleratedLosses() + 1 : 0;
+        long replicatedIndex =
+                (long) context.quorumSet().quorumValue(this::durableIndexOf, minCopies);
         // What older terms left counts only with an entry of this term behind it.
-        if (held > context.commitIndex
-                && (context.log.termAt(held) == context.term
+        if (replicatedIndex > context.commitIndex
+                && (context.log.termAt(replicatedIndex) == context.term
                         || !context.hasSafeguard(ConsensusSafeguard.COMMIT_ONLY_OWN_TERM))) {
-            context.commitIndex = held;
-            heartbeatAt = context.now;
+            context.commitIndex = replicatedIndex;
+            nextHeartbeatAt = context.now;
             onCommitted.run();
         }
     }
--- a/src/main/java/gingerspool/consensus/SnapshotDigest.java
+++ b/src/main/java/gingerspool/consensus/SnapshotDigest.java
@@ -10,7 +10,7 @@
 
     private SnapshotDigest() {}
 
-    static byte[] bytes(Snapshot snapshot) {
+    static byte[] stateBytes(Snapshot snapshot) {
         return snapshot.state() == null ? EMPTY : snapshot.state();
     }
 
--- a/src/main/java/gingerspool/consensus/SnapshotReceiver.java
+++ b/src/main/java/gingerspool/consensus/SnapshotReceiver.java
@@ -11,7 +11,7 @@
  */
 final class SnapshotReceiver {
     private final ReplicaContext context;
-    private SnapshotPiece first;
+    private SnapshotPiece firstPiece;
     private long leaderTerm;
     private final Map<Integer, byte[]> pieces = new HashMap<>();
     private int received;
@@ -21,66 +21,69 @@
     }
 
     /** Takes a piece; the snapshot once all are there and the digest is right, else null. */
-    Snapshot take(long term, SnapshotPiece piece) {
+    Snapshot add(long term, SnapshotPiece piece) {
         if (piece.pieces() < 1) {
             return null;
         }
-        if (!isOf(piece)) {
+        if (!isOfCurrentSnapshot(piece)) {
             boolean superseded =
-                    first != null && term == leaderTerm && piece.index() <= first.index();
+                    firstPiece != null && term == leaderTerm && piece.index() <= firstPiece.index();
             if (superseded) {
                 return null;
             }
-            begin(piece);
+            startSnapshot(piece);
         }
         leaderTerm = term;
-        boolean isOneOfThem = piece.number() >= 0 && piece.number() < first.pieces();
-        if (isOneOfThem && piece.bytes() != null) {
+        boolean isNumberValid = piece.number() >= 0 && piece.number() < firstPiece.pieces();
+        if (isNumberValid && piece.bytes() != null) {
             pieces.put(piece.number(), piece.bytes());
         }
         while (pieces.containsKey(received)) {
             received++;
         }
-        return received == first.pieces() ? complete() : null;
+        return received == firstPiece.pieces() ? complete() : null;
     }
 
-    private boolean isOf(SnapshotPiece piece) {
-        return first != null
-                && first.index() == piece.index()
-                && first.snapshotTerm() == piece.snapshotTerm()
-                && first.digest().equals(piece.digest())
-                && first.pieces() == piece.pieces();
+    private boolean isOfCurrentSnapshot(SnapshotPiece piece) {
+        return firstPiece != null
+                && firstPiece.index() == piece.index()
+                && firstPiece.snapshotTerm() == piece.snapshotTerm()
+                && firstPiece.digest().equals(piece.digest())
+                && firstPiece.pieces() == piece.pieces();
     }
 
-    private void begin(SnapshotPiece piece) {
-        first = piece;
+    private void startSnapshot(SnapshotPiece piece) {
+        firstPiece = piece;
         pieces.clear();
         received = 0;
     }
 
     /** How many pieces of this snapshot are there without a gap. */
     int received(SnapshotPiece piece) {
-        return isOf(piece) ? received : 0;
+        return isOfCurrentSnapshot(piece) ? received : 0;
     }
 
     private Snapshot complete() {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
+        ByteArrayOutputStream joined = new ByteArrayOutputStream();
         for (int number = 0; number < received; number++) {
-            all.writeBytes(pieces.get(number));
+            joined.writeBytes(pieces.get(number));
         }
-        byte[] state = all.toByteArray();
-        SnapshotPiece of = first;
-        forget();
-        boolean right = SnapshotDigest.of(state).equals(of.digest());
-        if (!right && context.hasSafeguard(ConsensusSafeguard.SNAPSHOT_DIGEST_CHECKED)) {
+        byte[] state = joined.toByteArray();
+        SnapshotPiece header = firstPiece;
+        clear();
+        boolean digestMatches = SnapshotDigest.of(state).equals(header.digest());
+        if (!digestMatches && context.hasSafeguard(ConsensusSafeguard.SNAPSHOT_DIGEST_CHECKED)) {
             return null;
         }
         return new Snapshot(
-                of.index(), of.snapshotTerm(), of.voters(), of.index() == 0 ? null : state);
+                header.index(),
+                header.snapshotTerm(),
+                header.voters(),
+                header.index() == 0 ? null : state);
     }
 
-    private void forget() {
-        first = null;
+    private void clear() {
+        firstPiece = null;
         pieces.clear();
         received = 0;
     }
--- a/src/main/java/gingerspool/consensus/StateMachineDriver.java
+++ b/src/main/java/gingerspool/consensus/StateMachineDriver.java
@@ -8,7 +8,7 @@
  */
 final class StateMachineDriver {
     /** The log is replaced by a snapshot once it is so many times as large as the last one. */
-    private static final int SNAPSHOT_FACTOR = 2;
+    private static final int SNAPSHOT_GROWTH_FACTOR = 2;
 
     private final ReplicaContext context;
     private final Durability durability;
@@ -26,23 +26,24 @@
         while (context.lastApplied < Math.min(context.commitIndex, context.log.lastIndex())) {
             context.lastApplied++;
             LogEntry entry = context.log.entry(context.lastApplied);
-            appliedBytes += entry.size();
+            appliedBytes += entry.sizeBytes();
             if (entry.command() != null) {
                 context.environment.apply(context.lastApplied, entry.command());
             }
         }
-        if (appliedBytes > Math.max(context.settings.snapshotFloor(), snapshotDueBytes())) {
-            makeSnapshot();
+        if (appliedBytes
+                > Math.max(context.settings.snapshotThresholdBytes(), growthThresholdBytes())) {
+            takeSnapshot();
         }
     }
 
-    private long snapshotDueBytes() {
+    private long growthThresholdBytes() {
         byte[] state = context.log.snapshot().state();
-        return state == null ? 0 : (long) SNAPSHOT_FACTOR * state.length;
+        return state == null ? 0 : (long) SNAPSHOT_GROWTH_FACTOR * state.length;
     }
 
     /** Puts the applied state in the place of the applied entries. */
-    void makeSnapshot() {
+    void takeSnapshot() {
         RaftLog log = context.log;
         long index = context.lastApplied;
         log.compact(
--- a/src/main/java/gingerspool/consensus/VoterSet.java
+++ b/src/main/java/gingerspool/consensus/VoterSet.java
@@ -47,46 +47,49 @@
     }
 
     /** Whether a majority of each set fulfils a condition. */
-    boolean hasQuorum(Predicate<Member> fulfils) {
-        return majority(voters, fulfils) && (!isJoint() || majority(incoming, fulfils));
+    boolean hasQuorum(Predicate<Member> condition) {
+        return hasMajority(voters, condition) && (!isJoint() || hasMajority(incoming, condition));
     }
 
-    private static boolean majority(List<Member> set, Predicate<Member> fulfils) {
+    private static boolean hasMajority(List<Member> members, Predicate<Member> condition) {
         int count = 0;
-        for (Member member : set) {
-            count += fulfils.test(member) ? 1 : 0;
+        for (Member member : members) {
+            count += condition.test(member) ? 1 : 0;
         }
-        return count >= majority(set);
+        return count >= majoritySize(members);
     }
 
-    private static int majority(List<Member> set) {
-        return set.size() / 2 + 1;
+    private static int majoritySize(List<Member> members) {
+        return members.size() / 2 + 1;
     }
 
     /**
      * The largest value that a majority of each set reaches, and not fewer members than `least`
      * where the set has so many.
      */
-    double reached(ToDoubleFunction<Member> value, int least) {
-        double first = reached(voters, value, least);
-        return isJoint() ? Math.min(first, reached(incoming, value, least)) : first;
+    double quorumValue(ToDoubleFunction<Member> value, int minMembers) {
+        double valueOfVoters = quorumValue(voters, value, minMembers);
+        return isJoint()
+                ? Math.min(valueOfVoters, quorumValue(incoming, value, minMembers))
+                : valueOfVoters;
     }
 
-    private static double reached(List<Member> set, ToDoubleFunction<Member> value, int least) {
-        if (set.isEmpty()) {
+    private static double quorumValue(
+            List<Member> members, ToDoubleFunction<Member> value, int minMembers) {
+        if (members.isEmpty()) {
             return Double.NEGATIVE_INFINITY;
         }
-        double[] values = new double[set.size()];
+        double[] values = new double[members.size()];
         for (int i = 0; i < values.length; i++) {
-            values[i] = value.applyAsDouble(set.get(i));
+            values[i] = value.applyAsDouble(members.get(i));
         }
         Arrays.sort(values);
-        int wanted = Math.min(values.length, Math.max(majority(set), least));
-        return values[values.length - wanted];
+        int required = Math.min(values.length, Math.max(majoritySize(members), minMembers));
+        return values[values.length - required];
     }
 
     /** The joint set that leads from the present voters to others. */
-    VoterSet changedTo(List<Member> next) {
+    VoterSet jointWith(List<Member> next) {
         return new VoterSet(List.copyOf(voters), List.copyOf(next));
     }
 }
