--- a/src/main/java/gingerspool/consensus/ConsensusMessage.java
+++ b/src/main/java/gingerspool/consensus/ConsensusMessage.java
@@ -2,24 +2,31 @@
 
 import java.util.List;
 
-/** What replicas send to each other; each message bears the term in which it was sent. */
+/**
+ * The messages between replicas. Each carries a term: that of the election in pre-votes, vote
+ * requests and their replies, otherwise that of the sender.
+ */
 public sealed interface ConsensusMessage {
+    /** The term of the sender or, in messages about votes, of the election. */
     long term();
 
-    /** A candidate asks for a vote in its term; its log ends with this index and term. */
+    /** A candidate's request for a vote in its term, with the term and index of its last entry. */
     record RequestVote(long term, long lastLogTerm, long lastLogIndex)
             implements ConsensusMessage {}
 
-    /** Whether the other would vote for the sender in this term; neither promises anything. */
+    /** Asks whether the receiver would vote for the sender in this term; binds neither of them. */
     record PreVote(long term, long lastLogTerm, long lastLogIndex) implements ConsensusMessage {}
 
-    /** The answer to a pre-vote, with the term that the voter is in. */
+    /** The reply to a pre-vote, with the current term of the voter. */
     record PreVoteReply(long term, boolean granted, long currentTerm) implements ConsensusMessage {}
 
-    /** The answer to a request for a vote. */
+    /** The reply to a vote request. */
     record VoteReply(long term, boolean granted) implements ConsensusMessage {}
 
-    /** Entries after an index (none: a heartbeat), and how far the log is committed. */
+    /**
+     * Entries after an index, and the leader's commit index. Without entries it is a heartbeat. The
+     * send time is in milliseconds of the leader's clock and is returned in the reply.
+     */
     record AppendEntries(
             long term,
             long previousIndex,
@@ -29,42 +36,43 @@
             double sentAt)
             implements ConsensusMessage {}
 
-    /** A piece of a snapshot, for a member that lacks entries that the leader no longer has. */
+    /** A piece of a snapshot, for a member that needs entries that the leader has compacted. */
     record InstallSnapshot(long term, SnapshotPiece piece, long commitIndex, double sentAt)
             implements ConsensusMessage {}
 
     /**
-     * The answer to AppendEntries. Where it matched, `last` is the last entry that is durable and
-     * known to match. Where it did not, `last` is the last entry that may match, and conflictTerm
-     * the term that differed there, or 0.
+     * The reply to AppendEntries. If the entries matched, lastIndex is the last entry that is
+     * durable and known to match. Otherwise lastIndex is the last entry that may match, and
+     * conflictTerm is the follower's term at the conflicting entry, or 0 if it has none there. A
+     * sentAt of negative infinity acknowledges nothing for the lease.
      */
     record AppendReply(long term, boolean matched, long lastIndex, long conflictTerm, double sentAt)
             implements ConsensusMessage {}
 
-    /** How many pieces of a snapshot have arrived without a gap. */
+    /** The reply to InstallSnapshot: the number of pieces received without a gap. */
     record SnapshotReply(long term, long index, String digest, int received, double sentAt)
             implements ConsensusMessage {}
 
-    /** A machine that is no voter, or does not know the leader, asks to be brought up. */
+    /** A member that is not a voter, or does not know the leader, asks to join. */
     record JoinRequest(long term) implements ConsensusMessage {}
 
-    /** Where the leader and the members are, as far as the sender knows ("": no leader known). */
+    /** The addresses of the leader ("" if unknown) and of the members that the sender knows. */
     record Referral(long term, String leader, List<String> addresses) implements ConsensusMessage {}
 
-    /** A member that is about to leave asks for its replacement. */
+    /** A departing member asks the leader to replace it. */
     record LeaveRequest(long term) implements ConsensusMessage {}
 
-    /** Whether there is a learner that can replace the member that asked. */
+    /** The reply to LeaveRequest: whether a learner is available as the replacement. */
     record LeaveReply(long term, boolean replacementWaits) implements ConsensusMessage {}
 
-    /** The leader gives up its lease; the heir is to stand for election at once. */
+    /** The leader resigns its lease; the successor is to start an election at once. */
     record TimeoutNow(long term, Member successor) implements ConsensusMessage {}
 
-    /** A message with its sender and receiver. */
+    /** A message with its sender and its receiver. */
     record Envelope(Member from, Member to, ConsensusMessage message) {
         /**
-         * Whether it is for this member, not for another that was or will be on the same machine.
-         * What is sent without an id is for whoever is there.
+         * Whether the message is for this member, not for an earlier or later one on the same
+         * machine. A receiver without an id stands for any member on the machine.
          */
         public boolean isFor(Member self) {
             return to.id().isEmpty() || to.equals(self);
--- a/src/main/java/gingerspool/consensus/Departure.java
+++ b/src/main/java/gingerspool/consensus/Departure.java
@@ -3,12 +3,13 @@
 import gingerspool.consensus.ReplicaContext.Role;
 
 /**
- * How this member leaves in order: a leader is replaced, if a learner is ready, or hands over; any
- * other asks the leader for its replacement. It may stop once that is agreed on, or nobody is there
- * to replace it.
+ * The orderly departure of this member. A leader first tries to be replaced as a voter if a learner
+ * is ready, otherwise it transfers the leadership; any other voter asks the leader to replace it.
+ * The process may stop once the replacement is committed, or if no replacement is available. Called
+ * by {@link Replica}; times are in milliseconds.
  */
 final class Departure {
-    /** For so many leases a leader that leaves tries to be replaced before it hands over. */
+    /** How long a departing leader waits for its replacement before it resigns, in leases. */
     private static final double REPLACEMENT_WAIT_LEASES = 1;
 
     private final ReplicaContext context;
@@ -17,6 +18,8 @@
     private final LeadershipTransfer transfer;
     private double startedAt;
     private double nextAttemptAt;
+
+    /** Whether the leader's last reply was that no learner can replace this member. */
     private boolean noReplacementAvailable;
 
     Departure(
@@ -30,6 +33,7 @@
         this.transfer = transfer;
     }
 
+    /** Starts the departure; a repeated call only retries at once. */
     void begin() {
         if (!context.leaving) {
             startedAt = context.now;
@@ -39,6 +43,7 @@
         tick();
     }
 
+    /** Retries the departure once per heartbeat interval. */
     void tick() {
         if (!context.leaving || context.now < nextAttemptAt) {
             return;
@@ -79,7 +84,7 @@
         }
     }
 
-    /** Whether nothing is lost if this member's process ends now. */
+    /** Whether the process of this member may end now without loss. */
     boolean mayStop() {
         if (!context.hasSafeguard(ConsensusSafeguard.LEAVER_STAYS_UNTIL_SWAPPED)
                 || !context.isVoter()) {
--- a/src/main/java/gingerspool/consensus/Durability.java
+++ b/src/main/java/gingerspool/consensus/Durability.java
@@ -2,19 +2,33 @@
 
 import java.util.ArrayDeque;
 
-/** Which writes of this replica are durable, and what waits for one to be. */
+/**
+ * Tracks which writes of this replica are durable, and runs the actions that wait for one. Writes
+ * are numbered by tickets, which increase by one with each write.
+ */
 final class Durability {
+    /** An action to run once the write with this ticket is durable. */
     private record PendingAction(long ticket, Runnable action) {}
 
     private final ReplicaContext context;
     private final Runnable onDurableEntries;
     private final ArrayDeque<PendingAction> pendingActions = new ArrayDeque<>();
+
+    /** The ticket of the newest write. */
     private long lastTicket;
+
+    /** The ticket up to which all writes are durable. */
     private long durableTicket;
+
+    /** The ticket of the write of the newest term and vote. */
     private long voteTicket;
+
     private long durableIndex;
 
-    /** Counts truncations: writes from before one say nothing of the entries after it. */
+    /**
+     * The number of truncations. A write started before a truncation does not show that the entries
+     * appended after it are durable.
+     */
     private long truncations;
 
     Durability(ReplicaContext context, long durableIndex, Runnable onDurableEntries) {
@@ -23,18 +37,19 @@
         this.onDurableEntries = onDurableEntries;
     }
 
-    /** Up to here the log's entries are durable. */
+    /** The index up to which the log entries are durable. */
     long durableIndex() {
         return context.hasSafeguard(ConsensusSafeguard.SYNC_BEFORE_ACKNOWLEDGE)
                 ? durableIndex
                 : context.log.lastIndex();
     }
 
+    /** Whether the newest term and vote are durable. */
     boolean isVoteDurable() {
         return durableTicket >= voteTicket;
     }
 
-    /** Writes the entries from an index on, and a new snapshot where that is not null. */
+    /** Writes the entries from an index on, and the snapshot unless it is null. */
     void saveEntries(long fromIndex, Snapshot snapshot) {
         context.environment.persist(
                 new LogWrite(
@@ -64,7 +79,7 @@
         voteTicket = lastTicket;
     }
 
-    /** Entries beyond this index were removed. */
+    /** Called when the entries after this index were removed from the log. */
     void onTruncated(long lastKeptIndex) {
         truncations++;
         if (context.hasSafeguard(ConsensusSafeguard.TRUNCATION_RESETS_DURABLE)) {
@@ -72,7 +87,7 @@
         }
     }
 
-    /** Runs this once all that was written until now is durable. */
+    /** Runs an action once all writes started so far are durable. */
     void whenDurable(Runnable action) {
         if (durableTicket >= lastTicket) {
             action.run();
@@ -81,7 +96,7 @@
         }
     }
 
-    /** All writes up to a ticket are durable. */
+    /** Called when all writes up to a ticket are durable; runs the actions waiting for them. */
     void onPersisted(long upToTicket) {
         durableTicket = Math.max(durableTicket, upToTicket);
         while (!pendingActions.isEmpty() && pendingActions.peek().ticket() <= durableTicket) {
@@ -89,7 +104,7 @@
         }
     }
 
-    /** Everything, to be written anew after a failure, under a new ticket. */
+    /** The complete durable state under a new ticket, to be written after a disk failure. */
     LogWrite fullState() {
         Snapshot base = context.log.snapshot();
         return new LogWrite(
--- a/src/main/java/gingerspool/consensus/Election.java
+++ b/src/main/java/gingerspool/consensus/Election.java
@@ -6,11 +6,12 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Elections: when this member stands for election, and whom it votes for. A member that heard a
- * leader withholds its vote from others for a lease; that is what the leader's lease rests on.
+ * Leader election: when this member starts an election, and which candidates it votes for. A member
+ * that heard from a leader withholds its vote from others for one lease, which is what makes the
+ * lease in {@link LeaderLease} safe. Called by {@link Replica}; times are in milliseconds.
  */
 final class Election {
-    /** A leaving member stands for election only after so many more leases without a leader. */
+    /** The extra election delay of a departing member, in leases, so that others stand first. */
     private static final double LEAVING_DELAY_LEASES = 4;
 
     private final ReplicaContext context;
@@ -18,19 +19,19 @@
     private final BooleanSupplier isActiveLeader;
     private final Runnable onElected;
 
-    /** Until then this member votes for nobody but whom it follows. */
+    /** Until this time the member votes only for the leader that it follows. */
     private double voteWithheldUntil;
 
-    /** When this member stands for election if it hears of no leader. */
+    /** When this member starts an election unless it hears from a leader. */
     private double electionTimeoutAt;
 
-    /** When a candidate asks again those that have not answered. */
+    /** When a candidate repeats its request to voters that have not granted it. */
     private double retryAt;
 
-    /** The term that this member would stand in: beyond all that it was told of. */
+    /** The term of this member's next candidacy, higher than any term it has learned of. */
     private long candidateTerm;
 
-    /** The last term whose leader gave up its lease. */
+    /** The last term whose leader has resigned its lease, or -1. */
     private long resignedTerm = -1;
 
     private final Set<Member> votes = new HashSet<>();
@@ -45,8 +46,9 @@
         this.durability = durability;
         this.isActiveLeader = isActiveLeader;
         this.onElected = onElected;
-        // An earlier life may have granted a lease to whom it followed. Its own lease ended with
-        // its process, and in its own term it granted nobody else one.
+        // Before the restart this member may have granted a lease to the leader it followed. A
+        // lease of its own ended with the process, and in a term in which it voted for itself it
+        // granted no other lease.
         boolean votedForSelf = context.self.equals(context.votedFor);
         boolean mayVoteAtOnce =
                 bootstraps
@@ -59,7 +61,7 @@
                         + context.leaseMs() * context.random.nextDouble() / timeoutDivisor;
     }
 
-    /** The leader as far as it was heard of within a lease, or null. */
+    /** The leader if it has been heard from within one lease, or null. */
     Member leader(double now) {
         return now < voteWithheldUntil ? context.leader : null;
     }
@@ -84,6 +86,7 @@
         return context.role == Role.PRE_CANDIDATE || context.role == Role.CANDIDATE;
     }
 
+    /** Sets a new random election timeout, longer if this member is departing. */
     private void resetElectionTimeout() {
         double delayLeases = (context.leaving ? LEAVING_DELAY_LEASES : 0) + 0.5;
         electionTimeoutAt =
@@ -92,7 +95,10 @@
 
     // ---- As a candidate ----
 
-    /** Asks first whether a majority would vote: a member that was cut off raises no term. */
+    /**
+     * Asks whether a majority would vote for this member before it raises its term, so that a
+     * partitioned member does not raise terms.
+     */
     private void startPreVote() {
         context.leader = null;
         candidateTerm = Math.max(candidateTerm, context.term + 1);
@@ -108,6 +114,7 @@
         countVotes();
     }
 
+    /** Raises the term, votes for itself, and requests votes once that vote is durable. */
     private void startElection() {
         context.role = Role.CANDIDATE;
         context.term = Math.max(context.term + 1, candidateTerm);
@@ -131,7 +138,10 @@
         }
     }
 
-    /** Asks those that have not granted yet, again and again: links may come up only now. */
+    /**
+     * Requests votes from all voters that have not granted one. Repeated every heartbeat interval,
+     * since connections may still be coming up.
+     */
     private void requestVotes() {
         retryAt = context.now + context.heartbeatIntervalMs();
         RaftLog log = context.log;
@@ -213,7 +223,10 @@
         }
     }
 
-    /** Whom this member follows may be voted for at any time: it has no lease while it stands. */
+    /**
+     * Whether a vote in this term may be granted. The leader that this member follows may receive
+     * it at any time, since it holds no lease while it is a candidate.
+     */
     private boolean mayVote(Member from, long term) {
         boolean withheld =
                 context.now < voteWithheldUntil
@@ -223,6 +236,7 @@
                 && !isActiveLeader.getAsBoolean();
     }
 
+    /** Whether a log that ends with this term and index is as up to date as ours. */
     private boolean isUpToDate(long lastTerm, long lastIndex) {
         RaftLog log = context.log;
         return !context.hasSafeguard(ConsensusSafeguard.VOTE_ONLY_FOR_UP_TO_DATE_LOG)
@@ -230,6 +244,7 @@
                 || lastTerm == log.lastTerm() && lastIndex >= log.lastIndex();
     }
 
+    /** Sends the vote once it is durable, unless the term has changed by then. */
     private void grantVote(Member to, long term) {
         Runnable reply =
                 () -> {
@@ -247,8 +262,8 @@
     // ---- As a follower ----
 
     /**
-     * A leader was heard in its term, not older than ours: its lease is granted, unless it gave it
-     * up and this message was sent before.
+     * Handles a message from the leader of a term that is not older than ours: grants it a lease.
+     * Ignored if the leader has resigned in this term, since the message was sent before that.
      */
     void onLeaderMessage(Member from, long term) {
         if (term == resignedTerm) {
@@ -268,7 +283,7 @@
                                 * (leavingDelayLeases + context.random.nextDouble() / 2);
     }
 
-    /** Another member is in a higher term: this one leads no more. */
+    /** Steps down because another member is in a higher term. */
     void onHigherTerm(long term) {
         context.term = term;
         context.votedFor = null;
@@ -276,7 +291,7 @@
         durability.saveVote();
     }
 
-    /** Leads no more, and stands again after a while. */
+    /** Gives up the leadership; a new election is possible after one lease, or later if leaving. */
     void stepDown() {
         context.follow(null);
         electionTimeoutAt = context.now + context.leaseMs();
@@ -289,9 +304,10 @@
         }
     }
 
+    /** The leader has resigned: the chosen successor starts an election at once, others wait. */
     void onTimeoutNow(Member from, ConsensusMessage.TimeoutNow message) {
         if (message.term() == context.term && from.equals(context.leader)) {
-            // The lease was given up by its holder.
+            // The leader no longer relies on its lease, so votes need not be withheld.
             resignedTerm = message.term();
             voteWithheldUntil = context.now;
             context.leader = null;
--- a/src/main/java/gingerspool/consensus/Follower.java
+++ b/src/main/java/gingerspool/consensus/Follower.java
@@ -1,6 +1,10 @@
 package gingerspool.consensus;
 
-/** A follower's or learner's part of replication: takes entries and snapshots from the leader. */
+/**
+ * The follower's side of replication, also used by learners: stores entries and installs snapshots
+ * from the leader, and acknowledges what is durable. Called by {@link Replica} once the sender is
+ * accepted as the leader; times are in milliseconds.
+ */
 final class Follower {
     private final ReplicaContext context;
     private final Durability durability;
@@ -19,7 +23,7 @@
     void onAppendEntries(Member from, ConsensusMessage.AppendEntries message) {
         RaftLog log = context.log;
         if (log.voters().isEmpty()) {
-            // Without a snapshot that names the voters no entries are of use.
+            // Entries cannot be used before a snapshot has set the voters.
             reject(from, -1, 0, message.sentAt());
             return;
         }
@@ -44,6 +48,7 @@
         acknowledge(from, matchIndex, message.commitIndex(), message.sentAt());
     }
 
+    /** Reports that the log does not match, and the last index at which it may match. */
     private void reject(Member from, long lastIndex, long conflictTerm, double sentAt) {
         context.send(
                 from,
@@ -51,7 +56,10 @@
                         context.term, false, lastIndex, conflictTerm, leaseSentAt(sentAt)));
     }
 
-    /** Appends what is new, and removes what differs; the first index that changed. */
+    /**
+     * Removes entries that conflict with the leader's and appends new ones. Returns the first index
+     * that changed, or Long.MAX_VALUE if none did.
+     */
     private long storeEntries(ConsensusMessage.AppendEntries message) {
         RaftLog log = context.log;
         long changedFrom = Long.MAX_VALUE;
@@ -67,7 +75,7 @@
                                     || !context.hasSafeguard(
                                             ConsensusSafeguard.TRUNCATE_ONLY_ON_CONFLICT));
             if (differs) {
-                // What the leader does not have was never committed.
+                // An entry that the leader does not have was never committed.
                 log.truncate(index);
                 durability.onTruncated(index - 1);
                 changedFrom = Math.min(changedFrom, index);
@@ -81,8 +89,8 @@
     }
 
     /**
-     * A heartbeat counts for the lease through a restart of this member only once the vote for its
-     * sender is durable.
+     * The send time to acknowledge for the leader's lease: none while the vote for the leader is
+     * not durable, since a restart of this member would forget the promise.
      */
     private double leaseSentAt(double sentAt) {
         boolean durable =
@@ -91,7 +99,7 @@
         return durable ? sentAt : Double.NEGATIVE_INFINITY;
     }
 
-    /** Answers with what is durable now, and again once all that matches is. */
+    /** Acknowledges what is durable now, and again once all matching entries are durable. */
     private void acknowledge(Member from, long matchIndex, long leaderCommitIndex, double sentAt) {
         sendAppendReply(from, matchIndex, leaseSentAt(sentAt));
         if (durability.durableIndex() < matchIndex || !durability.isVoteDurable()) {
@@ -137,6 +145,7 @@
         acknowledge(from, complete.index(), message.commitIndex(), message.sentAt());
     }
 
+    /** Whether a snapshot is ahead of the last applied entry, or is the first to set the voters. */
     private boolean isAhead(SnapshotPiece piece) {
         return piece.index() > context.lastApplied
                 || context.log.voters().isEmpty()
@@ -154,7 +163,7 @@
                         leaseSentAt(sentAt)));
     }
 
-    /** Puts a snapshot in place of the log up to it; entries after it stay where they match. */
+    /** Replaces the log by a snapshot; keeps later entries if the log matches at its index. */
     private void install(Snapshot snapshot) {
         RaftLog log = context.log;
         boolean keepsLaterEntries =
--- a/src/main/java/gingerspool/consensus/FollowerProgress.java
+++ b/src/main/java/gingerspool/consensus/FollowerProgress.java
@@ -3,37 +3,42 @@
 import java.util.ArrayDeque;
 import java.util.List;
 
-/** What the leader knows of a follower or learner: what it has, and what is on its way to it. */
+/**
+ * The leader's view of the progress of one follower or learner: what its log holds, and what is in
+ * flight to it. Updated by {@link Replication}; times are in milliseconds.
+ */
 final class FollowerProgress {
-    /** Bounds of what is on its way to one follower, in entries and in bytes. */
+    /** The most entries in flight to one follower. */
     private static final int MAX_ENTRIES_IN_FLIGHT = 1024;
 
+    /** The number of bytes in flight to one follower beyond which nothing more is sent. */
     private static final long MAX_BYTES_IN_FLIGHT = 1 << 20;
 
+    /** The entries of one message in flight. */
     private record Batch(long lastIndex, int entries, long bytes) {}
 
-    /** The next entry to send. */
+    /** The index of the next entry to send. */
     long nextIndex;
 
-    /** Up to here its log is durable and matches ours. */
+    /** The index up to which the follower's log is durable and matches ours. */
     long matchIndex;
 
-    /** Whether it is being found out where its log matches: then one message goes at a time. */
+    /** Whether the matching index is being probed; only one message is sent at a time then. */
     boolean probing;
 
-    /** When the newest heartbeat that it answered, with a durable vote, was sent. */
+    /** The send time of the newest heartbeat that it acknowledged with a durable vote. */
     double leaseStartAt = Double.NEGATIVE_INFINITY;
 
-    /** When it last answered, or when it was first known. */
+    /** When it last answered, or when it was added if it has not answered yet. */
     double lastReplyAt;
 
-    /** Whether it has answered in this term. */
+    /** Whether it has answered in this term, and since its removal from the voters if any. */
     boolean answered;
 
-    /** When it last said that it is about to leave. */
+    /** When it last asked to leave. */
     double leaveRequestedAt = Double.NEGATIVE_INFINITY;
 
-    /** The snapshot that it is sent, or null. */
+    /** The snapshot transfer to it, or null if there is none. */
     SnapshotSender snapshotSender;
 
     private final ArrayDeque<Batch> inFlight = new ArrayDeque<>();
@@ -45,10 +50,12 @@
         lastReplyAt = now;
     }
 
+    /** Whether more may be sent within the limits for data in flight. */
     boolean hasCapacity() {
         return entriesInFlight < MAX_ENTRIES_IN_FLIGHT && bytesInFlight < MAX_BYTES_IN_FLIGHT;
     }
 
+    /** Records that these entries, the next ones to send, are in flight. */
     void recordSent(List<LogEntry> batch) {
         long bytes = batch.stream().mapToLong(LogEntry::sizeBytes).sum();
         nextIndex += batch.size();
@@ -59,7 +66,7 @@
         }
     }
 
-    /** All up to here has arrived and matches. */
+    /** Records that the follower's log matches and is durable up to this index. */
     void recordMatched(long index) {
         matchIndex = Math.max(matchIndex, index);
         probing = false;
@@ -71,7 +78,10 @@
         }
     }
 
-    /** What is on its way is lost or does not fit: goes on from this index, 0 for a snapshot. */
+    /**
+     * Discards what is in flight, which was lost or rejected, and resumes from this index; 0 makes
+     * the leader send a snapshot.
+     */
     void restartFrom(long index) {
         nextIndex = index == 0 ? 0 : Math.max(matchIndex + 1, index);
         probing = false;
--- a/src/main/java/gingerspool/consensus/LeaderLease.java
+++ b/src/main/java/gingerspool/consensus/LeaderLease.java
@@ -3,11 +3,13 @@
 import gingerspool.consensus.ReplicaContext.Role;
 
 /**
- * The leader's lease: a majority has answered heartbeats sent within its length, and withholds its
- * votes from others that long after it received them. The leader trusts it for a part of it only.
+ * The leader's lease: a majority has acknowledged heartbeats sent within the lease length, and each
+ * of these members withholds its vote from others for one lease after it received the heartbeat.
+ * The leader relies on only a fraction of that time. Called by {@link Replica}; times are in
+ * milliseconds.
  */
 final class LeaderLease {
-    /** The part of the lease that is trusted, since clocks run a little apart. */
+    /** The fraction of the lease that the leader relies on, to allow for clock drift. */
     private static final double TRUSTED_FRACTION = 0.75;
 
     private final ReplicaContext context;
@@ -18,7 +20,7 @@
         this.replication = replication;
     }
 
-    /** Until when the lease is trusted. */
+    /** The time until which the leader relies on its lease. */
     double expiresAt() {
         double trustedFraction =
                 context.hasSafeguard(ConsensusSafeguard.LEASE_TRUSTED_IN_PART)
@@ -29,8 +31,8 @@
     }
 
     /**
-     * Whether this member leads, has its lease, and has applied all that was committed before its
-     * term: only then it may answer for the state, and do what only one may.
+     * Whether this member is the leader, holds its lease, and has applied everything committed
+     * before its term. Only then may it serve reads of the state and act as the only leader.
      */
     boolean isActiveLeader(double now) {
         return context.role == Role.LEADER
@@ -40,8 +42,9 @@
     }
 
     /**
-     * Whether it has had no lease for the length of one: no majority hears it and is heard, so it
-     * would only keep others from electing a leader that is.
+     * Whether the leader has been without a lease for one lease length. It then has no two-way
+     * connection to a majority, and its heartbeats would only prevent the election of a leader that
+     * has one.
      */
     boolean mustStepDown() {
         double withoutLeaseSince =
--- a/src/main/java/gingerspool/consensus/LeadershipTransfer.java
+++ b/src/main/java/gingerspool/consensus/LeadershipTransfer.java
@@ -2,7 +2,10 @@
 
 import java.util.Map;
 
-/** How a leader gives up its lease, so that another leads at once and no lease must run out. */
+/**
+ * Leadership transfer: the leader resigns its lease so that a successor can be elected at once,
+ * without waiting for the lease to expire. Used by {@link Membership} and {@link Departure}.
+ */
 final class LeadershipTransfer {
     private final ReplicaContext context;
     private final Replication replication;
@@ -15,8 +18,9 @@
     }
 
     /**
-     * The voter with the longest log that answers is to lead at once; learners are told, too, and
-     * look for the new leader. Nothing happens where no voter answers.
+     * Resigns in favour of the responsive voter with the longest matching log. Learners are
+     * notified as well, so that they look for the new leader. Does nothing if no voter is
+     * responsive.
      */
     void start() {
         Member successor = chooseSuccessor();
--- a/src/main/java/gingerspool/consensus/Member.java
+++ b/src/main/java/gingerspool/consensus/Member.java
@@ -1,11 +1,12 @@
 package gingerspool.consensus;
 
 /**
- * One replica: the address of its machine, and an id made together with its disk's content. A
- * machine whose disk was lost comes back as another member, which has no log and cast no vote.
+ * The identity of a replica: the address of its machine, and an id created together with its
+ * durable state. A machine that lost its disk returns as a different member, which has no log and
+ * has cast no vote.
  */
 public record Member(String ip, String id) {
-    /** The id of the members of the very first start. */
+    /** The id of the founders, which bootstrap the cluster. */
     public static final String FOUNDER = "0";
 
     @Override
--- a/src/main/java/gingerspool/consensus/Membership.java
+++ b/src/main/java/gingerspool/consensus/Membership.java
@@ -6,30 +6,31 @@
 import java.util.Map;
 
 /**
- * The leader's part in changes of the voters. Learners are brought up as soon as they ask; voters
- * that lost their disk, are about to leave or are silent are replaced by learners that are caught
- * up, all at once, by one joint change, which does not wait for the log to be idle.
+ * The leader's side of membership changes. Learners are caught up as soon as they ask to join.
+ * Voters that lost their disk, are leaving or are unresponsive are replaced by learners that are
+ * caught up, all of them in one joint change, which does not wait for the log to be idle. Called by
+ * {@link Replica} and {@link Departure}; times are in milliseconds.
  */
 final class Membership {
-    /** The least voters wanted, where there are machines for so many. */
+    /** The minimum target number of voters; fewer if there are not enough machines. */
     private static final int MIN_VOTERS = 3;
 
     /**
-     * A voter that has not answered a new leader at all counts as silent after so many leases: its
-     * silence began before.
+     * The time after which a voter that has never answered a new leader counts as unresponsive, in
+     * leases. Shorter than usual, since its silence began before the election.
      */
     private static final double UNRESPONSIVE_TO_NEW_LEADER_LEASES = 0.5;
 
-    /** Leases within which a learner finds a new leader. */
+    /** The time within which a learner finds a new leader, in leases. */
     private static final double LEARNER_DISCOVERY_LEASES = 2;
 
-    /** Why a voter is to be replaced, the most urgent reason last. */
+    /** Why a voter should be replaced. Ordered by urgency, the most urgent reason last. */
     private enum ReplacementReason {
         NONE,
         UNRESPONSIVE,
         LEAVING,
 
-        /** Another member, without its log, is on its machine. */
+        /** A new member without the voter's log runs on the voter's machine. */
         DISK_LOST
     }
 
@@ -38,10 +39,15 @@
     private final LeaderLease lease;
     private final LeadershipTransfer transfer;
 
-    /** What was committed a heartbeat ago: a learner that has it is caught up. */
+    /**
+     * The commit index at least one heartbeat interval ago. A learner whose log matches up to it
+     * counts as caught up.
+     */
     private long caughtUpIndex;
 
     private double caughtUpIndexUpdatedAt;
+
+    /** The commit index at the last update, which becomes the caught-up index at the next one. */
     private long nextCaughtUpIndex;
 
     Membership(
@@ -55,7 +61,7 @@
         this.transfer = transfer;
     }
 
-    /** A new term is led: a learner must have its first entry to be caught up. */
+    /** Called when this member is elected. A learner must hold the first entry of the new term. */
     void onElected() {
         caughtUpIndex = replication.termStart();
         nextCaughtUpIndex = caughtUpIndex;
@@ -70,32 +76,32 @@
         }
     }
 
-    /** A machine asked to be brought up. */
+    /** Handles a request to join: the member becomes a learner if it is not a voter. */
     void onJoinRequest(Member from) {
         if (!context.log.voters().contains(from)) {
             replication.addLearner(from);
         }
     }
 
-    /** When this member was elected. */
+    /** When this member was elected leader. */
     double electedAt() {
         return replication.electedAt();
     }
 
-    /** Whether a change of the voters is under way. */
+    /** Whether a membership change is in progress. */
     boolean isChanging() {
         return context.log.voters().isJoint() || context.log.votersIndex() > context.commitIndex;
     }
 
-    /** Whether a learner could replace this member at once. */
+    /** Whether a learner is ready to replace this member at once. */
     boolean hasReadyLearner() {
         return learners().stream().anyMatch(this::isReady);
     }
 
-    /** A member is about to leave; tells it whether there is one to replace it. */
+    /** Handles a member's request to leave: tells it whether a replacement is available. */
     void onLeaveRequest(Member from) {
         replication.progress(from).leaveRequestedAt = context.now;
-        // A new leader does not know the learners yet: they find it within about a lease.
+        // A new leader does not know the learners yet; they find it within about one lease.
         boolean learnersMayBeUnknown =
                 context.now
                         < replication.electedAt() + LEARNER_DISCOVERY_LEASES * context.leaseMs();
@@ -105,7 +111,7 @@
         advance();
     }
 
-    /** Takes the next step of a change that is under way, or begins one that is wanted. */
+    /** Takes the next step of the membership change in progress, or starts one if needed. */
     void advance() {
         updateCaughtUpIndex();
         RaftLog log = context.log;
@@ -130,6 +136,7 @@
         }
     }
 
+    /** Appends a voter set. Voters that it removes have to answer again to count as learners. */
     private void appendVoters(VoterSet voters) {
         for (Member member : context.log.voters().all()) {
             if (!voters.contains(member) && !member.equals(context.self)) {
@@ -140,6 +147,7 @@
         replication.advanceCommit();
     }
 
+    /** The voters that the set should consist of, given the learners that are ready. */
     private List<Member> nextVoters(List<Member> voters) {
         List<Member> next = new ArrayList<>(voters);
         List<Member> ready = new ArrayList<>(learners().stream().filter(this::isReady).toList());
@@ -158,7 +166,7 @@
         return next;
     }
 
-    /** The one on the same machine, if it is ready. */
+    /** The ready learner on the voter's machine if there is one, otherwise the first ready one. */
     private static Member replacementOf(Member voter, List<Member> ready) {
         for (Member learner : ready) {
             if (learner.ip().equals(voter.ip())) {
@@ -168,7 +176,7 @@
         return ready.get(0);
     }
 
-    /** Voters to be replaced: disk lost first, then leaving, then silent. */
+    /** The voters to replace: first those with a lost disk, then leaving, then unresponsive. */
     private List<Member> votersToReplace(List<Member> voters) {
         List<Member> selected = new ArrayList<>();
         for (Member voter : voters) {
@@ -201,11 +209,13 @@
         return isUnresponsive ? ReplacementReason.UNRESPONSIVE : ReplacementReason.NONE;
     }
 
+    /** Whether a member has asked to leave within the last lease. */
     private boolean isLeaving(Member member) {
         FollowerProgress progress = replication.followers().get(member);
         return progress != null && context.now <= progress.leaveRequestedAt + context.leaseMs();
     }
 
+    /** The followers that are not voters. */
     private List<Member> learners() {
         VoterSet voters = context.log.voters();
         List<Member> learners = new ArrayList<>();
@@ -217,11 +227,12 @@
         return learners;
     }
 
-    /** Whether a learner is there to stay: it answers, and is not about to leave. */
+    /** Whether a learner is responsive and not leaving. */
     private boolean isAvailable(Member learner) {
         return replication.hasAnsweredWithin(learner, 1) && !isLeaving(learner);
     }
 
+    /** Whether a learner is available and caught up, so that it can become a voter. */
     private boolean isReady(Member learner) {
         boolean caughtUp =
                 replication.progress(learner).matchIndex >= caughtUpIndex
--- a/src/main/java/gingerspool/consensus/PersistedState.java
+++ b/src/main/java/gingerspool/consensus/PersistedState.java
@@ -2,6 +2,14 @@
 
 import java.util.List;
 
-/** What the durable log held: the member, its term and vote, its snapshot and the entries after. */
+/**
+ * The state recovered from the durable log at the start of a replica.
+ *
+ * @param self the member that the log belongs to
+ * @param term the last term written
+ * @param votedFor the vote in that term, or null
+ * @param snapshot the last snapshot
+ * @param entries the entries after the snapshot
+ */
 public record PersistedState(
         Member self, long term, Member votedFor, Snapshot snapshot, List<LogEntry> entries) {}
--- a/src/main/java/gingerspool/consensus/Replica.java
+++ b/src/main/java/gingerspool/consensus/Replica.java
@@ -5,19 +5,23 @@
 import java.util.Set;
 
 /**
- * One replica of the log of commands, by the Raft algorithm (Ongaro and Ousterhout, 2014).
+ * One replica of the command log, implementing the Raft algorithm (Ongaro and Ousterhout, 2014).
  *
- * <p>Invariants: each term has one leader at the most; an entry is committed once a majority of the
- * voters, and more members than may be lost, hold it durably; a committed entry is in the log of
- * every later leader. The leader serves only under a lease. Voters change by joint consensus.
+ * <p>Invariants: each term has at most one leader; an entry is committed once a majority of the
+ * voters, and more members than the tolerated losses, hold it durably; a committed entry is in the
+ * log of every later leader. The leader serves only while it holds a lease. The set of voters is
+ * changed by joint consensus.
  *
- * <p>Roles: a follower becomes a pre-candidate when it has heard no leader for a lease, a candidate
- * when a majority would vote for it, and the leader when a majority has; it is a follower again
- * when it hears of a newer term or has had no lease for the length of one.
+ * <p>Roles: a follower becomes a pre-candidate when it has not heard from a leader for one lease, a
+ * candidate when a majority would vote for it, and the leader when a majority has voted for it. It
+ * becomes a follower again when it learns of a higher term or has been without a lease for one
+ * lease length.
  *
- * <p>Without I/O, clock or thread: times are milliseconds of a steady clock, effects go to a {@link
- * ReplicaEnvironment}. All calls must come from one thread. This class joins the parts and hands
- * each message to the one that it is for; the state that they share is in {@link ReplicaContext}.
+ * <p>Performs no I/O, reads no clock and starts no thread: times are milliseconds of a monotonic
+ * clock passed in by the caller, and effects go to a {@link ReplicaEnvironment}. All calls must
+ * come from one thread; in the control node that is the event loop. This class wires the components
+ * together and dispatches each message to the one that handles it; the state they share is in
+ * {@link ReplicaContext}.
  */
 public final class Replica {
     private final ReplicaContext context;
@@ -32,8 +36,16 @@
     private final StateMachineDriver stateMachine;
 
     /**
-     * A member as its disk left it. Who was there at the first start passes the founders and no
-     * disk's content; any other without content is a learner, which must be brought up.
+     * Creates a replica from its recovered durable state.
+     *
+     * @param self the identity of this member; replaced by the recovered one if there is any
+     * @param recovered the durable state, or null if the disk is empty
+     * @param founders the voters of a new cluster. A member that is one of them and has no durable
+     *     state bootstraps the cluster; any other member without durable state starts as a learner
+     *     and has to be caught up by the leader.
+     * @param settings the settings, constant for the life of the replica
+     * @param now the current time, in milliseconds
+     * @param environment receives the effects
      */
     public Replica(
             Member self,
@@ -91,17 +103,17 @@
         return context.term;
     }
 
-    /** The voters; while a change is under way those before and after it. */
+    /** The voters; during a membership change, those before and those after it. */
     public List<Member> members() {
         return context.log.voters().all();
     }
 
-    /** Whether this member has no vote, as far as it knows. */
+    /** Whether this member is not a voter, as far as its own log shows. */
     public boolean isLearner() {
         return !context.isVoter();
     }
 
-    /** The leader, as far as it was heard of within a lease, or null. */
+    /** The leader if it has been heard from within one lease, or null. */
     public Member leader(double now) {
         if (context.role == Role.LEADER) {
             return isActiveLeader(now) ? context.self : null;
@@ -110,14 +122,17 @@
     }
 
     /**
-     * Whether this member leads, has its lease, and has applied all that was committed before its
-     * term: only then it may answer for the state, and do what only one may.
+     * Whether this member is the leader, holds its lease, and has applied everything committed
+     * before its term. Only then may it serve reads of the state and act as the only leader.
      */
     public boolean isActiveLeader(double now) {
         return lease.isActiveLeader(now);
     }
 
-    /** Whether this member was elected for its term and has not stepped down; see leads(). */
+    /**
+     * Whether this member was elected for its term and has not stepped down. It may lack a lease;
+     * see {@link #isActiveLeader}.
+     */
     public boolean isElected() {
         return context.role == Role.LEADER;
     }
@@ -128,8 +143,8 @@
     }
 
     /**
-     * The addresses of the machines that the environment should hold links to: voters, learners
-     * that are brought up, and, while no leader is known, all that may know it.
+     * The addresses of the machines to which the environment should keep connections: the voters,
+     * the learners being caught up and, while no leader is known, all machines that may know it.
      */
     public Set<String> contacts() {
         return contacts.addresses(
@@ -138,7 +153,10 @@
 
     // ---- Time ----
 
-    /** Does what is due; nextTick() says when to call it next, and any earlier call is harmless. */
+    /**
+     * Performs the timed work that is due: heartbeats, elections, membership changes. Must be
+     * called at the time that {@link #nextTick} returns; earlier calls are harmless.
+     */
     public void tick(double now) {
         context.now = now;
         if (lease.mustStepDown()) {
@@ -154,7 +172,7 @@
         contacts.tick();
     }
 
-    /** When tick should be called next. */
+    /** The time at which {@link #tick} should be called next, in milliseconds. */
     public double nextTick() {
         double next =
                 context.role == Role.LEADER
@@ -166,8 +184,10 @@
     // ---- Commands ----
 
     /**
-     * Appends a command; false where this member does not lead. ReplicaEnvironment.apply tells that
-     * it is committed.
+     * Appends a command to the log. {@link ReplicaEnvironment#apply} is called once it is
+     * committed.
+     *
+     * @return false if this member is not the active leader; the command is then not appended
      */
     public boolean propose(double now, byte[] command) {
         context.now = now;
@@ -179,7 +199,7 @@
         return true;
     }
 
-    /** The state was repaired: a new snapshot of it is made. */
+    /** Takes a new snapshot of the state. To be called after the state was repaired. */
     public void compact(double now) {
         context.now = now;
         if (!context.log.voters().isEmpty()) {
@@ -189,15 +209,18 @@
 
     // ---- Leaving ----
 
-    /** This member's process is about to end: another is to lead, and one to replace it. */
+    /**
+     * Starts the orderly departure of this member before its process ends: leadership moves to
+     * another member, and a learner replaces this one if there is any.
+     */
     public void leave(double now) {
         context.now = now;
         departure.begin();
     }
 
     /**
-     * Whether the replacement of this member was agreed on, or there is none and another was asked
-     * to lead: nothing is lost then if its process ends.
+     * Whether the process may end without loss: the replacement of this member is committed, or no
+     * replacement is available and this member does not lead.
      */
     public boolean mayStop(double now) {
         context.now = now;
@@ -206,15 +229,15 @@
 
     // ---- Disk ----
 
-    /** The write with this ticket and all before it are durable. */
+    /** Called when the write with this ticket and all earlier ones are durable. */
     public void persisted(double now, long ticket) {
         context.now = now;
         durability.onPersisted(ticket);
     }
 
     /**
-     * The disk failed, and what it holds is unknown: everything, to be written anew under a new
-     * ticket.
+     * The complete durable state under a new ticket. To be written after a disk failure, when the
+     * contents of the disk are unknown.
      */
     public LogWrite fullState() {
         return durability.fullState();
@@ -240,14 +263,17 @@
 
     // ---- Messages ----
 
-    /** A message came for an earlier member of this machine: its sender may know the leader. */
+    /**
+     * Records the address of the sender, which may know the leader. Also called for messages
+     * addressed to an earlier member on this machine.
+     */
     public void noteSender(Member from) {
         if (!from.ip().equals(context.self.ip())) {
             contacts.addKnownAddress(from.ip());
         }
     }
 
-    /** A message for this member. */
+    /** Handles a message addressed to this member. */
     public void receive(double now, Member from, ConsensusMessage message) {
         context.now = now;
         noteSender(from);
@@ -298,7 +324,11 @@
         }
     }
 
-    /** Whether it comes from the leader of our term or a newer one; others are told so. */
+    /**
+     * Follows the sender if its term is not older than ours; otherwise tells it our term.
+     *
+     * @return whether the sender was accepted as the leader
+     */
     private boolean acceptLeader(Member from, long term) {
         if (term < context.term && context.hasSafeguard(ConsensusSafeguard.OLD_TERMS_REFUSED)) {
             context.send(
@@ -312,6 +342,7 @@
         return true;
     }
 
+    /** Whether a reply belongs to the term that this member leads; steps down on a higher term. */
     private boolean isReplyToLeader(long term) {
         if (term > context.term && context.role == Role.LEADER) {
             election.onHigherTerm(term);
@@ -319,7 +350,7 @@
         return context.role == Role.LEADER && term == context.term;
     }
 
-    /** A learner's answer may complete what a change of the voters waits for. */
+    /** A reply from a learner may show that it is caught up, which a membership change awaits. */
     private void advanceMembership(Member from) {
         if (context.role == Role.LEADER && !context.log.voters().contains(from)) {
             membership.advance();
--- a/src/main/java/gingerspool/consensus/ReplicaContext.java
+++ b/src/main/java/gingerspool/consensus/ReplicaContext.java
@@ -2,9 +2,12 @@
 
 import java.util.SplittableRandom;
 
-/** What the parts of one replica share: its settings, its log, its term and its role. */
+/**
+ * The state shared by the components of one replica: settings, log, term, vote and role. Used on
+ * the thread that calls {@link Replica}; times are in milliseconds.
+ */
 final class ReplicaContext {
-    /** The part that a replica plays in its term. */
+    /** The role of a replica in its term. */
     enum Role {
         FOLLOWER,
         PRE_CANDIDATE,
@@ -12,10 +15,10 @@
         LEADER
     }
 
-    /** Heartbeats a lease. */
+    /** The number of heartbeats sent per lease. */
     static final double HEARTBEATS_PER_LEASE = 6;
 
-    /** A member that was not heard for so many leases is silent. */
+    /** The time without a reply after which a member counts as unresponsive, in leases. */
     static final double UNRESPONSIVE_AFTER_LEASES = 2;
 
     final ReplicaSettings settings;
@@ -23,21 +26,24 @@
     final SplittableRandom random;
     final Member self;
     final RaftLog log;
+
+    /** The time of the call being handled. */
     double now;
+
     long term;
 
-    /** Whom this member voted for, or followed, in its term; null: nobody. */
+    /** The member that this one voted for or followed in its term, or null. */
     Member votedFor;
 
     Role role = Role.FOLLOWER;
 
-    /** The leader of the term, or null where it is not known. */
+    /** The leader of the term, or null if unknown. */
     Member leader;
 
     long commitIndex;
     long lastApplied;
 
-    /** Whether this member is about to leave. */
+    /** Whether the departure of this member has started. */
     boolean leaving;
 
     ReplicaContext(
@@ -65,7 +71,7 @@
         environment.send(to, message);
     }
 
-    /** Those whose majorities decide. */
+    /** The voters whose majorities decide elections, leases and commits. */
     VoterSet quorumSet() {
         VoterSet voters = log.voters();
         return voters.isJoint() && !hasSafeguard(ConsensusSafeguard.JOINT_QUORUM)
@@ -74,9 +80,9 @@
     }
 
     /**
-     * Whether this member votes by the last committed entry or any after it. One that a change
-     * removes stands for election until that change is committed: its log may be the only one that
-     * can win.
+     * Whether this member is a voter according to the last committed entry or any later one. A
+     * member removed by a change can be elected until that change is committed, since its log may
+     * be the only one that can win the election.
      */
     boolean isVoter() {
         if (!hasSafeguard(ConsensusSafeguard.REMOVAL_ONLY_BY_COMMITTED_CHANGE)) {
@@ -93,7 +99,7 @@
         return false;
     }
 
-    /** Follows a leader, or nobody for now. */
+    /** Becomes a follower of the given leader, or of none if null. */
     void follow(Member newLeader) {
         role = Role.FOLLOWER;
         leader = newLeader;
--- a/src/main/java/gingerspool/consensus/ReplicaEnvironment.java
+++ b/src/main/java/gingerspool/consensus/ReplicaEnvironment.java
@@ -1,22 +1,25 @@
 package gingerspool.consensus;
 
-/** The effects of a replica: what it calls to send, to write and to apply. */
+/**
+ * The effects of a replica: sending messages, writing to disk and applying commands. Implemented by
+ * the host, and called on the thread that calls {@link Replica}.
+ */
 public interface ReplicaEnvironment {
-    /** Sends a message, which may be lost. */
+    /** Sends a message. Delivery is not guaranteed. */
     void send(Member to, ConsensusMessage message);
 
     /**
-     * Writes this and syncs. Replica.persisted(ticket) follows once it and all earlier writes are
-     * durable, or never.
+     * Starts to write and sync. {@link Replica#persisted} is to be called once this write and all
+     * earlier ones are durable; it is not called if the disk fails.
      */
     void persist(LogWrite write);
 
     /** Applies the next committed command. */
     void apply(long index, byte[] command);
 
-    /** Replaces the state by that of all commands up to an index. */
+    /** Replaces the state by a snapshot that covers all commands up to an index. */
     void restore(long index, byte[] state);
 
-    /** The state that all applied commands come to. */
+    /** The serialized state after all commands applied so far. */
     byte[] snapshotState();
 }
--- a/src/main/java/gingerspool/consensus/ReplicaSettings.java
+++ b/src/main/java/gingerspool/consensus/ReplicaSettings.java
@@ -4,15 +4,16 @@
 import java.util.Set;
 
 /**
- * What a replica is told at its start.
+ * The settings of a replica, fixed when it is created.
  *
- * @param tolerated how many members may be lost at once
- * @param lease the length of the leader's lease, in milliseconds
- * @param seeds addresses of machines that may know the members; they may be stale
- * @param randomSeed what the random part of timeouts is drawn from
- * @param snapshotFloor the least size of the log, in bytes, that a snapshot replaces
- * @param pieceBytes the most bytes of a snapshot that one message carries
- * @param disabled safeguards that a test takes out; none in production
+ * @param toleratedLosses the number of members that may be lost at once without losing data
+ * @param leaseMs the length of the leader's lease, in milliseconds
+ * @param seedAddresses addresses of machines that may know the members; they may be stale
+ * @param randomSeed the seed for the random part of timeouts
+ * @param snapshotThresholdBytes the size of applied entries, in bytes, below which no snapshot is
+ *     taken
+ * @param maxPieceBytes the most bytes of a snapshot in one message
+ * @param disabledSafeguards safeguards that a test disables; none in production
  */
 public record ReplicaSettings(
         int toleratedLosses,
@@ -25,7 +26,7 @@
     private static final int DEFAULT_SNAPSHOT_THRESHOLD_BYTES = 1 << 20;
     private static final int DEFAULT_MAX_PIECE_BYTES = 1 << 16;
 
-    /** Settings of a production replica. */
+    /** The settings of a production replica. */
     public ReplicaSettings(
             int toleratedLosses, double leaseMs, List<String> seedAddresses, long randomSeed) {
         this(
--- a/src/main/java/gingerspool/consensus/Replication.java
+++ b/src/main/java/gingerspool/consensus/Replication.java
@@ -6,13 +6,15 @@
 import java.util.Map;
 
 /**
- * The leader's part of replication: what each voter and learner has, what it is sent, and how far
- * the log is committed.
+ * The leader's side of replication: tracks the progress of each voter and learner, sends entries,
+ * snapshots and heartbeats, and advances the commit index. Called by {@link Replica}, {@link
+ * Membership} and the lease; times are in milliseconds.
  */
 final class Replication {
-    /** Bounds of one message, in entries and in bytes. */
+    /** The most entries in one message. */
     private static final int MAX_BATCH_ENTRIES = 256;
 
+    /** The most bytes of entries in one message; a single larger entry is still sent. */
     private static final long MAX_BATCH_BYTES = 1 << 18;
 
     private final ReplicaContext context;
@@ -21,11 +23,14 @@
     private final Map<Member, FollowerProgress> followers = new LinkedHashMap<>();
     private double nextHeartbeatAt;
 
-    /** The first entry of the term that this member leads. */
+    /** The index of the first entry of the term that this member leads. */
     private long termStartIndex;
 
     private double electedAt;
+
+    /** The snapshot of the cached digest, which is computed once for all followers. */
     private Snapshot digestedSnapshot;
+
     private String cachedDigest;
 
     Replication(ReplicaContext context, Durability durability, Runnable onCommitted) {
@@ -34,7 +39,7 @@
         this.onCommitted = onCommitted;
     }
 
-    // ---- What the leader knows ----
+    // ---- State of the leader ----
 
     double electedAt() {
         return electedAt;
@@ -56,13 +61,14 @@
         return followers;
     }
 
+    /** The progress of a member, which is added as a follower if it is not one yet. */
     FollowerProgress progress(Member member) {
         return followers.computeIfAbsent(
                 member,
                 newMember -> new FollowerProgress(context.log.lastIndex() + 1, context.now));
     }
 
-    /** When the newest heartbeat was sent that this voter answered. */
+    /** The send time of the newest heartbeat that this voter acknowledged. */
     double leaseStartOf(Member member) {
         return member.equals(context.self) ? context.now : progress(member).leaseStartAt;
     }
@@ -73,7 +79,7 @@
                 : progress(member).matchIndex;
     }
 
-    /** Whether a member has answered within so many leases. */
+    /** Whether a member has answered in this term, the last time within this many leases. */
     boolean hasAnsweredWithin(Member member, double leases) {
         FollowerProgress progress = followers.get(member);
         return progress != null
@@ -83,7 +89,7 @@
 
     // ---- Sending ----
 
-    /** Begins to lead: the term's first entry goes out. */
+    /** Starts leading: forgets the old progress and appends the first entry of the term. */
     void onElected() {
         followers.clear();
         electedAt = context.now;
@@ -91,7 +97,7 @@
         append(LogEntry.termStart(context.term));
     }
 
-    /** Appends an entry and sends it. */
+    /** Appends an entry, writes it to disk, and sends it to all followers. */
     void append(LogEntry entry) {
         context.log.append(entry);
         durability.saveEntries(context.log.lastIndex(), null);
@@ -100,6 +106,7 @@
         }
     }
 
+    /** All voters except this member, and all learners. */
     private List<Member> recipients() {
         for (Member member : context.log.voters().all()) {
             if (!member.equals(context.self)) {
@@ -109,7 +116,10 @@
         return List.copyOf(followers.keySet());
     }
 
-    /** Sends heartbeats where they are due, to learners too; who is silent and no voter goes. */
+    /**
+     * Sends heartbeats to voters and learners if they are due, and forgets followers that are
+     * unresponsive and not voters.
+     */
     void tick() {
         if (context.now < nextHeartbeatAt) {
             return;
@@ -129,7 +139,7 @@
         }
     }
 
-    /** A learner asked to be brought up. */
+    /** Starts replicating to a learner that asked to join. */
     void addLearner(Member member) {
         if (!followers.containsKey(member)) {
             progress(member);
@@ -137,7 +147,10 @@
         }
     }
 
-    /** Sends a member what it lacks, as far as there is room; a heartbeat in any case. */
+    /**
+     * Sends a member the entries or the snapshot that it lacks, within the limits for data in
+     * flight. If a heartbeat is due, at least one message is sent.
+     */
     private void send(Member to, boolean heartbeat) {
         FollowerProgress progress = progress(to);
         if (progress.nextIndex <= context.log.snapshot().index()) {
@@ -199,8 +212,9 @@
         return cachedDigest;
     }
 
-    // ---- Answers ----
+    // ---- Replies ----
 
+    /** Records that a follower answered a message sent at this time; null if it is unknown. */
     private FollowerProgress recordReply(Member from, double sentAt) {
         FollowerProgress progress = followers.get(from);
         if (progress != null) {
@@ -222,7 +236,7 @@
         } else if (progress.probing
                 && reply.conflictTerm() == 0
                 && reply.lastIndex() >= progress.nextIndex - 1) {
-            // Others of the messages that did not match were in flight: the probe is, too.
+            // A rejection of an earlier message in flight; the answer to the probe is still due.
             return;
         } else {
             progress.restartFrom(resumeIndex(progress, reply));
@@ -233,7 +247,7 @@
         }
     }
 
-    /** Backs up by whole terms: past all entries of a term that the follower does not have. */
+    /** The index to resume from; skips whole terms that the follower does not have. */
     private long resumeIndex(FollowerProgress progress, ConsensusMessage.AppendReply reply) {
         long resume = Math.min(progress.nextIndex - 1, reply.lastIndex() + 1);
         if (reply.conflictTerm() == 0 || resume <= context.log.snapshot().index()) {
@@ -258,7 +272,7 @@
 
     // ---- Committing ----
 
-    /** Finds what enough disks hold. */
+    /** Raises the commit index to the last entry that is durable on enough members. */
     void advanceCommit() {
         if (context.role != Role.LEADER) {
             return;
@@ -268,7 +282,7 @@
         int minCopies = requiresExtraCopies ? context.settings.toleratedLosses() + 1 : 0;
         long replicatedIndex =
                 (long) context.quorumSet().quorumValue(this::durableIndexOf, minCopies);
-        // What older terms left counts only with an entry of this term behind it.
+        // Entries of older terms are committed only through a later entry of this term.
         if (replicatedIndex > context.commitIndex
                 && (context.log.termAt(replicatedIndex) == context.term
                         || !context.hasSafeguard(ConsensusSafeguard.COMMIT_ONLY_OWN_TERM))) {
--- a/src/main/java/gingerspool/consensus/SnapshotPiece.java
+++ b/src/main/java/gingerspool/consensus/SnapshotPiece.java
@@ -1,15 +1,15 @@
 package gingerspool.consensus;
 
 /**
- * One numbered piece of a snapshot.
+ * One numbered piece of a snapshot in transfer.
  *
- * @param index the last log entry that the snapshot holds
+ * @param index the index of the last entry that the snapshot covers
  * @param snapshotTerm the term of that entry
- * @param voters the voters at that entry
- * @param digest the digest of the whole state
- * @param pieces how many pieces there are
- * @param number this piece's number, from 0
- * @param bytes its part of the state
+ * @param voters the voters after that entry was appended
+ * @param digest the SHA-256 digest of the whole state, in hexadecimal
+ * @param pieces the number of pieces of the snapshot
+ * @param number the number of this piece, from 0
+ * @param bytes the part of the state in this piece
  */
 public record SnapshotPiece(
         long index,
--- a/src/main/java/gingerspool/consensus/SnapshotReceiver.java
+++ b/src/main/java/gingerspool/consensus/SnapshotReceiver.java
@@ -5,22 +5,28 @@
 import java.util.Map;
 
 /**
- * Collects the pieces of one snapshot. The same snapshot may go on from another leader; a newer one
- * takes its place, and so does any that the leader of a newer term sends. Memory is taken by pieces
- * that came, not by the count that a message names.
+ * Assembles one snapshot from its pieces. A new leader may continue the same snapshot; a newer
+ * snapshot replaces it, and so does any other snapshot from the leader of a newer term. Memory is
+ * allocated for the pieces received, not for the piece count that a message claims. Called by
+ * {@link Follower}.
  */
 final class SnapshotReceiver {
     private final ReplicaContext context;
+
+    /** The first piece received of the current snapshot, or null if there is none. */
     private SnapshotPiece firstPiece;
+
     private long leaderTerm;
     private final Map<Integer, byte[]> pieces = new HashMap<>();
+
+    /** The number of pieces received without a gap. */
     private int received;
 
     SnapshotReceiver(ReplicaContext context) {
         this.context = context;
     }
 
-    /** Takes a piece; the snapshot once all are there and the digest is right, else null. */
+    /** Adds a piece. Returns the snapshot once it is complete and its digest matches, else null. */
     Snapshot add(long term, SnapshotPiece piece) {
         if (piece.pieces() < 1) {
             return null;
@@ -58,7 +64,7 @@
         received = 0;
     }
 
-    /** How many pieces of this snapshot are there without a gap. */
+    /** The number of pieces of this piece's snapshot that were received without a gap. */
     int received(SnapshotPiece piece) {
         return isOfCurrentSnapshot(piece) ? received : 0;
     }
--- a/src/main/java/gingerspool/consensus/SnapshotSender.java
+++ b/src/main/java/gingerspool/consensus/SnapshotSender.java
@@ -3,17 +3,25 @@
 import java.util.Arrays;
 import java.util.function.IntConsumer;
 
-/** A snapshot on its way to one follower, in numbered pieces, some of them in flight at a time. */
+/**
+ * The transfer of a snapshot to one follower in numbered pieces, with a limited number of them in
+ * flight. Called by {@link Replication}.
+ */
 final class SnapshotSender {
-    /** Pieces in flight. */
+    /** The most pieces in flight. */
     private static final int MAX_PIECES_IN_FLIGHT = 4;
 
     final Snapshot snapshot;
     private final String digest;
     private final int maxPieceBytes;
     private final int pieceCount;
+
+    /** The number of pieces that the follower has received without a gap. */
     private int acknowledged;
+
+    /** The number of the next piece to send. */
     private int nextPiece;
+
     private boolean progressedSinceHeartbeat = true;
 
     SnapshotSender(Snapshot snapshot, String digest, int maxPieceBytes) {
@@ -28,8 +36,8 @@
     }
 
     /**
-     * Sends what the window allows. A heartbeat sends one piece at least, and begins anew after
-     * what was acknowledged if nothing has been since the last one.
+     * Sends as many pieces as may be in flight. On a heartbeat at least one piece is sent, and if
+     * none was acknowledged since the last heartbeat, the unacknowledged pieces are sent again.
      */
     void send(boolean heartbeat, IntConsumer sendPiece) {
         if (heartbeat && !progressedSinceHeartbeat) {
@@ -47,6 +55,7 @@
         }
     }
 
+    /** The piece with this number, from 0. */
     SnapshotPiece piece(int number) {
         byte[] state = SnapshotDigest.stateBytes(snapshot);
         int offset = number * maxPieceBytes;
@@ -62,12 +71,12 @@
                 bytes);
     }
 
-    /** Whether the answer is to this snapshot. */
+    /** Whether a reply belongs to this snapshot. */
     boolean matches(ConsensusMessage.SnapshotReply reply) {
         return reply.index() == snapshot.index() && reply.digest().equals(digest);
     }
 
-    /** The receiver has so many pieces; true once it has all. */
+    /** Records the number of pieces that the follower has; returns whether it has all of them. */
     boolean onAcknowledged(int count) {
         progressedSinceHeartbeat |= count != acknowledged;
         acknowledged = Math.min(pieceCount, Math.max(0, count));
--- a/src/main/java/gingerspool/consensus/StateMachineDriver.java
+++ b/src/main/java/gingerspool/consensus/StateMachineDriver.java
@@ -1,19 +1,20 @@
 package gingerspool.consensus;
 
 /**
- * Applies committed entries to the state, in order, and puts snapshots of it in the place of
- * applied entries once these have grown (Raft, section 7).
+ * Applies committed entries to the state machine in order, and compacts the log by replacing
+ * applied entries with a snapshot once they have grown large enough (Raft, section 7). Called by
+ * {@link Replica}.
  *
- * <p>Invariant: lastApplied is never beyond commitIndex, nor beyond the log.
+ * <p>Invariant: lastApplied never exceeds commitIndex or the last index of the log.
  */
 final class StateMachineDriver {
-    /** The log is replaced by a snapshot once it is so many times as large as the last one. */
+    /** A snapshot is due once the applied entries are this many times as large as the last one. */
     private static final int SNAPSHOT_GROWTH_FACTOR = 2;
 
     private final ReplicaContext context;
     private final Durability durability;
 
-    /** The size of the applied entries that no snapshot holds, in bytes. */
+    /** The size of the applied entries that are not in a snapshot yet, in bytes. */
     private long appliedBytes;
 
     StateMachineDriver(ReplicaContext context, Durability durability) {
@@ -21,7 +22,7 @@
         this.durability = durability;
     }
 
-    /** Applies what is committed, and makes a snapshot where one is due. */
+    /** Applies all committed entries, and takes a snapshot if one is due. */
     void applyCommitted() {
         while (context.lastApplied < Math.min(context.commitIndex, context.log.lastIndex())) {
             context.lastApplied++;
@@ -37,12 +38,13 @@
         }
     }
 
+    /** The size of applied entries, relative to the last snapshot, beyond which one is taken. */
     private long growthThresholdBytes() {
         byte[] state = context.log.snapshot().state();
         return state == null ? 0 : (long) SNAPSHOT_GROWTH_FACTOR * state.length;
     }
 
-    /** Puts the applied state in the place of the applied entries. */
+    /** Replaces the applied entries by a snapshot of the state, and writes it to disk. */
     void takeSnapshot() {
         RaftLog log = context.log;
         long index = context.lastApplied;
--- a/src/main/java/gingerspool/consensus/VoterSet.java
+++ b/src/main/java/gingerspool/consensus/VoterSet.java
@@ -8,26 +8,26 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The voters: one set, or two while a change from the first to the second is under way (joint
- * consensus). Whatever is decided while it is, is decided by majorities of both.
+ * The voters: one set, or two during a change from the first to the second (joint consensus).
+ * During a change every decision needs a majority of both sets.
  *
- * @param voters the set before the change, or the only one
- * @param incoming the set after the change, or null
+ * @param voters the set before the change, or the only set
+ * @param incoming the set after the change, or null if no change is in progress
  */
 public record VoterSet(List<Member> voters, List<Member> incoming) {
     static final VoterSet NONE = of(List.of());
 
-    /** A set with no change under way. */
+    /** A voter set with no change in progress. */
     public static VoterSet of(List<Member> voters) {
         return new VoterSet(voters, null);
     }
 
-    /** Whether a change is under way. */
+    /** Whether a change is in progress. */
     public boolean isJoint() {
         return incoming != null;
     }
 
-    /** The members of either set, each once. */
+    /** The members of both sets, each once. */
     public List<Member> all() {
         if (!isJoint()) {
             return voters;
@@ -37,7 +37,7 @@
         return List.copyOf(both);
     }
 
-    /** Whether a member votes in either set. */
+    /** Whether a member is in either set. */
     public boolean contains(Member member) {
         return voters.contains(member) || isJoint() && incoming.contains(member);
     }
@@ -46,7 +46,7 @@
         return voters.isEmpty();
     }
 
-    /** Whether a majority of each set fulfils a condition. */
+    /** Whether a majority of each set meets a condition. */
     boolean hasQuorum(Predicate<Member> condition) {
         return hasMajority(voters, condition) && (!isJoint() || hasMajority(incoming, condition));
     }
@@ -64,8 +64,8 @@
     }
 
     /**
-     * The largest value that a majority of each set reaches, and not fewer members than `least`
-     * where the set has so many.
+     * The largest value that a majority of each set has reached. At least minMembers members of
+     * each set must have reached it, or all of them if the set is smaller.
      */
     double quorumValue(ToDoubleFunction<Member> value, int minMembers) {
         double valueOfVoters = quorumValue(voters, value, minMembers);
@@ -88,7 +88,7 @@
         return values[values.length - required];
     }
 
-    /** The joint set that leads from the present voters to others. */
+    /** The joint set for a change from the current voters to the next ones. */
     VoterSet jointWith(List<Member> next) {
         return new VoterSet(List.copyOf(voters), List.copyOf(next));
     }
