--- a/src/test/java/gingerspool/consensus/LeaseTest.java
+++ b/src/test/java/gingerspool/consensus/LeaseTest.java
@@ -8,28 +8,28 @@
 import org.testng.annotations.Test;
 
 /**
- * What a member promises by a lease, and what a restart may forget of it. One member, letters by
- * hand.
+ * The lease that a member grants to a leader, and how it is honoured after a restart. Drives a
+ * single replica with hand-made messages.
  */
 public class LeaseTest {
-    private static final double LEASE = 600;
+    private static final double LEASE_MS = 600;
     private static final Member SELF = new Member("10.0.0.1", "m");
-    private static final Member OLD = new Member("10.0.0.2", "m");
-    private static final Member NEW = new Member("10.0.0.3", "m");
+    private static final Member OLD_LEADER = new Member("10.0.0.2", "m");
+    private static final Member NEW_LEADER = new Member("10.0.0.3", "m");
 
-    private final List<ConsensusMessage> said = new ArrayList<>();
-    private LogWrite saved;
+    private final List<ConsensusMessage> sentMessages = new ArrayList<>();
+    private LogWrite lastWrite;
 
-    private final ReplicaEnvironment out =
+    private final ReplicaEnvironment environment =
             new ReplicaEnvironment() {
                 @Override
-                public void send(Member to, ConsensusMessage letter) {
-                    said.add(letter);
+                public void send(Member to, ConsensusMessage message) {
+                    sentMessages.add(message);
                 }
 
                 @Override
-                public void persist(LogWrite change) {
-                    saved = change;
+                public void persist(LogWrite write) {
+                    lastWrite = write;
                 }
 
                 @Override
@@ -44,101 +44,122 @@
                 }
             };
 
-    /** A member that starts with a disk on which it granted this one the third view. */
-    private Replica started(Member granted) {
-        said.clear();
+    /** A replica that restarts with a durable vote for the given member in term 3. */
+    private Replica restartedWithVoteFor(Member votedFor) {
+        sentMessages.clear();
         PersistedState disk =
                 new PersistedState(
                         SELF,
                         3,
-                        granted,
-                        new Snapshot(0, 0, List.of(SELF, OLD, NEW), null),
+                        votedFor,
+                        new Snapshot(0, 0, List.of(SELF, OLD_LEADER, NEW_LEADER), null),
                         List.of());
         return new Replica(
-                SELF, disk, List.of(), new ReplicaSettings(1, LEASE, List.of(), 1), 0, out);
+                SELF,
+                disk,
+                List.of(),
+                new ReplicaSettings(1, LEASE_MS, List.of(), 1),
+                0,
+                environment);
     }
 
-    private ConsensusMessage.AppendReply answer(int i) {
-        return (ConsensusMessage.AppendReply) said.get(i);
+    private ConsensusMessage.AppendReply appendReply(int index) {
+        return (ConsensusMessage.AppendReply) sentMessages.get(index);
     }
 
     @Test
-    public void aBeatCountsForTheLeaseOnceItsPromiseIsOnDisk() {
-        Replica order = started(OLD);
-        order.receive(1000, NEW, new ConsensusMessage.AppendEntries(4, 0, 0, List.of(), 0, 990));
-        assertEquals(answer(0).sentAt(), Double.NEGATIVE_INFINITY, "a restart would forget it");
-        assertEquals(saved.term(), 4);
-        assertEquals(saved.votedFor(), NEW);
-        order.persisted(1010, saved.ticket());
-        assertEquals(answer(1).sentAt(), 990.0);
-        order.receive(1100, NEW, new ConsensusMessage.AppendEntries(4, 0, 0, List.of(), 0, 1090));
-        assertEquals(answer(2).sentAt(), 1090.0, "later ones at once");
+    public void heartbeatCountsForLeaseOnceVoteIsDurable() {
+        Replica replica = restartedWithVoteFor(OLD_LEADER);
+        replica.receive(
+                1000, NEW_LEADER, new ConsensusMessage.AppendEntries(4, 0, 0, List.of(), 0, 990));
+        assertEquals(
+                appendReply(0).sentAt(),
+                Double.NEGATIVE_INFINITY,
+                "a restart would forget the vote");
+        assertEquals(lastWrite.term(), 4);
+        assertEquals(lastWrite.votedFor(), NEW_LEADER);
+        replica.persisted(1010, lastWrite.ticket());
+        assertEquals(appendReply(1).sentAt(), 990.0);
+        replica.receive(
+                1100, NEW_LEADER, new ConsensusMessage.AppendEntries(4, 0, 0, List.of(), 0, 1090));
+        assertEquals(appendReply(2).sentAt(), 1090.0, "later heartbeats count at once");
     }
 
     @Test
-    public void afterARestartWhoMayHoldTheLeaseMayStandAndOthersWait() {
-        Replica order = started(OLD);
-        order.receive(10, NEW, new ConsensusMessage.RequestVote(4, 3, 5));
+    public void restartedVoterGrantsOnlyTheLeaseHolder() {
+        Replica replica = restartedWithVoteFor(OLD_LEADER);
+        replica.receive(10, NEW_LEADER, new ConsensusMessage.RequestVote(4, 3, 5));
+        assertTrue(
+                !((ConsensusMessage.VoteReply) sentMessages.get(0)).granted(),
+                "the lease of term 3 may not have ended");
+        replica.receive(20, OLD_LEADER, new ConsensusMessage.RequestVote(4, 3, 5));
+        replica.persisted(25, lastWrite.ticket());
         assertTrue(
-                !((ConsensusMessage.VoteReply) said.get(0)).granted(),
-                "the lease of view 3 may not have ended");
-        order.receive(20, OLD, new ConsensusMessage.RequestVote(4, 3, 5));
-        order.persisted(25, saved.ticket());
+                ((ConsensusMessage.VoteReply) sentMessages.get(1)).granted(),
+                "a candidate holds no lease");
+        replica.receive(30, OLD_LEADER, new ConsensusMessage.RequestVote(4, 3, 5));
         assertTrue(
-                ((ConsensusMessage.VoteReply) said.get(1)).granted(),
-                "it holds none while it stands");
-        order.receive(30, OLD, new ConsensusMessage.RequestVote(4, 3, 5));
+                ((ConsensusMessage.VoteReply) sentMessages.get(2)).granted(),
+                "granted again, as the reply may be lost");
+        replica.receive(700, NEW_LEADER, new ConsensusMessage.RequestVote(4, 3, 5));
         assertTrue(
-                ((ConsensusMessage.VoteReply) said.get(2)).granted(),
-                "asked again, as the answer may be lost");
-        order.receive(700, NEW, new ConsensusMessage.RequestVote(4, 3, 5));
-        assertTrue(!((ConsensusMessage.VoteReply) said.get(3)).granted(), "one grant a view");
+                !((ConsensusMessage.VoteReply) sentMessages.get(3)).granted(), "one vote per term");
     }
 
     @Test
-    public void whoLedStandsAtOnceAndAsksUntilLinksAreUp() {
-        Replica order = started(SELF);
-        double first = order.nextTick();
-        assertTrue(first < LEASE / 4, "it stands at " + first);
-        order.tick(first);
+    public void formerLeaderStandsAtOnceAndRepeatsRequests() {
+        Replica replica = restartedWithVoteFor(SELF);
+        double firstTick = replica.nextTick();
+        assertTrue(firstTick < LEASE_MS / 4, "election starts at " + firstTick);
+        replica.tick(firstTick);
         assertEquals(
-                said,
+                sentMessages,
                 List.of(
                         new ConsensusMessage.PreVote(4, 0, 0),
                         new ConsensusMessage.PreVote(4, 0, 0)));
-        said.clear();
-        order.receive(first + 2, OLD, new ConsensusMessage.PreVoteReply(4, true, 3));
-        assertEquals(said.size(), 0, "its own vote is not on disk yet");
-        order.persisted(first + 5, saved.ticket());
-        assertEquals(said.size(), 2);
-        double next = order.nextTick();
-        assertTrue(next < first + LEASE / 4, "it asks again at " + next);
-        order.tick(next);
-        assertEquals(said.size(), 4);
-        assertTrue(started(NEW).nextTick() >= LEASE, "others wait until the lease must have ended");
+        sentMessages.clear();
+        replica.receive(firstTick + 2, OLD_LEADER, new ConsensusMessage.PreVoteReply(4, true, 3));
+        assertEquals(sentMessages.size(), 0, "its own vote is not durable yet");
+        replica.persisted(firstTick + 5, lastWrite.ticket());
+        assertEquals(sentMessages.size(), 2);
+        double retryAt = replica.nextTick();
+        assertTrue(retryAt < firstTick + LEASE_MS / 4, "requests are repeated at " + retryAt);
+        replica.tick(retryAt);
+        assertEquals(sentMessages.size(), 4);
+        assertTrue(
+                restartedWithVoteFor(NEW_LEADER).nextTick() >= LEASE_MS,
+                "other members wait until the lease has ended");
     }
 
-    /** Cut off for long, a member raises no view; told of a higher one, it asks beyond that. */
+    /**
+     * A member that is isolated for long does not raise its term; once it learns of a higher term,
+     * its pre-votes are for a term beyond that one.
+     */
     @Test
-    public void whoIsAloneAsksAndPromisesNothing() {
-        Replica order = started(NEW);
-        for (double now = LEASE; now < 20 * LEASE; now += 50) {
-            order.tick(now);
+    public void isolatedMemberSendsPreVotesAndKeepsItsTerm() {
+        Replica replica = restartedWithVoteFor(NEW_LEADER);
+        for (double now = LEASE_MS; now < 20 * LEASE_MS; now += 50) {
+            replica.tick(now);
         }
-        assertEquals(order.term(), 3);
-        // It also asks whoever may know the leader, which promises nothing either.
-        said.removeIf(l -> l.equals(new ConsensusMessage.JoinRequest(3)));
-        assertTrue(said.stream().allMatch(l -> l.equals(new ConsensusMessage.PreVote(4, 0, 0))));
-        order.receive(20 * LEASE, OLD, new ConsensusMessage.PreVoteReply(4, false, 9));
-        said.clear();
-        order.tick(25 * LEASE);
-        assertEquals(said.get(0), new ConsensusMessage.PreVote(10, 0, 0));
-        order.receive(
-                25 * LEASE, OLD, new ConsensusMessage.AppendEntries(9, 0, 0, List.of(), 0, 1));
-        order.receive(25 * LEASE + 1, NEW, new ConsensusMessage.PreVote(10, 3, 5));
+        assertEquals(replica.term(), 3);
+        // It also sends join requests to members that may know the leader; they are not binding.
+        sentMessages.removeIf(message -> message.equals(new ConsensusMessage.JoinRequest(3)));
+        assertTrue(
+                sentMessages.stream()
+                        .allMatch(
+                                message -> message.equals(new ConsensusMessage.PreVote(4, 0, 0))));
+        replica.receive(20 * LEASE_MS, OLD_LEADER, new ConsensusMessage.PreVoteReply(4, false, 9));
+        sentMessages.clear();
+        replica.tick(25 * LEASE_MS);
+        assertEquals(sentMessages.get(0), new ConsensusMessage.PreVote(10, 0, 0));
+        replica.receive(
+                25 * LEASE_MS,
+                OLD_LEADER,
+                new ConsensusMessage.AppendEntries(9, 0, 0, List.of(), 0, 1));
+        replica.receive(25 * LEASE_MS + 1, NEW_LEADER, new ConsensusMessage.PreVote(10, 3, 5));
         assertEquals(
-                said.get(said.size() - 1),
+                sentMessages.get(sentMessages.size() - 1),
                 new ConsensusMessage.PreVoteReply(10, false, 9),
-                "a lease stands");
+                "the lease of the leader is valid");
     }
 }
--- a/src/test/java/gingerspool/consensus/LinkFaultTest.java
+++ b/src/test/java/gingerspool/consensus/LinkFaultTest.java
@@ -11,152 +11,174 @@
 import java.util.function.Predicate;
 import org.testng.annotations.Test;
 
-/** Members cut off, on one side or both: who leads, and for how long. */
+/** One-way and two-way link failures: which member leads, and for how long there is no leader. */
 public class LinkFaultTest {
-    private static final double LEASE = TestCluster.LEASE;
+    private static final double LEASE_MS = TestCluster.LEASE_MS;
 
-    private static boolean from(ConsensusMessage.Envelope e, Node node) {
-        return e.from().ip().equals(node.member.ip());
+    private static boolean isFrom(ConsensusMessage.Envelope envelope, Node node) {
+        return envelope.from().ip().equals(node.member.ip());
     }
 
-    private static boolean to(ConsensusMessage.Envelope e, Node node) {
-        return e.to().ip().equals(node.member.ip());
+    private static boolean isTo(ConsensusMessage.Envelope envelope, Node node) {
+        return envelope.to().ip().equals(node.member.ip());
     }
 
     private static Node follower(TestCluster cluster) {
-        return cluster.nodes.values().stream().filter(n -> !n.leads()).findFirst().orElseThrow();
+        return cluster.nodes.values().stream()
+                .filter(n -> !n.isActiveLeader())
+                .findFirst()
+                .orElseThrow();
     }
 
-    /** Plays a cut; fails if two lead at once; how long nobody led at the longest. */
-    private static double longestWithoutLeader(
-            TestCluster cluster, double span, Predicate<ConsensusMessage.Envelope> arrives) {
-        cluster.arrives = arrives;
-        double longest = 0;
-        double without = 0;
-        for (double t = 0; t < span; t++) {
+    /**
+     * Runs the cluster with a link failure; fails if two members lead at once. Returns the longest
+     * time without a leader, in milliseconds.
+     */
+    private static double longestLeaderlessMs(
+            TestCluster cluster,
+            double durationMs,
+            Predicate<ConsensusMessage.Envelope> isDelivered) {
+        cluster.isDelivered = isDelivered;
+        double longestMs = 0;
+        double leaderlessMs = 0;
+        for (double elapsedMs = 0; elapsedMs < durationMs; elapsedMs++) {
             cluster.run(1);
-            long leaders = cluster.nodes.values().stream().filter(Node::leads).count();
+            long leaders = cluster.nodes.values().stream().filter(Node::isActiveLeader).count();
             assertTrue(leaders <= 1, "two leaders");
-            without = leaders == 0 ? without + 1 : 0;
-            longest = Math.max(longest, without);
+            leaderlessMs = leaders == 0 ? leaderlessMs + 1 : 0;
+            longestMs = Math.max(longestMs, leaderlessMs);
         }
-        cluster.arrives = e -> true;
-        return longest;
+        cluster.isDelivered = e -> true;
+        return longestMs;
     }
 
-    /** The old leader serves no more before another does; back, it follows and has the state. */
+    /**
+     * A partitioned leader stops serving before another one serves, and after the partition it
+     * follows the new leader and has the same state.
+     */
     @Test
-    public void aLeaderCutOffStopsServingAndFollowsWhenItIsBack() {
+    public void partitionedLeaderStopsServingAndRejoinsAsFollower() {
         TestCluster cluster = new TestCluster(3, 1 << 20, 1000, 1);
-        Node old = cluster.awaitLeader();
-        cluster.change(5, 50);
-        double without = longestWithoutLeader(cluster, 20_000, e -> !from(e, old) && !to(e, old));
-        assertTrue(without < 2.5 * LEASE, without + " ms");
-        assertFalse(old.leads());
-        assertNull(old.replica.leader(cluster.now), "it sends nobody to itself");
-        Node next = cluster.leader();
-        long term = next.replica.term();
-        cluster.change(5, 50);
-        cluster.runUntil(2 * LEASE, TestCluster::agrees);
-        assertEquals(cluster.leader(), next, "what comes back disturbs nobody");
-        assertEquals(next.replica.term(), term);
+        Node oldLeader = cluster.awaitLeader();
+        cluster.proposeCommands(5, 50);
+        double leaderlessMs =
+                longestLeaderlessMs(
+                        cluster, 20_000, e -> !isFrom(e, oldLeader) && !isTo(e, oldLeader));
+        assertTrue(leaderlessMs < 2.5 * LEASE_MS, leaderlessMs + " ms");
+        assertFalse(oldLeader.isActiveLeader());
+        assertNull(
+                oldLeader.replica.leader(cluster.now),
+                "a leader without a lease must not name itself");
+        Node newLeader = cluster.leader();
+        long term = newLeader.replica.term();
+        cluster.proposeCommands(5, 50);
+        cluster.runUntil(2 * LEASE_MS, TestCluster::hasConverged);
+        assertEquals(
+                cluster.leader(), newLeader, "the returning member must not disrupt the leader");
+        assertEquals(newLeader.replica.term(), term);
     }
 
     /**
-     * A leader that is heard and hears nobody: its heartbeats would keep others from an election;
-     * so it steps down by itself. Without the guard nobody ever leads.
+     * A leader that sends but receives nothing steps down by itself, since its heartbeats would
+     * prevent an election. Without the safeguard there is no active leader any more.
      */
     @Test
-    public void aLeaderThatHearsNobodyStepsDown() {
+    public void leaderWithoutInboundMessagesStepsDown() {
         TestCluster cluster = new TestCluster(3, 1 << 20, 1000, 2);
-        Node deaf = cluster.awaitLeader();
-        double without = longestWithoutLeader(cluster, 10_000, e -> !to(e, deaf));
-        assertTrue(without < 5 * LEASE, without + " ms");
-        TestCluster bare =
+        Node inboundBlocked = cluster.awaitLeader();
+        double leaderlessMs = longestLeaderlessMs(cluster, 10_000, e -> !isTo(e, inboundBlocked));
+        assertTrue(leaderlessMs < 5 * LEASE_MS, leaderlessMs + " ms");
+        TestCluster unguarded =
                 new TestCluster(3, 1 << 20, 1000, 2, ConsensusSafeguard.STEP_DOWN_WITHOUT_LEASE);
-        Node stays = bare.awaitLeader();
-        assertTrue(longestWithoutLeader(bare, 10_000, e -> !to(e, stays)) > 9000);
+        Node unguardedLeader = unguarded.awaitLeader();
+        assertTrue(longestLeaderlessMs(unguarded, 10_000, e -> !isTo(e, unguardedLeader)) > 9000);
     }
 
-    /** A leader that hears and is not heard. */
+    /** A leader that receives messages but whose own messages are lost. */
     @Test
-    public void aLeaderThatNobodyHearsIsReplaced() {
+    public void leaderWithoutOutboundMessagesIsReplaced() {
         TestCluster cluster = new TestCluster(3, 1 << 20, 1000, 3);
-        Node mute = cluster.awaitLeader();
-        double without = longestWithoutLeader(cluster, 10_000, e -> !from(e, mute));
-        assertTrue(without < 2.5 * LEASE, without + " ms");
-        cluster.runUntil(2 * LEASE, TestCluster::agrees);
+        Node outboundBlocked = cluster.awaitLeader();
+        double leaderlessMs =
+                longestLeaderlessMs(cluster, 10_000, e -> !isFrom(e, outboundBlocked));
+        assertTrue(leaderlessMs < 2.5 * LEASE_MS, leaderlessMs + " ms");
+        cluster.runUntil(2 * LEASE_MS, TestCluster::hasConverged);
     }
 
-    /** A follower that hears nobody asks for votes, raises no term, and disturbs no leader. */
+    /** A follower that receives nothing sends pre-votes but does not disrupt the leader. */
     @Test
-    public void aFollowerThatHearsNobodyDisturbsNobody() {
-        assertEquals(termsRaisedBy(), 0);
-        assertNotEquals(termsRaisedBy(ConsensusSafeguard.PRE_VOTE), 0);
+    public void followerWithoutInboundMessagesRaisesNoTerm() {
+        assertEquals(termsRaisedByIsolatedFollower(), 0);
+        assertNotEquals(termsRaisedByIsolatedFollower(ConsensusSafeguard.PRE_VOTE), 0);
     }
 
-    private static long termsRaisedBy(ConsensusSafeguard... out) {
-        TestCluster cluster = new TestCluster(3, 1 << 20, 1000, 4, out);
+    private static long termsRaisedByIsolatedFollower(ConsensusSafeguard... disabled) {
+        TestCluster cluster = new TestCluster(3, 1 << 20, 1000, 4, disabled);
         Node leader = cluster.awaitLeader();
         long term = leader.replica.term();
-        Node deaf = follower(cluster);
-        longestWithoutLeader(cluster, 10_000, e -> !to(e, deaf));
-        cluster.run(3 * LEASE);
+        Node inboundBlocked = follower(cluster);
+        longestLeaderlessMs(cluster, 10_000, e -> !isTo(e, inboundBlocked));
+        cluster.run(3 * LEASE_MS);
         return cluster.awaitLeader().replica.term() - term;
     }
 
-    /** A follower that is not heard counts for no lease: two such, and the leader steps down. */
+    /** Followers whose replies are lost do not extend the lease; the leader steps down. */
     @Test
-    public void followersThatAreNotHeardHoldUpNoLease() {
+    public void unheardFollowersDoNotExtendLease() {
         TestCluster cluster = new TestCluster(3, 1 << 20, 1000, 5);
         Node leader = cluster.awaitLeader();
-        cluster.arrives = e -> from(e, leader);
-        cluster.run(3 * LEASE);
-        assertFalse(leader.leads());
+        cluster.isDelivered = e -> isFrom(e, leader);
+        cluster.run(3 * LEASE_MS);
+        assertFalse(leader.isActiveLeader());
         assertNull(leader.replica.leader(cluster.now));
-        cluster.arrives = e -> true;
+        cluster.isDelivered = e -> true;
         cluster.awaitLeader();
     }
 
-    /** A member that one of the others hears, and the other does not. */
+    /** A link between a follower and the leader that fails in one direction only. */
     @Test
-    public void aMemberThatOneSideHearsChangesNothing() {
+    public void partialPartitionDoesNotChangeLeader() {
         TestCluster cluster = new TestCluster(3, 1 << 20, 1000, 6);
         Node leader = cluster.awaitLeader();
-        Node half = follower(cluster);
+        Node partlyConnected = follower(cluster);
         assertEquals(
-                longestWithoutLeader(cluster, 10_000, e -> !(from(e, half) && to(e, leader))), 0.0);
+                longestLeaderlessMs(
+                        cluster, 10_000, e -> !(isFrom(e, partlyConnected) && isTo(e, leader))),
+                0.0);
         assertEquals(
-                longestWithoutLeader(cluster, 10_000, e -> !(from(e, leader) && to(e, half))), 0.0);
+                longestLeaderlessMs(
+                        cluster, 10_000, e -> !(isFrom(e, leader) && isTo(e, partlyConnected))),
+                0.0);
         assertEquals(cluster.leader(), leader);
     }
 
-    /** A machine that lost its disk and knows one member, which does not lead, is brought up. */
+    /** A machine that lost its disk joins by referral, as its requests do not reach the leader. */
     @Test
-    public void aLearnerFindsTheLeaderThroughAnyMember() {
+    public void learnerFindsLeaderByReferral() {
         TestCluster cluster = new TestCluster(3, 500, 100, 7);
         Node leader = cluster.awaitLeader();
-        cluster.change(20, 50);
-        Node gone = cluster.nodes.values().stream().filter(n -> n != leader).toList().get(1);
-        Node kept = follower(cluster);
-        gone.stop(0);
+        cluster.proposeCommands(20, 50);
+        Node lost = cluster.nodes.values().stream().filter(n -> n != leader).toList().get(1);
+        Node remaining = follower(cluster);
+        lost.stop(0);
         boolean[] referred = {false};
-        Node anew = cluster.add(new Member(gone.member.ip(), "new"));
-        cluster.arrives =
+        Node replacement = cluster.add(new Member(lost.member.ip(), "new"));
+        cluster.isDelivered =
                 e ->
                         !(e.message() instanceof ConsensusMessage.JoinRequest)
-                                || !to(e, leader)
+                                || !isTo(e, leader)
                                 || referred[0];
-        cluster.onItsWay =
+        cluster.inTransit =
                 e -> {
                     referred[0] |= e.message() instanceof ConsensusMessage.Referral;
                     return e;
                 };
-        anew.start(List.of());
+        replacement.start(List.of());
         cluster.runUntil(
-                4 * LEASE, c -> !leader.replica.members().contains(gone.member) && c.agrees());
+                4 * LEASE_MS,
+                c -> !leader.replica.members().contains(lost.member) && c.hasConverged());
         assertTrue(referred[0]);
-        assertTrue(leader.replica.members().contains(anew.member));
-        assertTrue(leader.replica.members().contains(kept.member));
+        assertTrue(leader.replica.members().contains(replacement.member));
+        assertTrue(leader.replica.members().contains(remaining.member));
     }
 }
--- a/src/test/java/gingerspool/consensus/LogRepairTest.java
+++ b/src/test/java/gingerspool/consensus/LogRepairTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** Logs that differ over several terms are made alike, by whole terms and not entry by entry. */
+/** Log repair: logs that diverge over several terms converge, backing up by term, not by entry. */
 public class LogRepairTest {
     private static final List<Member> VOTERS =
             List.of(
@@ -18,12 +18,12 @@
                     new Member("n1", Member.FOUNDER),
                     new Member("n2", Member.FOUNDER));
 
-    /** A log with so many entries of each term, in turn: term, count, term, count. */
-    private static List<LogEntry> log(int... termsAndCounts) {
+    /** A log with a number of entries of each term, given as term, count, term, count, ... */
+    private static List<LogEntry> logOf(int... termsAndCounts) {
         List<LogEntry> entries = new ArrayList<>();
         for (int i = 0; i < termsAndCounts.length; i += 2) {
-            for (int n = 0; n < termsAndCounts[i + 1]; n++) {
-                long value = 1000L * termsAndCounts[i] + n;
+            for (int number = 0; number < termsAndCounts[i + 1]; number++) {
+                long value = 1000L * termsAndCounts[i] + number;
                 entries.add(
                         LogEntry.command(
                                 termsAndCounts[i],
@@ -33,8 +33,9 @@
         return entries;
     }
 
-    private static Node with(TestCluster cluster, int i, long term, List<LogEntry> entries) {
-        Node node = cluster.add(VOTERS.get(i));
+    private static Node startNode(
+            TestCluster cluster, int index, long term, List<LogEntry> entries) {
+        Node node = cluster.add(VOTERS.get(index));
         node.disk =
                 new PersistedState(
                         node.member, term, null, new Snapshot(0, 0, VOTERS, null), entries);
@@ -42,68 +43,71 @@
         return node;
     }
 
-    /** 500 entries of four other terms are undone in as many rounds as there are terms, about. */
+    /** 500 conflicting entries of four terms are removed in about one round per term. */
     @Test
-    public void aLogThatDiffersOverSeveralTermsIsBackedUpByTerm() {
+    public void divergentLogIsBackedUpByTerm() {
         TestCluster cluster = new TestCluster(0, 1 << 20, 1000, 1);
-        with(cluster, 0, 9, log(1, 10, 4, 100, 8, 100));
-        with(cluster, 1, 9, log(1, 10, 4, 100, 8, 100));
-        Node other = with(cluster, 2, 7, log(1, 10, 2, 150, 3, 150, 5, 100, 7, 100));
+        startNode(cluster, 0, 9, logOf(1, 10, 4, 100, 8, 100));
+        startNode(cluster, 1, 9, logOf(1, 10, 4, 100, 8, 100));
+        Node divergent = startNode(cluster, 2, 7, logOf(1, 10, 2, 150, 3, 150, 5, 100, 7, 100));
         int[] refusals = {0};
-        cluster.arrives =
+        cluster.isDelivered =
                 e -> {
                     boolean refusal =
-                            e.message() instanceof ConsensusMessage.AppendReply r && !r.matched();
+                            e.message() instanceof ConsensusMessage.AppendReply reply
+                                    && !reply.matched();
                     refusals[0] += refusal ? 1 : 0;
                     return true;
                 };
         cluster.awaitLeader();
-        cluster.runUntil(1000, TestCluster::agrees);
-        assertEquals(other.applied.size(), 210);
-        assertTrue(refusals[0] <= 5, refusals[0] + " refusals");
+        cluster.runUntil(1000, TestCluster::hasConverged);
+        assertEquals(divergent.applied.size(), 210);
+        assertTrue(refusals[0] <= 5, refusals[0] + " rejections");
     }
 
-    /** Any two logs that can come of elections are made alike, whatever is lost on the way. */
+    /** Random logs that elections can produce converge despite message loss. */
     @Test
-    public void drawnLogsAreMadeAlike() {
+    public void randomLogsConverge() {
         for (long seed = 1; seed <= 200; seed++) {
-            SplittableRandom chance = new SplittableRandom(seed);
+            SplittableRandom random = new SplittableRandom(seed);
             TestCluster cluster = new TestCluster(0, 500, 100, seed);
-            int common = chance.nextInt(20);
+            int commonEntries = random.nextInt(20);
             for (int i = 0; i < 3; i++) {
-                List<Integer> parts = new ArrayList<>(List.of(1, common));
-                // Each term had one leader, so entries of one term are alike.
+                List<Integer> termsAndCounts = new ArrayList<>(List.of(1, commonEntries));
+                // Each term had one leader, so entries of the same term are equal.
                 for (int term = 2 + i; term < 14; term += 3) {
-                    if (chance.nextBoolean()) {
-                        parts.addAll(List.of(term, 1 + chance.nextInt(30)));
+                    if (random.nextBoolean()) {
+                        termsAndCounts.addAll(List.of(term, 1 + random.nextInt(30)));
                     }
                 }
-                with(cluster, i, 14, log(parts.stream().mapToInt(p -> p).toArray()));
+                startNode(
+                        cluster, i, 14, logOf(termsAndCounts.stream().mapToInt(p -> p).toArray()));
             }
-            cluster.arrives = e -> chance.nextInt(10) > 0;
+            cluster.isDelivered = e -> random.nextInt(10) > 0;
             cluster.run(3000);
-            cluster.arrives = e -> true;
+            cluster.isDelivered = e -> true;
             cluster.awaitLeader();
-            cluster.change(20, 50);
-            cluster.runUntil(3000, TestCluster::agrees);
+            cluster.proposeCommands(20, 50);
+            cluster.runUntil(3000, TestCluster::hasConverged);
         }
     }
 
-    /** Entries from before a truncation are not counted as durable for those that replace them. */
+    /** Durable entries that a truncation removed do not count for the entries replacing them. */
     @Test
-    public void aTruncationTakesBackWhatWasDurable() {
+    public void truncationLowersDurableIndex() {
         assertEquals(acknowledgedBeforeSync(), 10);
         assertEquals(acknowledgedBeforeSync(ConsensusSafeguard.TRUNCATION_RESETS_DURABLE), 30);
     }
 
-    private static long acknowledgedBeforeSync(ConsensusSafeguard... out) {
-        TestCluster cluster = new TestCluster(0, 1 << 20, 1000, 1, out);
-        Node node = with(cluster, 2, 2, log(1, 10, 2, 20));
+    private static long acknowledgedBeforeSync(ConsensusSafeguard... disabled) {
+        TestCluster cluster = new TestCluster(0, 1 << 20, 1000, 1, disabled);
+        Node node = startNode(cluster, 2, 2, logOf(1, 10, 2, 20));
         long[] acknowledged = {0};
-        cluster.arrives =
+        cluster.isDelivered =
                 e -> {
-                    if (e.message() instanceof ConsensusMessage.AppendReply r && r.matched()) {
-                        acknowledged[0] = Math.max(acknowledged[0], r.lastIndex());
+                    if (e.message() instanceof ConsensusMessage.AppendReply reply
+                            && reply.matched()) {
+                        acknowledged[0] = Math.max(acknowledged[0], reply.lastIndex());
                     }
                     return false;
                 };
@@ -111,24 +115,25 @@
         node.replica.receive(
                 cluster.now,
                 VOTERS.get(0),
-                new ConsensusMessage.AppendEntries(3, 10, 1, log(3, 20), 10, 0));
+                new ConsensusMessage.AppendEntries(3, 10, 1, logOf(3, 20), 10, 0));
         return acknowledged[0];
     }
 
-    /** Late entries that match what is there remove nothing. */
+    /** Delayed entries that match the log do not remove the entries after them. */
     @Test
-    public void lateEntriesRemoveNothingThatMatches() {
-        assertEquals(lastAfterLateEntries(), 30);
-        assertEquals(lastAfterLateEntries(ConsensusSafeguard.TRUNCATE_ONLY_ON_CONFLICT), 15);
+    public void delayedEntriesDoNotTruncateMatchingLog() {
+        assertEquals(lastIndexAfterDelayedEntries(), 30);
+        assertEquals(
+                lastIndexAfterDelayedEntries(ConsensusSafeguard.TRUNCATE_ONLY_ON_CONFLICT), 15);
     }
 
-    private static long lastAfterLateEntries(ConsensusSafeguard... out) {
-        TestCluster cluster = new TestCluster(0, 1 << 20, 1000, 1, out);
-        Node node = with(cluster, 2, 2, log(1, 10, 2, 20));
+    private static long lastIndexAfterDelayedEntries(ConsensusSafeguard... disabled) {
+        TestCluster cluster = new TestCluster(0, 1 << 20, 1000, 1, disabled);
+        Node node = startNode(cluster, 2, 2, logOf(1, 10, 2, 20));
         node.replica.receive(
                 cluster.now,
                 VOTERS.get(0),
-                new ConsensusMessage.AppendEntries(2, 10, 1, log(2, 5), 10, 0));
+                new ConsensusMessage.AppendEntries(2, 10, 1, logOf(2, 5), 10, 0));
         cluster.run(10);
         return node.disk.entries().size();
     }
--- a/src/test/java/gingerspool/consensus/SnapshotTransferTest.java
+++ b/src/test/java/gingerspool/consensus/SnapshotTransferTest.java
@@ -11,236 +11,255 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Members that lack more than the leader's log still has are brought up by snapshots in pieces. */
+/** Followers that need entries which the leader has compacted receive a snapshot in pieces. */
 public class SnapshotTransferTest {
-    private static final int FLOOR = 5_000;
-    private static final int PIECE = 500;
+    private static final int SNAPSHOT_THRESHOLD_BYTES = 5_000;
+    private static final int PIECE_BYTES = 500;
 
-    /** A follower that is down while the log is replaced by snapshots, and the leader. */
-    private static final class Away {
+    /** A cluster with one follower that is down while the leader compacts its log. */
+    private static final class LaggingFollower {
         final TestCluster cluster;
         final Node leader;
         final Node follower;
 
-        Away(long seed, int changes, int bytes, ConsensusSafeguard... out) {
-            cluster = new TestCluster(3, FLOOR, PIECE, seed, out);
+        LaggingFollower(long seed, int commands, int bytes, ConsensusSafeguard... disabled) {
+            cluster = new TestCluster(3, SNAPSHOT_THRESHOLD_BYTES, PIECE_BYTES, seed, disabled);
             leader = cluster.awaitLeader();
-            cluster.change(5, 100);
+            cluster.proposeCommands(5, 100);
             follower = cluster.nodes.values().stream().filter(n -> n != leader).findFirst().get();
             follower.stop(0);
-            cluster.change(changes, bytes);
+            cluster.proposeCommands(commands, bytes);
         }
 
-        void comeBack() {
+        void restartFollower() {
             follower.start(List.of());
         }
 
-        double untilAgreed(double most) {
-            return cluster.runUntil(most, TestCluster::agrees);
+        double awaitConvergence(double maxMs) {
+            return cluster.runUntil(maxMs, TestCluster::hasConverged);
         }
     }
 
-    private static boolean isPiece(ConsensusMessage.Envelope e) {
-        return e.message() instanceof ConsensusMessage.InstallSnapshot;
+    private static boolean isSnapshotPiece(ConsensusMessage.Envelope envelope) {
+        return envelope.message() instanceof ConsensusMessage.InstallSnapshot;
     }
 
-    private static ConsensusMessage.InstallSnapshot piece(ConsensusMessage.Envelope e) {
-        return (ConsensusMessage.InstallSnapshot) e.message();
+    private static ConsensusMessage.InstallSnapshot installMessage(
+            ConsensusMessage.Envelope envelope) {
+        return (ConsensusMessage.InstallSnapshot) envelope.message();
     }
 
-    /** 500 changes behind, with eight more under way at any time, it is back within a second. */
+    /**
+     * A follower that missed 500 commands is at most eight entries behind within one second, while
+     * a command is proposed every 3 ms.
+     */
     @Test
-    public void aMemberAwayFor500ChangesIsBackWhileChangesGoOn() {
-        Away away = new Away(1, 500, 200);
-        away.comeBack();
-        TestCluster cluster = away.cluster;
-        double took = 0;
-        long behind = Long.MAX_VALUE;
-        while (behind > 8) {
-            assertTrue(took < 1000, behind + " entries behind after " + took + " ms");
-            if (took % 3 == 0) {
+    public void laggingFollowerCatchesUpUnderLoad() {
+        LaggingFollower lagging = new LaggingFollower(1, 500, 200);
+        lagging.restartFollower();
+        TestCluster cluster = lagging.cluster;
+        double elapsedMs = 0;
+        long lag = Long.MAX_VALUE;
+        while (lag > 8) {
+            assertTrue(elapsedMs < 1000, lag + " entries behind after " + elapsedMs + " ms");
+            if (elapsedMs % 3 == 0) {
                 cluster.propose(200);
             }
             cluster.run(1);
-            took++;
-            behind = away.leader.replica.appliedIndex() - away.follower.replica.appliedIndex();
+            elapsedMs++;
+            lag = lagging.leader.replica.appliedIndex() - lagging.follower.replica.appliedIndex();
         }
-        away.untilAgreed(1000);
+        lagging.awaitConvergence(1000);
     }
 
-    /** Pieces and answers are lost, late and come twice; more is changed meanwhile. */
+    /** Pieces and replies are lost, delayed and duplicated while commands are proposed. */
     @Test
-    public void anyLossAndOrderOfPiecesIsMended() {
+    public void transferSurvivesLossReorderingAndDuplicates() {
         for (long seed = 1; seed <= 50; seed++) {
-            Away away = new Away(seed, 60, 300);
-            SplittableRandom chance = new SplittableRandom(seed);
-            List<ConsensusMessage.Envelope> twice = new ArrayList<>();
-            away.cluster.delaySpread = 30;
-            away.cluster.arrives =
+            LaggingFollower lagging = new LaggingFollower(seed, 60, 300);
+            SplittableRandom random = new SplittableRandom(seed);
+            List<ConsensusMessage.Envelope> duplicates = new ArrayList<>();
+            lagging.cluster.delaySpreadMs = 30;
+            lagging.cluster.isDelivered =
                     e -> {
-                        if (isPiece(e) && chance.nextInt(3) == 0) {
-                            twice.add(e);
+                        if (isSnapshotPiece(e) && random.nextInt(3) == 0) {
+                            duplicates.add(e);
                         }
                         boolean transfer =
-                                isPiece(e) || e.message() instanceof ConsensusMessage.SnapshotReply;
-                        return !transfer || chance.nextInt(3) > 0;
+                                isSnapshotPiece(e)
+                                        || e.message() instanceof ConsensusMessage.SnapshotReply;
+                        return !transfer || random.nextInt(3) > 0;
                     };
-            away.comeBack();
+            lagging.restartFollower();
             for (int i = 0; i < 40; i++) {
-                away.cluster.propose(100);
-                away.cluster.run(25);
-                if (!twice.isEmpty()) {
-                    ConsensusMessage.Envelope late = twice.remove(chance.nextInt(twice.size()));
-                    away.follower.replica.receive(away.cluster.now, late.from(), late.message());
+                lagging.cluster.propose(100);
+                lagging.cluster.run(25);
+                if (!duplicates.isEmpty()) {
+                    ConsensusMessage.Envelope duplicate =
+                            duplicates.remove(random.nextInt(duplicates.size()));
+                    lagging.follower.replica.receive(
+                            lagging.cluster.now, duplicate.from(), duplicate.message());
                 }
             }
-            away.cluster.arrives = e -> true;
-            away.cluster.delaySpread = 0;
-            away.untilAgreed(5000);
+            lagging.cluster.isDelivered = e -> true;
+            lagging.cluster.delaySpreadMs = 0;
+            lagging.awaitConvergence(5000);
         }
     }
 
-    /** What has arrived is kept when the link is cut, and when another leader goes on with it. */
+    /** Pieces received before an interruption of the transfer are kept and not sent again. */
     @Test
-    public void aTransferIsResumed() {
-        Away away = new Away(3, 40, 4000);
-        TestCluster cluster = away.cluster;
-        cluster.arrives = e -> !isPiece(e) || piece(e).piece().number() < 5;
-        away.comeBack();
+    public void interruptedTransferResumes() {
+        LaggingFollower lagging = new LaggingFollower(3, 40, 4000);
+        TestCluster cluster = lagging.cluster;
+        cluster.isDelivered = e -> !isSnapshotPiece(e) || installMessage(e).piece().number() < 5;
+        lagging.restartFollower();
         cluster.run(300);
-        List<Integer> sent = new ArrayList<>();
-        cluster.arrives =
+        List<Integer> sentPieces = new ArrayList<>();
+        cluster.isDelivered =
                 e -> {
-                    if (isPiece(e) && piece(e).piece().pieces() > 5) {
-                        sent.add(piece(e).piece().number());
+                    if (isSnapshotPiece(e) && installMessage(e).piece().pieces() > 5) {
+                        sentPieces.add(installMessage(e).piece().number());
                     }
                     return true;
                 };
-        away.untilAgreed(3000);
-        assertTrue(sent.stream().allMatch(n -> n >= 5), "sent again: " + sent);
-        assertFalse(sent.isEmpty());
+        lagging.awaitConvergence(3000);
+        assertTrue(sentPieces.stream().allMatch(n -> n >= 5), "pieces sent again: " + sentPieces);
+        assertFalse(sentPieces.isEmpty());
     }
 
     @Test
-    public void theLeaderIsLostWhileItSends() {
+    public void transferSurvivesLossOfLeader() {
         for (long seed = 1; seed <= 20; seed++) {
-            Away away = new Away(seed, 40, 4000);
-            TestCluster cluster = away.cluster;
-            cluster.arrives = e -> !isPiece(e) || piece(e).piece().number() < 3;
-            away.comeBack();
+            LaggingFollower lagging = new LaggingFollower(seed, 40, 4000);
+            TestCluster cluster = lagging.cluster;
+            cluster.isDelivered =
+                    e -> !isSnapshotPiece(e) || installMessage(e).piece().number() < 3;
+            lagging.restartFollower();
             cluster.run(200);
-            away.leader.stop(0);
-            cluster.arrives = e -> true;
+            lagging.leader.stop(0);
+            cluster.isDelivered = e -> true;
             cluster.awaitLeader();
             cluster.run(1000);
-            assertTrue(cluster.agrees(), "seed " + seed);
-            away.leader.start(List.of());
+            assertTrue(cluster.hasConverged(), "seed " + seed);
+            lagging.leader.start(List.of());
             cluster.run(1000);
-            assertTrue(cluster.agrees(), "seed " + seed);
+            assertTrue(cluster.hasConverged(), "seed " + seed);
         }
     }
 
     /**
-     * A piece that was changed on its way: with the guard it is sent again, without it is taken.
+     * A piece is corrupted in transit: with the safeguard the snapshot is sent again, without it
+     * the corrupted snapshot is installed.
      */
     @Test
-    public void aWrongDigestIsNotInstalled() {
-        assertTrue(agreesAfterDamage());
-        assertFalse(agreesAfterDamage(ConsensusSafeguard.SNAPSHOT_DIGEST_CHECKED));
+    public void snapshotWithWrongDigestIsNotInstalled() {
+        assertTrue(convergesAfterCorruption());
+        assertFalse(convergesAfterCorruption(ConsensusSafeguard.SNAPSHOT_DIGEST_CHECKED));
     }
 
-    private static boolean agreesAfterDamage(ConsensusSafeguard... out) {
-        Away away = new Away(4, 40, 4000, out);
-        boolean[] damaged = {false};
-        away.cluster.onItsWay =
+    private static boolean convergesAfterCorruption(ConsensusSafeguard... disabled) {
+        LaggingFollower lagging = new LaggingFollower(4, 40, 4000, disabled);
+        boolean[] corrupted = {false};
+        lagging.cluster.inTransit =
                 e -> {
-                    if (damaged[0] || !isPiece(e) || piece(e).piece().number() != 4) {
+                    if (corrupted[0]
+                            || !isSnapshotPiece(e)
+                            || installMessage(e).piece().number() != 4) {
                         return e;
                     }
-                    damaged[0] = true;
-                    ConsensusMessage.InstallSnapshot m = piece(e);
-                    SnapshotPiece p = m.piece();
-                    byte[] bytes = p.bytes().clone();
+                    corrupted[0] = true;
+                    ConsensusMessage.InstallSnapshot install = installMessage(e);
+                    SnapshotPiece original = install.piece();
+                    byte[] bytes = original.bytes().clone();
                     bytes[bytes.length - 1] ^= 1;
-                    SnapshotPiece changed =
+                    SnapshotPiece corruptedPiece =
                             new SnapshotPiece(
-                                    p.index(),
-                                    p.snapshotTerm(),
-                                    p.voters(),
-                                    p.digest(),
-                                    p.pieces(),
-                                    p.number(),
+                                    original.index(),
+                                    original.snapshotTerm(),
+                                    original.voters(),
+                                    original.digest(),
+                                    original.pieces(),
+                                    original.number(),
                                     bytes);
                     return new ConsensusMessage.Envelope(
                             e.from(),
                             e.to(),
                             new ConsensusMessage.InstallSnapshot(
-                                    m.term(), changed, m.commitIndex(), m.sentAt()));
+                                    install.term(),
+                                    corruptedPiece,
+                                    install.commitIndex(),
+                                    install.sentAt()));
                 };
-        away.comeBack();
-        away.cluster.run(2000);
-        assertTrue(damaged[0]);
-        return away.cluster.agrees();
+        lagging.restartFollower();
+        lagging.cluster.run(2000);
+        assertTrue(corrupted[0]);
+        return lagging.cluster.hasConverged();
     }
 
-    /** A snapshot that arrives after more was applied: with the guard it changes nothing. */
+    /** A snapshot older than the applied state changes nothing while the safeguard is enabled. */
     @Test
-    public void aLateSnapshotDoesNotTakeTheStateBack() {
-        assertTrue(stateAfterLateSnapshot() > 60);
-        assertTrue(stateAfterLateSnapshot(ConsensusSafeguard.SNAPSHOT_ONLY_FORWARD) <= 60);
+    public void delayedSnapshotDoesNotRevertState() {
+        assertTrue(appliedAfterDelayedSnapshot() > 60);
+        assertTrue(appliedAfterDelayedSnapshot(ConsensusSafeguard.SNAPSHOT_ONLY_FORWARD) <= 60);
     }
 
-    private static int stateAfterLateSnapshot(ConsensusSafeguard... out) {
-        Away away = new Away(5, 50, 300, out);
+    private static int appliedAfterDelayedSnapshot(ConsensusSafeguard... disabled) {
+        LaggingFollower lagging = new LaggingFollower(5, 50, 300, disabled);
         List<ConsensusMessage.Envelope> pieces = new ArrayList<>();
-        away.cluster.arrives =
+        lagging.cluster.isDelivered =
                 e -> {
-                    if (isPiece(e)) {
+                    if (isSnapshotPiece(e)) {
                         pieces.add(e);
                     }
                     return true;
                 };
-        away.comeBack();
-        away.untilAgreed(2000);
-        away.cluster.change(10, 100);
-        away.cluster.nodes.values().forEach(n -> assertEquals(n.applied.size(), 65));
-        away.cluster.arrives = e -> false;
-        pieces.forEach(e -> away.follower.replica.receive(away.cluster.now, e.from(), e.message()));
-        return away.follower.applied.size();
+        lagging.restartFollower();
+        lagging.awaitConvergence(2000);
+        lagging.cluster.proposeCommands(10, 100);
+        lagging.cluster.nodes.values().forEach(n -> assertEquals(n.applied.size(), 65));
+        lagging.cluster.isDelivered = e -> false;
+        pieces.forEach(
+                e -> lagging.follower.replica.receive(lagging.cluster.now, e.from(), e.message()));
+        return lagging.follower.applied.size();
     }
 
-    /** The disk fills while the snapshot is installed, and then the process ends, at any write. */
+    /**
+     * The disk fails while a snapshot is installed, at each of 40 points in time. Then it either
+     * works again, or the process restarts with some of the unsynced writes on disk.
+     */
     @Test
-    public void aFullDiskOrARestartDuringTheInstallLosesNothing() {
+    public void diskFailureOrRestartDuringInstallLosesNothing() {
         for (int step = 0; step < 40; step++) {
-            Away away = new Away(6, 40, 1000);
-            away.comeBack();
-            away.cluster.run(step);
-            away.follower.diskFails = true;
-            away.cluster.change(3, 100);
+            LaggingFollower lagging = new LaggingFollower(6, 40, 1000);
+            lagging.restartFollower();
+            lagging.cluster.run(step);
+            lagging.follower.diskFails = true;
+            lagging.cluster.proposeCommands(3, 100);
             if (step % 2 == 0) {
-                away.follower.diskWorksAgain();
+                lagging.follower.repairDisk();
             } else {
-                away.follower.stop(step / 2 % (away.follower.unsynced.size() + 1));
-                away.follower.diskFails = false;
-                away.follower.start(List.of());
+                lagging.follower.stop(step / 2 % (lagging.follower.unsynced.size() + 1));
+                lagging.follower.diskFails = false;
+                lagging.follower.start(List.of());
             }
-            away.untilAgreed(3000);
+            lagging.awaitConvergence(3000);
         }
     }
 
     /**
-     * A snapshot comes to a member that holds acknowledged entries beyond it: they stay. Without
-     * the guard it holds fewer than it acknowledged.
+     * A member that installs a snapshot keeps the acknowledged entries after it. Without the
+     * safeguard it would hold fewer entries than it has acknowledged.
      */
     @Test
-    public void entriesBeyondASnapshotStay() {
-        assertEquals(lastAfterInstall(), 8);
-        assertEquals(lastAfterInstall(ConsensusSafeguard.SNAPSHOT_KEEPS_MATCHING_LOG), 4);
+    public void entriesAfterSnapshotAreKept() {
+        assertEquals(lastIndexAfterInstall(), 8);
+        assertEquals(lastIndexAfterInstall(ConsensusSafeguard.SNAPSHOT_KEEPS_MATCHING_LOG), 4);
     }
 
-    private static long lastAfterInstall(ConsensusSafeguard... out) {
-        TestCluster cluster = new TestCluster(0, FLOOR, PIECE, 1, out);
+    private static long lastIndexAfterInstall(ConsensusSafeguard... disabled) {
+        TestCluster cluster =
+                new TestCluster(0, SNAPSHOT_THRESHOLD_BYTES, PIECE_BYTES, 1, disabled);
         Member self = new Member("n1", "0");
         Member leader = new Member("n0", "0");
         Node node = cluster.add(self);
@@ -260,10 +279,13 @@
         return node.disk.snapshot().index() + node.disk.entries().size();
     }
 
-    /** Guards against a count of pieces that takes the heap of who reads it, or ends its loop. */
-    @Test(dataProvider = "countsOfPieces")
-    public void aCountOfPiecesReservesNothing(int pieces) {
-        TestCluster cluster = new TestCluster(0, FLOOR, PIECE, 1);
+    /**
+     * Guards against a piece count in a message that exhausts the receiver's heap or ends its event
+     * loop.
+     */
+    @Test(dataProvider = "pieceCounts")
+    public void pieceCountDoesNotReserveMemory(int pieces) {
+        TestCluster cluster = new TestCluster(0, SNAPSHOT_THRESHOLD_BYTES, PIECE_BYTES, 1);
         Member self = new Member("n1", "0");
         Member leader = new Member("n0", "0");
         Node node = cluster.add(self);
@@ -278,7 +300,7 @@
     }
 
     @DataProvider
-    Object[][] countsOfPieces() {
+    Object[][] pieceCounts() {
         return new Object[][] {{Integer.MAX_VALUE}, {0}, {-1}};
     }
 }
--- a/src/test/java/gingerspool/consensus/TestCluster.java
+++ b/src/test/java/gingerspool/consensus/TestCluster.java
@@ -13,54 +13,63 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Replicas with links of a millisecond and disks of two, in steps of a millisecond: for histories
- * told message by message. The state is the list of the commands' first numbers and the bytes of
- * the last command.
+ * A simulated cluster of replicas for deterministic tests at the level of single messages. Time
+ * advances in steps of 1 ms, messages take 1 ms by default and disk syncs 2 ms. The replicated
+ * state is the list of the first number in each command, and the bytes of the last command.
  */
 final class TestCluster {
-    static final double LEASE = 600;
+    static final double LEASE_MS = 600;
+
+    /** How long a disk sync takes. */
     private static final double DISK_MS = 2;
 
-    private record Event(double at, long serial, Runnable what) {}
+    private record Event(double at, long serial, Runnable action) {}
 
-    /** One machine with its disk. */
+    /** One machine with its disk, and its replica while it runs. */
     final class Node implements ReplicaEnvironment {
         final Member member;
         Replica replica;
         PersistedState disk;
+
+        /** The writes that are not durable yet, the oldest first. */
         final List<LogWrite> unsynced = new ArrayList<>();
+
+        /** While set, no write becomes durable. */
         boolean diskFails;
+
         final List<Long> applied = new ArrayList<>();
-        private byte[] last = {};
-        private long life;
+        private byte[] lastCommand = {};
+
+        /** Increases with each start and stop; syncs of earlier incarnations are ignored. */
+        private long incarnation;
 
         Node(Member member) {
             this.member = member;
         }
 
         void start(List<Member> founders) {
-            life++;
+            incarnation++;
             applied.clear();
-            last = new byte[0];
+            lastCommand = new byte[0];
             unsynced.clear();
             ReplicaSettings settings =
                     new ReplicaSettings(
                             1,
-                            LEASE,
+                            LEASE_MS,
                             List.of("n0", "n1", "n2"),
-                            chance.nextLong(),
-                            snapshotFloor,
+                            random.nextLong(),
+                            snapshotThresholdBytes,
                             pieceBytes,
-                            out);
+                            disabled);
             replica = new Replica(member, disk, founders, settings, now, this);
         }
 
-        /** The process ends; this many of the writes that were not synced are on disk. */
-        void stop(int kept) {
-            life++;
+        /** Ends the process; this many of the unsynced writes are on disk afterwards. */
+        void stop(int writesKept) {
+            incarnation++;
             replica = null;
-            for (int i = 0; i < kept; i++) {
-                disk = merged(disk, unsynced.get(i));
+            for (int i = 0; i < writesKept; i++) {
+                disk = withWrite(disk, unsynced.get(i));
             }
             unsynced.clear();
         }
@@ -77,32 +86,32 @@
         }
 
         private void sync(long ticket) {
-            long of = life;
-            after(
+            long startedIn = incarnation;
+            schedule(
                     DISK_MS,
                     () -> {
-                        if (life == of && !diskFails) {
+                        if (incarnation == startedIn && !diskFails) {
                             while (!unsynced.isEmpty() && unsynced.get(0).ticket() <= ticket) {
-                                disk = merged(disk, unsynced.remove(0));
+                                disk = withWrite(disk, unsynced.remove(0));
                             }
                             replica.persisted(now, ticket);
                         }
                     });
         }
 
-        /** The disk takes bytes again, and everything is written anew. */
-        void diskWorksAgain() {
+        /** Ends the disk failure and writes the complete durable state again. */
+        void repairDisk() {
             diskFails = false;
             unsynced.clear();
-            LogWrite whole = replica.fullState();
-            unsynced.add(whole);
-            sync(whole.ticket());
+            LogWrite fullWrite = replica.fullState();
+            unsynced.add(fullWrite);
+            sync(fullWrite.ticket());
         }
 
         @Override
         public void apply(long index, byte[] command) {
             applied.add(ByteBuffer.wrap(command).getLong());
-            last = command;
+            lastCommand = command;
         }
 
         @Override
@@ -112,27 +121,28 @@
             for (int count = buffer.getInt(); count > 0; count--) {
                 applied.add(buffer.getLong());
             }
-            last = new byte[buffer.remaining()];
-            buffer.get(last);
+            lastCommand = new byte[buffer.remaining()];
+            buffer.get(lastCommand);
         }
 
         @Override
         public byte[] snapshotState() {
             ByteBuffer buffer =
-                    ByteBuffer.allocate(Integer.BYTES + Long.BYTES * applied.size() + last.length);
+                    ByteBuffer.allocate(
+                            Integer.BYTES + Long.BYTES * applied.size() + lastCommand.length);
             buffer.putInt(applied.size());
             applied.forEach(buffer::putLong);
-            return buffer.put(last).array();
+            return buffer.put(lastCommand).array();
         }
 
-        boolean leads() {
+        boolean isActiveLeader() {
             return replica != null && replica.isActiveLeader(now);
         }
     }
 
-    private final int snapshotFloor;
+    private final int snapshotThresholdBytes;
     private final int pieceBytes;
-    private final Set<ConsensusSafeguard> out;
+    private final Set<ConsensusSafeguard> disabled;
     final Map<String, Node> nodes = new LinkedHashMap<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
@@ -141,29 +151,35 @@
     private long serial;
     double now;
 
-    /** Which messages arrive. */
-    Predicate<ConsensusMessage.Envelope> arrives = e -> true;
+    /** Which messages are delivered; the others are lost. */
+    Predicate<ConsensusMessage.Envelope> isDelivered = e -> true;
+
+    /** Maps each message in transit to the one that is delivered. */
+    UnaryOperator<ConsensusMessage.Envelope> inTransit = e -> e;
 
-    /** What becomes of them on their way. */
-    UnaryOperator<ConsensusMessage.Envelope> onItsWay = e -> e;
+    /** The minimum delay of a message. */
+    double delayMs = 1;
 
-    /** How long one is on its way, in milliseconds. */
-    double delay = 1;
+    /** The most random delay of a message in addition to the minimum. */
+    double delaySpreadMs;
 
-    double delaySpread;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
 
     TestCluster(
-            int founders, int snapshotFloor, int pieceBytes, long seed, ConsensusSafeguard... out) {
-        this.snapshotFloor = snapshotFloor;
+            int founders,
+            int snapshotThresholdBytes,
+            int pieceBytes,
+            long seed,
+            ConsensusSafeguard... disabled) {
+        this.snapshotThresholdBytes = snapshotThresholdBytes;
         this.pieceBytes = pieceBytes;
-        this.out = Set.of(out);
-        chance = new SplittableRandom(seed);
-        List<Member> all = new ArrayList<>();
+        this.disabled = Set.of(disabled);
+        random = new SplittableRandom(seed);
+        List<Member> founderMembers = new ArrayList<>();
         for (int i = 0; i < founders; i++) {
-            all.add(new Member("n" + i, Member.FOUNDER));
+            founderMembers.add(new Member("n" + i, Member.FOUNDER));
         }
-        all.forEach(m -> add(m).start(all));
+        founderMembers.forEach(m -> add(m).start(founderMembers));
     }
 
     Node add(Member member) {
@@ -172,11 +188,12 @@
         return node;
     }
 
-    Node node(int i) {
-        return nodes.get("n" + i);
+    Node node(int index) {
+        return nodes.get("n" + index);
     }
 
-    static PersistedState merged(PersistedState disk, LogWrite write) {
+    /** The contents of a disk after a write. */
+    static PersistedState withWrite(PersistedState disk, LogWrite write) {
         Snapshot base = write.snapshot() != null ? write.snapshot() : disk.snapshot();
         List<LogEntry> entries = new ArrayList<>();
         if (write.snapshot() == null) {
@@ -187,30 +204,32 @@
         return new PersistedState(write.self(), write.term(), write.votedFor(), base, entries);
     }
 
-    void after(double span, Runnable what) {
-        events.add(new Event(now + span, serial++, what));
+    void schedule(double afterMs, Runnable action) {
+        events.add(new Event(now + afterMs, serial++, action));
     }
 
     private void post(ConsensusMessage.Envelope sent) {
-        if (!arrives.test(sent)) {
+        if (!isDelivered.test(sent)) {
             return;
         }
-        ConsensusMessage.Envelope envelope = onItsWay.apply(sent);
-        after(
-                delay + delaySpread * chance.nextDouble(),
+        ConsensusMessage.Envelope envelope = inTransit.apply(sent);
+        schedule(
+                delayMs + delaySpreadMs * random.nextDouble(),
                 () -> {
-                    Node to = nodes.get(envelope.to().ip());
-                    if (to != null && to.replica != null && envelope.isFor(to.replica.self())) {
-                        to.replica.receive(now, envelope.from(), envelope.message());
+                    Node receiver = nodes.get(envelope.to().ip());
+                    if (receiver != null
+                            && receiver.replica != null
+                            && envelope.isFor(receiver.replica.self())) {
+                        receiver.replica.receive(now, envelope.from(), envelope.message());
                     }
                 });
     }
 
-    /** Plays so many milliseconds. */
-    void run(double span) {
-        for (double end = now + span; now < end; now++) {
+    /** Runs the cluster for a duration. */
+    void run(double durationMs) {
+        for (double endsAt = now + durationMs; now < endsAt; now++) {
             while (!events.isEmpty() && events.peek().at() <= now) {
-                events.poll().what().run();
+                events.poll().action().run();
             }
             for (Node node : List.copyOf(nodes.values())) {
                 if (node.replica != null && node.replica.nextTick() <= now) {
@@ -220,29 +239,32 @@
         }
     }
 
-    /** Plays until it is so, for so long at most; how long it took. */
-    double runUntil(double most, Predicate<TestCluster> is) {
-        double begin = now;
-        while (!is.test(this)) {
-            if (now > begin + most) {
-                throw new AssertionError("not within " + most + " ms");
+    /**
+     * Runs the cluster until a condition holds and returns the elapsed milliseconds; fails if it
+     * does not hold in time.
+     */
+    double runUntil(double maxMs, Predicate<TestCluster> condition) {
+        double startedAt = now;
+        while (!condition.test(this)) {
+            if (now > startedAt + maxMs) {
+                throw new AssertionError("not within " + maxMs + " ms");
             }
             run(1);
         }
-        return now - begin;
+        return now - startedAt;
     }
 
     Node leader() {
-        return nodes.values().stream().filter(Node::leads).findFirst().orElse(null);
+        return nodes.values().stream().filter(Node::isActiveLeader).findFirst().orElse(null);
     }
 
     Node awaitLeader() {
-        runUntil(10 * LEASE, c -> c.leader() != null);
+        runUntil(10 * LEASE_MS, c -> c.leader() != null);
         return leader();
     }
 
-    /** The leader takes this many commands of so many bytes, and all that are up apply them. */
-    void change(int count, int bytes) {
+    /** Proposes commands of this size to the leader, and leaves time for applying them. */
+    void proposeCommands(int count, int bytes) {
         for (int i = 0; i < count; i++) {
             propose(bytes);
             run(2);
@@ -250,7 +272,7 @@
         run(20);
     }
 
-    private long proposed;
+    private long proposedCount;
 
     boolean propose(int bytes) {
         Node leader = leader();
@@ -258,12 +280,12 @@
                 && leader.replica.propose(
                         now,
                         ByteBuffer.allocate(Math.max(bytes, Long.BYTES))
-                                .putLong(++proposed)
+                                .putLong(++proposedCount)
                                 .array());
     }
 
-    /** Whether all replicas that are up have applied as much, and come to the same state. */
-    boolean agrees() {
+    /** Whether all running replicas have applied the same entries and have the same state. */
+    boolean hasConverged() {
         Node leader = leader();
         return leader != null
                 && nodes.values().stream()
