--- a/src/main/java/gingerspool/consensus/Departure.java
+++ b/src/main/java/gingerspool/consensus/Departure.java
@@ -3,21 +3,24 @@
 import gingerspool.consensus.ReplicaContext.Role;
 
 /**
- * How this member leaves in order: a leader is replaced, if a learner is ready, or hands over; any
- * other asks the leader for its replacement. It may stop once that is agreed on, or nobody is there
- * to replace it.
+ * The orderly departure of this member. A leader first tries to be replaced as a voter if a learner
+ * is ready, otherwise it transfers the leadership; any other voter asks the leader to replace it.
+ * The process may stop once the replacement is committed, or if no replacement is available. Called
+ * by {@link Replica}; times are in milliseconds.
  */
 final class Departure {
-    /** For so many leases a leader that leaves tries to be replaced before it hands over. */
+    /** How long a departing leader waits for its replacement before it resigns, in leases. */
     private static final double REPLACEMENT_WAIT_LEASES = 1;
 
     private final ReplicaContext context;
     private final Election election;
     private final Membership membership;
     private final LeadershipTransfer transfer;
-    private double begunAt;
-    private double askAt;
-    private boolean noReplacement;
+    private double startedAt;
+    private double nextAttemptAt;
+
+    /** Whether the leader's last reply was that no learner can replace this member. */
+    private boolean noReplacementAvailable;
 
     Departure(
             ReplicaContext context,
@@ -30,42 +33,45 @@
         this.transfer = transfer;
     }
 
+    /** Starts the departure; a repeated call only retries at once. */
     void begin() {
         if (!context.leaving) {
-            begunAt = context.now;
+            startedAt = context.now;
         }
         context.leaving = true;
-        askAt = context.now;
+        nextAttemptAt = context.now;
         tick();
     }
 
+    /** Retries the departure once per heartbeat interval. */
     void tick() {
-        if (!context.leaving || context.now < askAt) {
+        if (!context.leaving || context.now < nextAttemptAt) {
             return;
         }
-        askAt = context.now + context.heartbeat();
+        nextAttemptAt = context.now + context.heartbeatIntervalMs();
         if (context.role == Role.LEADER) {
             leaveAsLeader();
         } else if (context.isVoter()) {
-            askForReplacement();
+            requestReplacement();
         }
     }
 
     double nextTick() {
-        return context.leaving ? askAt : Double.POSITIVE_INFINITY;
+        return context.leaving ? nextAttemptAt : Double.POSITIVE_INFINITY;
     }
 
     private void leaveAsLeader() {
-        boolean replaced = membership.hasReadyLearner() || membership.isChanging();
-        double from = Math.max(begunAt, membership.electedAt());
-        if (replaced && context.now < from + REPLACEMENT_WAIT_LEASES * context.lease()) {
+        boolean canBeReplaced = membership.hasReadyLearner() || membership.isChanging();
+        double waitingSince = Math.max(startedAt, membership.electedAt());
+        if (canBeReplaced
+                && context.now < waitingSince + REPLACEMENT_WAIT_LEASES * context.leaseMs()) {
             membership.advance();
         } else {
-            transfer.run();
+            transfer.start();
         }
     }
 
-    private void askForReplacement() {
+    private void requestReplacement() {
         Member leader = election.leader(context.now);
         if (leader != null) {
             context.send(leader, new ConsensusMessage.LeaveRequest(context.term));
@@ -74,17 +80,18 @@
 
     void onLeaveReply(ConsensusMessage.LeaveReply reply) {
         if (reply.term() == context.term) {
-            noReplacement = !reply.replacementWaits();
+            noReplacementAvailable = !reply.replacementWaits();
         }
     }
 
-    /** Whether nothing is lost if this member's process ends now. */
+    /** Whether the process of this member may end now without loss. */
     boolean mayStop() {
         if (!context.hasSafeguard(ConsensusSafeguard.LEAVER_STAYS_UNTIL_SWAPPED)
                 || !context.isVoter()) {
             return true;
         }
-        boolean alone = context.log.voters().all().size() == 1;
-        return context.leaving && context.role != Role.LEADER && noReplacement || alone;
+        boolean isOnlyVoter = context.log.voters().all().size() == 1;
+        return context.leaving && context.role != Role.LEADER && noReplacementAvailable
+                || isOnlyVoter;
     }
 }
--- a/src/main/java/gingerspool/consensus/Durability.java
+++ b/src/main/java/gingerspool/consensus/Durability.java
@@ -2,19 +2,33 @@
 
 import java.util.ArrayDeque;
 
-/** Which writes of this replica are durable, and what waits for one to be. */
+/**
+ * Tracks which writes of this replica are durable, and runs the actions that wait for one. Writes
+ * are numbered by tickets, which increase by one with each write.
+ */
 final class Durability {
-    private record Waiting(long ticket, Runnable then) {}
+    /** An action to run once the write with this ticket is durable. */
+    private record PendingAction(long ticket, Runnable action) {}
 
     private final ReplicaContext context;
     private final Runnable onDurableEntries;
-    private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
-    private long ticket;
-    private long savedTicket;
+    private final ArrayDeque<PendingAction> pendingActions = new ArrayDeque<>();
+
+    /** The ticket of the newest write. */
+    private long lastTicket;
+
+    /** The ticket up to which all writes are durable. */
+    private long durableTicket;
+
+    /** The ticket of the write of the newest term and vote. */
     private long voteTicket;
+
     private long durableIndex;
 
-    /** Counts truncations: writes from before one say nothing of the entries after it. */
+    /**
+     * The number of truncations. A write started before a truncation does not show that the entries
+     * appended after it are durable.
+     */
     private long truncations;
 
     Durability(ReplicaContext context, long durableIndex, Runnable onDurableEntries) {
@@ -23,36 +37,37 @@
         this.onDurableEntries = onDurableEntries;
     }
 
-    /** Up to here the log's entries are durable. */
+    /** The index up to which the log entries are durable. */
     long durableIndex() {
         return context.hasSafeguard(ConsensusSafeguard.SYNC_BEFORE_ACKNOWLEDGE)
                 ? durableIndex
                 : context.log.lastIndex();
     }
 
-    boolean voteIsDurable() {
-        return savedTicket >= voteTicket;
+    /** Whether the newest term and vote are durable. */
+    boolean isVoteDurable() {
+        return durableTicket >= voteTicket;
     }
 
-    /** Writes the entries from an index on, and a new snapshot where that is not null. */
-    void saveEntries(long from, Snapshot snapshot) {
+    /** Writes the entries from an index on, and the snapshot unless it is null. */
+    void saveEntries(long fromIndex, Snapshot snapshot) {
         context.environment.persist(
                 new LogWrite(
-                        ++ticket,
+                        ++lastTicket,
                         context.self,
                         context.term,
                         context.votedFor,
-                        from,
-                        context.log.from(from),
+                        fromIndex,
+                        context.log.entriesFrom(fromIndex),
                         snapshot));
-        long upTo = context.log.lastIndex();
-        long before = truncations;
-        whenSaved(
+        long lastIndex = context.log.lastIndex();
+        long truncationsBefore = truncations;
+        whenDurable(
                 () -> {
-                    if (truncations == before
+                    if (truncations == truncationsBefore
                             || !context.hasSafeguard(
                                     ConsensusSafeguard.TRUNCATION_RESETS_DURABLE)) {
-                        durableIndex = Math.max(durableIndex, upTo);
+                        durableIndex = Math.max(durableIndex, lastIndex);
                         onDurableEntries.run();
                     }
                 });
@@ -61,44 +76,44 @@
     /** Writes the term and the vote. */
     void saveVote() {
         saveEntries(context.log.lastIndex() + 1, null);
-        voteTicket = ticket;
+        voteTicket = lastTicket;
     }
 
-    /** Entries beyond this index were removed. */
-    void truncated(long lastKept) {
+    /** Called when the entries after this index were removed from the log. */
+    void onTruncated(long lastKeptIndex) {
         truncations++;
         if (context.hasSafeguard(ConsensusSafeguard.TRUNCATION_RESETS_DURABLE)) {
-            durableIndex = Math.min(durableIndex, lastKept);
+            durableIndex = Math.min(durableIndex, lastKeptIndex);
         }
     }
 
-    /** Runs this once all that was written until now is durable. */
-    void whenSaved(Runnable then) {
-        if (savedTicket >= ticket) {
-            then.run();
+    /** Runs an action once all writes started so far are durable. */
+    void whenDurable(Runnable action) {
+        if (durableTicket >= lastTicket) {
+            action.run();
         } else {
-            waiting.add(new Waiting(ticket, then));
+            pendingActions.add(new PendingAction(lastTicket, action));
         }
     }
 
-    /** All writes up to a ticket are durable. */
-    void persisted(long upTo) {
-        savedTicket = Math.max(savedTicket, upTo);
-        while (!waiting.isEmpty() && waiting.peek().ticket() <= savedTicket) {
-            waiting.poll().then().run();
+    /** Called when all writes up to a ticket are durable; runs the actions waiting for them. */
+    void onPersisted(long upToTicket) {
+        durableTicket = Math.max(durableTicket, upToTicket);
+        while (!pendingActions.isEmpty() && pendingActions.peek().ticket() <= durableTicket) {
+            pendingActions.poll().action().run();
         }
     }
 
-    /** Everything, to be written anew after a failure, under a new ticket. */
+    /** The complete durable state under a new ticket, to be written after a disk failure. */
     LogWrite fullState() {
         Snapshot base = context.log.snapshot();
         return new LogWrite(
-                ++ticket,
+                ++lastTicket,
                 context.self,
                 context.term,
                 context.votedFor,
                 base.index() + 1,
-                context.log.from(base.index() + 1),
+                context.log.entriesFrom(base.index() + 1),
                 base);
     }
 }
--- a/src/main/java/gingerspool/consensus/Election.java
+++ b/src/main/java/gingerspool/consensus/Election.java
@@ -6,31 +6,32 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Elections: when this member stands for election, and whom it votes for. A member that heard a
- * leader withholds its vote from others for a lease; that is what the leader's lease rests on.
+ * Leader election: when this member starts an election, and which candidates it votes for. A member
+ * that heard from a leader withholds its vote from others for one lease, which is what makes the
+ * lease in {@link LeaderLease} safe. Called by {@link Replica}; times are in milliseconds.
  */
 final class Election {
-    /** A leaving member stands for election only after so many more leases without a leader. */
+    /** The extra election delay of a departing member, in leases, so that others stand first. */
     private static final double LEAVING_DELAY_LEASES = 4;
 
     private final ReplicaContext context;
     private final Durability durability;
-    private final BooleanSupplier leads;
+    private final BooleanSupplier isActiveLeader;
     private final Runnable onElected;
 
-    /** Until then this member votes for nobody but whom it follows. */
+    /** Until this time the member votes only for the leader that it follows. */
     private double voteWithheldUntil;
 
-    /** When this member stands for election if it hears of no leader. */
+    /** When this member starts an election unless it hears from a leader. */
     private double electionTimeoutAt;
 
-    /** When a candidate asks again those that have not answered. */
+    /** When a candidate repeats its request to voters that have not granted it. */
     private double retryAt;
 
-    /** The term that this member would stand in: beyond all that it was told of. */
+    /** The term of this member's next candidacy, higher than any term it has learned of. */
     private long candidateTerm;
 
-    /** The last term whose leader gave up its lease. */
+    /** The last term whose leader has resigned its lease, or -1. */
     private long resignedTerm = -1;
 
     private final Set<Member> votes = new HashSet<>();
@@ -39,28 +40,30 @@
             ReplicaContext context,
             Durability durability,
             boolean bootstraps,
-            BooleanSupplier leads,
+            BooleanSupplier isActiveLeader,
             Runnable onElected) {
         this.context = context;
         this.durability = durability;
-        this.leads = leads;
+        this.isActiveLeader = isActiveLeader;
         this.onElected = onElected;
-        // An earlier life may have granted a lease to whom it followed. Its own lease ended with
-        // its process, and in its own term it granted nobody else one.
-        boolean ownTerm = context.self.equals(context.votedFor);
-        boolean free =
+        // Before the restart this member may have granted a lease to the leader it followed. A
+        // lease of its own ended with the process, and in a term in which it voted for itself it
+        // granted no other lease.
+        boolean votedForSelf = context.self.equals(context.votedFor);
+        boolean mayVoteAtOnce =
                 bootstraps
-                        || ownTerm
+                        || votedForSelf
                         || !context.hasSafeguard(ConsensusSafeguard.LEASE_WAITED_OUT_AFTER_RESTART);
-        voteWithheldUntil = free ? context.now : context.now + context.lease();
-        double spread = ownTerm ? 2 * ReplicaContext.HEARTBEATS_PER_LEASE : 2;
+        voteWithheldUntil = mayVoteAtOnce ? context.now : context.now + context.leaseMs();
+        double timeoutDivisor = votedForSelf ? 2 * ReplicaContext.HEARTBEATS_PER_LEASE : 2;
         electionTimeoutAt =
-                voteWithheldUntil + context.lease() * context.random.nextDouble() / spread;
+                voteWithheldUntil
+                        + context.leaseMs() * context.random.nextDouble() / timeoutDivisor;
     }
 
-    /** The leader as far as it was heard of within a lease, or null. */
-    Member leader(double at) {
-        return at < voteWithheldUntil ? context.leader : null;
+    /** The leader if it has been heard from within one lease, or null. */
+    Member leader(double now) {
+        return now < voteWithheldUntil ? context.leader : null;
     }
 
     void tick() {
@@ -68,46 +71,51 @@
             return;
         }
         if (context.now >= electionTimeoutAt && context.now >= voteWithheldUntil) {
-            standForPreVote();
+            startPreVote();
         } else if (isCandidate() && context.now >= retryAt) {
-            askForVotes();
+            requestVotes();
         }
     }
 
     double nextTick() {
-        double stands = Math.max(electionTimeoutAt, voteWithheldUntil);
-        return isCandidate() ? Math.min(retryAt, stands) : stands;
+        double nextElectionAt = Math.max(electionTimeoutAt, voteWithheldUntil);
+        return isCandidate() ? Math.min(retryAt, nextElectionAt) : nextElectionAt;
     }
 
     private boolean isCandidate() {
         return context.role == Role.PRE_CANDIDATE || context.role == Role.CANDIDATE;
     }
 
-    private void delayElection() {
-        double leases = (context.leaving ? LEAVING_DELAY_LEASES : 0) + 0.5;
+    /** Sets a new random election timeout, longer if this member is departing. */
+    private void resetElectionTimeout() {
+        double delayLeases = (context.leaving ? LEAVING_DELAY_LEASES : 0) + 0.5;
         electionTimeoutAt =
-                context.now + context.lease() * (leases + context.random.nextDouble() / 2);
+                context.now + context.leaseMs() * (delayLeases + context.random.nextDouble() / 2);
     }
 
     // ---- As a candidate ----
 
-    /** Asks first whether a majority would vote: a member that was cut off raises no term. */
-    private void standForPreVote() {
+    /**
+     * Asks whether a majority would vote for this member before it raises its term, so that a
+     * partitioned member does not raise terms.
+     */
+    private void startPreVote() {
         context.leader = null;
         candidateTerm = Math.max(candidateTerm, context.term + 1);
-        delayElection();
+        resetElectionTimeout();
         if (!context.hasSafeguard(ConsensusSafeguard.PRE_VOTE)) {
-            stand();
+            startElection();
             return;
         }
         context.role = Role.PRE_CANDIDATE;
         votes.clear();
         votes.add(context.self);
-        askForVotes();
+        requestVotes();
         countVotes();
     }
 
-    private void stand() {
+    /** Raises the term, votes for itself, and requests votes once that vote is durable. */
+    private void startElection() {
         context.role = Role.CANDIDATE;
         context.term = Math.max(context.term + 1, candidateTerm);
         context.votedFor = context.self;
@@ -115,24 +123,27 @@
         retryAt = electionTimeoutAt;
         durability.saveVote();
         long term = context.term;
-        Runnable ask =
+        Runnable sendRequests =
                 () -> {
                     if (context.role == Role.CANDIDATE && context.term == term) {
                         votes.add(context.self);
-                        askForVotes();
+                        requestVotes();
                         countVotes();
                     }
                 };
         if (context.hasSafeguard(ConsensusSafeguard.VOTE_DURABLE_BEFORE_REPLY)) {
-            durability.whenSaved(ask);
+            durability.whenDurable(sendRequests);
         } else {
-            ask.run();
+            sendRequests.run();
         }
     }
 
-    /** Asks those that have not granted yet, again and again: links may come up only now. */
-    private void askForVotes() {
-        retryAt = context.now + context.heartbeat();
+    /**
+     * Requests votes from all voters that have not granted one. Repeated every heartbeat interval,
+     * since connections may still be coming up.
+     */
+    private void requestVotes() {
+        retryAt = context.now + context.heartbeatIntervalMs();
         RaftLog log = context.log;
         ConsensusMessage request =
                 context.role == Role.PRE_CANDIDATE
@@ -167,7 +178,7 @@
             return;
         }
         if (context.role == Role.PRE_CANDIDATE) {
-            stand();
+            startElection();
         } else {
             context.role = Role.LEADER;
             context.leader = context.self;
@@ -180,7 +191,7 @@
     void onPreVote(Member from, ConsensusMessage.PreVote request) {
         boolean granted =
                 mayVote(from, request.term())
-                        && upToDate(request.lastLogTerm(), request.lastLogIndex());
+                        && isUpToDate(request.lastLogTerm(), request.lastLogIndex());
         context.send(
                 from, new ConsensusMessage.PreVoteReply(request.term(), granted, context.term));
     }
@@ -189,9 +200,9 @@
         boolean repeated =
                 from.equals(context.votedFor)
                         || !context.hasSafeguard(ConsensusSafeguard.ONE_VOTE_PER_TERM)
-                                && upToDate(request.lastLogTerm(), request.lastLogIndex());
+                                && isUpToDate(request.lastLogTerm(), request.lastLogIndex());
         if (request.term() == context.term && repeated && context.role != Role.LEADER) {
-            grant(from, request.term());
+            grantVote(from, request.term());
             return;
         }
         if (!mayVote(from, request.term())) {
@@ -201,35 +212,40 @@
         context.term = request.term();
         context.votedFor = null;
         context.follow(null);
-        boolean granted = upToDate(request.lastLogTerm(), request.lastLogIndex());
+        boolean granted = isUpToDate(request.lastLogTerm(), request.lastLogIndex());
         if (granted) {
             context.votedFor = from;
-            delayElection();
+            resetElectionTimeout();
         }
         durability.saveVote();
         if (granted) {
-            grant(from, request.term());
+            grantVote(from, request.term());
         }
     }
 
-    /** Whom this member follows may be voted for at any time: it has no lease while it stands. */
+    /**
+     * Whether a vote in this term may be granted. The leader that this member follows may receive
+     * it at any time, since it holds no lease while it is a candidate.
+     */
     private boolean mayVote(Member from, long term) {
         boolean withheld =
                 context.now < voteWithheldUntil
                         && context.hasSafeguard(ConsensusSafeguard.VOTE_WITHHELD_DURING_LEASE);
         return term > context.term
                 && (!withheld || from.equals(context.votedFor))
-                && !leads.getAsBoolean();
+                && !isActiveLeader.getAsBoolean();
     }
 
-    private boolean upToDate(long lastTerm, long last) {
+    /** Whether a log that ends with this term and index is as up to date as ours. */
+    private boolean isUpToDate(long lastTerm, long lastIndex) {
         RaftLog log = context.log;
         return !context.hasSafeguard(ConsensusSafeguard.VOTE_ONLY_FOR_UP_TO_DATE_LOG)
                 || lastTerm > log.lastTerm()
-                || lastTerm == log.lastTerm() && last >= log.lastIndex();
+                || lastTerm == log.lastTerm() && lastIndex >= log.lastIndex();
     }
 
-    private void grant(Member to, long term) {
+    /** Sends the vote once it is durable, unless the term has changed by then. */
+    private void grantVote(Member to, long term) {
         Runnable reply =
                 () -> {
                     if (context.term == term) {
@@ -237,7 +253,7 @@
                     }
                 };
         if (context.hasSafeguard(ConsensusSafeguard.VOTE_DURABLE_BEFORE_REPLY)) {
-            durability.whenSaved(reply);
+            durability.whenDurable(reply);
         } else {
             reply.run();
         }
@@ -246,10 +262,10 @@
     // ---- As a follower ----
 
     /**
-     * A leader was heard in its term, not older than ours: its lease is granted, unless it gave it
-     * up and this message was sent before.
+     * Handles a message from the leader of a term that is not older than ours: grants it a lease.
+     * Ignored if the leader has resigned in this term, since the message was sent before that.
      */
-    void heardLeader(Member from, long term) {
+    void onLeaderMessage(Member from, long term) {
         if (term == resignedTerm) {
             return;
         }
@@ -259,43 +275,46 @@
             durability.saveVote();
         }
         context.follow(from);
-        voteWithheldUntil = Math.max(voteWithheldUntil, context.now + context.lease());
-        double leaving = context.leaving ? LEAVING_DELAY_LEASES : 0;
+        voteWithheldUntil = Math.max(voteWithheldUntil, context.now + context.leaseMs());
+        double leavingDelayLeases = context.leaving ? LEAVING_DELAY_LEASES : 0;
         electionTimeoutAt =
-                voteWithheldUntil + context.lease() * (leaving + context.random.nextDouble() / 2);
+                voteWithheldUntil
+                        + context.leaseMs()
+                                * (leavingDelayLeases + context.random.nextDouble() / 2);
     }
 
-    /** Another member is in a higher term: this one leads no more. */
-    void sawHigherTerm(long term) {
+    /** Steps down because another member is in a higher term. */
+    void onHigherTerm(long term) {
         context.term = term;
         context.votedFor = null;
         stepDown();
         durability.saveVote();
     }
 
-    /** Leads no more, and stands again after a while. */
+    /** Gives up the leadership; a new election is possible after one lease, or later if leaving. */
     void stepDown() {
         context.follow(null);
-        electionTimeoutAt = context.now + context.lease();
+        electionTimeoutAt = context.now + context.leaseMs();
         delayElectionIfLeaving();
     }
 
     private void delayElectionIfLeaving() {
         if (context.leaving) {
-            electionTimeoutAt = context.now + LEAVING_DELAY_LEASES * context.lease();
+            electionTimeoutAt = context.now + LEAVING_DELAY_LEASES * context.leaseMs();
         }
     }
 
+    /** The leader has resigned: the chosen successor starts an election at once, others wait. */
     void onTimeoutNow(Member from, ConsensusMessage.TimeoutNow message) {
         if (message.term() == context.term && from.equals(context.leader)) {
-            // The lease was given up by its holder.
+            // The leader no longer relies on its lease, so votes need not be withheld.
             resignedTerm = message.term();
             voteWithheldUntil = context.now;
             context.leader = null;
             if (message.successor().equals(context.self)) {
                 electionTimeoutAt = context.now;
             } else {
-                delayElection();
+                resetElectionTimeout();
             }
         }
     }
--- a/src/main/java/gingerspool/consensus/FollowerProgress.java
+++ b/src/main/java/gingerspool/consensus/FollowerProgress.java
@@ -3,38 +3,43 @@
 import java.util.ArrayDeque;
 import java.util.List;
 
-/** What the leader knows of a follower or learner: what it has, and what is on its way to it. */
+/**
+ * The leader's view of the progress of one follower or learner: what its log holds, and what is in
+ * flight to it. Updated by {@link Replication}; times are in milliseconds.
+ */
 final class FollowerProgress {
-    /** Bounds of what is on its way to one follower, in entries and in bytes. */
-    private static final int ENTRIES_IN_FLIGHT = 1024;
+    /** The most entries in flight to one follower. */
+    private static final int MAX_ENTRIES_IN_FLIGHT = 1024;
 
-    private static final long BYTES_IN_FLIGHT = 1 << 20;
+    /** The number of bytes in flight to one follower beyond which nothing more is sent. */
+    private static final long MAX_BYTES_IN_FLIGHT = 1 << 20;
 
-    private record Batch(long last, int entries, long bytes) {}
+    /** The entries of one message in flight. */
+    private record Batch(long lastIndex, int entries, long bytes) {}
 
-    /** The next entry to send. */
+    /** The index of the next entry to send. */
     long nextIndex;
 
-    /** Up to here its log is durable and matches ours. */
+    /** The index up to which the follower's log is durable and matches ours. */
     long matchIndex;
 
-    /** Whether it is being found out where its log matches: then one message goes at a time. */
+    /** Whether the matching index is being probed; only one message is sent at a time then. */
     boolean probing;
 
-    /** When the newest heartbeat that it answered, with a durable vote, was sent. */
-    double leaseAt = Double.NEGATIVE_INFINITY;
+    /** The send time of the newest heartbeat that it acknowledged with a durable vote. */
+    double leaseStartAt = Double.NEGATIVE_INFINITY;
 
-    /** When it last answered, or when it was first known. */
-    double heardAt;
+    /** When it last answered, or when it was added if it has not answered yet. */
+    double lastReplyAt;
 
-    /** Whether it has answered in this term. */
+    /** Whether it has answered in this term, and since its removal from the voters if any. */
     boolean answered;
 
-    /** When it last said that it is about to leave. */
-    double leavingAt = Double.NEGATIVE_INFINITY;
+    /** When it last asked to leave. */
+    double leaveRequestedAt = Double.NEGATIVE_INFINITY;
 
-    /** The snapshot that it is sent, or null. */
-    SnapshotSender snapshot;
+    /** The snapshot transfer to it, or null if there is none. */
+    SnapshotSender snapshotSender;
 
     private final ArrayDeque<Batch> inFlight = new ArrayDeque<>();
     private int entriesInFlight;
@@ -42,15 +47,17 @@
 
     FollowerProgress(long nextIndex, double now) {
         this.nextIndex = nextIndex;
-        heardAt = now;
+        lastReplyAt = now;
     }
 
-    boolean hasRoom() {
-        return entriesInFlight < ENTRIES_IN_FLIGHT && bytesInFlight < BYTES_IN_FLIGHT;
+    /** Whether more may be sent within the limits for data in flight. */
+    boolean hasCapacity() {
+        return entriesInFlight < MAX_ENTRIES_IN_FLIGHT && bytesInFlight < MAX_BYTES_IN_FLIGHT;
     }
 
-    void sent(List<LogEntry> batch) {
-        long bytes = batch.stream().mapToLong(LogEntry::size).sum();
+    /** Records that these entries, the next ones to send, are in flight. */
+    void recordSent(List<LogEntry> batch) {
+        long bytes = batch.stream().mapToLong(LogEntry::sizeBytes).sum();
         nextIndex += batch.size();
         if (!batch.isEmpty()) {
             inFlight.add(new Batch(nextIndex - 1, batch.size(), bytes));
@@ -59,20 +66,23 @@
         }
     }
 
-    /** All up to here has arrived and matches. */
-    void matchedUpTo(long index) {
+    /** Records that the follower's log matches and is durable up to this index. */
+    void recordMatched(long index) {
         matchIndex = Math.max(matchIndex, index);
         probing = false;
         nextIndex = Math.max(nextIndex, matchIndex + 1);
-        while (!inFlight.isEmpty() && inFlight.peek().last() <= matchIndex) {
-            Batch arrived = inFlight.poll();
-            entriesInFlight -= arrived.entries();
-            bytesInFlight -= arrived.bytes();
+        while (!inFlight.isEmpty() && inFlight.peek().lastIndex() <= matchIndex) {
+            Batch acknowledged = inFlight.poll();
+            entriesInFlight -= acknowledged.entries();
+            bytesInFlight -= acknowledged.bytes();
         }
     }
 
-    /** What is on its way is lost or does not fit: goes on from this index, 0 for a snapshot. */
-    void resumeAt(long index) {
+    /**
+     * Discards what is in flight, which was lost or rejected, and resumes from this index; 0 makes
+     * the leader send a snapshot.
+     */
+    void restartFrom(long index) {
         nextIndex = index == 0 ? 0 : Math.max(matchIndex + 1, index);
         probing = false;
         inFlight.clear();
--- a/src/main/java/gingerspool/consensus/LeaderLease.java
+++ b/src/main/java/gingerspool/consensus/LeaderLease.java
@@ -3,12 +3,14 @@
 import gingerspool.consensus.ReplicaContext.Role;
 
 /**
- * The leader's lease: a majority has answered heartbeats sent within its length, and withholds its
- * votes from others that long after it received them. The leader trusts it for a part of it only.
+ * The leader's lease: a majority has acknowledged heartbeats sent within the lease length, and each
+ * of these members withholds its vote from others for one lease after it received the heartbeat.
+ * The leader relies on only a fraction of that time. Called by {@link Replica}; times are in
+ * milliseconds.
  */
 final class LeaderLease {
-    /** The part of the lease that is trusted, since clocks run a little apart. */
-    private static final double TRUSTED_PART = 0.75;
+    /** The fraction of the lease that the leader relies on, to allow for clock drift. */
+    private static final double TRUSTED_FRACTION = 0.75;
 
     private final ReplicaContext context;
     private final Replication replication;
@@ -18,35 +20,37 @@
         this.replication = replication;
     }
 
-    /** Until when the lease is trusted. */
-    double end() {
-        double trusted =
+    /** The time until which the leader relies on its lease. */
+    double expiresAt() {
+        double trustedFraction =
                 context.hasSafeguard(ConsensusSafeguard.LEASE_TRUSTED_IN_PART)
-                        ? TRUSTED_PART
-                        : 1 / TRUSTED_PART;
-        return context.quorumSet().reached(replication::leaseAcknowledgedAt, 0)
-                + trusted * context.lease();
+                        ? TRUSTED_FRACTION
+                        : 1 / TRUSTED_FRACTION;
+        return context.quorumSet().quorumValue(replication::leaseStartOf, 0)
+                + trustedFraction * context.leaseMs();
     }
 
     /**
-     * Whether this member leads, has its lease, and has applied all that was committed before its
-     * term: only then it may answer for the state, and do what only one may.
+     * Whether this member is the leader, holds its lease, and has applied everything committed
+     * before its term. Only then may it serve reads of the state and act as the only leader.
      */
-    boolean isActiveLeader(double at) {
+    boolean isActiveLeader(double now) {
         return context.role == Role.LEADER
                 && (replication.isOwnTermCommitted()
                         || !context.hasSafeguard(ConsensusSafeguard.SERVE_AFTER_OWN_TERM_COMMITTED))
-                && at < end();
+                && now < expiresAt();
     }
 
     /**
-     * Whether it has had no lease for the length of one: no majority hears it and is heard, so it
-     * would only keep others from electing a leader that is.
+     * Whether the leader has been without a lease for one lease length. It then has no two-way
+     * connection to a majority, and its heartbeats would only prevent the election of a leader that
+     * has one.
      */
-    boolean isLost() {
-        double since = Math.max(end(), replication.electedAt() + context.lease());
+    boolean mustStepDown() {
+        double withoutLeaseSince =
+                Math.max(expiresAt(), replication.electedAt() + context.leaseMs());
         return context.role == Role.LEADER
                 && context.hasSafeguard(ConsensusSafeguard.STEP_DOWN_WITHOUT_LEASE)
-                && context.now > since + context.lease();
+                && context.now > withoutLeaseSince + context.leaseMs();
     }
 }
--- a/src/main/java/gingerspool/consensus/LeadershipTransfer.java
+++ b/src/main/java/gingerspool/consensus/LeadershipTransfer.java
@@ -2,7 +2,10 @@
 
 import java.util.Map;
 
-/** How a leader gives up its lease, so that another leads at once and no lease must run out. */
+/**
+ * Leadership transfer: the leader resigns its lease so that a successor can be elected at once,
+ * without waiting for the lease to expire. Used by {@link Membership} and {@link Departure}.
+ */
 final class LeadershipTransfer {
     private final ReplicaContext context;
     private final Replication replication;
@@ -15,11 +18,12 @@
     }
 
     /**
-     * The voter with the longest log that answers is to lead at once; learners are told, too, and
-     * look for the new leader. Nothing happens where no voter answers.
+     * Resigns in favour of the responsive voter with the longest matching log. Learners are
+     * notified as well, so that they look for the new leader. Does nothing if no voter is
+     * responsive.
      */
-    void run() {
-        Member successor = successor();
+    void start() {
+        Member successor = chooseSuccessor();
         if (successor == null) {
             return;
         }
@@ -28,15 +32,16 @@
         election.stepDown();
     }
 
-    private Member successor() {
+    private Member chooseSuccessor() {
         Member successor = null;
-        long most = -1;
-        for (Map.Entry<Member, FollowerProgress> e : replication.followers().entrySet()) {
-            boolean able =
-                    context.log.voters().contains(e.getKey()) && replication.isHeard(e.getKey(), 1);
-            if (able && e.getValue().matchIndex > most) {
-                successor = e.getKey();
-                most = e.getValue().matchIndex;
+        long highestMatchIndex = -1;
+        for (Map.Entry<Member, FollowerProgress> follower : replication.followers().entrySet()) {
+            boolean eligible =
+                    context.log.voters().contains(follower.getKey())
+                            && replication.hasAnsweredWithin(follower.getKey(), 1);
+            if (eligible && follower.getValue().matchIndex > highestMatchIndex) {
+                successor = follower.getKey();
+                highestMatchIndex = follower.getValue().matchIndex;
             }
         }
         return successor;
--- a/src/main/java/gingerspool/consensus/Membership.java
+++ b/src/main/java/gingerspool/consensus/Membership.java
@@ -6,30 +6,31 @@
 import java.util.Map;
 
 /**
- * The leader's part in changes of the voters. Learners are brought up as soon as they ask; voters
- * that lost their disk, are about to leave or are silent are replaced by learners that are caught
- * up, all at once, by one joint change, which does not wait for the log to be idle.
+ * The leader's side of membership changes. Learners are caught up as soon as they ask to join.
+ * Voters that lost their disk, are leaving or are unresponsive are replaced by learners that are
+ * caught up, all of them in one joint change, which does not wait for the log to be idle. Called by
+ * {@link Replica} and {@link Departure}; times are in milliseconds.
  */
 final class Membership {
-    /** The least voters wanted, where there are machines for so many. */
-    private static final int LEAST_VOTERS = 3;
+    /** The minimum target number of voters; fewer if there are not enough machines. */
+    private static final int MIN_VOTERS = 3;
 
     /**
-     * A voter that has not answered a new leader at all counts as silent after so many leases: its
-     * silence began before.
+     * The time after which a voter that has never answered a new leader counts as unresponsive, in
+     * leases. Shorter than usual, since its silence began before the election.
      */
-    private static final double SILENT_AT_START_LEASES = 0.5;
+    private static final double UNRESPONSIVE_TO_NEW_LEADER_LEASES = 0.5;
 
-    /** Leases within which a learner finds a new leader. */
-    private static final double LEARNER_SEARCH_LEASES = 2;
+    /** The time within which a learner finds a new leader, in leases. */
+    private static final double LEARNER_DISCOVERY_LEASES = 2;
 
-    /** Why a voter is to be replaced, the most urgent reason last. */
-    private enum Replaceable {
-        NO,
-        SILENT,
+    /** Why a voter should be replaced. Ordered by urgency, the most urgent reason last. */
+    private enum ReplacementReason {
+        NONE,
+        UNRESPONSIVE,
         LEAVING,
 
-        /** Another member, without its log, is on its machine. */
+        /** A new member without the voter's log runs on the voter's machine. */
         DISK_LOST
     }
 
@@ -38,10 +39,15 @@
     private final LeaderLease lease;
     private final LeadershipTransfer transfer;
 
-    /** What was committed a heartbeat ago: a learner that has it is caught up. */
+    /**
+     * The commit index at least one heartbeat interval ago. A learner whose log matches up to it
+     * counts as caught up.
+     */
     private long caughtUpIndex;
 
-    private double measuredAt;
+    private double caughtUpIndexUpdatedAt;
+
+    /** The commit index at the last update, which becomes the caught-up index at the next one. */
     private long nextCaughtUpIndex;
 
     Membership(
@@ -55,57 +61,59 @@
         this.transfer = transfer;
     }
 
-    /** A new term is led: a learner must have its first entry to be caught up. */
-    void begin() {
+    /** Called when this member is elected. A learner must hold the first entry of the new term. */
+    void onElected() {
         caughtUpIndex = replication.termStart();
         nextCaughtUpIndex = caughtUpIndex;
-        measuredAt = context.now;
+        caughtUpIndexUpdatedAt = context.now;
     }
 
-    private void measure() {
-        if (context.now >= measuredAt + context.heartbeat()) {
+    private void updateCaughtUpIndex() {
+        if (context.now >= caughtUpIndexUpdatedAt + context.heartbeatIntervalMs()) {
             caughtUpIndex = Math.max(caughtUpIndex, nextCaughtUpIndex);
             nextCaughtUpIndex = context.commitIndex;
-            measuredAt = context.now;
+            caughtUpIndexUpdatedAt = context.now;
         }
     }
 
-    /** A machine asked to be brought up. */
+    /** Handles a request to join: the member becomes a learner if it is not a voter. */
     void onJoinRequest(Member from) {
         if (!context.log.voters().contains(from)) {
             replication.addLearner(from);
         }
     }
 
-    /** When this member was elected. */
+    /** When this member was elected leader. */
     double electedAt() {
         return replication.electedAt();
     }
 
-    /** Whether a change of the voters is under way. */
+    /** Whether a membership change is in progress. */
     boolean isChanging() {
         return context.log.voters().isJoint() || context.log.votersIndex() > context.commitIndex;
     }
 
-    /** Whether a learner could replace this member at once. */
+    /** Whether a learner is ready to replace this member at once. */
     boolean hasReadyLearner() {
         return learners().stream().anyMatch(this::isReady);
     }
 
-    /** A member is about to leave; tells it whether there is one to replace it. */
+    /** Handles a member's request to leave: tells it whether a replacement is available. */
     void onLeaveRequest(Member from) {
-        replication.progress(from).leavingAt = context.now;
-        // A new leader does not know the learners yet: they find it within about a lease.
-        boolean maybe =
-                context.now < replication.electedAt() + LEARNER_SEARCH_LEASES * context.lease();
-        boolean waits = maybe || learners().stream().anyMatch(this::isPresent);
-        context.send(from, new ConsensusMessage.LeaveReply(context.term, waits));
+        replication.progress(from).leaveRequestedAt = context.now;
+        // A new leader does not know the learners yet; they find it within about one lease.
+        boolean learnersMayBeUnknown =
+                context.now
+                        < replication.electedAt() + LEARNER_DISCOVERY_LEASES * context.leaseMs();
+        boolean replacementWaits =
+                learnersMayBeUnknown || learners().stream().anyMatch(this::isAvailable);
+        context.send(from, new ConsensusMessage.LeaveReply(context.term, replacementWaits));
         advance();
     }
 
-    /** Takes the next step of a change that is under way, or begins one that is wanted. */
+    /** Takes the next step of the membership change in progress, or starts one if needed. */
     void advance() {
-        measure();
+        updateCaughtUpIndex();
         RaftLog log = context.log;
         VoterSet voters = log.voters();
         if (!lease.isActiveLeader(context.now)
@@ -117,18 +125,19 @@
             return;
         }
         if (voters.isJoint()) {
-            append(VoterSet.of(voters.incoming()));
+            appendVoters(VoterSet.of(voters.incoming()));
         } else if (!voters.contains(context.self)) {
-            transfer.run();
+            transfer.start();
         } else {
             List<Member> next = nextVoters(voters.voters());
             if (!next.equals(voters.voters())) {
-                append(voters.changedTo(next));
+                appendVoters(voters.jointWith(next));
             }
         }
     }
 
-    private void append(VoterSet voters) {
+    /** Appends a voter set. Voters that it removes have to answer again to count as learners. */
+    private void appendVoters(VoterSet voters) {
         for (Member member : context.log.voters().all()) {
             if (!voters.contains(member) && !member.equals(context.self)) {
                 replication.progress(member).answered = false;
@@ -138,10 +147,11 @@
         replication.advanceCommit();
     }
 
+    /** The voters that the set should consist of, given the learners that are ready. */
     private List<Member> nextVoters(List<Member> voters) {
         List<Member> next = new ArrayList<>(voters);
         List<Member> ready = new ArrayList<>(learners().stream().filter(this::isReady).toList());
-        for (Member voter : replaceable(voters)) {
+        for (Member voter : votersToReplace(voters)) {
             if (ready.isEmpty()) {
                 return next;
             }
@@ -149,14 +159,14 @@
             ready.remove(learner);
             next.set(next.indexOf(voter), learner);
         }
-        int wanted = Math.max(LEAST_VOTERS, 2 * context.settings.toleratedLosses() + 1);
-        while (next.size() < wanted && !ready.isEmpty()) {
+        int targetSize = Math.max(MIN_VOTERS, 2 * context.settings.toleratedLosses() + 1);
+        while (next.size() < targetSize && !ready.isEmpty()) {
             next.add(ready.remove(0));
         }
         return next;
     }
 
-    /** The one on the same machine, if it is ready. */
+    /** The ready learner on the voter's machine if there is one, otherwise the first ready one. */
     private static Member replacementOf(Member voter, List<Member> ready) {
         for (Member learner : ready) {
             if (learner.ip().equals(voter.ip())) {
@@ -166,61 +176,68 @@
         return ready.get(0);
     }
 
-    /** Voters to be replaced: disk lost first, then leaving, then silent. */
-    private List<Member> replaceable(List<Member> voters) {
-        List<Member> found = new ArrayList<>();
+    /** The voters to replace: first those with a lost disk, then leaving, then unresponsive. */
+    private List<Member> votersToReplace(List<Member> voters) {
+        List<Member> selected = new ArrayList<>();
         for (Member voter : voters) {
-            if (reasonToReplace(voter) != Replaceable.NO) {
-                found.add(voter);
+            if (reasonToReplace(voter) != ReplacementReason.NONE) {
+                selected.add(voter);
             }
         }
-        found.sort(Comparator.comparing(this::reasonToReplace).reversed());
-        return found;
+        selected.sort(Comparator.comparing(this::reasonToReplace).reversed());
+        return selected;
     }
 
-    private Replaceable reasonToReplace(Member voter) {
+    private ReplacementReason reasonToReplace(Member voter) {
         if (voter.equals(context.self)) {
-            return context.leaving ? Replaceable.LEAVING : Replaceable.NO;
+            return context.leaving ? ReplacementReason.LEAVING : ReplacementReason.NONE;
         }
         FollowerProgress progress = replication.progress(voter);
-        if (learners().stream().anyMatch(l -> l.ip().equals(voter.ip()) && isPresent(l))) {
-            return Replaceable.DISK_LOST;
+        if (learners().stream()
+                .anyMatch(learner -> learner.ip().equals(voter.ip()) && isAvailable(learner))) {
+            return ReplacementReason.DISK_LOST;
         }
         if (isLeaving(voter)) {
-            return Replaceable.LEAVING;
+            return ReplacementReason.LEAVING;
         }
-        double silentLeases =
-                progress.answered ? ReplicaContext.SILENT_LEASES : SILENT_AT_START_LEASES;
-        boolean isSilent = context.now > progress.heardAt + silentLeases * context.lease();
-        return isSilent ? Replaceable.SILENT : Replaceable.NO;
+        double timeoutLeases =
+                progress.answered
+                        ? ReplicaContext.UNRESPONSIVE_AFTER_LEASES
+                        : UNRESPONSIVE_TO_NEW_LEADER_LEASES;
+        boolean isUnresponsive =
+                context.now > progress.lastReplyAt + timeoutLeases * context.leaseMs();
+        return isUnresponsive ? ReplacementReason.UNRESPONSIVE : ReplacementReason.NONE;
     }
 
+    /** Whether a member has asked to leave within the last lease. */
     private boolean isLeaving(Member member) {
         FollowerProgress progress = replication.followers().get(member);
-        return progress != null && context.now <= progress.leavingAt + context.lease();
+        return progress != null && context.now <= progress.leaveRequestedAt + context.leaseMs();
     }
 
+    /** The followers that are not voters. */
     private List<Member> learners() {
         VoterSet voters = context.log.voters();
         List<Member> learners = new ArrayList<>();
-        for (Map.Entry<Member, FollowerProgress> e : replication.followers().entrySet()) {
-            if (!voters.contains(e.getKey())) {
-                learners.add(e.getKey());
+        for (Map.Entry<Member, FollowerProgress> follower : replication.followers().entrySet()) {
+            if (!voters.contains(follower.getKey())) {
+                learners.add(follower.getKey());
             }
         }
         return learners;
     }
 
-    /** Whether a learner is there to stay: it answers, and is not about to leave. */
-    private boolean isPresent(Member learner) {
-        return replication.isHeard(learner, 1) && !isLeaving(learner);
+    /** Whether a learner is responsive and not leaving. */
+    private boolean isAvailable(Member learner) {
+        return replication.hasAnsweredWithin(learner, 1) && !isLeaving(learner);
     }
 
+    /** Whether a learner is available and caught up, so that it can become a voter. */
     private boolean isReady(Member learner) {
         boolean caughtUp =
                 replication.progress(learner).matchIndex >= caughtUpIndex
                         || !context.hasSafeguard(
                                 ConsensusSafeguard.LEARNER_CAUGHT_UP_BEFORE_VOTING);
-        return isPresent(learner) && caughtUp;
+        return isAvailable(learner) && caughtUp;
     }
 }
--- a/src/main/java/gingerspool/consensus/Replication.java
+++ b/src/main/java/gingerspool/consensus/Replication.java
@@ -6,27 +6,32 @@
 import java.util.Map;
 
 /**
- * The leader's part of replication: what each voter and learner has, what it is sent, and how far
- * the log is committed.
+ * The leader's side of replication: tracks the progress of each voter and learner, sends entries,
+ * snapshots and heartbeats, and advances the commit index. Called by {@link Replica}, {@link
+ * Membership} and the lease; times are in milliseconds.
  */
 final class Replication {
-    /** Bounds of one message, in entries and in bytes. */
-    private static final int BATCH_ENTRIES = 256;
+    /** The most entries in one message. */
+    private static final int MAX_BATCH_ENTRIES = 256;
 
-    private static final long BATCH_BYTES = 1 << 18;
+    /** The most bytes of entries in one message; a single larger entry is still sent. */
+    private static final long MAX_BATCH_BYTES = 1 << 18;
 
     private final ReplicaContext context;
     private final Durability durability;
     private final Runnable onCommitted;
     private final Map<Member, FollowerProgress> followers = new LinkedHashMap<>();
-    private double heartbeatAt;
+    private double nextHeartbeatAt;
 
-    /** The first entry of the term that this member leads. */
-    private long termStart;
+    /** The index of the first entry of the term that this member leads. */
+    private long termStartIndex;
 
     private double electedAt;
-    private Snapshot digested;
-    private String digest;
+
+    /** The snapshot of the cached digest, which is computed once for all followers. */
+    private Snapshot digestedSnapshot;
+
+    private String cachedDigest;
 
     Replication(ReplicaContext context, Durability durability, Runnable onCommitted) {
         this.context = context;
@@ -34,63 +39,65 @@
         this.onCommitted = onCommitted;
     }
 
-    // ---- What the leader knows ----
+    // ---- State of the leader ----
 
     double electedAt() {
         return electedAt;
     }
 
     double nextHeartbeat() {
-        return heartbeatAt;
+        return nextHeartbeatAt;
     }
 
     long termStart() {
-        return termStart;
+        return termStartIndex;
     }
 
     boolean isOwnTermCommitted() {
-        return context.commitIndex >= termStart;
+        return context.commitIndex >= termStartIndex;
     }
 
     Map<Member, FollowerProgress> followers() {
         return followers;
     }
 
+    /** The progress of a member, which is added as a follower if it is not one yet. */
     FollowerProgress progress(Member member) {
         return followers.computeIfAbsent(
-                member, k -> new FollowerProgress(context.log.lastIndex() + 1, context.now));
+                member,
+                newMember -> new FollowerProgress(context.log.lastIndex() + 1, context.now));
     }
 
-    /** When the newest heartbeat was sent that this voter answered. */
-    double leaseAcknowledgedAt(Member member) {
-        return member.equals(context.self) ? context.now : progress(member).leaseAt;
+    /** The send time of the newest heartbeat that this voter acknowledged. */
+    double leaseStartOf(Member member) {
+        return member.equals(context.self) ? context.now : progress(member).leaseStartAt;
     }
 
-    private double durableAt(Member member) {
+    private double durableIndexOf(Member member) {
         return member.equals(context.self)
                 ? durability.durableIndex()
                 : progress(member).matchIndex;
     }
 
-    /** Whether a member has answered within so many leases. */
-    boolean isHeard(Member member, double leases) {
+    /** Whether a member has answered in this term, the last time within this many leases. */
+    boolean hasAnsweredWithin(Member member, double leases) {
         FollowerProgress progress = followers.get(member);
         return progress != null
                 && progress.answered
-                && context.now <= progress.heardAt + leases * context.lease();
+                && context.now <= progress.lastReplyAt + leases * context.leaseMs();
     }
 
     // ---- Sending ----
 
-    /** Begins to lead: the term's first entry goes out. */
-    void begin() {
+    /** Starts leading: forgets the old progress and appends the first entry of the term. */
+    void onElected() {
         followers.clear();
         electedAt = context.now;
-        termStart = context.log.lastIndex() + 1;
-        append(LogEntry.begin(context.term));
+        termStartIndex = context.log.lastIndex() + 1;
+        append(LogEntry.termStart(context.term));
     }
 
-    /** Appends an entry and sends it. */
+    /** Appends an entry, writes it to disk, and sends it to all followers. */
     void append(LogEntry entry) {
         context.log.append(entry);
         durability.saveEntries(context.log.lastIndex(), null);
@@ -99,6 +106,7 @@
         }
     }
 
+    /** All voters except this member, and all learners. */
     private List<Member> recipients() {
         for (Member member : context.log.voters().all()) {
             if (!member.equals(context.self)) {
@@ -108,23 +116,30 @@
         return List.copyOf(followers.keySet());
     }
 
-    /** Sends heartbeats where they are due, to learners too; who is silent and no voter goes. */
+    /**
+     * Sends heartbeats to voters and learners if they are due, and forgets followers that are
+     * unresponsive and not voters.
+     */
     void tick() {
-        if (context.now < heartbeatAt) {
+        if (context.now < nextHeartbeatAt) {
             return;
         }
-        heartbeatAt = context.now + context.heartbeat();
+        nextHeartbeatAt = context.now + context.heartbeatIntervalMs();
         VoterSet voters = context.log.voters();
-        double silentSince = context.now - ReplicaContext.SILENT_LEASES * context.lease();
+        double unresponsiveSince =
+                context.now - ReplicaContext.UNRESPONSIVE_AFTER_LEASES * context.leaseMs();
         followers
                 .entrySet()
-                .removeIf(e -> !voters.contains(e.getKey()) && e.getValue().heardAt < silentSince);
+                .removeIf(
+                        follower ->
+                                !voters.contains(follower.getKey())
+                                        && follower.getValue().lastReplyAt < unresponsiveSince);
         for (Member member : recipients()) {
             send(member, true);
         }
     }
 
-    /** A learner asked to be brought up. */
+    /** Starts replicating to a learner that asked to join. */
     void addLearner(Member member) {
         if (!followers.containsKey(member)) {
             progress(member);
@@ -132,47 +147,51 @@
         }
     }
 
-    /** Sends a member what it lacks, as far as there is room; a heartbeat in any case. */
+    /**
+     * Sends a member the entries or the snapshot that it lacks, within the limits for data in
+     * flight. If a heartbeat is due, at least one message is sent.
+     */
     private void send(Member to, boolean heartbeat) {
         FollowerProgress progress = progress(to);
         if (progress.nextIndex <= context.log.snapshot().index()) {
             sendSnapshot(to, progress, heartbeat);
             return;
         }
-        progress.snapshot = null;
-        boolean due = heartbeat;
-        while (due
+        progress.snapshotSender = null;
+        boolean heartbeatPending = heartbeat;
+        while (heartbeatPending
                 || progress.nextIndex <= context.log.lastIndex()
-                        && progress.hasRoom()
+                        && progress.hasCapacity()
                         && !progress.probing) {
-            due = false;
+            heartbeatPending = false;
             List<LogEntry> batch =
-                    progress.hasRoom()
-                            ? context.log.batch(progress.nextIndex, BATCH_ENTRIES, BATCH_BYTES)
+                    progress.hasCapacity()
+                            ? context.log.batch(
+                                    progress.nextIndex, MAX_BATCH_ENTRIES, MAX_BATCH_BYTES)
                             : List.of();
-            long previous = progress.nextIndex - 1;
+            long previousIndex = progress.nextIndex - 1;
             context.send(
                     to,
                     new ConsensusMessage.AppendEntries(
                             context.term,
-                            previous,
-                            context.log.termAt(previous),
+                            previousIndex,
+                            context.log.termAt(previousIndex),
                             batch,
                             context.commitIndex,
                             context.now));
             if (!progress.probing) {
-                progress.sent(batch);
+                progress.recordSent(batch);
             }
         }
     }
 
     private void sendSnapshot(Member to, FollowerProgress progress, boolean heartbeat) {
         Snapshot base = context.log.snapshot();
-        if (progress.snapshot == null || progress.snapshot.snapshot != base) {
-            progress.snapshot =
-                    new SnapshotSender(base, digestOf(base), context.settings.pieceBytes());
+        if (progress.snapshotSender == null || progress.snapshotSender.snapshot != base) {
+            progress.snapshotSender =
+                    new SnapshotSender(base, digestOf(base), context.settings.maxPieceBytes());
         }
-        SnapshotSender sender = progress.snapshot;
+        SnapshotSender sender = progress.snapshotSender;
         sender.send(
                 heartbeat,
                 number ->
@@ -186,40 +205,41 @@
     }
 
     private String digestOf(Snapshot snapshot) {
-        if (digested != snapshot) {
-            digested = snapshot;
-            digest = SnapshotDigest.of(SnapshotDigest.bytes(snapshot));
+        if (digestedSnapshot != snapshot) {
+            digestedSnapshot = snapshot;
+            cachedDigest = SnapshotDigest.of(SnapshotDigest.stateBytes(snapshot));
         }
-        return digest;
+        return cachedDigest;
     }
 
-    // ---- Answers ----
+    // ---- Replies ----
 
-    private FollowerProgress heard(Member from, double sentAt) {
+    /** Records that a follower answered a message sent at this time; null if it is unknown. */
+    private FollowerProgress recordReply(Member from, double sentAt) {
         FollowerProgress progress = followers.get(from);
         if (progress != null) {
-            progress.heardAt = context.now;
+            progress.lastReplyAt = context.now;
             progress.answered = true;
-            progress.leaseAt = Math.max(progress.leaseAt, sentAt);
+            progress.leaseStartAt = Math.max(progress.leaseStartAt, sentAt);
         }
         return progress;
     }
 
     void onAppendReply(Member from, ConsensusMessage.AppendReply reply) {
-        FollowerProgress progress = heard(from, reply.sentAt());
+        FollowerProgress progress = recordReply(from, reply.sentAt());
         if (progress == null) {
             return;
         }
         if (reply.matched()) {
-            progress.matchedUpTo(reply.lastIndex());
+            progress.recordMatched(reply.lastIndex());
             advanceCommit();
         } else if (progress.probing
                 && reply.conflictTerm() == 0
                 && reply.lastIndex() >= progress.nextIndex - 1) {
-            // Others of the messages that did not match were in flight: the probe is, too.
+            // A rejection of an earlier message in flight; the answer to the probe is still due.
             return;
         } else {
-            progress.resumeAt(resumption(progress, reply));
+            progress.restartFrom(resumeIndex(progress, reply));
             progress.probing = true;
         }
         if (context.role == Role.LEADER && followers.containsKey(from)) {
@@ -227,45 +247,47 @@
         }
     }
 
-    /** Backs up by whole terms: past all entries of a term that the follower does not have. */
-    private long resumption(FollowerProgress progress, ConsensusMessage.AppendReply reply) {
+    /** The index to resume from; skips whole terms that the follower does not have. */
+    private long resumeIndex(FollowerProgress progress, ConsensusMessage.AppendReply reply) {
         long resume = Math.min(progress.nextIndex - 1, reply.lastIndex() + 1);
         if (reply.conflictTerm() == 0 || resume <= context.log.snapshot().index()) {
             return resume;
         }
-        return Math.min(resume, context.log.lastUpToTerm(resume, reply.conflictTerm()) + 1);
+        return Math.min(resume, context.log.lastIndexUpToTerm(resume, reply.conflictTerm()) + 1);
     }
 
     void onSnapshotReply(Member from, ConsensusMessage.SnapshotReply reply) {
-        FollowerProgress progress = heard(from, reply.sentAt());
+        FollowerProgress progress = recordReply(from, reply.sentAt());
         if (progress == null
-                || progress.snapshot == null
-                || !progress.snapshot.isAnsweredBy(reply)) {
+                || progress.snapshotSender == null
+                || !progress.snapshotSender.matches(reply)) {
             return;
         }
-        if (progress.snapshot.received(reply.received())) {
-            progress.resumeAt(reply.index() + 1);
-            progress.snapshot = null;
+        if (progress.snapshotSender.onAcknowledged(reply.received())) {
+            progress.restartFrom(reply.index() + 1);
+            progress.snapshotSender = null;
         }
         send(from, false);
     }
 
     // ---- Committing ----
 
-    /** Finds what enough disks hold. */
+    /** Raises the commit index to the last entry that is durable on enough members. */
     void advanceCommit() {
         if (context.role != Role.LEADER) {
             return;
         }
-        boolean copies = context.hasSafeguard(ConsensusSafeguard.MORE_COPIES_THAN_LOSSES);
-        int least = copies ? context.settings.toleratedLosses() + 1 : 0;
-        long held = (long) context.quorumSet().reached(this::durableAt, least);
-        // What older terms left counts only with an entry of this term behind it.
-        if (held > context.commitIndex
-                && (context.log.termAt(held) == context.term
+        boolean requiresExtraCopies =
+                context.hasSafeguard(ConsensusSafeguard.MORE_COPIES_THAN_LOSSES);
+        int minCopies = requiresExtraCopies ? context.settings.toleratedLosses() + 1 : 0;
+        long replicatedIndex =
+                (long) context.quorumSet().quorumValue(this::durableIndexOf, minCopies);
+        // Entries of older terms are committed only through a later entry of this term.
+        if (replicatedIndex > context.commitIndex
+                && (context.log.termAt(replicatedIndex) == context.term
                         || !context.hasSafeguard(ConsensusSafeguard.COMMIT_ONLY_OWN_TERM))) {
-            context.commitIndex = held;
-            heartbeatAt = context.now;
+            context.commitIndex = replicatedIndex;
+            nextHeartbeatAt = context.now;
             onCommitted.run();
         }
     }
--- a/src/main/java/gingerspool/consensus/StateMachineDriver.java
+++ b/src/main/java/gingerspool/consensus/StateMachineDriver.java
@@ -1,19 +1,20 @@
 package gingerspool.consensus;
 
 /**
- * Applies committed entries to the state, in order, and puts snapshots of it in the place of
- * applied entries once these have grown (Raft, section 7).
+ * Applies committed entries to the state machine in order, and compacts the log by replacing
+ * applied entries with a snapshot once they have grown large enough (Raft, section 7). Called by
+ * {@link Replica}.
  *
- * <p>Invariant: lastApplied is never beyond commitIndex, nor beyond the log.
+ * <p>Invariant: lastApplied never exceeds commitIndex or the last index of the log.
  */
 final class StateMachineDriver {
-    /** The log is replaced by a snapshot once it is so many times as large as the last one. */
-    private static final int SNAPSHOT_FACTOR = 2;
+    /** A snapshot is due once the applied entries are this many times as large as the last one. */
+    private static final int SNAPSHOT_GROWTH_FACTOR = 2;
 
     private final ReplicaContext context;
     private final Durability durability;
 
-    /** The size of the applied entries that no snapshot holds, in bytes. */
+    /** The size of the applied entries that are not in a snapshot yet, in bytes. */
     private long appliedBytes;
 
     StateMachineDriver(ReplicaContext context, Durability durability) {
@@ -21,28 +22,30 @@
         this.durability = durability;
     }
 
-    /** Applies what is committed, and makes a snapshot where one is due. */
+    /** Applies all committed entries, and takes a snapshot if one is due. */
     void applyCommitted() {
         while (context.lastApplied < Math.min(context.commitIndex, context.log.lastIndex())) {
             context.lastApplied++;
             LogEntry entry = context.log.entry(context.lastApplied);
-            appliedBytes += entry.size();
+            appliedBytes += entry.sizeBytes();
             if (entry.command() != null) {
                 context.environment.apply(context.lastApplied, entry.command());
             }
         }
-        if (appliedBytes > Math.max(context.settings.snapshotFloor(), snapshotDueBytes())) {
-            makeSnapshot();
+        if (appliedBytes
+                > Math.max(context.settings.snapshotThresholdBytes(), growthThresholdBytes())) {
+            takeSnapshot();
         }
     }
 
-    private long snapshotDueBytes() {
+    /** The size of applied entries, relative to the last snapshot, beyond which one is taken. */
+    private long growthThresholdBytes() {
         byte[] state = context.log.snapshot().state();
-        return state == null ? 0 : (long) SNAPSHOT_FACTOR * state.length;
+        return state == null ? 0 : (long) SNAPSHOT_GROWTH_FACTOR * state.length;
     }
 
-    /** Puts the applied state in the place of the applied entries. */
-    void makeSnapshot() {
+    /** Replaces the applied entries by a snapshot of the state, and writes it to disk. */
+    void takeSnapshot() {
         RaftLog log = context.log;
         long index = context.lastApplied;
         log.compact(
