--- a/src/main/java/gingerspool/antientropy/RangeDigests.java
+++ b/src/main/java/gingerspool/antientropy/RangeDigests.java
@@ -11,22 +11,22 @@
 
 /** A state as items by key, split over ranges by their keys, and the digest of each range. */
 public final class RangeDigests {
-    public static final int COUNT = 16;
+    public static final int RANGE_COUNT = 16;
 
     private RangeDigests() {}
 
     /** The range of a key. */
-    public static int of(String key) {
+    public static int rangeOf(String key) {
         int hash = key.hashCode() * 0x9E3779B9;
         return hash >>> 28;
     }
 
     /** Sums of the items' digests by range; two copies that differ agree by chance only. */
     public static List<Long> digests(Map<String, String> items) {
-        long[] sums = new long[COUNT];
+        long[] sums = new long[RANGE_COUNT];
         items.forEach(
                 (key, value) ->
-                        sums[of(key)] +=
+                        sums[rangeOf(key)] +=
                                 digest((key + '\0' + value).getBytes(StandardCharsets.UTF_8)));
         return Arrays.stream(sums).boxed().toList();
     }
@@ -42,14 +42,14 @@
 
     /** The items of these ranges; range r is bit r. */
     public static Map<String, String> items(Map<String, String> all, int ranges) {
-        Map<String, String> some = new TreeMap<>();
+        Map<String, String> selected = new TreeMap<>();
         all.forEach(
                 (key, value) -> {
-                    if ((ranges & 1 << of(key)) != 0) {
-                        some.put(key, value);
+                    if ((ranges & 1 << rangeOf(key)) != 0) {
+                        selected.put(key, value);
                     }
                 });
-        return some;
+        return selected;
     }
 
     /**
@@ -57,10 +57,10 @@
      * over.
      */
     public static Map<String, String> replaced(
-            Map<String, String> all, int ranges, Map<String, String> by) {
-        Map<String, String> next = new TreeMap<>(all);
-        next.keySet().removeIf(key -> (ranges & 1 << of(key)) != 0);
-        next.putAll(items(by, ranges));
-        return next;
+            Map<String, String> all, int ranges, Map<String, String> replacements) {
+        Map<String, String> result = new TreeMap<>(all);
+        result.keySet().removeIf(key -> (ranges & 1 << rangeOf(key)) != 0);
+        result.putAll(items(replacements, ranges));
+        return result;
     }
 }
--- a/src/main/java/gingerspool/antientropy/ReplicaRepair.java
+++ b/src/main/java/gingerspool/antientropy/ReplicaRepair.java
@@ -29,7 +29,7 @@
         void send(String member, long index, int ranges);
     }
 
-    private record Copy(long index, List<Long> ranges) {}
+    private record CopyDigests(long index, List<Long> digests) {}
 
     private final Exchange exchange;
 
@@ -41,28 +41,28 @@
     private List<String> members = List.of();
 
     /** The member that was asked for its items in this comparison, until they come. */
-    private String askedMember = "";
+    private String requestedMember = "";
 
     /** What the other members have told for the comparison under way. */
-    private final Map<String, Copy> copies = new HashMap<>();
+    private final Map<String, CopyDigests> digestsByMember = new HashMap<>();
 
     /**
      * RangeDigests that were found to differ, and those of them for which no copy has a majority.
      */
-    private int differing;
+    private int differingRanges;
 
-    private int undecided;
+    private int undecidedRanges;
 
     public ReplicaRepair(Exchange exchange) {
         this.exchange = exchange;
     }
 
     public int differing() {
-        return differing;
+        return differingRanges;
     }
 
     public int undecided() {
-        return undecided;
+        return undecidedRanges;
     }
 
     /**
@@ -76,8 +76,8 @@
         this.members = List.copyOf(members);
         comparison++;
         isUnderWay = true;
-        askedMember = "";
-        copies.clear();
+        requestedMember = "";
+        digestsByMember.clear();
         for (String member : members) {
             if (!member.equals(self)) {
                 exchange.requestDigests(member, comparison);
@@ -91,13 +91,14 @@
      *
      * @return whether all members have told theirs, so that the comparison may end
      */
-    public boolean received(String member, long comparison, long index, List<Long> ranges) {
-        boolean isAsked = isUnderWay && comparison == this.comparison && members.contains(member);
-        if (!isAsked || member.equals(self) || ranges.size() != RangeDigests.COUNT) {
+    public boolean received(String member, long comparison, long index, List<Long> digests) {
+        boolean isExpected =
+                isUnderWay && comparison == this.comparison && members.contains(member);
+        if (!isExpected || member.equals(self) || digests.size() != RangeDigests.RANGE_COUNT) {
             return false;
         }
-        copies.put(member, new Copy(index, ranges));
-        return copies.size() == members.size() - 1;
+        digestsByMember.put(member, new CopyDigests(index, digests));
+        return digestsByMember.size() == members.size() - 1;
     }
 
     /** Whether this comparison was begun and has not ended. */
@@ -110,68 +111,75 @@
      * compared with our digests of this very moment, and what differs is repaired. Without one it
      * changes nothing.
      */
-    public void end(long index, List<Long> own) {
+    public void end(long index, List<Long> ownDigests) {
         if (!isUnderWay) {
             return;
         }
         isUnderWay = false;
-        copies.put(self, new Copy(index, own));
-        copies.values().removeIf(c -> c.index != index);
-        compare(index, own);
-        copies.clear();
+        digestsByMember.put(self, new CopyDigests(index, ownDigests));
+        digestsByMember.values().removeIf(copy -> copy.index != index);
+        compare(index, ownDigests);
+        digestsByMember.clear();
     }
 
-    private void compare(long index, List<Long> own) {
+    private void compare(long index, List<Long> ownDigests) {
         // By member: where it has what most hold and we don't, and where it is the other way round.
-        Map<String, Integer> better = new HashMap<>();
-        Map<String, Integer> worse = new HashMap<>();
-        for (int r = 0; r < RangeDigests.COUNT; r++) {
-            Long right = mostHeld(r, members.size());
-            for (Map.Entry<String, Copy> e : copies.entrySet()) {
-                boolean isRight = e.getValue().ranges.get(r).equals(right);
-                if (right != null && isRight != own.get(r).equals(right)) {
-                    (isRight ? better : worse).merge(e.getKey(), 1 << r, (a, b) -> a | b);
+        Map<String, Integer> rangesToRequest = new HashMap<>();
+        Map<String, Integer> rangesToSend = new HashMap<>();
+        for (int range = 0; range < RangeDigests.RANGE_COUNT; range++) {
+            Long majority = majorityDigest(range, members.size());
+            for (Map.Entry<String, CopyDigests> copy : digestsByMember.entrySet()) {
+                boolean matchesMajority = copy.getValue().digests.get(range).equals(majority);
+                if (majority != null && matchesMajority != ownDigests.get(range).equals(majority)) {
+                    (matchesMajority ? rangesToRequest : rangesToSend)
+                            .merge(copy.getKey(), 1 << range, (a, b) -> a | b);
                 }
             }
         }
-        if (better.isEmpty()) {
-            worse.forEach((member, ranges) -> exchange.send(member, index, ranges));
+        if (rangesToRequest.isEmpty()) {
+            rangesToSend.forEach((member, ranges) -> exchange.send(member, index, ranges));
         } else {
             // One that is right wherever we are wrong, if there is one: parts of copies may not
             // fit.
-            String best =
+            String source =
                     Collections.max(
-                            better.keySet(),
-                            Comparator.comparingInt(m -> Integer.bitCount(better.get(m))));
-            askedMember = best;
-            exchange.ask(best, index, better.get(best));
+                            rangesToRequest.keySet(),
+                            Comparator.comparingInt(
+                                    member -> Integer.bitCount(rangesToRequest.get(member))));
+            requestedMember = source;
+            exchange.ask(source, index, rangesToRequest.get(source));
         }
     }
 
     /** Whether items that this member sends are those that it was asked for; once for each ask. */
     public boolean takeAnswerOf(String member) {
-        boolean isAsked = member.equals(askedMember);
-        askedMember = "";
-        return isAsked;
+        boolean wasRequested = member.equals(requestedMember);
+        requestedMember = "";
+        return wasRequested;
     }
 
     /**
      * What more than half of the members hold in this range; null where they agree, or no such is
      * known.
      */
-    private Long mostHeld(int range, int members) {
-        Map<Long, Integer> held = new HashMap<>();
-        copies.values().forEach(c -> held.merge(c.ranges.get(range), 1, Integer::sum));
-        if (held.size() < 2) {
+    private Long majorityDigest(int range, int memberCount) {
+        Map<Long, Integer> memberCountByDigest = new HashMap<>();
+        digestsByMember
+                .values()
+                .forEach(
+                        copy ->
+                                memberCountByDigest.merge(
+                                        copy.digests.get(range), 1, Integer::sum));
+        if (memberCountByDigest.size() < 2) {
             return null;
         }
-        differing++;
-        for (Map.Entry<Long, Integer> e : held.entrySet()) {
-            if (e.getValue() > members / 2) {
-                return e.getKey();
+        differingRanges++;
+        for (Map.Entry<Long, Integer> entry : memberCountByDigest.entrySet()) {
+            if (entry.getValue() > memberCount / 2) {
+                return entry.getKey();
             }
         }
-        undecided++;
+        undecidedRanges++;
         return null;
     }
 }
--- a/src/main/java/gingerspool/codec/ComponentSerializer.java
+++ b/src/main/java/gingerspool/codec/ComponentSerializer.java
@@ -22,19 +22,20 @@
     /** A component and its place in the canonical constructor. */
     private record Component(int position, Class<?> type, Method accessor) {}
 
-    private final Component[] byName;
+    private final Component[] componentsByName;
     private final Constructor<T> constructor;
 
     ComponentSerializer(Class<T> type) {
         RecordComponent[] declared = type.getRecordComponents();
         Class<?>[] types = new Class<?>[declared.length];
-        byName = new Component[declared.length];
+        componentsByName = new Component[declared.length];
         for (int i = 0; i < declared.length; i++) {
             types[i] = declared[i].getType();
-            byName[i] = new Component(i, types[i], declared[i].getAccessor());
-            byName[i].accessor.setAccessible(true);
+            componentsByName[i] = new Component(i, types[i], declared[i].getAccessor());
+            componentsByName[i].accessor.setAccessible(true);
         }
-        Arrays.sort(byName, Comparator.comparing(component -> component.accessor.getName()));
+        Arrays.sort(
+                componentsByName, Comparator.comparing(component -> component.accessor.getName()));
         try {
             constructor = type.getDeclaredConstructor(types);
             constructor.setAccessible(true);
@@ -45,7 +46,7 @@
 
     @Override
     public void write(Kryo kryo, Output output, T message) {
-        for (Component component : byName) {
+        for (Component component : componentsByName) {
             Object value = valueOf(component, message);
             if (component.type.isPrimitive()) {
                 kryo.writeObject(output, value);
@@ -65,8 +66,8 @@
 
     @Override
     public T read(Kryo kryo, Input input, Class<? extends T> type) {
-        Object[] values = new Object[byName.length];
-        for (Component component : byName) {
+        Object[] values = new Object[componentsByName.length];
+        for (Component component : componentsByName) {
             values[component.position] =
                     component.type.isPrimitive()
                             ? kryo.readObject(input, component.type)
--- a/src/main/java/gingerspool/codec/KryoCodec.java
+++ b/src/main/java/gingerspool/codec/KryoCodec.java
@@ -15,16 +15,16 @@
 
 /** Messages to bytes and back, by Kryo. Only what is registered is read; for one thread. */
 public final class KryoCodec {
-    private static final int INITIAL_BYTES = 512;
+    private static final int INITIAL_BUFFER_BYTES = 512;
 
     /** Far over what any message nests, far under what a thread's stack bears. */
     private static final int MAX_DEPTH = 64;
 
     /** What Kryo adds to a type's identifier, since nothing and names come before it. */
-    private static final int FIRST_NUMBER = 2;
+    private static final int CLASS_ID_OFFSET = 2;
 
     private final Kryo kryo = new Kryo();
-    private final Output output = new Output(INITIAL_BYTES, -1);
+    private final Output output = new Output(INITIAL_BUFFER_BYTES, -1);
 
     /** A type is written as its number in this list, which both sides must share. */
     public KryoCodec(List<Class<?>> types) {
@@ -32,42 +32,42 @@
     }
 
     /** With another serializer of records, as tests compare them. */
-    KryoCodec(List<Class<?>> types, Function<Class<?>, Serializer<?>> ofRecords) {
+    KryoCodec(List<Class<?>> types, Function<Class<?>, Serializer<?>> recordSerializer) {
         kryo.setReferences(false);
         kryo.setMaxDepth(MAX_DEPTH);
         kryo.register(byte[].class);
-        kryo.addDefaultSerializer(List.class, new Lists());
-        kryo.addDefaultSerializer(Map.class, new Maps());
-        kryo.register(List.class, new Lists());
-        kryo.register(ArrayList.class, new Lists());
-        kryo.register(Map.class, new Maps());
-        kryo.register(HashMap.class, new Maps());
+        kryo.addDefaultSerializer(List.class, new ArrayListSerializer());
+        kryo.addDefaultSerializer(Map.class, new HashMapSerializer());
+        kryo.register(List.class, new ArrayListSerializer());
+        kryo.register(ArrayList.class, new ArrayListSerializer());
+        kryo.register(Map.class, new HashMapSerializer());
+        kryo.register(HashMap.class, new HashMapSerializer());
         for (Class<?> type : types) {
             if (type.isRecord()) {
-                kryo.register(type, ofRecords.apply(type));
+                kryo.register(type, recordSerializer.apply(type));
             } else if (type.isInterface()) {
-                kryo.register(type, new Any());
+                kryo.register(type, new PolymorphicSerializer());
             } else {
                 kryo.register(type);
             }
         }
     }
 
-    private static void checkFollows(Input input, int size) {
-        ((MessageInput) input).checkFollows(size);
+    private static void checkAvailable(Input input, int size) {
+        ((MessageInput) input).checkAvailable(size);
     }
 
     /** Whatever sort of list is written, an ArrayList is read. */
-    private static final class Lists extends CollectionSerializer<List<?>> {
+    private static final class ArrayListSerializer extends CollectionSerializer<List<?>> {
         @Override
         protected List<?> create(Kryo kryo, Input input, Class<? extends List<?>> type, int size) {
-            checkFollows(input, size);
+            checkAvailable(input, size);
             return new ArrayList<>(size);
         }
     }
 
     /** A component that may be one of several types. */
-    private static final class Any extends Serializer<Object> {
+    private static final class PolymorphicSerializer extends Serializer<Object> {
         @Override
         public void write(Kryo kryo, Output output, Object message) {
             kryo.writeClassAndObject(output, message);
@@ -79,11 +79,11 @@
         }
     }
 
-    private static final class Maps extends MapSerializer<Map<?, ?>> {
+    private static final class HashMapSerializer extends MapSerializer<Map<?, ?>> {
         @Override
         protected Map<?, ?> create(
                 Kryo kryo, Input input, Class<? extends Map<?, ?>> type, int size) {
-            checkFollows(input, size);
+            checkAvailable(input, size);
             return new HashMap<>();
         }
     }
@@ -96,8 +96,8 @@
     }
 
     /** The number that a message of the type begins with. */
-    int number(Class<?> type) {
-        return kryo.getRegistration(type).getId() + FIRST_NUMBER;
+    int encodedTypeId(Class<?> type) {
+        return kryo.getRegistration(type).getId() + CLASS_ID_OFFSET;
     }
 
     /** Reads a message; an exception says that the peer wrote none of ours. */
--- a/src/main/java/gingerspool/codec/MalformedMessageException.java
+++ b/src/main/java/gingerspool/codec/MalformedMessageException.java
@@ -4,7 +4,7 @@
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public MalformedMessageException(String text) {
-        super(text, null, false, false);
+    public MalformedMessageException(String message) {
+        super(message, null, false, false);
     }
 }
--- a/src/main/java/gingerspool/codec/MessageInput.java
+++ b/src/main/java/gingerspool/codec/MessageInput.java
@@ -22,7 +22,7 @@
      * Refuses a count of bytes, characters or elements that can't follow, each of which takes a
      * byte at least.
      */
-    void checkFollows(int count) {
+    void checkAvailable(int count) {
         if (count < 0 || count > remaining()) {
             throw new KryoException(count + " named where " + remaining() + " bytes are left");
         }
@@ -30,29 +30,29 @@
 
     @Override
     public byte[] readBytes(int length) {
-        checkFollows(length);
+        checkAvailable(length);
         return super.readBytes(length);
     }
 
     @Override
     public String readString() {
-        checkStringFollows();
+        checkStringAvailable();
         return super.readString();
     }
 
     @Override
     public StringBuilder readStringBuilder() {
-        checkStringFollows();
+        checkStringAvailable();
         return super.readStringBuilder();
     }
 
     /** Only a string that isn't ASCII names its length, one more than its characters. */
-    private void checkStringFollows() {
+    private void checkStringAvailable() {
         int start = position();
         if (readVarIntFlag()) {
-            int named = readVarIntFlag(true);
-            if (named != 0) {
-                checkFollows(named - 1);
+            int declaredLength = readVarIntFlag(true);
+            if (declaredLength != 0) {
+                checkAvailable(declaredLength - 1);
             }
         }
         setPosition(start);
--- a/src/main/java/gingerspool/storage/DurableLog.java
+++ b/src/main/java/gingerspool/storage/DurableLog.java
@@ -39,7 +39,7 @@
     private static final int FORMAT_1 = 1;
 
     /** A file that is larger than this part of the disk is replaced. */
-    private static final double FULL_DISK_PART = 0.2;
+    private static final double MAX_FILE_DISK_FRACTION = 0.2;
 
     private static final int BYTES_PER_MB = 1 << 20;
 
@@ -51,7 +51,7 @@
     /** What comes before a file's name for H2's file layer: "" for the disk itself. */
     private final String scheme;
 
-    private final long fileBytesMost;
+    private final long maxFileBytes;
     private final KryoCodec codec =
             new KryoCodec(
                     List.of(
@@ -63,7 +63,7 @@
     private MVStore store;
     private MVMap<Long, byte[]> entries;
     private MVMap<String, byte[]> meta;
-    private long number;
+    private long fileNumber;
 
     public DurableLog(Path folder, double diskMb) {
         this(new LogFolder(folder), diskMb, "");
@@ -72,7 +72,8 @@
     DurableLog(LogFolder folder, double diskMb, String scheme) {
         this.folder = folder;
         this.scheme = scheme;
-        fileBytesMost = (long) Math.max(BYTES_PER_MB, diskMb * BYTES_PER_MB * FULL_DISK_PART);
+        maxFileBytes =
+                (long) Math.max(BYTES_PER_MB, diskMb * BYTES_PER_MB * MAX_FILE_DISK_FRACTION);
     }
 
     /**
@@ -86,14 +87,14 @@
             folder.create();
             List<String> unreadable = new ArrayList<>();
             for (Map.Entry<Long, Path> file : folder.files().descendingMap().entrySet()) {
-                number = Math.max(number, file.getKey());
+                fileNumber = Math.max(fileNumber, file.getKey());
                 // A file that was made and never written holds nothing that was confirmed.
                 if (Files.size(file.getValue()) > 0) {
                     try {
-                        PersistedState found = read(file.getValue());
+                        PersistedState state = read(file.getValue());
                         folder.syncFile(file.getValue());
                         folder.sync();
-                        return new RecoveredLog(found, unreadable);
+                        return new RecoveredLog(state, unreadable);
                     } catch (UnreadableLogException e) {
                         unreadable.add(file.getValue().getFileName() + ": " + e.getMessage());
                     }
@@ -107,17 +108,20 @@
 
     private PersistedState read(Path file)
             throws IOException, UnreadableLogException, StorageException {
-        try (MVStore from = new MVStore.Builder().fileName(scheme + file).readOnly().open()) {
-            MVMap<String, byte[]> header = from.openMap("meta");
-            KryoCodec codec = codecOf(file, header.get("form"));
-            Vote vote = (Vote) codec.read(header.get("promise"));
-            Snapshot snapshot = snapshot(codec.read(header.get("base")));
-            List<LogEntry> all = entries(codec, from.openMap("entries"), snapshot.index());
-            return new PersistedState(vote.self(), vote.term(), vote.votedFor(), snapshot, all);
+        try (MVStore fileStore = new MVStore.Builder().fileName(scheme + file).readOnly().open()) {
+            MVMap<String, byte[]> header = fileStore.openMap("meta");
+            KryoCodec fileCodec = codecOf(file, header.get("form"));
+            Vote vote = (Vote) fileCodec.read(header.get("promise"));
+            Snapshot snapshot = toSnapshot(fileCodec.read(header.get("base")));
+            List<LogEntry> following =
+                    readEntries(fileCodec, fileStore.openMap("entries"), snapshot.index());
+            return new PersistedState(
+                    vote.self(), vote.term(), vote.votedFor(), snapshot, following);
         } catch (MVStoreException e) {
             // A disk in trouble says nothing of the file; one that ends too early does.
-            if (e.getCause() instanceof IOException io && !(io instanceof EOFException)) {
-                throw io;
+            if (e.getCause() instanceof IOException ioFailure
+                    && !(ioFailure instanceof EOFException)) {
+                throw ioFailure;
             }
             throw new UnreadableLogException(e.getMessage());
         } catch (MalformedMessageException
@@ -128,47 +132,51 @@
         }
     }
 
-    private KryoCodec codecOf(Path file, byte[] form)
+    private KryoCodec codecOf(Path file, byte[] format)
             throws UnreadableLogException, UnsupportedFormatException {
-        if (form == null || form.length != 1 || form[0] < FORMAT_1) {
+        if (format == null || format.length != 1 || format[0] < FORMAT_1) {
             throw new UnreadableLogException("no format");
         }
-        if (form[0] > FORMAT) {
-            throw new UnsupportedFormatException(file, form[0], FORMAT);
+        if (format[0] > FORMAT) {
+            throw new UnsupportedFormatException(file, format[0], FORMAT);
         }
-        return form[0] == FORMAT_1 ? LogFormat1.codec() : codec;
+        return format[0] == FORMAT_1 ? LogFormat1.codec() : codec;
     }
 
-    private static Snapshot snapshot(Object read) {
-        return read instanceof LogFormat1.State old ? old.upgraded() : (Snapshot) read;
+    private static Snapshot toSnapshot(Object stored) {
+        return stored instanceof LogFormat1.SnapshotV1 old ? old.upgraded() : (Snapshot) stored;
     }
 
-    private static LogEntry entry(Object read) {
-        return read instanceof LogFormat1.Entry old ? old.upgraded() : (LogEntry) read;
+    private static LogEntry toEntry(Object stored) {
+        return stored instanceof LogFormat1.EntryV1 old ? old.upgraded() : (LogEntry) stored;
     }
 
-    private static List<LogEntry> entries(
-            KryoCodec codec, MVMap<Long, byte[]> from, long snapshotIndex)
+    private static List<LogEntry> readEntries(
+            KryoCodec fileCodec, MVMap<Long, byte[]> stored, long snapshotIndex)
             throws MalformedMessageException, UnreadableLogException {
-        List<LogEntry> all = new ArrayList<>();
-        for (byte[] e; (e = from.get(snapshotIndex + 1 + all.size())) != null; ) {
-            all.add(entry(codec.read(e)));
+        List<LogEntry> contiguous = new ArrayList<>();
+        for (byte[] bytes; (bytes = stored.get(snapshotIndex + 1 + contiguous.size())) != null; ) {
+            contiguous.add(toEntry(fileCodec.read(bytes)));
         }
-        Long last = from.lastKey();
-        if (last != null && last > snapshotIndex + all.size()) {
+        Long lastIndex = stored.lastKey();
+        if (lastIndex != null && lastIndex > snapshotIndex + contiguous.size()) {
             throw new UnreadableLogException(
-                    "entry " + (snapshotIndex + 1 + all.size()) + " is missing, " + last + " not");
+                    "entry "
+                            + (snapshotIndex + 1 + contiguous.size())
+                            + " is missing, "
+                            + lastIndex
+                            + " not");
         }
-        return all;
+        return contiguous;
     }
 
     /** The next file, empty. */
-    private void create() {
+    private void createNextFile() {
         close();
-        number++;
+        fileNumber++;
         store =
                 new MVStore.Builder()
-                        .fileName(scheme + folder.file(number))
+                        .fileName(scheme + folder.file(fileNumber))
                         .autoCommitDisabled()
                         .cacheSize(1)
                         .open();
@@ -181,12 +189,12 @@
      * Writes the changes with a sync. On an exception what the disk holds is unknown: rewrite()
      * must follow.
      */
-    public void save(List<LogWrite> changes) throws StorageException {
+    public void save(List<LogWrite> writes) throws StorageException {
         try {
             if (store == null || store.isClosed()) {
                 throw new IOException("the log is closed");
             }
-            changes.forEach(this::put);
+            writes.forEach(this::put);
             store.commit();
             store.sync();
         } catch (IOException | MVStoreException | IllegalStateException e) {
@@ -198,29 +206,29 @@
     }
 
     /** Whether the file has grown so that the whole content should go to a new one. */
-    public boolean isFull() {
-        return store != null && !store.isClosed() && store.getFileStore().size() > fileBytesMost;
+    public boolean isOversized() {
+        return store != null && !store.isClosed() && store.getFileStore().size() > maxFileBytes;
     }
 
     /** Writes all content to a new file; older ones are gone for good when this returns. */
-    public void rewrite(LogWrite complete) throws StorageException {
+    public void rewrite(LogWrite fullState) throws StorageException {
         boolean isComplete = false;
         try {
-            create();
-            put(complete);
+            createNextFile();
+            put(fullState);
             store.commit();
             store.sync();
             folder.sync();
             isComplete = true;
-            removeOlder();
+            removeOlderFiles();
         } catch (IOException | MVStoreException | IllegalStateException e) {
-            abandon(isComplete);
+            abandonRewrite(isComplete);
             throw new StorageException("can't write to " + folder, e);
         }
     }
 
-    private void removeOlder() throws IOException {
-        var older = folder.files().headMap(number).values();
+    private void removeOlderFiles() throws IOException {
+        var older = folder.files().headMap(fileNumber).values();
         for (Path file : older) {
             folder.delete(file);
         }
@@ -233,14 +241,17 @@
      * Guards a full disk against what failed attempts leave. A file that is whole stays: of the
      * older ones some may be gone already.
      */
-    private void abandon(boolean isComplete) {
+    private void abandonRewrite(boolean isComplete) {
         close();
         try {
             if (!isComplete) {
-                folder.delete(folder.file(number));
+                folder.delete(folder.file(fileNumber));
             }
         } catch (IOException e) {
-            LOG.warn("log.delete_failed file={} why=\"{}\"", folder.file(number), e.getMessage());
+            LOG.warn(
+                    "log.delete_failed file={} why=\"{}\"",
+                    folder.file(fileNumber),
+                    e.getMessage());
         }
     }
 
@@ -251,8 +262,8 @@
             meta.put("base", codec.write(write.snapshot()));
             entries.clear();
         }
-        Long last = entries.lastKey();
-        for (long index = write.from(); last != null && index <= last; index++) {
+        Long lastIndex = entries.lastKey();
+        for (long index = write.from(); lastIndex != null && index <= lastIndex; index++) {
             entries.remove(index);
         }
         for (int i = 0; i < write.entries().size(); i++) {
--- a/src/main/java/gingerspool/storage/LogFolder.java
+++ b/src/main/java/gingerspool/storage/LogFolder.java
@@ -14,7 +14,7 @@
 class LogFolder {
     private static final String PREFIX = "ledger-";
     private static final String SUFFIX = ".mv";
-    private static final String NUMBER = "[0-9]{1,15}";
+    private static final String NUMBER_PATTERN = "[0-9]{1,15}";
 
     private final Path path;
 
@@ -33,13 +33,13 @@
     /** The log's files by number. */
     TreeMap<Long, Path> files() throws IOException {
         TreeMap<Long, Path> files = new TreeMap<>();
-        try (Stream<Path> all = Files.list(path)) {
-            for (Path file : all.toList()) {
+        try (Stream<Path> listing = Files.list(path)) {
+            for (Path file : listing.toList()) {
                 String name = file.getFileName().toString();
                 if (name.startsWith(PREFIX) && name.endsWith(SUFFIX)) {
                     String number =
                             name.substring(PREFIX.length(), name.length() - SUFFIX.length());
-                    if (number.matches(NUMBER)) {
+                    if (number.matches(NUMBER_PATTERN)) {
                         files.put(Long.parseLong(number), file);
                     }
                 }
--- a/src/main/java/gingerspool/storage/LogFormat1.java
+++ b/src/main/java/gingerspool/storage/LogFormat1.java
@@ -13,14 +13,14 @@
  */
 final class LogFormat1 {
     /** An entry, as it was. */
-    record Entry(long term, byte[] command, List<Member> members) {
+    record EntryV1(long term, byte[] command, List<Member> members) {
         LogEntry upgraded() {
             return new LogEntry(term, command, members == null ? null : VoterSet.of(members));
         }
     }
 
     /** A snapshot, as it was. */
-    record State(long index, long term, List<Member> members, byte[] state) {
+    record SnapshotV1(long index, long term, List<Member> members, byte[] state) {
         Snapshot upgraded() {
             return new Snapshot(index, term, members, state);
         }
@@ -28,7 +28,7 @@
 
     static KryoCodec codec() {
         return new KryoCodec(
-                List.of(DurableLog.Vote.class, Member.class, Entry.class, State.class));
+                List.of(DurableLog.Vote.class, Member.class, EntryV1.class, SnapshotV1.class));
     }
 
     private LogFormat1() {}
--- a/src/main/java/gingerspool/storage/LogWriter.java
+++ b/src/main/java/gingerspool/storage/LogWriter.java
@@ -23,12 +23,12 @@
     private static final Logger LOG = LoggerFactory.getLogger(LogWriter.class);
 
     /** How long it waits after the disk has failed. */
-    private static final Duration RETRY_PAUSE = Duration.ofMillis(100);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(100);
 
     /** Who the log is kept for; all calls come on the loop. */
     public interface Owner {
         /** What the disk held; from now on changes may be saved. */
-        void recovered(RecoveredLog found);
+        void recovered(RecoveredLog recovered);
 
         /** The log can't be used by this version; the thread has ended. */
         void unusable(StorageException why);
@@ -43,23 +43,23 @@
     private final DurableLog log;
     private final Executor loop;
     private final Owner owner;
-    private final WriteQueue backlog = new WriteQueue();
+    private final WriteQueue pendingWrites = new WriteQueue();
     private final Thread thread = new Thread(this::run, "log");
-    private volatile boolean isEnded;
+    private volatile boolean isStopped;
     private volatile boolean isFailing;
 
     /** What the newest file holds is unknown, or there may be torn bytes behind it. */
-    private boolean mustRewrite = true;
+    private boolean needsRewrite = true;
 
     /** A disk that fails is tried for as long as it takes. */
-    private final RetryPolicy<Object> untilDone =
+    private final RetryPolicy<Object> retryPolicy =
             RetryPolicy.builder()
                     .handle(StorageException.class)
                     .abortOn(UnsupportedFormatException.class)
                     .withMaxRetries(-1)
-                    .withDelay(RETRY_PAUSE)
-                    .abortIf((persisted, why) -> isEnded)
-                    .onFailedAttempt(e -> failed(e.getLastException()))
+                    .withDelay(RETRY_DELAY)
+                    .abortIf((result, failure) -> isStopped)
+                    .onFailedAttempt(attempt -> recordFailure(attempt.getLastException()))
                     .build();
 
     /** The executor runs the owner's calls on the event loop; the thread starts with start(). */
@@ -75,8 +75,8 @@
     }
 
     /** Called on the loop. */
-    public void save(LogWrite change) {
-        backlog.add(change);
+    public void save(LogWrite write) {
+        pendingWrites.add(write);
         LockSupport.unpark(thread);
     }
 
@@ -86,17 +86,17 @@
     }
 
     public void end() {
-        isEnded = true;
+        isStopped = true;
         LockSupport.unpark(thread);
     }
 
     private void run() {
-        if (runUntilDone(this::recover)) {
-            while (!isEnded) {
-                if (backlog.isEmpty() && !log.isFull() && !mustRewrite) {
+        if (runWithRetries(this::recover)) {
+            while (!isStopped) {
+                if (pendingWrites.isEmpty() && !log.isOversized() && !needsRewrite) {
                     LockSupport.park(this);
                 } else {
-                    runUntilDone(this::writeNext);
+                    runWithRetries(this::writeNext);
                 }
             }
         }
@@ -104,13 +104,13 @@
     }
 
     /** False where it ended first, or the log can't be used. */
-    private boolean runUntilDone(CheckedRunnable what) {
+    private boolean runWithRetries(CheckedRunnable action) {
         try {
-            Failsafe.with(untilDone).run(what);
+            Failsafe.with(retryPolicy).run(action);
             return true;
         } catch (FailsafeException e) {
-            if (e.getCause() instanceof UnsupportedFormatException why) {
-                loop.execute(() -> owner.unusable(why));
+            if (e.getCause() instanceof UnsupportedFormatException unsupported) {
+                loop.execute(() -> owner.unusable(unsupported));
             } else {
                 // Whatever could not be written was confirmed to nobody.
                 LOG.warn("log.stopped_failing why=\"{}\"", e.getCause().getMessage());
@@ -120,63 +120,63 @@
     }
 
     private void recover() throws StorageException {
-        RecoveredLog found = log.open();
-        for (String file : found.unreadable()) {
-            LOG.warn("log.unreadable file=\"{}\" older_used={}", file, found.state() != null);
+        RecoveredLog recovered = log.open();
+        for (String file : recovered.unreadable()) {
+            LOG.warn("log.unreadable file=\"{}\" older_used={}", file, recovered.state() != null);
         }
-        worksAgain();
-        loop.execute(() -> owner.recovered(found));
+        recordSuccess();
+        loop.execute(() -> owner.recovered(recovered));
     }
 
     private void writeNext() throws StorageException {
-        if (mustRewrite || log.isFull()) {
+        if (needsRewrite || log.isOversized()) {
             rewrite();
         } else {
-            write(backlog.takeBeyond(0));
+            write(pendingWrites.drainAfter(0));
         }
     }
 
-    private void failed(Throwable why) {
+    private void recordFailure(Throwable failure) {
         if (!isFailing) {
-            LOG.warn("log.failing why=\"{}\"", why.getMessage());
+            LOG.warn("log.failing why=\"{}\"", failure.getMessage());
         }
         isFailing = true;
-        mustRewrite = true;
+        needsRewrite = true;
     }
 
-    private void worksAgain() {
+    private void recordSuccess() {
         if (isFailing) {
             LOG.info("log.recovered");
         }
         isFailing = false;
     }
 
-    private void write(List<LogWrite> changes) throws StorageException {
-        if (!changes.isEmpty()) {
-            log.save(changes);
-            persisted(changes.get(changes.size() - 1).ticket());
+    private void write(List<LogWrite> writes) throws StorageException {
+        if (!writes.isEmpty()) {
+            log.save(writes);
+            notifyPersisted(writes.get(writes.size() - 1).ticket());
         }
     }
 
     /** The newest content holds whatever waits, up to its ticket. */
     private void rewrite() throws StorageException {
-        CompletableFuture<LogWrite> content = new CompletableFuture<>();
-        loop.execute(() -> content.complete(owner.fullState()));
-        LogWrite all;
+        CompletableFuture<LogWrite> stateFromLoop = new CompletableFuture<>();
+        loop.execute(() -> stateFromLoop.complete(owner.fullState()));
+        LogWrite fullState;
         try {
-            all = content.get();
+            fullState = stateFromLoop.get();
         } catch (InterruptedException | ExecutionException e) {
             throw new StorageException("no content to write", e);
         }
-        List<LogWrite> later = backlog.takeBeyond(all.ticket());
-        log.rewrite(all);
-        worksAgain();
-        mustRewrite = false;
-        persisted(all.ticket());
-        write(later);
+        List<LogWrite> laterWrites = pendingWrites.drainAfter(fullState.ticket());
+        log.rewrite(fullState);
+        recordSuccess();
+        needsRewrite = false;
+        notifyPersisted(fullState.ticket());
+        write(laterWrites);
     }
 
-    private void persisted(long ticket) {
+    private void notifyPersisted(long ticket) {
         loop.execute(() -> owner.persisted(ticket));
     }
 }
--- a/src/main/java/gingerspool/storage/StorageException.java
+++ b/src/main/java/gingerspool/storage/StorageException.java
@@ -4,11 +4,11 @@
 public class StorageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    StorageException(String text) {
-        super(text);
+    StorageException(String message) {
+        super(message);
     }
 
-    public StorageException(String text, Throwable cause) {
-        super(text + ": " + cause.getMessage(), cause);
+    public StorageException(String message, Throwable cause) {
+        super(message + ": " + cause.getMessage(), cause);
     }
 }
--- a/src/main/java/gingerspool/storage/UnreadableLogException.java
+++ b/src/main/java/gingerspool/storage/UnreadableLogException.java
@@ -4,7 +4,7 @@
 final class UnreadableLogException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    UnreadableLogException(String text) {
-        super(text);
+    UnreadableLogException(String message) {
+        super(message);
     }
 }
--- a/src/main/java/gingerspool/storage/UnsupportedFormatException.java
+++ b/src/main/java/gingerspool/storage/UnsupportedFormatException.java
@@ -9,13 +9,13 @@
 public final class UnsupportedFormatException extends StorageException {
     private static final long serialVersionUID = 1L;
 
-    UnsupportedFormatException(Path file, int format, int known) {
+    UnsupportedFormatException(Path file, int format, int newestKnown) {
         super(
                 file
                         + " has format "
                         + format
                         + ", this version knows formats up to "
-                        + known
+                        + newestKnown
                         + "; start a newer version, or empty the folder to join anew");
     }
 }
--- a/src/main/java/gingerspool/storage/WriteQueue.java
+++ b/src/main/java/gingerspool/storage/WriteQueue.java
@@ -7,28 +7,29 @@
 
 /** Changes on their way from the loop, which adds, to the log's thread, which takes. */
 final class WriteQueue {
-    private static final int CHUNK = 64;
+    private static final int CHUNK_SIZE = 64;
 
-    private final SpscUnboundedArrayQueue<LogWrite> queue = new SpscUnboundedArrayQueue<>(CHUNK);
+    private final SpscUnboundedArrayQueue<LogWrite> queue =
+            new SpscUnboundedArrayQueue<>(CHUNK_SIZE);
 
     /** By the loop only. */
-    void add(LogWrite change) {
-        queue.add(change);
+    void add(LogWrite write) {
+        queue.add(write);
     }
 
     /**
      * By the log's thread only: all that has come, in order, but for what this ticket covers
      * already.
      */
-    List<LogWrite> takeBeyond(long ticket) {
-        List<LogWrite> all = new ArrayList<>();
+    List<LogWrite> drainAfter(long ticket) {
+        List<LogWrite> drained = new ArrayList<>();
         queue.drain(
-                c -> {
-                    if (c.ticket() > ticket) {
-                        all.add(c);
+                write -> {
+                    if (write.ticket() > ticket) {
+                        drained.add(write);
                     }
                 });
-        return all;
+        return drained;
     }
 
     boolean isEmpty() {
--- a/src/test/java/gingerspool/codec/KryoCodecTest.java
+++ b/src/test/java/gingerspool/codec/KryoCodecTest.java
@@ -147,7 +147,7 @@
                         output -> {
                             for (int i = 0; i < NESTED_LISTS; i++) {
                                 output.writeVarIntFlag(true, 2, true);
-                                output.writeVarInt(coder.number(ArrayList.class), true);
+                                output.writeVarInt(coder.encodedTypeId(ArrayList.class), true);
                                 output.writeBoolean(false);
                             }
                         });
@@ -157,7 +157,7 @@
     /** A message that begins as one of the type and goes on as said. */
     private byte[] named(Class<?> type, Consumer<Output> rest) {
         Output output = new Output(64, -1);
-        output.writeVarInt(coder.number(type), true);
+        output.writeVarInt(coder.encodedTypeId(type), true);
         rest.accept(output);
         return output.toBytes();
     }
--- a/src/test/java/gingerspool/storage/DurableLogTest.java
+++ b/src/test/java/gingerspool/storage/DurableLogTest.java
@@ -291,12 +291,14 @@
             old.openMap("meta")
                     .put(
                             "base",
-                            codec.write(new LogFormat1.State(5, 3, List.of(SELF), new byte[] {9})));
-            List<LogFormat1.Entry> entries =
+                            codec.write(
+                                    new LogFormat1.SnapshotV1(
+                                            5, 3, List.of(SELF), new byte[] {9})));
+            List<LogFormat1.EntryV1> entries =
                     List.of(
-                            new LogFormat1.Entry(4, null, null),
-                            new LogFormat1.Entry(4, new byte[] {1}, null),
-                            new LogFormat1.Entry(4, null, List.of(SELF)));
+                            new LogFormat1.EntryV1(4, null, null),
+                            new LogFormat1.EntryV1(4, new byte[] {1}, null),
+                            new LogFormat1.EntryV1(4, null, List.of(SELF)));
             for (int i = 0; i < entries.size(); i++) {
                 old.openMap("entries").put(6L + i, codec.write(entries.get(i)));
             }
--- a/src/test/java/gingerspool/storage/StoredDiskRecorder.java
+++ b/src/test/java/gingerspool/storage/StoredDiskRecorder.java
@@ -78,7 +78,7 @@
             meta.put(
                     "base",
                     codec.write(
-                            new LogFormat1.State(
+                            new LogFormat1.SnapshotV1(
                                     state.snapshot().index(),
                                     state.snapshot().term(),
                                     state.snapshot().voters().voters(),
@@ -89,7 +89,7 @@
                 entries.put(
                         ++index,
                         codec.write(
-                                new LogFormat1.Entry(
+                                new LogFormat1.EntryV1(
                                         entry.term(),
                                         entry.command(),
                                         entry.voters() == null ? null : entry.voters().voters())));
--- a/src/test/java/gingerspool/storage/WriteQueueTest.java
+++ b/src/test/java/gingerspool/storage/WriteQueueTest.java
@@ -26,12 +26,12 @@
 
         @Operation(nonParallelGroup = "disk")
         public List<Long> take() {
-            return backlog.takeBeyond(0).stream().map(LogWrite::ticket).toList();
+            return backlog.drainAfter(0).stream().map(LogWrite::ticket).toList();
         }
 
         @Operation(nonParallelGroup = "disk")
         public List<Long> takeWhatIsNotCovered() {
-            return backlog.takeBeyond(2).stream().map(LogWrite::ticket).toList();
+            return backlog.drainAfter(2).stream().map(LogWrite::ticket).toList();
         }
     }
 
