--- a/src/main/java/gingerspool/antientropy/RangeDigests.java
+++ b/src/main/java/gingerspool/antientropy/RangeDigests.java
@@ -9,7 +9,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A state as items by key, split over ranges by their keys, and the digest of each range. */
+/**
+ * Divides a state, given as items by key, into ranges by the hash of the key, and computes a digest
+ * of each range. Static functions for {@link ReplicaRepair} and its callers.
+ */
 public final class RangeDigests {
     public static final int RANGE_COUNT = 16;
 
@@ -21,7 +24,7 @@
         return hash >>> 28;
     }
 
-    /** Sums of the items' digests by range; two copies that differ agree by chance only. */
+    /** The digest of each range: the sum of its items' digests; other items match only by chance. */
     public static List<Long> digests(Map<String, String> items) {
         long[] sums = new long[RANGE_COUNT];
         items.forEach(
@@ -31,7 +34,7 @@
         return Arrays.stream(sums).boxed().toList();
     }
 
-    /** The first eight bytes of a SHA-256. */
+    /** The first eight bytes of the SHA-256 hash. */
     public static long digest(byte[] bytes) {
         try {
             return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(bytes)).getLong();
@@ -40,7 +43,7 @@
         }
     }
 
-    /** The items of these ranges; range r is bit r. */
+    /** The items in these ranges; range r is bit r. */
     public static Map<String, String> items(Map<String, String> all, int ranges) {
         Map<String, String> selected = new TreeMap<>();
         all.forEach(
@@ -53,8 +56,7 @@
     }
 
     /**
-     * All items, with those of these ranges replaced; what is sent beyond the ranges is passed
-     * over.
+     * All items, with those in these ranges replaced; replacements outside the ranges are ignored.
      */
     public static Map<String, String> replaced(
             Map<String, String> all, int ranges, Map<String, String> replacements) {
--- a/src/main/java/gingerspool/antientropy/ReplicaRepair.java
+++ b/src/main/java/gingerspool/antientropy/ReplicaRepair.java
@@ -7,50 +7,54 @@
 import java.util.Map;
 
 /**
- * Compares the copies that members hold of one state at one index of the order, range by range.
- * What more than half of the members hold is right: a member that differs is sent it, and where it
- * is the comparing member itself that differs, it asks one that is right. Without such a majority
- * nothing is repaired. Copies at other indices say nothing.
+ * Compares the members' copies of one state at one index of the log, range by range, on the member
+ * that leads the comparison. The digest held by more than half of the members is taken as correct.
+ * Members that differ from it are sent the items; if the comparing member itself differs, it
+ * requests the items from a member with the correct ones. A range without such a majority is not
+ * repaired. Copies at other indices are ignored.
  *
- * <p>Invariant: only digests that were made on request of the comparison under way count. Members'
- * links keep the order of messages, so such a digest follows whatever an earlier comparison
- * repaired; an older one could outvote a right copy together with a later damage of the same kind.
+ * <p>Invariant: only digests computed on request of the current comparison count. Links between
+ * members preserve message order, so such a digest reflects all repairs of earlier comparisons. A
+ * digest from an earlier comparison could outvote a correct copy if another copy is later damaged
+ * in the same way.
+ *
+ * <p>Performs no I/O and is not thread-safe: the caller sends the messages of {@link Exchange}.
  */
 public final class ReplicaRepair {
-    /** What a repair calls to act; range r is bit r. */
+    /** Sends the messages of a repair to other members; range r is bit r. */
     public interface Exchange {
-        /** This member is to tell the digests of its copy, for this comparison. */
+        /** Requests the digests of the member's copy, for this comparison. */
         void requestDigests(String member, long comparison);
 
-        /** This member is to send its items of these ranges, as of this index. */
+        /** Requests the member's items in these ranges, as of this index. */
         void ask(String member, long index, int ranges);
 
-        /** This member gets our items of these ranges, as of this index. */
+        /** Sends this process's items in these ranges, as of this index, to the member. */
         void send(String member, long index, int ranges);
     }
 
+    /** The digests of a member's copy at an index of the log, one per range. */
     private record CopyDigests(long index, List<Long> digests) {}
 
     private final Exchange exchange;
 
-    /** The number of the last comparison begun. */
+    /** The number of the latest comparison. */
     private long comparison;
 
     private boolean isUnderWay;
     private String self = "";
     private List<String> members = List.of();
 
-    /** The member that was asked for its items in this comparison, until they come. */
+    /** The member whose items were requested and have not arrived yet; empty if none. */
     private String requestedMember = "";
 
-    /** What the other members have told for the comparison under way. */
+    /** The digests received for the current comparison. */
     private final Map<String, CopyDigests> digestsByMember = new HashMap<>();
 
-    /**
-     * RangeDigests that were found to differ, and those of them for which no copy has a majority.
-     */
+    /** Total number of ranges found to differ. */
     private int differingRanges;
 
+    /** Total number of differing ranges in which no digest had a majority. */
     private int undecidedRanges;
 
     public ReplicaRepair(Exchange exchange) {
@@ -66,10 +70,10 @@
     }
 
     /**
-     * Begins a comparison of our copy with those of the other members; one that was still under way
-     * is given up.
+     * Begins a comparison of this member's copy with those of the other members; a comparison that
+     * is still under way is abandoned.
      *
-     * @return its number
+     * @return the number of the comparison
      */
     public long begin(String self, List<String> members) {
         this.self = self;
@@ -87,9 +91,9 @@
     }
 
     /**
-     * A member's digests; what belongs to another comparison is dropped.
+     * Records a member's digests; those of another comparison are ignored.
      *
-     * @return whether all members have told theirs, so that the comparison may end
+     * @return whether the digests of all other members have arrived, so that the comparison may end
      */
     public boolean received(String member, long comparison, long index, List<Long> digests) {
         boolean isExpected =
@@ -101,15 +105,15 @@
         return digestsByMember.size() == members.size() - 1;
     }
 
-    /** Whether this comparison was begun and has not ended. */
+    /** Whether this is the current comparison and it has not ended. */
     public boolean isUnderWay(long comparison) {
         return isUnderWay && comparison == this.comparison;
     }
 
     /**
-     * Ends the comparison under way: what members have told and hold at the index that we are at is
-     * compared with our digests of this very moment, and what differs is repaired. Without one it
-     * changes nothing.
+     * Ends the current comparison: compares the digests received for this index with this member's
+     * current digests and starts the repair of ranges that differ. Does nothing if no comparison is
+     * under way.
      */
     public void end(long index, List<Long> ownDigests) {
         if (!isUnderWay) {
@@ -123,7 +127,7 @@
     }
 
     private void compare(long index, List<Long> ownDigests) {
-        // By member: where it has what most hold and we don't, and where it is the other way round.
+        // By member: the ranges in which it is correct and this member is wrong, and the reverse.
         Map<String, Integer> rangesToRequest = new HashMap<>();
         Map<String, Integer> rangesToSend = new HashMap<>();
         for (int range = 0; range < RangeDigests.RANGE_COUNT; range++) {
@@ -139,8 +143,8 @@
         if (rangesToRequest.isEmpty()) {
             rangesToSend.forEach((member, ranges) -> exchange.send(member, index, ranges));
         } else {
-            // One that is right wherever we are wrong, if there is one: parts of copies may not
-            // fit.
+            // Requests from the one member that is correct in most of these ranges, since ranges of
+            // different copies may be inconsistent with each other.
             String source =
                     Collections.max(
                             rangesToRequest.keySet(),
@@ -151,7 +155,7 @@
         }
     }
 
-    /** Whether items that this member sends are those that it was asked for; once for each ask. */
+    /** Whether items were requested from this member; each request is consumed only once. */
     public boolean takeAnswerOf(String member) {
         boolean wasRequested = member.equals(requestedMember);
         requestedMember = "";
@@ -159,8 +163,8 @@
     }
 
     /**
-     * What more than half of the members hold in this range; null where they agree, or no such is
-     * known.
+     * The digest of this range held by more than half of the members; null if all copies agree or
+     * no digest has a majority.
      */
     private Long majorityDigest(int range, int memberCount) {
         Map<Long, Integer> memberCountByDigest = new HashMap<>();
--- a/src/main/java/gingerspool/antientropy/package-info.java
+++ b/src/main/java/gingerspool/antientropy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Repair: copies of a state are compared by digests over ranges and mended from what most hold; no
- * I/O.
+ * Anti-entropy repair of replicas: compares the copies of a state by digests of key ranges and
+ * repairs copies that differ from the majority. Without I/O.
  */
 package gingerspool.antientropy;
--- a/src/main/java/gingerspool/codec/ComponentSerializer.java
+++ b/src/main/java/gingerspool/codec/ComponentSerializer.java
@@ -13,13 +13,13 @@
 import java.util.Comparator;
 
 /**
- * Writes a record component by component, in the order of their names, each as its declared type;
- * the form of Kryo's {@code RecordSerializer} with fixed field types. That one looks for records by
- * reflection on reflection, since it also serves Java 8, which costs a process that starts on a
- * small share of a processor a tenth of its start.
+ * Serializes a record as its components, sorted by name, each as its declared type. The encoding is
+ * that of Kryo's {@code RecordSerializer} with fixed field types. Kryo's own class, which also
+ * supports Java 8, looks up the record methods by reflection; with a small share of a processor
+ * that takes a tenth of a process's startup time.
  */
 final class ComponentSerializer<T> extends Serializer<T> {
-    /** A component and its place in the canonical constructor. */
+    /** A component and its position in the canonical constructor. */
     private record Component(int position, Class<?> type, Method accessor) {}
 
     private final Component[] componentsByName;
@@ -40,7 +40,7 @@
             constructor = type.getDeclaredConstructor(types);
             constructor.setAccessible(true);
         } catch (NoSuchMethodException e) {
-            throw new IllegalArgumentException(type + " is no record", e);
+            throw new IllegalArgumentException(type + " is not a record", e);
         }
     }
 
@@ -76,7 +76,7 @@
         return create(values);
     }
 
-    /** A constructor that refuses what was read says that the peer wrote none of ours. */
+    /** Values that the record's constructor rejects mean that the message is malformed. */
     private T create(Object[] values) {
         try {
             return constructor.newInstance(values);
--- a/src/main/java/gingerspool/codec/KryoCodec.java
+++ b/src/main/java/gingerspool/codec/KryoCodec.java
@@ -13,25 +13,28 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** Messages to bytes and back, by Kryo. Only what is registered is read; for one thread. */
+/**
+ * Encodes messages to bytes and decodes them with Kryo, for links between processes and for the log
+ * on disk. Only registered types are read. Not thread-safe.
+ */
 public final class KryoCodec {
     private static final int INITIAL_BUFFER_BYTES = 512;
 
-    /** Far over what any message nests, far under what a thread's stack bears. */
+    /** Far above the nesting of any message, far below what would overflow a thread's stack. */
     private static final int MAX_DEPTH = 64;
 
-    /** What Kryo adds to a type's identifier, since nothing and names come before it. */
+    /** Kryo's offset of encoded type identifiers: the values below mean null and class names. */
     private static final int CLASS_ID_OFFSET = 2;
 
     private final Kryo kryo = new Kryo();
     private final Output output = new Output(INITIAL_BUFFER_BYTES, -1);
 
-    /** A type is written as its number in this list, which both sides must share. */
+    /** A type is encoded as its position in this list, which writer and reader must share. */
     public KryoCodec(List<Class<?>> types) {
         this(types, ComponentSerializer::new);
     }
 
-    /** With another serializer of records, as tests compare them. */
+    /** Takes the serializer of records, so that tests can compare another one. */
     KryoCodec(List<Class<?>> types, Function<Class<?>, Serializer<?>> recordSerializer) {
         kryo.setReferences(false);
         kryo.setMaxDepth(MAX_DEPTH);
@@ -57,7 +60,7 @@
         ((MessageInput) input).checkAvailable(size);
     }
 
-    /** Whatever sort of list is written, an ArrayList is read. */
+    /** Reads every list as an ArrayList, whichever class was written. */
     private static final class ArrayListSerializer extends CollectionSerializer<List<?>> {
         @Override
         protected List<?> create(Kryo kryo, Input input, Class<? extends List<?>> type, int size) {
@@ -66,7 +69,7 @@
         }
     }
 
-    /** A component that may be one of several types. */
+    /** Serializes a component declared as an interface, with the type of its value. */
     private static final class PolymorphicSerializer extends Serializer<Object> {
         @Override
         public void write(Kryo kryo, Output output, Object message) {
@@ -79,6 +82,7 @@
         }
     }
 
+    /** Reads every map as a HashMap, whichever class was written. */
     private static final class HashMapSerializer extends MapSerializer<Map<?, ?>> {
         @Override
         protected Map<?, ?> create(
@@ -88,19 +92,19 @@
         }
     }
 
-    /** The bytes of a message of a registered type. */
+    /** Encodes a message of a registered type. */
     public byte[] write(Object message) {
         output.reset();
         kryo.writeClassAndObject(output, message);
         return output.toBytes();
     }
 
-    /** The number that a message of the type begins with. */
+    /** The encoded type identifier that a message of this type begins with. */
     int encodedTypeId(Class<?> type) {
         return kryo.getRegistration(type).getId() + CLASS_ID_OFFSET;
     }
 
-    /** Reads a message; an exception says that the peer wrote none of ours. */
+    /** Decodes a message; throws if the bytes are not a message of a registered type. */
     public Object read(byte[] bytes) throws MalformedMessageException {
         try {
             return kryo.readClassAndObject(new MessageInput(bytes));
--- a/src/main/java/gingerspool/codec/MalformedMessageException.java
+++ b/src/main/java/gingerspool/codec/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package gingerspool.codec;
 
-/** A peer said something that none of our processes says. */
+/** Bytes from a peer or from disk are not a valid message. Has no stack trace. */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gingerspool/codec/MessageInput.java
+++ b/src/main/java/gingerspool/codec/MessageInput.java
@@ -4,27 +4,28 @@
 import com.esotericsoftware.kryo.io.Input;
 
 /**
- * The bytes of one message. A length that the message names is believed only up to the bytes that
- * are left of it: Kryo's own input reserves what was named before it reads, which for a few
- * malformed bytes may be more than the heap has. For one thread.
+ * The bytes of one message. Rejects declared lengths that exceed the remaining bytes: Kryo's own
+ * input allocates the declared length before it reads, so that a few malformed bytes could exhaust
+ * the heap. Not thread-safe.
  */
 final class MessageInput extends Input {
     MessageInput(byte[] bytes) {
         super(bytes);
     }
 
-    /** The bytes after the position. */
+    /** The number of bytes not yet read. */
     int remaining() {
         return limit() - position();
     }
 
     /**
-     * Refuses a count of bytes, characters or elements that can't follow, each of which takes a
-     * byte at least.
+     * Throws if a declared count of bytes, characters or elements exceeds the remaining bytes; each
+     * takes at least one byte.
      */
     void checkAvailable(int count) {
         if (count < 0 || count > remaining()) {
-            throw new KryoException(count + " named where " + remaining() + " bytes are left");
+            throw new KryoException(
+                    count + " bytes or elements declared, but only " + remaining() + " bytes left");
         }
     }
 
@@ -46,7 +47,7 @@
         return super.readStringBuilder();
     }
 
-    /** Only a string that isn't ASCII names its length, one more than its characters. */
+    /** Only non-ASCII strings declare a length, which is one more than their characters. */
     private void checkStringAvailable() {
         int start = position();
         if (readVarIntFlag()) {
--- a/src/main/java/gingerspool/codec/MessageTypes.java
+++ b/src/main/java/gingerspool/codec/MessageTypes.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * The types of all messages between processes and of the log's commands. A type is written as its
- * number in this list: the order is part of the form on disk, new types go to the end.
+ * The types of all messages between processes and of the commands in the log. A type is encoded as
+ * its position in this list, so the order is part of the format on disk: add new types at the end.
  */
 public final class MessageTypes {
     public static final List<Class<?>> ALL =
--- a/src/main/java/gingerspool/codec/package-info.java
+++ b/src/main/java/gingerspool/codec/package-info.java
@@ -1,2 +1,5 @@
-/** What the system's own processes say to each other, over held connections. */
+/**
+ * The messages between this system's processes, sent over persistent connections, and their
+ * encoding, which is also used on disk.
+ */
 package gingerspool.codec;
--- a/src/main/java/gingerspool/storage/DurableLog.java
+++ b/src/main/java/gingerspool/storage/DurableLog.java
@@ -22,33 +22,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The member's durable log: one MVStore file, `ledger-N.mv`, of which the highest N that can be
- * read counts. Map `entries`: log index to entry. Map `meta`: `form`, `promise` (member, term,
- * vote) and `base` (the snapshot). A change is one commit, synced. Space in a file is never used
- * again, so what was synced stays whatever a loss of power tears. Once a file has grown, the whole
- * content goes to the next one, which is synced; then the older ones are removed, and their removal
- * is synced before the rewrite counts as done. So an older file that is still there holds all that
- * was confirmed, and may take the place of a newer one that can't be read. Blocks; for one thread.
+ * The durable log of a member, stored in MVStore files named `ledger-N.mv`; the readable file with
+ * the highest N is the current one. Map `entries` holds the log entries by index. Map `meta` holds
+ * `form` (the format), `promise` (member, term and vote) and `base` (the snapshot).
+ *
+ * <p>Each {@link #save} is one synced commit. Space in a file is never reused, so a power loss
+ * during a write cannot damage content that was synced before. A file over its size limit is
+ * replaced: the full state is written to the next file and synced, then the older files are
+ * deleted, and the deletion is synced before {@link #rewrite} returns. An older file that still
+ * exists therefore holds everything that was confirmed, and can replace a newer, unreadable one.
+ *
+ * <p>Blocks on disk I/O. Not thread-safe: used by the thread of {@link LogWriter} only.
  */
 public final class DurableLog implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DurableLog.class);
 
-    /** The format of what is written here; of older ones format 1 is read. */
+    /** The format of files written by this version. Files of format 1 can also be read. */
     static final int FORMAT = 2;
 
     private static final int FORMAT_1 = 1;
 
-    /** A file that is larger than this part of the disk is replaced. */
+    /** A file larger than this fraction of the configured disk size is replaced. */
     private static final double MAX_FILE_DISK_FRACTION = 0.2;
 
     private static final int BYTES_PER_MB = 1 << 20;
 
-    /** What stands under `promise`. */
+    /** The member, its term and its vote (null if none), stored under `promise`. */
     public record Vote(Member self, long term, Member votedFor) {}
 
     private final LogFolder folder;
 
-    /** What comes before a file's name for H2's file layer: "" for the disk itself. */
+    /** Prefix that selects H2's file system layer; empty for the default one. */
     private final String scheme;
 
     private final long maxFileBytes;
@@ -77,9 +81,9 @@
     }
 
     /**
-     * Finds the newest whole content and makes it durable as it stands, since the process that
-     * wrote it may have ended before its sync. Writes nothing, so that it works on a full disk;
-     * rewrite() must come before the first save(), as nothing is written behind torn bytes.
+     * Reads the newest readable file and syncs it, since the process that wrote it may have ended
+     * before its own sync. Writes nothing, so that it works on a full disk. {@link #rewrite} must
+     * be called before the first {@link #save}: nothing may be appended after a torn write.
      */
     public RecoveredLog open() throws StorageException {
         close();
@@ -88,7 +92,7 @@
             List<String> unreadable = new ArrayList<>();
             for (Map.Entry<Long, Path> file : folder.files().descendingMap().entrySet()) {
                 fileNumber = Math.max(fileNumber, file.getKey());
-                // A file that was made and never written holds nothing that was confirmed.
+                // An empty file was created but never written: nothing in it was confirmed.
                 if (Files.size(file.getValue()) > 0) {
                     try {
                         PersistedState state = read(file.getValue());
@@ -102,7 +106,7 @@
             }
             return new RecoveredLog(null, unreadable);
         } catch (IOException e) {
-            throw new StorageException("can't open the log in " + folder, e);
+            throw new StorageException("cannot open the log in " + folder, e);
         }
     }
 
@@ -118,7 +122,7 @@
             return new PersistedState(
                     vote.self(), vote.term(), vote.votedFor(), snapshot, following);
         } catch (MVStoreException e) {
-            // A disk in trouble says nothing of the file; one that ends too early does.
+            // An I/O error does not mean that the file is unreadable; a truncated file does.
             if (e.getCause() instanceof IOException ioFailure
                     && !(ioFailure instanceof EOFException)) {
                 throw ioFailure;
@@ -135,7 +139,7 @@
     private KryoCodec codecOf(Path file, byte[] format)
             throws UnreadableLogException, UnsupportedFormatException {
         if (format == null || format.length != 1 || format[0] < FORMAT_1) {
-            throw new UnreadableLogException("no format");
+            throw new UnreadableLogException("missing or invalid format");
         }
         if (format[0] > FORMAT) {
             throw new UnsupportedFormatException(file, format[0], FORMAT);
@@ -163,14 +167,14 @@
             throw new UnreadableLogException(
                     "entry "
                             + (snapshotIndex + 1 + contiguous.size())
-                            + " is missing, "
+                            + " is missing, but entry "
                             + lastIndex
-                            + " not");
+                            + " is present");
         }
         return contiguous;
     }
 
-    /** The next file, empty. */
+    /** Creates the next file, empty, and opens it for writing. */
     private void createNextFile() {
         close();
         fileNumber++;
@@ -186,8 +190,8 @@
     }
 
     /**
-     * Writes the changes with a sync. On an exception what the disk holds is unknown: rewrite()
-     * must follow.
+     * Writes and syncs the changes in one commit. After an exception the content on disk is
+     * unknown, and {@link #rewrite} must be called before the next save.
      */
     public void save(List<LogWrite> writes) throws StorageException {
         try {
@@ -198,19 +202,19 @@
             store.commit();
             store.sync();
         } catch (IOException | MVStoreException | IllegalStateException e) {
-            // Guards against a sync that failed once and then says that all is well: this file is
-            // never written again.
+            // Guards against a sync that fails once and then reports success although data was
+            // lost: this file is never written again.
             close();
-            throw new StorageException("can't write to " + folder, e);
+            throw new StorageException("cannot write the log to " + folder, e);
         }
     }
 
-    /** Whether the file has grown so that the whole content should go to a new one. */
+    /** Whether the file is over its size limit, so that {@link #rewrite} should be called. */
     public boolean isOversized() {
         return store != null && !store.isClosed() && store.getFileStore().size() > maxFileBytes;
     }
 
-    /** Writes all content to a new file; older ones are gone for good when this returns. */
+    /** Writes the full state to a new file; the older files are durably deleted on return. */
     public void rewrite(LogWrite fullState) throws StorageException {
         boolean isComplete = false;
         try {
@@ -223,7 +227,7 @@
             removeOlderFiles();
         } catch (IOException | MVStoreException | IllegalStateException e) {
             abandonRewrite(isComplete);
-            throw new StorageException("can't write to " + folder, e);
+            throw new StorageException("cannot write the log to " + folder, e);
         }
     }
 
@@ -238,8 +242,8 @@
     }
 
     /**
-     * Guards a full disk against what failed attempts leave. A file that is whole stays: of the
-     * older ones some may be gone already.
+     * Deletes the file of a failed rewrite, so that failed attempts do not fill the disk. A
+     * complete file is kept, because some of the older files may already be deleted.
      */
     private void abandonRewrite(boolean isComplete) {
         close();
--- a/src/main/java/gingerspool/storage/LogFolder.java
+++ b/src/main/java/gingerspool/storage/LogFolder.java
@@ -9,7 +9,8 @@
 import java.util.stream.Stream;
 
 /**
- * The folder of the log's files, `ledger-N.mv`: what names stand there, and when that is durable.
+ * The folder of the log's files, named `ledger-N.mv`: lists, deletes and syncs them. Used by {@link
+ * DurableLog}; tests override the methods that sync and delete.
  */
 class LogFolder {
     private static final String PREFIX = "ledger-";
@@ -30,7 +31,7 @@
         return path.resolve(PREFIX + number + SUFFIX);
     }
 
-    /** The log's files by number. */
+    /** The log files by number; other files in the folder are ignored. */
     TreeMap<Long, Path> files() throws IOException {
         TreeMap<Long, Path> files = new TreeMap<>();
         try (Stream<Path> listing = Files.list(path)) {
@@ -52,14 +53,14 @@
         Files.deleteIfExists(file);
     }
 
-    /** Makes a file's content durable, whoever wrote it. */
+    /** Makes a file's content durable, also if another process wrote it. */
     void syncFile(Path file) throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE)) {
             channel.force(true);
         }
     }
 
-    /** Makes names that were made or removed durable. */
+    /** Makes the creation and deletion of files in this folder durable. */
     void sync() throws IOException {
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
             channel.force(true);
--- a/src/main/java/gingerspool/storage/LogFormat1.java
+++ b/src/main/java/gingerspool/storage/LogFormat1.java
@@ -8,18 +8,19 @@
 import java.util.List;
 
 /**
- * The records of log files of form 1, in which voters were one list. Their components keep the
- * names and order that were written.
+ * The records of log files of format 1, which stored the voters as one list. {@link DurableLog}
+ * upgrades them as it reads. The component names are part of the format on disk: they determine the
+ * order of the components.
  */
 final class LogFormat1 {
-    /** An entry, as it was. */
+    /** A log entry of format 1; members is null unless the entry changes the voters. */
     record EntryV1(long term, byte[] command, List<Member> members) {
         LogEntry upgraded() {
             return new LogEntry(term, command, members == null ? null : VoterSet.of(members));
         }
     }
 
-    /** A snapshot, as it was. */
+    /** A snapshot of format 1. */
     record SnapshotV1(long index, long term, List<Member> members, byte[] state) {
         Snapshot upgraded() {
             return new Snapshot(index, term, members, state);
--- a/src/main/java/gingerspool/storage/LogWriter.java
+++ b/src/main/java/gingerspool/storage/LogWriter.java
@@ -15,28 +15,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The durable log's own thread: reads what the disk holds, then takes changes from the loop and
- * writes them one after the other, whatever the disk does. At the start, and when the disk has
- * failed, it asks for the whole content and tries to write that, until it can.
+ * Owns the thread that reads and writes the durable log. The thread first recovers the content of
+ * the disk, then writes the changes that the event loop queues, in their order. At the start, when
+ * the file is over its size limit and after a disk failure, it requests the full state from the
+ * event loop and writes that to a new file, with retries until it succeeds or the writer is
+ * stopped.
  */
 public final class LogWriter {
     private static final Logger LOG = LoggerFactory.getLogger(LogWriter.class);
 
-    /** How long it waits after the disk has failed. */
+    /** The delay before the next attempt after a disk failure. */
     private static final Duration RETRY_DELAY = Duration.ofMillis(100);
 
-    /** Who the log is kept for; all calls come on the loop. */
+    /** The member whose log this is; all methods are called on the event loop. */
     public interface Owner {
-        /** What the disk held; from now on changes may be saved. */
+        /** The content of the disk was recovered; changes may be saved from now on. */
         void recovered(RecoveredLog recovered);
 
-        /** The log can't be used by this version; the thread has ended. */
+        /** This version cannot read the log; the writer's thread ends. */
         void unusable(StorageException why);
 
-        /** The changes up to this ticket are durable. */
+        /** All changes up to and including this ticket are durable. */
         void persisted(long ticket);
 
-        /** All content, under a ticket of its own. */
+        /** The full state, which covers all changes up to its own ticket. */
         LogWrite fullState();
     }
 
@@ -48,10 +50,10 @@
     private volatile boolean isStopped;
     private volatile boolean isFailing;
 
-    /** What the newest file holds is unknown, or there may be torn bytes behind it. */
+    /** Set if the newest file's content is unknown or may end with a torn write. */
     private boolean needsRewrite = true;
 
-    /** A disk that fails is tried for as long as it takes. */
+    /** Retries without limit until the writer is stopped. */
     private final RetryPolicy<Object> retryPolicy =
             RetryPolicy.builder()
                     .handle(StorageException.class)
@@ -62,7 +64,7 @@
                     .onFailedAttempt(attempt -> recordFailure(attempt.getLastException()))
                     .build();
 
-    /** The executor runs the owner's calls on the event loop; the thread starts with start(). */
+    /** The executor runs the owner's methods on the event loop. Call {@link #start} to begin. */
     public LogWriter(DurableLog log, Executor loop, Owner owner) {
         this.log = log;
         this.loop = loop;
@@ -74,13 +76,13 @@
         thread.start();
     }
 
-    /** Called on the loop. */
+    /** Queues a change; called on the event loop. */
     public void save(LogWrite write) {
         pendingWrites.add(write);
         LockSupport.unpark(thread);
     }
 
-    /** Whether the last attempt to read or write failed. */
+    /** Whether the disk has failed and no read or rewrite has succeeded since; any thread. */
     public boolean isFailing() {
         return isFailing;
     }
@@ -103,7 +105,7 @@
         log.close();
     }
 
-    /** False where it ended first, or the log can't be used. */
+    /** Returns false if the writer was stopped first, or if this version cannot read the log. */
     private boolean runWithRetries(CheckedRunnable action) {
         try {
             Failsafe.with(retryPolicy).run(action);
@@ -112,7 +114,7 @@
             if (e.getCause() instanceof UnsupportedFormatException unsupported) {
                 loop.execute(() -> owner.unusable(unsupported));
             } else {
-                // Whatever could not be written was confirmed to nobody.
+                // What could not be written was never confirmed.
                 LOG.warn("log.stopped_failing why=\"{}\"", e.getCause().getMessage());
             }
             return false;
@@ -158,7 +160,7 @@
         }
     }
 
-    /** The newest content holds whatever waits, up to its ticket. */
+    /** Writes the full state, which covers all pending writes up to its ticket, then the rest. */
     private void rewrite() throws StorageException {
         CompletableFuture<LogWrite> stateFromLoop = new CompletableFuture<>();
         loop.execute(() -> stateFromLoop.complete(owner.fullState()));
@@ -166,7 +168,7 @@
         try {
             fullState = stateFromLoop.get();
         } catch (InterruptedException | ExecutionException e) {
-            throw new StorageException("no content to write", e);
+            throw new StorageException("did not get the full state to write", e);
         }
         List<LogWrite> laterWrites = pendingWrites.drainAfter(fullState.ticket());
         log.rewrite(fullState);
--- a/src/main/java/gingerspool/storage/RecoveredLog.java
+++ b/src/main/java/gingerspool/storage/RecoveredLog.java
@@ -4,16 +4,18 @@
 import java.util.List;
 
 /**
- * What the disk held at the start: the newest whole content, or null; and each file that should
- * hold one and can't be read, with the reason.
+ * The result of reading the log at the start.
+ *
+ * @param state the content of the newest readable file; null if there is none
+ * @param unreadable the non-empty files newer than that which cannot be read, each with the reason
  */
 public record RecoveredLog(PersistedState state, List<String> unreadable) {
-    /** Whether the disk never held anything: only then may this be a first start. */
+    /** Whether no content was ever written: only then can this be a first start. */
     public boolean isEmpty() {
         return state == null && unreadable.isEmpty();
     }
 
-    /** Whether there was content, and none of it can be read: votes and entries are lost. */
+    /** Whether content was written but none can be read: votes and entries are lost. */
     public boolean isLost() {
         return state == null && !unreadable.isEmpty();
     }
--- a/src/main/java/gingerspool/storage/StorageException.java
+++ b/src/main/java/gingerspool/storage/StorageException.java
@@ -1,6 +1,6 @@
 package gingerspool.storage;
 
-/** The disk failed; the text names the folder or file, and what was said of it. */
+/** Reading or writing the log failed; the message names the folder or file and the cause. */
 public class StorageException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gingerspool/storage/UnreadableLogException.java
+++ b/src/main/java/gingerspool/storage/UnreadableLogException.java
@@ -1,6 +1,6 @@
 package gingerspool.storage;
 
-/** A file of the log holds no whole content. */
+/** The content of a log file is incomplete or invalid. */
 final class UnreadableLogException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/gingerspool/storage/UnsupportedFormatException.java
+++ b/src/main/java/gingerspool/storage/UnsupportedFormatException.java
@@ -3,8 +3,8 @@
 import java.nio.file.Path;
 
 /**
- * The log was written by a newer version of this program, in a format that this one doesn't know.
- * It is left as it is: to go on without it would forget votes and acknowledged changes.
+ * The log was written by a newer version of this program, in a format that this version cannot
+ * read. The file stays unchanged: starting without it would lose votes and acknowledged changes.
  */
 public final class UnsupportedFormatException extends StorageException {
     private static final long serialVersionUID = 1L;
@@ -14,8 +14,8 @@
                 file
                         + " has format "
                         + format
-                        + ", this version knows formats up to "
+                        + ", this version supports formats up to "
                         + newestKnown
-                        + "; start a newer version, or empty the folder to join anew");
+                        + "; start a newer version, or empty the folder to join as a new member");
     }
 }
--- a/src/main/java/gingerspool/storage/WriteQueue.java
+++ b/src/main/java/gingerspool/storage/WriteQueue.java
@@ -5,21 +5,21 @@
 import java.util.List;
 import org.jctools.queues.SpscUnboundedArrayQueue;
 
-/** Changes on their way from the loop, which adds, to the log's thread, which takes. */
+/** The queue of pending writes: the event loop adds to it, the log's thread drains it. */
 final class WriteQueue {
     private static final int CHUNK_SIZE = 64;
 
     private final SpscUnboundedArrayQueue<LogWrite> queue =
             new SpscUnboundedArrayQueue<>(CHUNK_SIZE);
 
-    /** By the loop only. */
+    /** Called on the event loop only. */
     void add(LogWrite write) {
         queue.add(write);
     }
 
     /**
-     * By the log's thread only: all that has come, in order, but for what this ticket covers
-     * already.
+     * Removes all pending writes and returns those with a higher ticket, in order. Called on the
+     * log's thread only.
      */
     List<LogWrite> drainAfter(long ticket) {
         List<LogWrite> drained = new ArrayList<>();
