--- a/src/main/java/gingerspool/antientropy/RangeDigests.java
+++ b/src/main/java/gingerspool/antientropy/RangeDigests.java
@@ -24,7 +24,9 @@
         return hash >>> 28;
     }
 
-    /** The digest of each range: the sum of its items' digests; other items match only by chance. */
+    /**
+     * The digest of each range: the sum of its items' digests; other items match only by chance.
+     */
     public static List<Long> digests(Map<String, String> items) {
         long[] sums = new long[RANGE_COUNT];
         items.forEach(
--- a/src/test/java/gingerspool/antientropy/ReplicaRepairTest.java
+++ b/src/test/java/gingerspool/antientropy/ReplicaRepairTest.java
@@ -19,28 +19,28 @@
     private final Map<String, Map<String, String>> copies = new LinkedHashMap<>();
 
     /** The last request for digests, by the member that it went to. */
-    private final Map<String, Long> requests = new HashMap<>();
+    private final Map<String, Long> comparisonByMember = new HashMap<>();
 
     private final ReplicaRepair repair =
             new ReplicaRepair(
                     new ReplicaRepair.Exchange() {
                         @Override
                         public void requestDigests(String member, long comparison) {
-                            requests.put(member, comparison);
+                            comparisonByMember.put(member, comparison);
                         }
 
                         @Override
                         public void ask(String member, long index, int ranges) {
-                            take("m0", ranges, copies.get(member));
+                            replaceRanges("m0", ranges, copies.get(member));
                         }
 
                         @Override
                         public void send(String member, long index, int ranges) {
-                            take(member, ranges, copies.get("m0"));
+                            replaceRanges(member, ranges, copies.get("m0"));
                         }
                     });
 
-    private void take(String member, int ranges, Map<String, String> from) {
+    private void replaceRanges(String member, int ranges, Map<String, String> from) {
         copies.put(
                 member,
                 RangeDigests.replaced(
@@ -55,18 +55,18 @@
         return all;
     }
 
-    private void members(int n) {
+    private void createCopies(int memberCount) {
         copies.clear();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < memberCount; i++) {
             copies.put("m" + i, state());
         }
     }
 
     /** Two comparisons: a member that compares may first have to be repaired itself. */
     private void compareTwice() {
-        for (int n = 0; n < 2; n++) {
+        for (int round = 0; round < 2; round++) {
             repair.begin("m0", List.copyOf(copies.keySet()));
-            copies.keySet().stream().filter(m -> !m.equals("m0")).forEach(this::answer);
+            copies.keySet().stream().filter(member -> !member.equals("m0")).forEach(this::answer);
             end();
         }
     }
@@ -76,7 +76,7 @@
     }
 
     private boolean answer(String member, long index, List<Long> digests) {
-        return repair.received(member, requests.get(member), index, digests);
+        return repair.received(member, comparisonByMember.get(member), index, digests);
     }
 
     private List<Long> digests(String member) {
@@ -87,19 +87,19 @@
         repair.end(INDEX, digests("m0"));
     }
 
-    private static void damage(Map<String, String> copy, SplittableRandom chance) {
-        for (int n = 1 + chance.nextInt(20); n > 0; n--) {
-            String key = "L/Routes/" + chance.nextInt(220);
-            switch (chance.nextInt(3)) {
+    private static void damage(Map<String, String> copy, SplittableRandom random) {
+        for (int remaining = 1 + random.nextInt(20); remaining > 0; remaining--) {
+            String key = "L/Routes/" + random.nextInt(220);
+            switch (random.nextInt(3)) {
                 case 0 -> copy.remove(key);
-                case 1 -> copy.put(key, "rubbish " + chance.nextInt());
-                default -> copy.put("F/" + chance.nextInt(), "more");
+                case 1 -> copy.put(key, "rubbish " + random.nextInt());
+                default -> copy.put("F/" + random.nextInt(), "more");
             }
         }
     }
 
     @DataProvider
-    Object[][] sizes() {
+    Object[][] clusterSizes() {
         return new Object[][] {{3, 1}, {5, 2}};
     }
 
@@ -107,23 +107,23 @@
      * Whatever happened to fewer than half of the copies, also to that of who compares: all are
      * mended.
      */
-    @Test(dataProvider = "sizes")
-    public void aMinorityIsMendedFromTheMost(int members, int wrong) {
-        SplittableRandom chance = new SplittableRandom(3);
-        for (int play = 0; play < 300; play++) {
-            members(members);
-            int first = chance.nextInt(members);
-            for (int i = 0; i < wrong; i++) {
-                damage(copies.get("m" + (first + i) % members), chance);
+    @Test(dataProvider = "clusterSizes")
+    public void minorityIsRepairedFromTheMajority(int memberCount, int damagedCount) {
+        SplittableRandom random = new SplittableRandom(3);
+        for (int round = 0; round < 300; round++) {
+            createCopies(memberCount);
+            int firstDamaged = random.nextInt(memberCount);
+            for (int i = 0; i < damagedCount; i++) {
+                damage(copies.get("m" + (firstDamaged + i) % memberCount), random);
             }
             compareTwice();
-            copies.forEach((m, copy) -> assertEquals(copy, state(), m));
+            copies.forEach((member, copy) -> assertEquals(copy, state(), member));
         }
     }
 
     @Test
-    public void withoutAMajorityNothingIsTouched() {
-        members(3);
+    public void withoutAMajorityNothingIsRepaired() {
+        createCopies(3);
         copies.get("m1").put("L/Routes/1", "other");
         copies.get("m2").put("L/Routes/1", "another");
         Map<String, Map<String, String>> before = Map.copyOf(copies);
@@ -133,8 +133,8 @@
     }
 
     @Test
-    public void aCopyAtAnotherPlaceSaysNothing() {
-        members(3);
+    public void copyAtAnotherIndexIsIgnored() {
+        createCopies(3);
         copies.get("m1").put("L/Routes/1", "newer");
         copies.get("m2").put("L/Routes/1", "newer");
         repair.begin("m0", List.copyOf(copies.keySet()));
@@ -149,14 +149,14 @@
      * A member that is none any more counts for nothing, so two of four are no majority of three.
      */
     @Test
-    public void whoWasPutOutHasNoSay() {
-        members(4);
+    public void removedMemberIsNotCounted() {
+        createCopies(4);
         copies.get("m2").put("L/Routes/1", "other");
         copies.get("m3").put("L/Routes/1", "other");
         repair.begin("m0", List.of("m0", "m1", "m2", "m3"));
         repair.begin("m0", List.of("m0", "m1", "m2"));
         for (String member : List.of("m1", "m2", "m3")) {
-            repair.received(member, requests.get("m1"), INDEX, digests(member));
+            repair.received(member, comparisonByMember.get("m1"), INDEX, digests(member));
         }
         end();
         assertEquals(copies.get("m2"), state());
@@ -168,8 +168,8 @@
      * copy it would outvote the copy that is right.
      */
     @Test
-    public void aDigestOfAnEarlierComparisonSaysNothing() {
-        members(3);
+    public void digestOfAnEarlierComparisonIsIgnored() {
+        createCopies(3);
         copies.get("m1").put("L/Routes/1", "other");
         repair.begin("m0", List.copyOf(copies.keySet()));
         List<Long> damaged = digests("m1");
@@ -177,12 +177,12 @@
         answer("m2");
         end();
         assertEquals(copies.get("m1"), state());
-        long earlier = requests.get("m1");
+        long earlierComparison = comparisonByMember.get("m1");
 
         copies.get("m0").put("L/Routes/1", "other");
-        repair.received("m1", earlier, INDEX, damaged);
+        repair.received("m1", earlierComparison, INDEX, damaged);
         repair.begin("m0", List.copyOf(copies.keySet()));
-        repair.received("m1", earlier, INDEX, damaged);
+        repair.received("m1", earlierComparison, INDEX, damaged);
         answer("m2");
         end();
         assertEquals(copies.get("m2"), state());
@@ -190,8 +190,8 @@
     }
 
     @Test
-    public void aComparisonMayEndOnceAllHaveAnswered() {
-        members(3);
+    public void comparisonMayEndOnceAllHaveAnswered() {
+        createCopies(3);
         long comparison = repair.begin("m0", List.copyOf(copies.keySet()));
         assertFalse(answer("m1"));
         assertFalse(answer("m1"));
@@ -207,9 +207,9 @@
      * back on links that keep their order: no copy that is right is ever replaced by a wrong one.
      */
     @Test
-    public void aRightCopyIsNeverReplacedByAWrongOne() {
+    public void neverReplacesACorrectCopyByAWrongOne() {
         for (int seed = 0; seed < 500; seed++) {
-            new DelayedLinks(seed).play();
+            new DelayedLinks(seed).run();
         }
     }
 
@@ -217,7 +217,7 @@
     private static final class DelayedLinks implements ReplicaRepair.Exchange {
         private static final int STEPS = 300;
 
-        private final SplittableRandom chance;
+        private final SplittableRandom random;
         private final Map<String, Map<String, String>> copies = new LinkedHashMap<>();
         private final Map<String, ArrayDeque<Runnable>> links = new LinkedHashMap<>();
         private final ReplicaRepair repair = new ReplicaRepair(this);
@@ -225,33 +225,33 @@
         private int repairs;
 
         DelayedLinks(int seed) {
-            chance = new SplittableRandom(seed);
+            random = new SplittableRandom(seed);
             for (String member : List.of("m0", "m1", "m2")) {
                 copies.put(member, state());
             }
         }
 
-        void play() {
+        void run() {
             for (int step = 0; step < STEPS; step++) {
-                List<ArrayDeque<Runnable>> waiting =
+                List<ArrayDeque<Runnable>> nonEmptyLinks =
                         links.values().stream().filter(link -> !link.isEmpty()).toList();
-                int choice = chance.nextInt(10);
+                int choice = random.nextInt(10);
                 if (choice == 0) {
-                    damageOneIfAllAreRight();
+                    damageOneIfAllAreCorrect();
                 } else if (choice <= 2) {
                     repair.begin("m0", List.copyOf(copies.keySet()));
                 } else if (choice == 3) {
                     end();
-                } else if (!waiting.isEmpty()) {
-                    waiting.get(chance.nextInt(waiting.size())).remove().run();
+                } else if (!nonEmptyLinks.isEmpty()) {
+                    nonEmptyLinks.get(random.nextInt(nonEmptyLinks.size())).remove().run();
                 }
             }
             assertTrue(damages <= repairs + 1, damages + " damages, " + repairs + " repairs");
         }
 
-        private void damageOneIfAllAreRight() {
+        private void damageOneIfAllAreCorrect() {
             if (copies.values().stream().allMatch(copy -> copy.equals(state()))) {
-                copies.get("m" + chance.nextInt(3)).put("L/Routes/1", "other");
+                copies.get("m" + random.nextInt(3)).put("L/Routes/1", "other");
                 damages++;
             }
         }
@@ -283,7 +283,7 @@
 
         @Override
         public void ask(String member, long index, int ranges) {
-            send("m0", member, () -> answerAsk(member, ranges));
+            send("m0", member, () -> answerItemRequest(member, ranges));
         }
 
         @Override
@@ -292,7 +292,7 @@
             send("m0", member, () -> replace(member, ranges, items));
         }
 
-        private void answerAsk(String member, int ranges) {
+        private void answerItemRequest(String member, int ranges) {
             Map<String, String> items = RangeDigests.items(copies.get(member), ranges);
             send(
                     member,
@@ -305,11 +305,11 @@
         }
 
         private void replace(String member, int ranges, Map<String, String> items) {
-            boolean wasRight = copies.get(member).equals(state());
+            boolean wasCorrect = copies.get(member).equals(state());
             copies.put(member, RangeDigests.replaced(copies.get(member), ranges, items));
-            boolean isRight = copies.get(member).equals(state());
-            assertTrue(isRight || !wasRight, member + " was right");
-            repairs += isRight && !wasRight ? 1 : 0;
+            boolean isCorrect = copies.get(member).equals(state());
+            assertTrue(isCorrect || !wasCorrect, member + " was right");
+            repairs += isCorrect && !wasCorrect ? 1 : 0;
         }
     }
 }
--- a/src/test/java/gingerspool/codec/KryoCodecTest.java
+++ b/src/test/java/gingerspool/codec/KryoCodecTest.java
@@ -23,10 +23,10 @@
 public class KryoCodecTest {
     private static final int NESTED_LISTS = 100_000;
     private static final Member A = new Member("10.0.0.1", "0");
-    private final KryoCodec coder = new KryoCodec(MessageTypes.ALL);
+    private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
 
     /** Kryo's own serializer of records wrote what stands on disks. */
-    private final KryoCodec libraryCoder =
+    private final KryoCodec kryoRecordCodec =
             new KryoCodec(
                     MessageTypes.ALL,
                     type -> {
@@ -35,16 +35,16 @@
                         return serializer;
                     });
 
-    @Test(dataProvider = "words")
-    public void recordsHaveTheFormOfKryosOwnSerializer(Object word) throws Exception {
-        byte[] bytes = libraryCoder.write(word);
-        assertEquals(coder.write(word), bytes);
-        assertEquals(coder.read(bytes), word);
-        assertEquals(libraryCoder.read(coder.write(word)), word);
+    @Test(dataProvider = "messages")
+    public void recordEncodingMatchesKryosRecordSerializer(Object word) throws Exception {
+        byte[] bytes = kryoRecordCodec.write(word);
+        assertEquals(codec.write(word), bytes);
+        assertEquals(codec.read(bytes), word);
+        assertEquals(kryoRecordCodec.read(codec.write(word)), word);
     }
 
     @DataProvider
-    Object[][] words() {
+    Object[][] messages() {
         return new Object[][] {
             {new Messages.Heartbeat("10.0.0.1")},
             {new Messages.LeaderAnnouncement(3, "", List.of("a", "b"))},
@@ -84,24 +84,25 @@
         };
     }
 
-    @Test(dataProvider = "words")
-    public void aWordComesBackAndACutOneIsABadWord(Object word) throws MalformedMessageException {
-        byte[] bytes = coder.write(word);
-        assertEquals(coder.read(bytes), word);
+    @Test(dataProvider = "messages")
+    public void messageRoundTripsAndEachTruncationIsRejected(Object word)
+            throws MalformedMessageException {
+        byte[] bytes = codec.write(word);
+        assertEquals(codec.read(bytes), word);
         for (int cut = 0; cut < bytes.length; cut++) {
             byte[] part = Arrays.copyOf(bytes, cut);
-            expectThrows(MalformedMessageException.class, () -> coder.read(part));
+            expectThrows(MalformedMessageException.class, () -> codec.read(part));
         }
     }
 
     @Test
-    public void rubbishIsABadWordOrAnother() {
+    public void rejectsOrReadsRandomBytes() {
         SplittableRandom chance = new SplittableRandom(1);
         for (int i = 0; i < 20_000; i++) {
             byte[] rubbish = new byte[chance.nextInt(40)];
             chance.nextBytes(rubbish);
             try {
-                coder.read(rubbish);
+                codec.read(rubbish);
             } catch (MalformedMessageException e) {
                 // What a peer says that is none of ours may not break the loop in any other way.
                 assertEquals(e.getClass(), MalformedMessageException.class);
@@ -110,54 +111,63 @@
     }
 
     /** Guards against a message of a few bytes that takes the whole heap of its reader. */
-    @Test(dataProvider = "namedLengths")
-    public void aLengthThatCannotFollowIsRefusedBeforeItIsReserved(String what, byte[] message) {
-        expectThrows(MalformedMessageException.class, () -> coder.read(message));
+    @Test(dataProvider = "declaredLengths")
+    public void declaredLengthBeyondTheInputIsRejectedBeforeAllocation(
+            String what, byte[] message) {
+        expectThrows(MalformedMessageException.class, () -> codec.read(message));
     }
 
     @DataProvider
-    Object[][] namedLengths() {
+    Object[][] declaredLengths() {
         return new Object[][] {
-            {"bytes", named(byte[].class, output -> output.writeVarInt(Integer.MAX_VALUE, true))},
+            {
+                "bytes",
+                messageStartingWith(
+                        byte[].class, output -> output.writeVarInt(Integer.MAX_VALUE, true))
+            },
             {
                 "a string",
-                named(
+                messageStartingWith(
                         Messages.Heartbeat.class,
                         output -> output.writeVarIntFlag(true, Integer.MAX_VALUE, true))
             },
             {
                 "nulls",
-                named(
+                messageStartingWith(
                         ArrayList.class,
                         output -> {
                             output.writeVarIntFlag(true, Integer.MAX_VALUE, true);
                             output.writeVarInt(0, true);
                         })
             },
-            {"entries", named(HashMap.class, output -> output.writeVarInt(Integer.MAX_VALUE, true))}
+            {
+                "entries",
+                messageStartingWith(
+                        HashMap.class, output -> output.writeVarInt(Integer.MAX_VALUE, true))
+            }
         };
     }
 
     /** Guards against a message of lists in lists that takes the whole stack of its reader. */
     @Test
-    public void listsInListsAreRefusedBeforeTheStackEnds() {
+    public void nestedListsAreRejectedBeforeTheStackOverflows() {
         byte[] message =
-                named(
+                messageStartingWith(
                         ArrayList.class,
                         output -> {
                             for (int i = 0; i < NESTED_LISTS; i++) {
                                 output.writeVarIntFlag(true, 2, true);
-                                output.writeVarInt(coder.encodedTypeId(ArrayList.class), true);
+                                output.writeVarInt(codec.encodedTypeId(ArrayList.class), true);
                                 output.writeBoolean(false);
                             }
                         });
-        expectThrows(MalformedMessageException.class, () -> coder.read(message));
+        expectThrows(MalformedMessageException.class, () -> codec.read(message));
     }
 
     /** A message that begins as one of the type and goes on as said. */
-    private byte[] named(Class<?> type, Consumer<Output> rest) {
+    private byte[] messageStartingWith(Class<?> type, Consumer<Output> rest) {
         Output output = new Output(64, -1);
-        output.writeVarInt(coder.encodedTypeId(type), true);
+        output.writeVarInt(codec.encodedTypeId(type), true);
         rest.accept(output);
         return output.toBytes();
     }
--- a/src/test/java/gingerspool/storage/DurableLogTest.java
+++ b/src/test/java/gingerspool/storage/DurableLogTest.java
@@ -28,7 +28,7 @@
     private static final Member SELF = new Member("10.0.0.1", "m");
     private static final Snapshot EMPTY = new Snapshot(0, 0, List.of(SELF), null);
 
-    private static LogWrite change(
+    private static LogWrite write(
             long ticket, long term, long from, int entries, Snapshot snapshot) {
         List<LogEntry> all = new ArrayList<>();
         for (int i = 0; i < entries; i++) {
@@ -38,11 +38,11 @@
     }
 
     /** What it holds, which then goes on in a file of its own, as its owner does it. */
-    private static PersistedState recovered(DurableLog log) throws Exception {
+    private static PersistedState recoverAndRewrite(DurableLog log) throws Exception {
         PersistedState s = log.open().state();
         log.rewrite(
                 s == null
-                        ? change(1, 0, 1, 0, EMPTY)
+                        ? write(1, 0, 1, 0, EMPTY)
                         : new LogWrite(
                                 1,
                                 s.self(),
@@ -54,33 +54,33 @@
         return s;
     }
 
-    private static Path file(Path folder) throws IOException {
+    private static Path newestFile(Path folder) throws IOException {
         try (var all = Files.list(folder)) {
             return all.max(Path::compareTo).orElseThrow();
         }
     }
 
-    private static Path folder() throws IOException {
+    private static Path createFolder() throws IOException {
         return Files.createTempDirectory("ledger");
     }
 
     @Test
-    public void holdsPromiseEntriesAndBaseThroughTrimsAndRewrites() throws Exception {
-        Path at = folder();
+    public void holdsVoteEntriesAndSnapshotThroughTruncationAndRewrites() throws Exception {
+        Path at = createFolder();
         try (DurableLog ledger = new DurableLog(at, 128)) {
-            assertNull(recovered(ledger));
-            ledger.save(List.of(change(1, 0, 1, 0, EMPTY)));
-            ledger.save(List.of(change(2, 1, 1, 5, null), change(3, 2, 4, 1, null)));
+            assertNull(recoverAndRewrite(ledger));
+            ledger.save(List.of(write(1, 0, 1, 0, EMPTY)));
+            ledger.save(List.of(write(2, 1, 1, 5, null), write(3, 2, 4, 1, null)));
         }
         try (DurableLog ledger = new DurableLog(at, 128)) {
-            PersistedState s = recovered(ledger);
+            PersistedState s = recoverAndRewrite(ledger);
             assertEquals(s.entries().size(), 4, "what was trimmed is gone");
             assertEquals(s.entries().get(3).term(), 2);
             assertEquals(s.self(), SELF);
-            ledger.rewrite(change(4, 3, 5, 2, new Snapshot(4, 2, List.of(SELF), new byte[] {9})));
+            ledger.rewrite(write(4, 3, 5, 2, new Snapshot(4, 2, List.of(SELF), new byte[] {9})));
         }
         try (DurableLog ledger = new DurableLog(at, 128)) {
-            PersistedState s = recovered(ledger);
+            PersistedState s = recoverAndRewrite(ledger);
             assertEquals(s.snapshot().index(), 4);
             assertEquals(s.snapshot().state(), new byte[] {9});
             assertEquals(s.entries().size(), 2);
@@ -93,18 +93,18 @@
      * synced stays.
      */
     @Test
-    public void synchedContentOutlivesTornTails() throws Exception {
-        Path at = folder();
+    public void syncedContentSurvivesTornWrites() throws Exception {
+        Path at = createFolder();
         DurableLog ledger = new DurableLog(at, 128);
-        recovered(ledger);
-        ledger.save(List.of(change(1, 1, 1, 3, EMPTY)));
-        byte[] synced = Files.readAllBytes(file(at));
-        ledger.save(List.of(change(2, 2, 4, 40, null)));
-        byte[] later = Files.readAllBytes(file(at));
-        String name = file(at).getFileName().toString();
+        recoverAndRewrite(ledger);
+        ledger.save(List.of(write(1, 1, 1, 3, EMPTY)));
+        byte[] synced = Files.readAllBytes(newestFile(at));
+        ledger.save(List.of(write(2, 2, 4, 40, null)));
+        byte[] later = Files.readAllBytes(newestFile(at));
+        String name = newestFile(at).getFileName().toString();
         ledger.close();
         for (int cut = synced.length; cut <= later.length; cut += 97) {
-            Path torn = folder();
+            Path torn = createFolder();
             try (RandomAccessFile f = new RandomAccessFile(torn.resolve(name).toFile(), "rw")) {
                 f.write(synced);
                 f.seek(synced.length);
@@ -119,8 +119,8 @@
     }
 
     @Test
-    public void anEmptyDiskAndOneThatCanNotBeReadAreToldApart() throws Exception {
-        Path at = folder();
+    public void emptyAndUnreadableDisksAreDistinguished() throws Exception {
+        Path at = createFolder();
         try (DurableLog log = new DurableLog(at, 128)) {
             assertTrue(log.open().isEmpty());
         }
@@ -133,8 +133,8 @@
             RecoveredLog found = log.open();
             assertTrue(found.isLost() && !found.isEmpty());
             assertTrue(found.unreadable().get(0).startsWith("ledger-7.mv: "), found.toString());
-            assertNull(recovered(log));
-            log.save(List.of(change(2, 1, 1, 1, EMPTY)));
+            assertNull(recoverAndRewrite(log));
+            log.save(List.of(write(2, 1, 1, 1, EMPTY)));
         }
         try (DurableLog log = new DurableLog(at, 128)) {
             assertEquals(log.open().state().entries().size(), 1);
@@ -142,11 +142,11 @@
     }
 
     @Test
-    public void anOlderFileTakesThePlaceOfANewerThatWasNotFinished() throws Exception {
-        Path at = folder();
+    public void fallsBackToTheOlderFileIfTheNewerIsUnfinished() throws Exception {
+        Path at = createFolder();
         try (DurableLog log = new DurableLog(at, 128)) {
-            recovered(log);
-            log.save(List.of(change(2, 1, 1, 3, null)));
+            recoverAndRewrite(log);
+            log.save(List.of(write(2, 1, 1, 3, null)));
         }
         Files.write(at.resolve("ledger-9.mv"), new byte[5000]);
         try (DurableLog log = new DurableLog(at, 128)) {
@@ -157,11 +157,11 @@
     }
 
     @Test
-    public void aReadThatFailsSaysNothingOfTheFile() throws Exception {
-        ModelDisk.begin();
-        Path at = folder();
+    public void doesNotTakeAFailedReadForAnUnreadableFile() throws Exception {
+        ModelDisk.reset();
+        Path at = createFolder();
         try (DurableLog log = new DurableLog(ModelDisk.folder(at), 128, ModelDisk.SCHEME)) {
-            recovered(log);
+            recoverAndRewrite(log);
             ModelDisk.failingReads = 1;
             assertThrows(StorageException.class, log::open);
             assertNotNull(log.open().state());
@@ -169,18 +169,18 @@
     }
 
     @Test
-    public void aNewerFormatIsAnErrorAndStaysAsItIs() throws Exception {
-        Path at = folder();
+    public void doesNotChangeAFileOfANewerFormat() throws Exception {
+        Path at = createFolder();
         try (MVStore newer = MVStore.open(at.resolve("ledger-4.mv").toString())) {
             newer.openMap("meta").put("form", new byte[] {DurableLog.FORMAT + 1});
         }
-        byte[] before = Files.readAllBytes(file(at));
+        byte[] before = Files.readAllBytes(newestFile(at));
         try (DurableLog log = new DurableLog(at, 128)) {
             UnsupportedFormatException e =
                     expectThrows(UnsupportedFormatException.class, log::open);
             assertTrue(e.getMessage().contains("ledger-4.mv has format 3"), e.getMessage());
         }
-        assertEquals(Files.readAllBytes(file(at)), before);
+        assertEquals(Files.readAllBytes(newestFile(at)), before);
     }
 
     /**
@@ -190,22 +190,23 @@
      * kept.
      */
     @Test
-    public void whatWasConfirmedOutlivesALossOfPowerAtEachStepWithEachSubsetOfNames()
+    public void writesOnceConfirmedSurviveAPowerLossAtEachStepWithEachSubsetOfNames()
             throws Exception {
-        ModelDisk.begin();
+        ModelDisk.reset();
         // How many steps of the disk there had been when each change was confirmed.
         List<Integer> confirmed = new ArrayList<>();
-        try (DurableLog log = new DurableLog(ModelDisk.folder(folder()), 128, ModelDisk.SCHEME)) {
+        try (DurableLog log =
+                new DurableLog(ModelDisk.folder(createFolder()), 128, ModelDisk.SCHEME)) {
             log.open();
-            log.rewrite(change(1, 1, 1, 1, EMPTY));
-            confirmed.add(ModelDisk.steps());
+            log.rewrite(write(1, 1, 1, 1, EMPTY));
+            confirmed.add(ModelDisk.stepCount());
             for (int n = 2; n <= 24; n++) {
-                LogWrite one = change(n, n, n, 1, null);
-                LogWrite all = change(n, n, 1, n, EMPTY);
+                LogWrite one = write(n, n, n, 1, null);
+                LogWrite all = write(n, n, 1, n, EMPTY);
                 if (n % 8 == 0) {
                     log.rewrite(all);
                 } else if (n % 5 == 0) {
-                    trouble(n);
+                    injectFault(n);
                     assertThrows(StorageException.class, () -> log.save(List.of(one)));
                     if (n % 2 == 0) {
                         assertThrows(StorageException.class, () -> log.rewrite(all));
@@ -215,35 +216,35 @@
                 } else {
                     log.save(List.of(one));
                 }
-                confirmed.add(ModelDisk.steps());
+                confirmed.add(ModelDisk.stepCount());
                 // Else an older file could come back and stand for one that is damaged later.
-                assertEquals(ModelDisk.undecided(ModelDisk.steps()), List.of());
+                assertEquals(ModelDisk.uncertainNames(ModelDisk.stepCount()), List.of());
             }
         }
         SplittableRandom chance = new SplittableRandom(5);
         int subsets = 0;
-        for (int steps = confirmed.get(0); steps <= ModelDisk.steps(); steps++) {
-            int names = ModelDisk.undecided(steps).size();
+        for (int steps = confirmed.get(0); steps <= ModelDisk.stepCount(); steps++) {
+            int names = ModelDisk.uncertainNames(steps).size();
             subsets = Math.max(subsets, 1 << names);
             for (int kept = 0; kept < 1 << names; kept++) {
-                playLossOfPower(confirmed, steps, kept, chance);
+                checkAfterPowerLoss(confirmed, steps, kept, chance);
             }
         }
         assertTrue(subsets >= 4, "no step with two names undecided: " + subsets);
     }
 
-    private static void trouble(int n) {
+    private static void injectFault(int n) {
         ModelDisk.full = n % 10 == 0;
         ModelDisk.failingSyncs = ModelDisk.full ? 0 : 1;
     }
 
-    private static void playLossOfPower(
+    private static void checkAfterPowerLoss(
             List<Integer> confirmed, int steps, int kept, SplittableRandom chance)
             throws Exception {
         int sure = (int) confirmed.stream().filter(s -> s <= steps).count();
         for (int play = 0; play < 6; play++) {
-            Path left = folder();
-            ModelDisk.lay(left, steps, chance, kept);
+            Path left = createFolder();
+            ModelDisk.writeFilesAfterPowerLoss(left, steps, chance, kept);
             try (DurableLog log = new DurableLog(left, 128)) {
                 PersistedState s = log.open().state();
                 assertTrue(
@@ -256,14 +257,14 @@
 
     /** What a process wrote and did not sync is made durable before anybody counts on it. */
     @Test
-    public void whatIsFoundAtTheStartIsDurableBeforeItCounts() throws Exception {
-        ModelDisk.begin();
-        Path at = folder();
+    public void syncsRecoveredContentBeforeReturningIt() throws Exception {
+        ModelDisk.reset();
+        Path at = createFolder();
         DurableLog killed = new DurableLog(ModelDisk.folder(at), 128, ModelDisk.SCHEME);
         killed.open();
-        killed.rewrite(change(1, 1, 1, 1, EMPTY));
+        killed.rewrite(write(1, 1, 1, 1, EMPTY));
         ModelDisk.failingSyncs = 1;
-        assertThrows(StorageException.class, () -> killed.save(List.of(change(2, 2, 2, 1, null))));
+        assertThrows(StorageException.class, () -> killed.save(List.of(write(2, 2, 2, 1, null))));
         ModelDisk.full = true;
         try (DurableLog log = new DurableLog(ModelDisk.folder(at), 128, ModelDisk.SCHEME)) {
             ModelDisk.failingSyncs = 1;
@@ -271,8 +272,9 @@
             assertEquals(log.open().state().entries().size(), 2, "read on a full disk");
         }
         for (int seed = 0; seed < 20; seed++) {
-            Path left = folder();
-            ModelDisk.lay(left, ModelDisk.steps(), new SplittableRandom(seed), -1);
+            Path left = createFolder();
+            ModelDisk.writeFilesAfterPowerLoss(
+                    left, ModelDisk.stepCount(), new SplittableRandom(seed), -1);
             try (DurableLog log = new DurableLog(left, 128)) {
                 assertEquals(log.open().state().entries().size(), 2);
             }
@@ -281,8 +283,8 @@
 
     /** What was written in form 1, in which voters were one list, is read, and written anew. */
     @Test
-    public void form1IsReadAndWrittenAnew() throws Exception {
-        Path at = folder();
+    public void format1IsReadAndRewritten() throws Exception {
+        Path at = createFolder();
         KryoCodec codec = LogFormat1.codec();
         try (MVStore old =
                 new MVStore.Builder().fileName(at.resolve("ledger-3.mv").toString()).open()) {
@@ -305,7 +307,7 @@
         }
         for (int i = 0; i < 2; i++) {
             try (DurableLog log = new DurableLog(at, 128)) {
-                PersistedState s = recovered(log);
+                PersistedState s = recoverAndRewrite(log);
                 assertEquals(s.votedFor(), SELF);
                 assertEquals(s.term(), 4);
                 assertEquals(s.snapshot().voters(), VoterSet.of(List.of(SELF)));
@@ -319,10 +321,10 @@
     /** Voters in the midst of a change are kept. */
     @Test
     public void jointVotersAreKept() throws Exception {
-        Path at = folder();
+        Path at = createFolder();
         VoterSet joint = new VoterSet(List.of(SELF), List.of(new Member("10.0.0.2", "n")));
         try (DurableLog log = new DurableLog(at, 128)) {
-            recovered(log);
+            recoverAndRewrite(log);
             log.save(
                     List.of(
                             new LogWrite(
--- a/src/test/java/gingerspool/storage/LogWriterTest.java
+++ b/src/test/java/gingerspool/storage/LogWriterTest.java
@@ -26,30 +26,30 @@
 public class LogWriterTest {
     private static final Member SELF = new Member("10.0.0.1", "m");
     private static final Snapshot EMPTY = new Snapshot(0, 0, List.of(SELF), null);
-    private static final long WHOLE = 7;
-    private static final long PATIENCE_S = 10;
+    private static final long FULL_STATE_TICKET = 7;
+    private static final long EVENT_TIMEOUT_S = 10;
 
-    private static final int UNKNOWN = -1;
+    private static final int UNKNOWN_FILE_COUNT = -1;
 
     /** Those of the present test: a writer that still ends may tell of the one before. */
     private LinkedBlockingQueue<Object> events;
 
     /** How many files there were each time the whole content was asked for. */
-    private List<Integer> filesWhenAsked;
+    private List<Integer> fileCounts;
 
     private ExecutorService loop;
     private LogWriter writer;
 
-    private static LogWrite whole(long ticket) {
+    private static LogWrite stateAt(long ticket) {
         List<LogEntry> entries = List.of(new LogEntry(1, new byte[] {1}, null));
         return new LogWrite(ticket, SELF, 1, null, 1, entries, EMPTY);
     }
 
     @BeforeMethod
     public void begin() {
-        ModelDisk.begin();
+        ModelDisk.reset();
         events = new LinkedBlockingQueue<>();
-        filesWhenAsked = new CopyOnWriteArrayList<>();
+        fileCounts = new CopyOnWriteArrayList<>();
         loop =
                 new ThreadPoolExecutor(
                         1,
@@ -68,7 +68,7 @@
 
     private void start(LogFolder folder) {
         LinkedBlockingQueue<Object> told = events;
-        List<Integer> files = filesWhenAsked;
+        List<Integer> files = fileCounts;
         DurableLog log = new DurableLog(folder, 128, ModelDisk.SCHEME);
         writer =
                 new LogWriter(
@@ -92,25 +92,25 @@
 
                             @Override
                             public LogWrite fullState() {
-                                noteFiles(folder, files);
+                                recordFileCount(folder, files);
                                 told.add("asked");
-                                return whole(WHOLE);
+                                return stateAt(FULL_STATE_TICKET);
                             }
                         });
         writer.start();
     }
 
     /** Between two attempts, which nothing else tells: an attempt has a file while it lasts. */
-    private static void noteFiles(LogFolder folder, List<Integer> files) {
+    private static void recordFileCount(LogFolder folder, List<Integer> files) {
         try {
             files.add(folder.files().size());
         } catch (IOException e) {
-            files.add(UNKNOWN);
+            files.add(UNKNOWN_FILE_COUNT);
         }
     }
 
-    private Object next() throws InterruptedException {
-        Object event = events.poll(PATIENCE_S, TimeUnit.SECONDS);
+    private Object nextEvent() throws InterruptedException {
+        Object event = events.poll(EVENT_TIMEOUT_S, TimeUnit.SECONDS);
         assertNotNull(event, "nothing came");
         return event;
     }
@@ -120,35 +120,35 @@
     }
 
     @Test
-    public void startsOnAFullDiskConfirmsNothingAndGoesOnOnceThereIsRoom() throws Exception {
+    public void startsOnAFullDiskAndConfirmsNothingUntilThereIsSpace() throws Exception {
         Path at = folder();
         try (DurableLog before = new DurableLog(at, 128)) {
             before.open();
-            before.rewrite(whole(1));
+            before.rewrite(stateAt(1));
         }
         ModelDisk.full = true;
         start(ModelDisk.folder(at));
-        assertEquals(((RecoveredLog) next()).state().entries().size(), 1);
+        assertEquals(((RecoveredLog) nextEvent()).state().entries().size(), 1);
         for (int attempt = 0; attempt < 3; attempt++) {
-            assertEquals(next(), "asked", "nothing is confirmed, it is tried again");
+            assertEquals(nextEvent(), "asked", "nothing is confirmed, it is tried again");
         }
         assertTrue(writer.isFailing());
         assertEquals(
-                List.copyOf(filesWhenAsked).subList(0, 3),
+                List.copyOf(fileCounts).subList(0, 3),
                 List.of(1, 1, 1),
                 "failed attempts leave nothing");
         ModelDisk.full = false;
-        Object event = next();
+        Object event = nextEvent();
         while (event.equals("asked")) {
-            event = next();
+            event = nextEvent();
         }
-        assertEquals(event, WHOLE);
-        writer.save(whole(WHOLE + 1));
-        assertEquals(next(), WHOLE + 1);
+        assertEquals(event, FULL_STATE_TICKET);
+        writer.save(stateAt(FULL_STATE_TICKET + 1));
+        assertEquals(nextEvent(), FULL_STATE_TICKET + 1);
     }
 
     @Test
-    public void aDiskThatCanNotBeReadIsTriedAgainAndIsNoEmptyOne() throws Exception {
+    public void diskThatCannotBeReadIsRetriedAndNotTakenAsEmpty() throws Exception {
         LinkedBlockingQueue<Object> told = events;
         start(
                 new LogFolder(folder()) {
@@ -163,18 +163,18 @@
                     }
                 });
         for (int attempt = 0; attempt < 3; attempt++) {
-            assertEquals(next(), "tried");
+            assertEquals(nextEvent(), "tried");
         }
-        assertTrue(((RecoveredLog) next()).isEmpty());
+        assertTrue(((RecoveredLog) nextEvent()).isEmpty());
     }
 
     @Test
-    public void aNewerFormatEndsIt() throws Exception {
+    public void newerFormatStopsTheWriter() throws Exception {
         Path at = folder();
         try (MVStore newer = MVStore.open(at.resolve("ledger-1.mv").toString())) {
             newer.openMap("meta").put("form", new byte[] {DurableLog.FORMAT + 1});
         }
         start(ModelDisk.folder(at));
-        assertTrue(next() instanceof UnsupportedFormatException);
+        assertTrue(nextEvent() instanceof UnsupportedFormatException);
     }
 }
--- a/src/test/java/gingerspool/storage/ModelDisk.java
+++ b/src/test/java/gingerspool/storage/ModelDisk.java
@@ -55,7 +55,7 @@
         }
     }
 
-    static void begin() {
+    static void reset() {
         FilePath.register(new ModelDisk());
         full = false;
         failingSyncs = 0;
@@ -63,7 +63,7 @@
         STEPS.clear();
     }
 
-    static int steps() {
+    static int stepCount() {
         return STEPS.size();
     }
 
@@ -78,19 +78,19 @@
 
             @Override
             void syncFile(Path file) throws IOException {
-                failSync();
+                failSyncIfRequested();
                 STEPS.add(Step.of(Kind.SYNC, file.getFileName().toString()));
             }
 
             @Override
             void sync() throws IOException {
-                failSync();
+                failSyncIfRequested();
                 STEPS.add(Step.of(Kind.SYNC_FOLDER, ""));
             }
         };
     }
 
-    private static void failSync() throws IOException {
+    private static void failSyncIfRequested() throws IOException {
         if (failingSyncs > 0) {
             failingSyncs--;
             throw new IOException("Input/output error");
@@ -104,7 +104,7 @@
 
     @Override
     public FileChannel open(String mode) throws IOException {
-        return new Recorder(
+        return new RecordingChannel(
                 super.open(mode), Path.of(getBase().toString()).getFileName().toString());
     }
 
@@ -112,7 +112,7 @@
      * The names that a loss of power after so many steps keeps or loses each by itself: made and
      * not synced, or removed without a sync of the folder after it.
      */
-    static List<String> undecided(int steps) {
+    static List<String> uncertainNames(int steps) {
         Set<String> made = new LinkedHashSet<>();
         Set<String> removed = new LinkedHashSet<>();
         for (Step s : STEPS.subList(0, steps)) {
@@ -124,7 +124,9 @@
             }
         }
         Set<String> all = new LinkedHashSet<>(removed);
-        made.stream().filter(f -> !isDurable(f, steps) && !isGone(f, steps)).forEach(all::add);
+        made.stream()
+                .filter(f -> !isDurable(f, steps) && !isDurablyRemoved(f, steps))
+                .forEach(all::add);
         return List.copyOf(all);
     }
 
@@ -140,7 +142,7 @@
     }
 
     /** Whether it was removed, and the folder synced after that. */
-    private static boolean isGone(String file, int steps) {
+    private static boolean isDurablyRemoved(String file, int steps) {
         List<Step> played = STEPS.subList(0, steps);
         int removedAt = played.lastIndexOf(Step.of(Kind.REMOVE, file));
         return removedAt >= 0 && played.lastIndexOf(Step.of(Kind.SYNC_FOLDER, "")) > removedAt;
@@ -150,7 +152,8 @@
      * Lays the files out as a loss of power after so many steps leaves them: what was not synced by
      * chance, or all gone; of the undecided names those of the mask are kept.
      */
-    static void lay(Path folder, int steps, SplittableRandom chance, int kept) throws IOException {
+    static void writeFilesAfterPowerLoss(Path folder, int steps, SplittableRandom chance, int kept)
+            throws IOException {
         boolean all = chance.nextInt(4) == 0;
         Map<String, Integer> syncedUpTo = new HashMap<>();
         for (int i = 0; i < steps; i++) {
@@ -165,20 +168,20 @@
             int fate = synced ? 0 : all ? 1 : chance.nextInt(3);
             if ((s.kind == Kind.WRITE || s.kind == Kind.LENGTH) && fate != 1) {
                 int torn = fate == 0 || s.bytes == null ? -1 : chance.nextInt(s.bytes.length + 1);
-                files.put(s.file, applied(files.getOrDefault(s.file, new byte[0]), s, torn));
+                files.put(s.file, applyStep(files.getOrDefault(s.file, new byte[0]), s, torn));
             }
         }
-        List<String> undecided = undecided(steps);
+        List<String> undecided = uncertainNames(steps);
         for (Map.Entry<String, byte[]> f : files.entrySet()) {
             int at = undecided.indexOf(f.getKey());
-            if (at >= 0 ? (kept & 1 << at) != 0 : !isGone(f.getKey(), steps)) {
+            if (at >= 0 ? (kept & 1 << at) != 0 : !isDurablyRemoved(f.getKey(), steps)) {
                 Files.write(folder.resolve(f.getKey()), f.getValue());
             }
         }
     }
 
     /** The file after this step; torn: only its first bytes, -1 for all. */
-    private static byte[] applied(byte[] file, Step s, int torn) {
+    private static byte[] applyStep(byte[] file, Step s, int torn) {
         if (s.kind == Kind.LENGTH) {
             return java.util.Arrays.copyOf(file, (int) s.position);
         }
@@ -189,12 +192,12 @@
     }
 
     /** The channel beneath, every change of which is written down. */
-    private static final class Recorder extends FileChannel {
-        private final FileChannel below;
+    private static final class RecordingChannel extends FileChannel {
+        private final FileChannel delegate;
         private final String file;
 
-        Recorder(FileChannel below, String file) {
-            this.below = below;
+        RecordingChannel(FileChannel below, String file) {
+            this.delegate = below;
             this.file = file;
         }
 
@@ -205,38 +208,38 @@
             }
             byte[] bytes = new byte[from.remaining()];
             from.duplicate().get(bytes);
-            int n = below.write(from, position);
+            int n = delegate.write(from, position);
             STEPS.add(new Step(Kind.WRITE, file, position, java.util.Arrays.copyOf(bytes, n)));
             return n;
         }
 
         @Override
         public int write(ByteBuffer from) throws IOException {
-            long at = below.position();
+            long at = delegate.position();
             int n = write(from, at);
-            below.position(at + n);
+            delegate.position(at + n);
             return n;
         }
 
         @Override
         public FileChannel truncate(long size) throws IOException {
-            if (size < below.size()) {
+            if (size < delegate.size()) {
                 STEPS.add(new Step(Kind.LENGTH, file, size, null));
             }
-            below.truncate(size);
+            delegate.truncate(size);
             return this;
         }
 
         @Override
         public void force(boolean metaData) throws IOException {
-            failSync();
-            below.force(metaData);
+            failSyncIfRequested();
+            delegate.force(metaData);
             STEPS.add(Step.of(Kind.SYNC, file));
         }
 
         @Override
         public int read(ByteBuffer to) throws IOException {
-            return below.read(to);
+            return delegate.read(to);
         }
 
         @Override
@@ -245,12 +248,12 @@
                 failingReads--;
                 throw new IOException("Input/output error");
             }
-            return below.read(to, position);
+            return delegate.read(to, position);
         }
 
         @Override
         public long read(ByteBuffer[] to, int offset, int length) throws IOException {
-            return below.read(to, offset, length);
+            return delegate.read(to, offset, length);
         }
 
         @Override
@@ -264,24 +267,24 @@
 
         @Override
         public long position() throws IOException {
-            return below.position();
+            return delegate.position();
         }
 
         @Override
         public FileChannel position(long newPosition) throws IOException {
-            below.position(newPosition);
+            delegate.position(newPosition);
             return this;
         }
 
         @Override
         public long size() throws IOException {
-            return below.size();
+            return delegate.size();
         }
 
         @Override
         public long transferTo(long position, long count, WritableByteChannel to)
                 throws IOException {
-            return below.transferTo(position, count, to);
+            return delegate.transferTo(position, count, to);
         }
 
         @Override
@@ -296,17 +299,17 @@
 
         @Override
         public FileLock lock(long position, long size, boolean shared) throws IOException {
-            return below.lock(position, size, shared);
+            return delegate.lock(position, size, shared);
         }
 
         @Override
         public FileLock tryLock(long position, long size, boolean shared) throws IOException {
-            return below.tryLock(position, size, shared);
+            return delegate.tryLock(position, size, shared);
         }
 
         @Override
         protected void implCloseChannel() throws IOException {
-            below.close();
+            delegate.close();
         }
     }
 }
--- a/src/test/java/gingerspool/storage/StoredCore.java
+++ b/src/test/java/gingerspool/storage/StoredCore.java
@@ -25,8 +25,8 @@
  */
 final class StoredCore implements AutoCloseable {
     static final int SEEDS = 3;
-    private static final double LEASE = 300;
-    private static final int SNAPSHOT_FLOOR = 18 << 10;
+    private static final double LEASE_MS = 300;
+    private static final int SNAPSHOT_FLOOR_BYTES = 18 << 10;
     private static final int PIECE_BYTES = 4 << 10;
     private static final double DISK_MB = 128;
 
@@ -39,7 +39,7 @@
         private final DurableLog log;
         private final List<LogWrite> writes = new ArrayList<>();
         Replica replica;
-        ConfigurationState.ChangeResult verdict;
+        ConfigurationState.ChangeResult lastResult;
 
         Node(int number, Path folder, boolean firstStart) throws StorageException {
             ip = "10.0.0." + number;
@@ -56,7 +56,13 @@
                             found.state(),
                             founders,
                             new ReplicaSettings(
-                                    1, LEASE, seeds, number, SNAPSHOT_FLOOR, PIECE_BYTES, Set.of()),
+                                    1,
+                                    LEASE_MS,
+                                    seeds,
+                                    number,
+                                    SNAPSHOT_FLOOR_BYTES,
+                                    PIECE_BYTES,
+                                    Set.of()),
                             now,
                             this);
             writes.clear();
@@ -80,7 +86,7 @@
             writes.add(write);
         }
 
-        private boolean sync() throws StorageException {
+        private boolean syncWrites() throws StorageException {
             if (writes.isEmpty()) {
                 return false;
             }
@@ -95,7 +101,7 @@
         public void apply(long index, byte[] command) {
             try {
                 Messages.ChangeCommand c = (Messages.ChangeCommand) codec.read(command);
-                verdict = state.apply(c.whole(), c.on(), c.body());
+                lastResult = state.apply(c.whole(), c.on(), c.body());
             } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
@@ -125,21 +131,21 @@
     }
 
     /** Lets time go on by this span. */
-    void pass(double span) throws StorageException {
+    void advance(double span) throws StorageException {
         for (double until = now + span; now < until; now += 5) {
             for (Node node : nodes.values()) {
                 node.replica.tick(now);
             }
-            settle();
+            syncAndDeliverAll();
         }
     }
 
-    private void settle() throws StorageException {
+    private void syncAndDeliverAll() throws StorageException {
         boolean busy = true;
         while (busy) {
             busy = false;
             for (Node node : List.copyOf(nodes.values())) {
-                busy |= node.sync();
+                busy |= node.syncWrites();
             }
             for (int i = packets.size(); i > 0; i--) {
                 Packet p = packets.poll();
@@ -159,7 +165,7 @@
                     return node;
                 }
             }
-            pass(100);
+            advance(100);
         }
         throw new AssertionError("no leader");
     }
@@ -168,18 +174,18 @@
     ConfigurationState.ChangeResult change(boolean whole, long on, byte[] body)
             throws StorageException {
         Node leader = leader();
-        leader.verdict = null;
+        leader.lastResult = null;
         leader.replica.propose(
                 now, codec.write(new Messages.ChangeCommand(++commands, whole, on, body)));
-        pass(100);
-        return leader.verdict;
+        advance(100);
+        return leader.lastResult;
     }
 
     /** A member asks to be replaced and stops once it may. */
     void leave(Node node) throws StorageException {
         node.replica.leave(now);
         for (int i = 0; i < 100 && !node.replica.mayStop(now); i++) {
-            pass(50);
+            advance(50);
         }
         if (!node.replica.mayStop(now)) {
             throw new AssertionError("not replaced: " + node.replica.members());
--- a/src/test/java/gingerspool/storage/StoredDiskRecorder.java
+++ b/src/test/java/gingerspool/storage/StoredDiskRecorder.java
@@ -25,7 +25,7 @@
  */
 final class StoredDiskRecorder {
     static final int CHANGES = 92;
-    private static final int REPLACED_AFTER = 55;
+    private static final int REPLACED_AFTER_VERSION = 55;
 
     private StoredDiskRecorder() {}
 
@@ -37,7 +37,7 @@
         zip(folder, to.resolve("form2.zip"));
         Path old = Files.createTempDirectory("stored");
         for (int number : new int[] {0, 1, 3}) {
-            writeForm1(folder.resolve("node-" + number), old.resolve("node-" + number));
+            writeFormat1(folder.resolve("node-" + number), old.resolve("node-" + number));
         }
         zip(old, to.resolve("form1.zip"));
     }
@@ -50,18 +50,18 @@
             }
             for (int version = 1; version <= CHANGES; version++) {
                 core.change(version == 1, version - 1, StoredCore.body(version));
-                if (version == REPLACED_AFTER) {
+                if (version == REPLACED_AFTER_VERSION) {
                     core.start(3, folder.resolve("node-3"), false);
-                    core.pass(1000);
+                    core.advance(1000);
                     core.leave(core.nodes.get("10.0.0.2"));
                 }
             }
-            core.pass(1000);
+            core.advance(1000);
         }
     }
 
     /** The same content as the first form of the log held it, accepted changes included. */
-    private static void writeForm1(Path from, Path to) throws Exception {
+    private static void writeFormat1(Path from, Path to) throws Exception {
         PersistedState state;
         try (DurableLog log = new DurableLog(from, 128)) {
             state = log.open().state();
@@ -82,7 +82,7 @@
                                     state.snapshot().index(),
                                     state.snapshot().term(),
                                     state.snapshot().voters().voters(),
-                                    earlier(state.snapshot().state()))));
+                                    earlierSnapshotState(state.snapshot().state()))));
             Map<Long, byte[]> entries = store.openMap("entries");
             long index = state.snapshot().index();
             for (var entry : state.entries()) {
@@ -98,7 +98,7 @@
     }
 
     /** A snapshot with the accepted changes as whole digests, by version. */
-    private static byte[] earlier(byte[] state) throws Exception {
+    private static byte[] earlierSnapshotState(byte[] state) throws Exception {
         Map<?, ?> all = (Map<?, ?>) Json.read(state, 0, state.length);
         Map<?, ?> tree = (Map<?, ?>) all.get("tree");
         Map<String, Object> taken = new TreeMap<>();
--- a/src/test/java/gingerspool/storage/StoredDiskTest.java
+++ b/src/test/java/gingerspool/storage/StoredDiskTest.java
@@ -26,7 +26,7 @@
  * are read by this one: it leads with them, knows the last change again and takes the next.
  */
 public class StoredDiskTest {
-    private static final int LAST = StoredDiskRecorder.CHANGES;
+    private static final int LAST_VERSION = StoredDiskRecorder.CHANGES;
     private static final List<Integer> MEMBERS = List.of(0, 1, 3);
     private Path folder;
 
@@ -41,7 +41,7 @@
     }
 
     @DataProvider
-    Object[][] forms() {
+    Object[][] formats() {
         return new Object[][] {{"form1"}, {"form2"}};
     }
 
@@ -64,8 +64,8 @@
         return core;
     }
 
-    @Test(dataProvider = "forms")
-    public void theRecordedDiskHoldsSnapshotEntriesAndMembers(String form) throws Exception {
+    @Test(dataProvider = "formats")
+    public void recordedDiskHoldsSnapshotEntriesAndMembers(String form) throws Exception {
         unpack(form);
         for (int number : MEMBERS) {
             try (DurableLog log = new DurableLog(folder.resolve("node-" + number), 128)) {
@@ -80,34 +80,36 @@
         }
     }
 
-    @Test(dataProvider = "forms")
-    public void membersLeadWithItKnowTheLastChangeAndTakeTheNext(String form) throws Exception {
+    @Test(dataProvider = "formats")
+    public void membersResumeFromTheRecordedDiskAndAcceptTheNextChange(String form)
+            throws Exception {
         unpack(form);
         try (StoredCore core = start()) {
             StoredCore.Node leader = core.leader();
-            assertEquals(leader.state.version(), LAST);
+            assertEquals(leader.state.version(), LAST_VERSION);
             assertEquals(
                     leader.replica.members().stream().map(m -> m.ip()).sorted().toList(),
                     List.of("10.0.0.0", "10.0.0.1", "10.0.0.3"));
-            for (long version : new long[] {LAST, 1, 40}) {
+            for (long version : new long[] {LAST_VERSION, 1, 40}) {
                 ConfigurationState.ChangeResult again =
                         core.change(version == 1, version - 1, StoredCore.body(version));
                 assertEquals(again.status(), ConfigurationState.ACCEPTED);
                 assertEquals(again.version(), version);
             }
-            assertEquals(leader.state.version(), LAST);
+            assertEquals(leader.state.version(), LAST_VERSION);
             assertEquals(
-                    core.change(false, LAST - 1, StoredCore.body(LAST + 1)).status(),
+                    core.change(false, LAST_VERSION - 1, StoredCore.body(LAST_VERSION + 1))
+                            .status(),
                     ConfigurationState.VERSION_CONFLICT);
             assertEquals(
-                    core.change(false, LAST, StoredCore.body(LAST + 1)).status(),
+                    core.change(false, LAST_VERSION, StoredCore.body(LAST_VERSION + 1)).status(),
                     ConfigurationState.ACCEPTED);
-            core.pass(1000);
+            core.advance(1000);
         }
         try (StoredCore core = start()) {
             core.leader();
             for (StoredCore.Node node : core.nodes.values()) {
-                assertEquals(node.state.version(), LAST + 1);
+                assertEquals(node.state.version(), LAST_VERSION + 1);
                 String text = new String(node.state.toJson(), StandardCharsets.UTF_8);
                 assertTrue(text.contains("\"Unknown\":{\"a\":1.5}"), text);
                 assertTrue(text.contains("\"Kept\":[1,\"x\"]"), text);
--- a/src/test/java/gingerspool/storage/WriteQueueTest.java
+++ b/src/test/java/gingerspool/storage/WriteQueueTest.java
@@ -15,30 +15,30 @@
     private static final Member SELF = new Member("10.0.0.1", "m");
 
     /** What Lincheck plays: one side adds, the other takes. */
-    public static final class Play {
-        private final WriteQueue backlog = new WriteQueue();
+    public static final class QueueOperations {
+        private final WriteQueue queue = new WriteQueue();
         private long ticket;
 
         @Operation(nonParallelGroup = "loop")
         public void add() {
-            backlog.add(new LogWrite(++ticket, SELF, 1, null, 1, List.of(), null));
+            queue.add(new LogWrite(++ticket, SELF, 1, null, 1, List.of(), null));
         }
 
         @Operation(nonParallelGroup = "disk")
         public List<Long> take() {
-            return backlog.drainAfter(0).stream().map(LogWrite::ticket).toList();
+            return queue.drainAfter(0).stream().map(LogWrite::ticket).toList();
         }
 
         @Operation(nonParallelGroup = "disk")
-        public List<Long> takeWhatIsNotCovered() {
-            return backlog.drainAfter(2).stream().map(LogWrite::ticket).toList();
+        public List<Long> takeUncovered() {
+            return queue.drainAfter(2).stream().map(LogWrite::ticket).toList();
         }
     }
 
     @Test
     public void nothingIsLostDoubledOrOutOfOrder() {
         LinChecker.check(
-                Play.class,
+                QueueOperations.class,
                 new StressOptions()
                         .iterations(20)
                         .invocationsPerIteration(500)
