--- a/src/main/java/gingerspool/antientropy/RangeDigests.java
+++ b/src/main/java/gingerspool/antientropy/RangeDigests.java
@@ -24,9 +24,7 @@
         return hash >>> 28;
     }
 
-    /**
-     * The digest of each range: the sum of its items' digests; other items match only by chance.
-     */
+    /** The sum of the items' digests in each range; copies that differ match only by chance. */
     public static List<Long> digests(Map<String, String> items) {
         long[] sums = new long[RANGE_COUNT];
         items.forEach(
--- a/src/test/java/gingerspool/antientropy/ReplicaRepairTest.java
+++ b/src/test/java/gingerspool/antientropy/ReplicaRepairTest.java
@@ -13,12 +13,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Copies of one state on several members, damaged on purpose. */
+/** Repair of deliberately damaged copies of one state on several members. */
 public class ReplicaRepairTest {
     private static final long INDEX = 7;
     private final Map<String, Map<String, String>> copies = new LinkedHashMap<>();
 
-    /** The last request for digests, by the member that it went to. */
+    /** The comparison of the latest digest request, by the member that received it. */
     private final Map<String, Long> comparisonByMember = new HashMap<>();
 
     private final ReplicaRepair repair =
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Two comparisons: a member that compares may first have to be repaired itself. */
+    /** Runs two comparisons, since the comparing member may first have to be repaired itself. */
     private void compareTwice() {
         for (int round = 0; round < 2; round++) {
             repair.begin("m0", List.copyOf(copies.keySet()));
@@ -104,8 +104,8 @@
     }
 
     /**
-     * Whatever happened to fewer than half of the copies, also to that of who compares: all are
-     * mended.
+     * Any damage to fewer than half of the copies is repaired, also if the comparing member's copy
+     * is among them.
      */
     @Test(dataProvider = "clusterSizes")
     public void minorityIsRepairedFromTheMajority(int memberCount, int damagedCount) {
@@ -145,9 +145,7 @@
         assertEquals(repair.differing(), 0);
     }
 
-    /**
-     * A member that is none any more counts for nothing, so two of four are no majority of three.
-     */
+    /** Digests of a removed member are not counted: two of four are no majority of three. */
     @Test
     public void removedMemberIsNotCounted() {
         createCopies(4);
@@ -164,8 +162,8 @@
     }
 
     /**
-     * A digest from before its member was repaired says nothing: with the same damage to another
-     * copy it would outvote the copy that is right.
+     * A digest computed before its member was repaired is ignored: together with the same damage to
+     * another copy it would outvote the correct copy.
      */
     @Test
     public void digestOfAnEarlierComparisonIsIgnored() {
@@ -203,8 +201,9 @@
     }
 
     /**
-     * Copies damaged one after the other in the same way, each once all are right, messages held
-     * back on links that keep their order: no copy that is right is ever replaced by a wrong one.
+     * Damages copies one after the other in the same way, each once all copies are correct, while
+     * messages are delayed on links that preserve order: no correct copy may be replaced by a wrong
+     * one.
      */
     @Test
     public void neverReplacesACorrectCopyByAWrongOne() {
@@ -213,7 +212,7 @@
         }
     }
 
-    /** Members m0, which compares, m1 and m2 over links whose messages wait. */
+    /** The comparing member m0, and m1 and m2, over links that delay messages but keep order. */
     private static final class DelayedLinks implements ReplicaRepair.Exchange {
         private static final int STEPS = 300;
 
@@ -308,7 +307,7 @@
             boolean wasCorrect = copies.get(member).equals(state());
             copies.put(member, RangeDigests.replaced(copies.get(member), ranges, items));
             boolean isCorrect = copies.get(member).equals(state());
-            assertTrue(isCorrect || !wasCorrect, member + " was right");
+            assertTrue(isCorrect || !wasCorrect, member + " was correct");
             repairs += isCorrect && !wasCorrect ? 1 : 0;
         }
     }
--- a/src/test/java/gingerspool/codec/KryoCodecTest.java
+++ b/src/test/java/gingerspool/codec/KryoCodecTest.java
@@ -20,12 +20,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** The encoding of messages, and the rejection of malformed ones. */
 public class KryoCodecTest {
     private static final int NESTED_LISTS = 100_000;
     private static final Member A = new Member("10.0.0.1", "0");
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
 
-    /** Kryo's own serializer of records wrote what stands on disks. */
+    /** Uses Kryo's own record serializer, which wrote the data that is on existing disks. */
     private final KryoCodec kryoRecordCodec =
             new KryoCodec(
                     MessageTypes.ALL,
@@ -36,11 +37,11 @@
                     });
 
     @Test(dataProvider = "messages")
-    public void recordEncodingMatchesKryosRecordSerializer(Object word) throws Exception {
-        byte[] bytes = kryoRecordCodec.write(word);
-        assertEquals(codec.write(word), bytes);
-        assertEquals(codec.read(bytes), word);
-        assertEquals(kryoRecordCodec.read(codec.write(word)), word);
+    public void recordEncodingMatchesKryosRecordSerializer(Object message) throws Exception {
+        byte[] bytes = kryoRecordCodec.write(message);
+        assertEquals(codec.write(message), bytes);
+        assertEquals(codec.read(bytes), message);
+        assertEquals(kryoRecordCodec.read(codec.write(message)), message);
     }
 
     @DataProvider
@@ -85,35 +86,36 @@
     }
 
     @Test(dataProvider = "messages")
-    public void messageRoundTripsAndEachTruncationIsRejected(Object word)
+    public void messageRoundTripsAndEachTruncationIsRejected(Object message)
             throws MalformedMessageException {
-        byte[] bytes = codec.write(word);
-        assertEquals(codec.read(bytes), word);
+        byte[] bytes = codec.write(message);
+        assertEquals(codec.read(bytes), message);
         for (int cut = 0; cut < bytes.length; cut++) {
-            byte[] part = Arrays.copyOf(bytes, cut);
-            expectThrows(MalformedMessageException.class, () -> codec.read(part));
+            byte[] truncated = Arrays.copyOf(bytes, cut);
+            expectThrows(MalformedMessageException.class, () -> codec.read(truncated));
         }
     }
 
     @Test
     public void rejectsOrReadsRandomBytes() {
-        SplittableRandom chance = new SplittableRandom(1);
+        SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 20_000; i++) {
-            byte[] rubbish = new byte[chance.nextInt(40)];
-            chance.nextBytes(rubbish);
+            byte[] bytes = new byte[random.nextInt(40)];
+            random.nextBytes(bytes);
             try {
-                codec.read(rubbish);
+                codec.read(bytes);
             } catch (MalformedMessageException e) {
-                // What a peer says that is none of ours may not break the loop in any other way.
+                // Malformed input from a peer must not fail the event loop with any other
+                // exception.
                 assertEquals(e.getClass(), MalformedMessageException.class);
             }
         }
     }
 
-    /** Guards against a message of a few bytes that takes the whole heap of its reader. */
+    /** Guards against a message of a few bytes that exhausts the reader's heap. */
     @Test(dataProvider = "declaredLengths")
     public void declaredLengthBeyondTheInputIsRejectedBeforeAllocation(
-            String what, byte[] message) {
+            String declared, byte[] message) {
         expectThrows(MalformedMessageException.class, () -> codec.read(message));
     }
 
@@ -148,7 +150,7 @@
         };
     }
 
-    /** Guards against a message of lists in lists that takes the whole stack of its reader. */
+    /** Guards against a message of nested lists that overflows the reader's stack. */
     @Test
     public void nestedListsAreRejectedBeforeTheStackOverflows() {
         byte[] message =
@@ -164,11 +166,11 @@
         expectThrows(MalformedMessageException.class, () -> codec.read(message));
     }
 
-    /** A message that begins as one of the type and goes on as said. */
-    private byte[] messageStartingWith(Class<?> type, Consumer<Output> rest) {
+    /** A message that begins with the type's identifier, followed by the written content. */
+    private byte[] messageStartingWith(Class<?> type, Consumer<Output> writeContent) {
         Output output = new Output(64, -1);
         output.writeVarInt(codec.encodedTypeId(type), true);
-        rest.accept(output);
+        writeContent.accept(output);
         return output.toBytes();
     }
 }
--- a/src/test/java/gingerspool/storage/LogWriterTest.java
+++ b/src/test/java/gingerspool/storage/LogWriterTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The log's thread on a disk that is in trouble as it starts. */
+/** The log's thread on a disk that fails, is full or holds an unsupported format at the start. */
 public class LogWriterTest {
     private static final Member SELF = new Member("10.0.0.1", "m");
     private static final Snapshot EMPTY = new Snapshot(0, 0, List.of(SELF), null);
@@ -31,10 +31,10 @@
 
     private static final int UNKNOWN_FILE_COUNT = -1;
 
-    /** Those of the present test: a writer that still ends may tell of the one before. */
+    /** Events of the current test only: the writer of the previous test may still be stopping. */
     private LinkedBlockingQueue<Object> events;
 
-    /** How many files there were each time the whole content was asked for. */
+    /** The number of files each time the full state was requested. */
     private List<Integer> fileCounts;
 
     private ExecutorService loop;
@@ -67,7 +67,7 @@
     }
 
     private void start(LogFolder folder) {
-        LinkedBlockingQueue<Object> told = events;
+        LinkedBlockingQueue<Object> testEvents = events;
         List<Integer> files = fileCounts;
         DurableLog log = new DurableLog(folder, 128, ModelDisk.SCHEME);
         writer =
@@ -76,31 +76,31 @@
                         loop,
                         new LogWriter.Owner() {
                             @Override
-                            public void recovered(RecoveredLog found) {
-                                told.add(found);
+                            public void recovered(RecoveredLog recovered) {
+                                testEvents.add(recovered);
                             }
 
                             @Override
                             public void unusable(StorageException why) {
-                                told.add(why);
+                                testEvents.add(why);
                             }
 
                             @Override
                             public void persisted(long ticket) {
-                                told.add(ticket);
+                                testEvents.add(ticket);
                             }
 
                             @Override
                             public LogWrite fullState() {
                                 recordFileCount(folder, files);
-                                told.add("asked");
+                                testEvents.add("asked");
                                 return stateAt(FULL_STATE_TICKET);
                             }
                         });
         writer.start();
     }
 
-    /** Between two attempts, which nothing else tells: an attempt has a file while it lasts. */
+    /** Called between attempts, the only time at which a failed attempt's file must be gone. */
     private static void recordFileCount(LogFolder folder, List<Integer> files) {
         try {
             files.add(folder.files().size());
@@ -111,32 +111,32 @@
 
     private Object nextEvent() throws InterruptedException {
         Object event = events.poll(EVENT_TIMEOUT_S, TimeUnit.SECONDS);
-        assertNotNull(event, "nothing came");
+        assertNotNull(event, "no event arrived in time");
         return event;
     }
 
-    private static Path folder() throws Exception {
+    private static Path createFolder() throws Exception {
         return Files.createTempDirectory("log");
     }
 
     @Test
     public void startsOnAFullDiskAndConfirmsNothingUntilThereIsSpace() throws Exception {
-        Path at = folder();
-        try (DurableLog before = new DurableLog(at, 128)) {
-            before.open();
-            before.rewrite(stateAt(1));
+        Path folder = createFolder();
+        try (DurableLog earlierLog = new DurableLog(folder, 128)) {
+            earlierLog.open();
+            earlierLog.rewrite(stateAt(1));
         }
         ModelDisk.full = true;
-        start(ModelDisk.folder(at));
+        start(ModelDisk.folder(folder));
         assertEquals(((RecoveredLog) nextEvent()).state().entries().size(), 1);
         for (int attempt = 0; attempt < 3; attempt++) {
-            assertEquals(nextEvent(), "asked", "nothing is confirmed, it is tried again");
+            assertEquals(nextEvent(), "asked", "nothing is confirmed, the write is retried");
         }
         assertTrue(writer.isFailing());
         assertEquals(
                 List.copyOf(fileCounts).subList(0, 3),
                 List.of(1, 1, 1),
-                "failed attempts leave nothing");
+                "failed attempts leave no files");
         ModelDisk.full = false;
         Object event = nextEvent();
         while (event.equals("asked")) {
@@ -149,14 +149,14 @@
 
     @Test
     public void diskThatCannotBeReadIsRetriedAndNotTakenAsEmpty() throws Exception {
-        LinkedBlockingQueue<Object> told = events;
+        LinkedBlockingQueue<Object> testEvents = events;
         start(
-                new LogFolder(folder()) {
+                new LogFolder(createFolder()) {
                     private int attempts;
 
                     @Override
                     void create() throws IOException {
-                        told.add("tried");
+                        testEvents.add("tried");
                         if (++attempts < 3) {
                             throw new IOException("Input/output error");
                         }
@@ -170,11 +170,11 @@
 
     @Test
     public void newerFormatStopsTheWriter() throws Exception {
-        Path at = folder();
-        try (MVStore newer = MVStore.open(at.resolve("ledger-1.mv").toString())) {
+        Path folder = createFolder();
+        try (MVStore newer = MVStore.open(folder.resolve("ledger-1.mv").toString())) {
             newer.openMap("meta").put("form", new byte[] {DurableLog.FORMAT + 1});
         }
-        start(ModelDisk.folder(at));
+        start(ModelDisk.folder(folder));
         assertTrue(nextEvent() instanceof UnsupportedFormatException);
     }
 }
--- a/src/test/java/gingerspool/storage/ModelDisk.java
+++ b/src/test/java/gingerspool/storage/ModelDisk.java
@@ -20,22 +20,22 @@
 import org.h2.store.fs.FilePathWrapper;
 
 /**
- * A layer of H2's own files that records every write, cut, sync and removal, so that the disk can
- * be laid out anew as a loss of power at any moment would have left it: what was synced is there,
- * of what came after it each write is present, absent or torn, and each name that was made or
- * removed without a sync of the folder is kept or lost by itself. It can be full, and fail its
+ * A layer of H2's file system that records every write, truncation, sync and deletion, so that the
+ * files can be written as a power loss at any step would have left them. Synced content is present;
+ * each later write is present, absent or torn; each creation or deletion of a file without a sync
+ * of the folder is kept or lost independently. Can simulate a full disk and failing reads and
  * syncs.
  */
 public final class ModelDisk extends FilePathWrapper {
     static final String SCHEME = "model:";
 
-    /** Every write is refused. */
+    /** Whether every write fails because the disk is full. */
     static volatile boolean full;
 
-    /** So many of the next syncs fail, and make nothing durable. */
+    /** The number of next syncs that fail and make nothing durable. */
     static volatile int failingSyncs;
 
-    /** So many of the next reads fail. */
+    /** The number of next reads that fail. */
     static volatile int failingReads;
 
     private static final List<Step> STEPS = new ArrayList<>();
@@ -48,7 +48,7 @@
         SYNC_FOLDER
     }
 
-    /** One call of the disk. */
+    /** One recorded disk operation; position is the new length in a truncation. */
     private record Step(Kind kind, String file, long position, byte[] bytes) {
         static Step of(Kind kind, String file) {
             return new Step(kind, file, 0, null);
@@ -67,7 +67,7 @@
         return STEPS.size();
     }
 
-    /** The log's folder on this disk. */
+    /** The log's folder on this disk; records its syncs and deletions. */
     static LogFolder folder(Path path) {
         return new LogFolder(path) {
             @Override
@@ -109,52 +109,55 @@
     }
 
     /**
-     * The names that a loss of power after so many steps keeps or loses each by itself: made and
-     * not synced, or removed without a sync of the folder after it.
+     * The files that may or may not exist after a power loss, each independently: those created and
+     * not synced, or removed without a later sync of the folder, within this number of steps.
      */
     static List<String> uncertainNames(int steps) {
-        Set<String> made = new LinkedHashSet<>();
+        Set<String> created = new LinkedHashSet<>();
         Set<String> removed = new LinkedHashSet<>();
-        for (Step s : STEPS.subList(0, steps)) {
-            switch (s.kind) {
-                case WRITE -> made.add(s.file);
-                case REMOVE -> removed.add(s.file);
+        for (Step step : STEPS.subList(0, steps)) {
+            switch (step.kind) {
+                case WRITE -> created.add(step.file);
+                case REMOVE -> removed.add(step.file);
                 case SYNC_FOLDER -> removed.clear();
                 default -> {}
             }
         }
-        Set<String> all = new LinkedHashSet<>(removed);
-        made.stream()
-                .filter(f -> !isDurable(f, steps) && !isDurablyRemoved(f, steps))
-                .forEach(all::add);
-        return List.copyOf(all);
+        Set<String> names = new LinkedHashSet<>(removed);
+        created.stream()
+                .filter(file -> !isDurable(file, steps) && !isDurablyRemoved(file, steps))
+                .forEach(names::add);
+        return List.copyOf(names);
     }
 
     private static boolean isDurable(String file, int steps) {
         boolean exists = false;
-        for (Step s : STEPS.subList(0, steps)) {
-            exists |= s.kind == Kind.WRITE && s.file.equals(file);
-            if (exists && (s.kind == Kind.SYNC_FOLDER || s.equals(Step.of(Kind.SYNC, file)))) {
+        for (Step step : STEPS.subList(0, steps)) {
+            exists |= step.kind == Kind.WRITE && step.file.equals(file);
+            if (exists
+                    && (step.kind == Kind.SYNC_FOLDER || step.equals(Step.of(Kind.SYNC, file)))) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether it was removed, and the folder synced after that. */
+    /** Whether the file was removed and the folder was synced afterwards. */
     private static boolean isDurablyRemoved(String file, int steps) {
-        List<Step> played = STEPS.subList(0, steps);
-        int removedAt = played.lastIndexOf(Step.of(Kind.REMOVE, file));
-        return removedAt >= 0 && played.lastIndexOf(Step.of(Kind.SYNC_FOLDER, "")) > removedAt;
+        List<Step> past = STEPS.subList(0, steps);
+        int removedAt = past.lastIndexOf(Step.of(Kind.REMOVE, file));
+        return removedAt >= 0 && past.lastIndexOf(Step.of(Kind.SYNC_FOLDER, "")) > removedAt;
     }
 
     /**
-     * Lays the files out as a loss of power after so many steps leaves them: what was not synced by
-     * chance, or all gone; of the undecided names those of the mask are kept.
+     * Writes the files as a power loss after this number of steps leaves them. Writes that were not
+     * synced are kept, lost or torn at random, or all lost.
+     *
+     * @param keptNames which of the uncertain names exist, as a bit mask
      */
-    static void writeFilesAfterPowerLoss(Path folder, int steps, SplittableRandom chance, int kept)
-            throws IOException {
-        boolean all = chance.nextInt(4) == 0;
+    static void writeFilesAfterPowerLoss(
+            Path folder, int steps, SplittableRandom random, int keptNames) throws IOException {
+        boolean loseAllUnsynced = random.nextInt(4) == 0;
         Map<String, Integer> syncedUpTo = new HashMap<>();
         for (int i = 0; i < steps; i++) {
             if (STEPS.get(i).kind == Kind.SYNC) {
@@ -163,41 +166,49 @@
         }
         Map<String, byte[]> files = new HashMap<>();
         for (int i = 0; i < steps; i++) {
-            Step s = STEPS.get(i);
-            boolean synced = i <= syncedUpTo.getOrDefault(s.file, -1);
-            int fate = synced ? 0 : all ? 1 : chance.nextInt(3);
-            if ((s.kind == Kind.WRITE || s.kind == Kind.LENGTH) && fate != 1) {
-                int torn = fate == 0 || s.bytes == null ? -1 : chance.nextInt(s.bytes.length + 1);
-                files.put(s.file, applyStep(files.getOrDefault(s.file, new byte[0]), s, torn));
+            Step step = STEPS.get(i);
+            boolean isSynced = i <= syncedUpTo.getOrDefault(step.file, -1);
+            int fate = isSynced ? 0 : loseAllUnsynced ? 1 : random.nextInt(3);
+            if ((step.kind == Kind.WRITE || step.kind == Kind.LENGTH) && fate != 1) {
+                int tornLength =
+                        fate == 0 || step.bytes == null
+                                ? -1
+                                : random.nextInt(step.bytes.length + 1);
+                files.put(
+                        step.file,
+                        applyStep(files.getOrDefault(step.file, new byte[0]), step, tornLength));
             }
         }
-        List<String> undecided = uncertainNames(steps);
-        for (Map.Entry<String, byte[]> f : files.entrySet()) {
-            int at = undecided.indexOf(f.getKey());
-            if (at >= 0 ? (kept & 1 << at) != 0 : !isDurablyRemoved(f.getKey(), steps)) {
-                Files.write(folder.resolve(f.getKey()), f.getValue());
+        List<String> uncertain = uncertainNames(steps);
+        for (Map.Entry<String, byte[]> file : files.entrySet()) {
+            int nameIndex = uncertain.indexOf(file.getKey());
+            if (nameIndex >= 0
+                    ? (keptNames & 1 << nameIndex) != 0
+                    : !isDurablyRemoved(file.getKey(), steps)) {
+                Files.write(folder.resolve(file.getKey()), file.getValue());
             }
         }
     }
 
-    /** The file after this step; torn: only its first bytes, -1 for all. */
-    private static byte[] applyStep(byte[] file, Step s, int torn) {
-        if (s.kind == Kind.LENGTH) {
-            return java.util.Arrays.copyOf(file, (int) s.position);
+    /** Returns the file after this step; only tornLength bytes are written, or all if -1. */
+    private static byte[] applyStep(byte[] file, Step step, int tornLength) {
+        if (step.kind == Kind.LENGTH) {
+            return java.util.Arrays.copyOf(file, (int) step.position);
         }
-        int n = torn < 0 ? s.bytes.length : torn;
-        byte[] next = java.util.Arrays.copyOf(file, (int) Math.max(file.length, s.position + n));
-        System.arraycopy(s.bytes, 0, next, (int) s.position, n);
-        return next;
+        int length = tornLength < 0 ? step.bytes.length : tornLength;
+        byte[] result =
+                java.util.Arrays.copyOf(file, (int) Math.max(file.length, step.position + length));
+        System.arraycopy(step.bytes, 0, result, (int) step.position, length);
+        return result;
     }
 
-    /** The channel beneath, every change of which is written down. */
+    /** Records every change and forwards it to the underlying channel. */
     private static final class RecordingChannel extends FileChannel {
         private final FileChannel delegate;
         private final String file;
 
-        RecordingChannel(FileChannel below, String file) {
-            this.delegate = below;
+        RecordingChannel(FileChannel delegate, String file) {
+            this.delegate = delegate;
             this.file = file;
         }
 
@@ -208,17 +219,18 @@
             }
             byte[] bytes = new byte[from.remaining()];
             from.duplicate().get(bytes);
-            int n = delegate.write(from, position);
-            STEPS.add(new Step(Kind.WRITE, file, position, java.util.Arrays.copyOf(bytes, n)));
-            return n;
+            int written = delegate.write(from, position);
+            STEPS.add(
+                    new Step(Kind.WRITE, file, position, java.util.Arrays.copyOf(bytes, written)));
+            return written;
         }
 
         @Override
         public int write(ByteBuffer from) throws IOException {
-            long at = delegate.position();
-            int n = write(from, at);
-            delegate.position(at + n);
-            return n;
+            long position = delegate.position();
+            int written = write(from, position);
+            delegate.position(position + written);
+            return written;
         }
 
         @Override
@@ -258,11 +270,11 @@
 
         @Override
         public long write(ByteBuffer[] from, int offset, int length) throws IOException {
-            long n = 0;
+            long written = 0;
             for (int i = offset; i < offset + length; i++) {
-                n += write(from[i]);
+                written += write(from[i]);
             }
-            return n;
+            return written;
         }
 
         @Override
--- a/src/test/java/gingerspool/storage/StoredCore.java
+++ b/src/test/java/gingerspool/storage/StoredCore.java
@@ -20,8 +20,8 @@
 import java.util.TreeMap;
 
 /**
- * A core whose members keep real files, on one thread: every write is synced and every message
- * delivered before time goes on.
+ * A core whose members store their logs in real files, simulated on one thread: every write is
+ * synced and every message delivered before the simulated time advances.
  */
 final class StoredCore implements AutoCloseable {
     static final int SEEDS = 3;
@@ -32,7 +32,7 @@
 
     private record Packet(Node to, ConsensusMessage.Envelope envelope) {}
 
-    /** One member: its files, its replica and its copy of the configuration. */
+    /** A member with its log, its replica and its copy of the configuration. */
     final class Node implements ReplicaEnvironment {
         final String ip;
         final ConfigurationState state = new ConfigurationState();
@@ -44,16 +44,16 @@
         Node(int number, Path folder, boolean firstStart) throws StorageException {
             ip = "10.0.0." + number;
             log = new DurableLog(folder, DISK_MB);
-            RecoveredLog found = log.open();
+            RecoveredLog recovered = log.open();
             List<String> seeds = List.of("10.0.0.0", "10.0.0.1", "10.0.0.2").subList(0, SEEDS);
             List<Member> founders =
                     firstStart
-                            ? seeds.stream().map(s -> new Member(s, Member.FOUNDER)).toList()
+                            ? seeds.stream().map(seed -> new Member(seed, Member.FOUNDER)).toList()
                             : List.of();
             replica =
                     new Replica(
                             new Member(ip, firstStart ? Member.FOUNDER : "life-" + number),
-                            found.state(),
+                            recovered.state(),
                             founders,
                             new ReplicaSettings(
                                     1,
@@ -66,18 +66,19 @@
                             now,
                             this);
             writes.clear();
-            LogWrite whole = replica.fullState();
-            log.rewrite(whole);
-            replica.persisted(now, whole.ticket());
+            LogWrite fullState = replica.fullState();
+            log.rewrite(fullState);
+            replica.persisted(now, fullState.ticket());
         }
 
         @Override
         public void send(Member to, ConsensusMessage message) {
-            Node other = nodes.get(to.ip());
-            if (other != null) {
+            Node receiver = nodes.get(to.ip());
+            if (receiver != null) {
                 packets.add(
                         new Packet(
-                                other, new ConsensusMessage.Envelope(replica.self(), to, message)));
+                                receiver,
+                                new ConsensusMessage.Envelope(replica.self(), to, message)));
             }
         }
 
@@ -90,18 +91,18 @@
             if (writes.isEmpty()) {
                 return false;
             }
-            List<LogWrite> all = List.copyOf(writes);
+            List<LogWrite> pending = List.copyOf(writes);
             writes.clear();
-            log.save(all);
-            replica.persisted(now, all.get(all.size() - 1).ticket());
+            log.save(pending);
+            replica.persisted(now, pending.get(pending.size() - 1).ticket());
             return true;
         }
 
         @Override
         public void apply(long index, byte[] command) {
             try {
-                Messages.ChangeCommand c = (Messages.ChangeCommand) codec.read(command);
-                lastResult = state.apply(c.whole(), c.on(), c.body());
+                Messages.ChangeCommand change = (Messages.ChangeCommand) codec.read(command);
+                lastResult = state.apply(change.whole(), change.on(), change.body());
             } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
@@ -130,9 +131,9 @@
         return node;
     }
 
-    /** Lets time go on by this span. */
-    void advance(double span) throws StorageException {
-        for (double until = now + span; now < until; now += 5) {
+    /** Advances the simulated time by this many milliseconds. */
+    void advance(double spanMs) throws StorageException {
+        for (double until = now + spanMs; now < until; now += 5) {
             for (Node node : nodes.values()) {
                 node.replica.tick(now);
             }
@@ -141,23 +142,25 @@
     }
 
     private void syncAndDeliverAll() throws StorageException {
-        boolean busy = true;
-        while (busy) {
-            busy = false;
+        boolean hasProgress = true;
+        while (hasProgress) {
+            hasProgress = false;
             for (Node node : List.copyOf(nodes.values())) {
-                busy |= node.syncWrites();
+                hasProgress |= node.syncWrites();
             }
             for (int i = packets.size(); i > 0; i--) {
-                Packet p = packets.poll();
-                if (nodes.containsValue(p.to) && p.envelope.isFor(p.to.replica.self())) {
-                    p.to.replica.receive(now, p.envelope.from(), p.envelope.message());
+                Packet packet = packets.poll();
+                if (nodes.containsValue(packet.to)
+                        && packet.envelope.isFor(packet.to.replica.self())) {
+                    packet.to.replica.receive(
+                            now, packet.envelope.from(), packet.envelope.message());
                 }
-                busy = true;
+                hasProgress = true;
             }
         }
     }
 
-    /** The member that leads once one does. */
+    /** Waits until a member is leader and returns it. */
     Node leader() throws StorageException {
         for (int i = 0; i < 100; i++) {
             for (Node node : nodes.values()) {
@@ -170,7 +173,7 @@
         throw new AssertionError("no leader");
     }
 
-    /** Has a change agreed on, and tells what became of it. */
+    /** Proposes a change and returns its result once it was applied. */
     ConfigurationState.ChangeResult change(boolean whole, long on, byte[] body)
             throws StorageException {
         Node leader = leader();
@@ -181,7 +184,7 @@
         return leader.lastResult;
     }
 
-    /** A member asks to be replaced and stops once it may. */
+    /** Requests the replacement of a member and stops it once that is allowed. */
     void leave(Node node) throws StorageException {
         node.replica.leave(now);
         for (int i = 0; i < 100 && !node.replica.mayStop(now); i++) {
@@ -194,7 +197,7 @@
         node.log.close();
     }
 
-    /** The body of the change to this version: the first is a whole configuration. */
+    /** The body of the change to this version; the first is a complete configuration. */
     static byte[] body(long version) {
         String service =
                 "{\"Name\":\"f%d\",\"BootMs\":500,\"MaxConcurrency\":2,\"MemoryMb\":%d}"
--- a/src/test/java/gingerspool/storage/StoredDiskRecorder.java
+++ b/src/test/java/gingerspool/storage/StoredDiskRecorder.java
@@ -19,9 +19,9 @@
 import org.h2.mvstore.MVStore;
 
 /**
- * Made the recorded disks of src/test/resources/stored, by the program as it stood before its
- * components were renamed. Run again it would record today's program, which is of use only for a
- * new form of the log.
+ * Recorded the disks in src/test/resources/stored, with the program as it was before the components
+ * of its records were renamed. A new run records the current program, which is only useful for a
+ * new format of the log.
  */
 final class StoredDiskRecorder {
     static final int CHANGES = 92;
@@ -29,20 +29,20 @@
 
     private StoredDiskRecorder() {}
 
-    /** The argument is the folder that the two archives go to. */
+    /** The argument is the output folder of the two archives. */
     public static void main(String[] arguments) throws Exception {
-        Path to = Path.of(arguments[0]);
+        Path output = Path.of(arguments[0]);
         Path folder = Files.createTempDirectory("stored");
         record(folder);
-        zip(folder, to.resolve("form2.zip"));
-        Path old = Files.createTempDirectory("stored");
+        zip(folder, output.resolve("form2.zip"));
+        Path format1 = Files.createTempDirectory("stored");
         for (int number : new int[] {0, 1, 3}) {
-            writeFormat1(folder.resolve("node-" + number), old.resolve("node-" + number));
+            writeFormat1(folder.resolve("node-" + number), format1.resolve("node-" + number));
         }
-        zip(old, to.resolve("form1.zip"));
+        zip(format1, output.resolve("form1.zip"));
     }
 
-    /** Some 90 changes, a planned replacement of a member in between, and a snapshot. */
+    /** Records about 90 changes, a planned replacement of a member among them, and a snapshot. */
     private static void record(Path folder) throws Exception {
         try (StoredCore core = new StoredCore()) {
             for (int i = 0; i < StoredCore.SEEDS; i++) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** The same content as the first form of the log held it, accepted changes included. */
+    /** Writes the same content in format 1 of the log, including the accepted changes. */
     private static void writeFormat1(Path from, Path to) throws Exception {
         PersistedState state;
         try (DurableLog log = new DurableLog(from, 128)) {
@@ -97,21 +97,23 @@
         }
     }
 
-    /** A snapshot with the accepted changes as whole digests, by version. */
+    /**
+     * The snapshot's state in its earlier form: full digests of the accepted changes, by version.
+     */
     private static byte[] earlierSnapshotState(byte[] state) throws Exception {
-        Map<?, ?> all = (Map<?, ?>) Json.read(state, 0, state.length);
-        Map<?, ?> tree = (Map<?, ?>) all.get("tree");
-        Map<String, Object> taken = new TreeMap<>();
+        Map<?, ?> snapshot = (Map<?, ?>) Json.read(state, 0, state.length);
+        Map<?, ?> tree = (Map<?, ?>) snapshot.get("tree");
+        Map<String, Object> digests = new TreeMap<>();
         for (int version = 1; version <= ((Number) tree.get("Version")).intValue(); version++) {
-            MessageDigest sha = MessageDigest.getInstance("SHA-256");
-            sha.update(
+            MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
+            sha256.update(
                     ((version == 1) + " " + (version - 1) + " ")
                             .getBytes(StandardCharsets.US_ASCII));
-            taken.put(
+            digests.put(
                     String.valueOf(version),
-                    HexFormat.of().formatHex(sha.digest(StoredCore.body(version))));
+                    HexFormat.of().formatHex(sha256.digest(StoredCore.body(version))));
         }
-        return Json.write(Map.of("tree", tree, "taken", taken)).getBytes(StandardCharsets.UTF_8);
+        return Json.write(Map.of("tree", tree, "taken", digests)).getBytes(StandardCharsets.UTF_8);
     }
 
     private static void zip(Path folder, Path to) throws IOException {
--- a/src/test/java/gingerspool/storage/StoredDiskTest.java
+++ b/src/test/java/gingerspool/storage/StoredDiskTest.java
@@ -22,8 +22,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Disks that an earlier version wrote, some 90 changes, a snapshot and a replaced member on each,
- * are read by this one: it leads with them, knows the last change again and takes the next.
+ * Compatibility with disks recorded by an earlier version, each with about 90 changes, a snapshot
+ * and a replaced member: members elect a leader from them, recognize changes that were already
+ * accepted, and accept the next one.
  */
 public class StoredDiskTest {
     private static final int LAST_VERSION = StoredDiskRecorder.CHANGES;
@@ -45,8 +46,8 @@
         return new Object[][] {{"form1"}, {"form2"}};
     }
 
-    private void unpack(String form) throws IOException {
-        try (InputStream in = getClass().getResourceAsStream("/stored/" + form + ".zip");
+    private void unpack(String format) throws IOException {
+        try (InputStream in = getClass().getResourceAsStream("/stored/" + format + ".zip");
                 ZipInputStream zip = new ZipInputStream(in)) {
             for (ZipEntry entry; (entry = zip.getNextEntry()) != null; ) {
                 Path file = folder.resolve(entry.getName());
@@ -65,8 +66,8 @@
     }
 
     @Test(dataProvider = "formats")
-    public void recordedDiskHoldsSnapshotEntriesAndMembers(String form) throws Exception {
-        unpack(form);
+    public void recordedDiskHoldsSnapshotEntriesAndMembers(String format) throws Exception {
+        unpack(format);
         for (int number : MEMBERS) {
             try (DurableLog log = new DurableLog(folder.resolve("node-" + number), 128)) {
                 PersistedState state = log.open().state();
@@ -81,9 +82,9 @@
     }
 
     @Test(dataProvider = "formats")
-    public void membersResumeFromTheRecordedDiskAndAcceptTheNextChange(String form)
+    public void membersResumeFromTheRecordedDiskAndAcceptTheNextChange(String format)
             throws Exception {
-        unpack(form);
+        unpack(format);
         try (StoredCore core = start()) {
             StoredCore.Node leader = core.leader();
             assertEquals(leader.state.version(), LAST_VERSION);
@@ -91,10 +92,10 @@
                     leader.replica.members().stream().map(m -> m.ip()).sorted().toList(),
                     List.of("10.0.0.0", "10.0.0.1", "10.0.0.3"));
             for (long version : new long[] {LAST_VERSION, 1, 40}) {
-                ConfigurationState.ChangeResult again =
+                ConfigurationState.ChangeResult repeated =
                         core.change(version == 1, version - 1, StoredCore.body(version));
-                assertEquals(again.status(), ConfigurationState.ACCEPTED);
-                assertEquals(again.version(), version);
+                assertEquals(repeated.status(), ConfigurationState.ACCEPTED);
+                assertEquals(repeated.version(), version);
             }
             assertEquals(leader.state.version(), LAST_VERSION);
             assertEquals(
--- a/src/test/java/gingerspool/storage/WriteQueueTest.java
+++ b/src/test/java/gingerspool/storage/WriteQueueTest.java
@@ -9,12 +9,12 @@
 import org.testng.annotations.Test;
 
 /**
- * Where the loop and the ledger's thread meet: every interleaving is one that some order explains.
+ * Checks with Lincheck that the queue between the event loop and the log's thread is linearizable.
  */
 public class WriteQueueTest {
     private static final Member SELF = new Member("10.0.0.1", "m");
 
-    /** What Lincheck plays: one side adds, the other takes. */
+    /** The operations that Lincheck runs: one thread adds, the other takes. */
     public static final class QueueOperations {
         private final WriteQueue queue = new WriteQueue();
         private long ticket;
