--- a/src/main/java/gingerspool/storage/LogWriter.java
+++ b/src/main/java/gingerspool/storage/LogWriter.java
@@ -160,7 +160,7 @@
         }
     }
 
-    /** Writes the full state, which covers all pending writes up to its ticket, then the rest. */
+    /** Writes the full state, which covers the writes up to its ticket, then the later writes. */
     private void rewrite() throws StorageException {
         CompletableFuture<LogWrite> stateFromLoop = new CompletableFuture<>();
         loop.execute(() -> stateFromLoop.complete(owner.fullState()));
--- a/src/test/java/gingerspool/storage/ModelDisk.java
+++ b/src/test/java/gingerspool/storage/ModelDisk.java
@@ -168,6 +168,7 @@
         for (int i = 0; i < steps; i++) {
             Step step = STEPS.get(i);
             boolean isSynced = i <= syncedUpTo.getOrDefault(step.file, -1);
+            // 0: present, 1: lost, 2: torn.
             int fate = isSynced ? 0 : loseAllUnsynced ? 1 : random.nextInt(3);
             if ((step.kind == Kind.WRITE || step.kind == Kind.LENGTH) && fate != 1) {
                 int tornLength =
