--- a/src/main/java/gingerspool/antientropy/ReplicaRepair.java
+++ b/src/main/java/gingerspool/antientropy/ReplicaRepair.java
@@ -7,77 +7,81 @@
 import java.util.Map;
 
 /**
- * Compares the copies that members hold of one state at one index of the order, range by range.
- * What more than half of the members hold is right: a member that differs is sent it, and where it
- * is the comparing member itself that differs, it asks one that is right. Without such a majority
- * nothing is repaired. Copies at other indices say nothing.
+ * Compares the members' copies of one state at one index of the log, range by range, on the member
+ * that leads the comparison. The digest held by more than half of the members is taken as correct.
+ * Members that differ from it are sent the items; if the comparing member itself differs, it
+ * requests the items from a member with the correct ones. A range without such a majority is not
+ * repaired. Copies at other indices are ignored.
  *
- * <p>Invariant: only digests that were made on request of the comparison under way count. Members'
- * links keep the order of messages, so such a digest follows whatever an earlier comparison
- * repaired; an older one could outvote a right copy together with a later damage of the same kind.
+ * <p>Invariant: only digests computed on request of the current comparison count. Links between
+ * members preserve message order, so such a digest reflects all repairs of earlier comparisons. A
+ * digest from an earlier comparison could outvote a correct copy if another copy is later damaged
+ * in the same way.
+ *
+ * <p>Performs no I/O and is not thread-safe: the caller sends the messages of {@link Exchange}.
  */
 public final class ReplicaRepair {
-    /** What a repair calls to act; range r is bit r. */
+    /** Sends the messages of a repair to other members; range r is bit r. */
     public interface Exchange {
-        /** This member is to tell the digests of its copy, for this comparison. */
+        /** Requests the digests of the member's copy, for this comparison. */
         void requestDigests(String member, long comparison);
 
-        /** This member is to send its items of these ranges, as of this index. */
+        /** Requests the member's items in these ranges, as of this index. */
         void ask(String member, long index, int ranges);
 
-        /** This member gets our items of these ranges, as of this index. */
+        /** Sends this process's items in these ranges, as of this index, to the member. */
         void send(String member, long index, int ranges);
     }
 
-    private record Copy(long index, List<Long> ranges) {}
+    /** The digests of a member's copy at an index of the log, one per range. */
+    private record CopyDigests(long index, List<Long> digests) {}
 
     private final Exchange exchange;
 
-    /** The number of the last comparison begun. */
+    /** The number of the latest comparison. */
     private long comparison;
 
     private boolean isUnderWay;
     private String self = "";
     private List<String> members = List.of();
 
-    /** The member that was asked for its items in this comparison, until they come. */
-    private String askedMember = "";
+    /** The member whose items were requested and have not arrived yet; empty if none. */
+    private String requestedMember = "";
 
-    /** What the other members have told for the comparison under way. */
-    private final Map<String, Copy> copies = new HashMap<>();
+    /** The digests received for the current comparison. */
+    private final Map<String, CopyDigests> digestsByMember = new HashMap<>();
 
-    /**
-     * RangeDigests that were found to differ, and those of them for which no copy has a majority.
-     */
-    private int differing;
+    /** Total number of ranges found to differ. */
+    private int differingRanges;
 
-    private int undecided;
+    /** Total number of differing ranges in which no digest had a majority. */
+    private int undecidedRanges;
 
     public ReplicaRepair(Exchange exchange) {
         this.exchange = exchange;
     }
 
     public int differing() {
-        return differing;
+        return differingRanges;
     }
 
     public int undecided() {
-        return undecided;
+        return undecidedRanges;
     }
 
     /**
-     * Begins a comparison of our copy with those of the other members; one that was still under way
-     * is given up.
+     * Begins a comparison of this member's copy with those of the other members; a comparison that
+     * is still under way is abandoned.
      *
-     * @return its number
+     * @return the number of the comparison
      */
     public long begin(String self, List<String> members) {
         this.self = self;
         this.members = List.copyOf(members);
         comparison++;
         isUnderWay = true;
-        askedMember = "";
-        copies.clear();
+        requestedMember = "";
+        digestsByMember.clear();
         for (String member : members) {
             if (!member.equals(self)) {
                 exchange.requestDigests(member, comparison);
@@ -87,91 +91,99 @@
     }
 
     /**
-     * A member's digests; what belongs to another comparison is dropped.
+     * Records a member's digests; those of another comparison are ignored.
      *
-     * @return whether all members have told theirs, so that the comparison may end
+     * @return whether the digests of all other members have arrived, so that the comparison may end
      */
-    public boolean received(String member, long comparison, long index, List<Long> ranges) {
-        boolean isAsked = isUnderWay && comparison == this.comparison && members.contains(member);
-        if (!isAsked || member.equals(self) || ranges.size() != RangeDigests.COUNT) {
+    public boolean received(String member, long comparison, long index, List<Long> digests) {
+        boolean isExpected =
+                isUnderWay && comparison == this.comparison && members.contains(member);
+        if (!isExpected || member.equals(self) || digests.size() != RangeDigests.RANGE_COUNT) {
             return false;
         }
-        copies.put(member, new Copy(index, ranges));
-        return copies.size() == members.size() - 1;
+        digestsByMember.put(member, new CopyDigests(index, digests));
+        return digestsByMember.size() == members.size() - 1;
     }
 
-    /** Whether this comparison was begun and has not ended. */
+    /** Whether this is the current comparison and it has not ended. */
     public boolean isUnderWay(long comparison) {
         return isUnderWay && comparison == this.comparison;
     }
 
     /**
-     * Ends the comparison under way: what members have told and hold at the index that we are at is
-     * compared with our digests of this very moment, and what differs is repaired. Without one it
-     * changes nothing.
+     * Ends the current comparison: compares the digests received for this index with this member's
+     * current digests and starts the repair of ranges that differ. Does nothing if no comparison is
+     * under way.
      */
-    public void end(long index, List<Long> own) {
+    public void end(long index, List<Long> ownDigests) {
         if (!isUnderWay) {
             return;
         }
         isUnderWay = false;
-        copies.put(self, new Copy(index, own));
-        copies.values().removeIf(c -> c.index != index);
-        compare(index, own);
-        copies.clear();
+        digestsByMember.put(self, new CopyDigests(index, ownDigests));
+        digestsByMember.values().removeIf(copy -> copy.index != index);
+        compare(index, ownDigests);
+        digestsByMember.clear();
     }
 
-    private void compare(long index, List<Long> own) {
-        // By member: where it has what most hold and we don't, and where it is the other way round.
-        Map<String, Integer> better = new HashMap<>();
-        Map<String, Integer> worse = new HashMap<>();
-        for (int r = 0; r < RangeDigests.COUNT; r++) {
-            Long right = mostHeld(r, members.size());
-            for (Map.Entry<String, Copy> e : copies.entrySet()) {
-                boolean isRight = e.getValue().ranges.get(r).equals(right);
-                if (right != null && isRight != own.get(r).equals(right)) {
-                    (isRight ? better : worse).merge(e.getKey(), 1 << r, (a, b) -> a | b);
+    private void compare(long index, List<Long> ownDigests) {
+        // By member: the ranges in which it is correct and this member is wrong, and the reverse.
+        Map<String, Integer> rangesToRequest = new HashMap<>();
+        Map<String, Integer> rangesToSend = new HashMap<>();
+        for (int range = 0; range < RangeDigests.RANGE_COUNT; range++) {
+            Long majority = majorityDigest(range, members.size());
+            for (Map.Entry<String, CopyDigests> copy : digestsByMember.entrySet()) {
+                boolean matchesMajority = copy.getValue().digests.get(range).equals(majority);
+                if (majority != null && matchesMajority != ownDigests.get(range).equals(majority)) {
+                    (matchesMajority ? rangesToRequest : rangesToSend)
+                            .merge(copy.getKey(), 1 << range, (a, b) -> a | b);
                 }
             }
         }
-        if (better.isEmpty()) {
-            worse.forEach((member, ranges) -> exchange.send(member, index, ranges));
+        if (rangesToRequest.isEmpty()) {
+            rangesToSend.forEach((member, ranges) -> exchange.send(member, index, ranges));
         } else {
-            // One that is right wherever we are wrong, if there is one: parts of copies may not
-            // fit.
-            String best =
+            // Requests from the one member that is correct in most of these ranges, since ranges of
+            // different copies may be inconsistent with each other.
+            String source =
                     Collections.max(
-                            better.keySet(),
-                            Comparator.comparingInt(m -> Integer.bitCount(better.get(m))));
-            askedMember = best;
-            exchange.ask(best, index, better.get(best));
+                            rangesToRequest.keySet(),
+                            Comparator.comparingInt(
+                                    member -> Integer.bitCount(rangesToRequest.get(member))));
+            requestedMember = source;
+            exchange.ask(source, index, rangesToRequest.get(source));
         }
     }
 
-    /** Whether items that this member sends are those that it was asked for; once for each ask. */
+    /** Whether items were requested from this member; each request is consumed only once. */
     public boolean takeAnswerOf(String member) {
-        boolean isAsked = member.equals(askedMember);
-        askedMember = "";
-        return isAsked;
+        boolean wasRequested = member.equals(requestedMember);
+        requestedMember = "";
+        return wasRequested;
     }
 
     /**
-     * What more than half of the members hold in this range; null where they agree, or no such is
-     * known.
+     * The digest of this range held by more than half of the members; null if all copies agree or
+     * no digest has a majority.
      */
-    private Long mostHeld(int range, int members) {
-        Map<Long, Integer> held = new HashMap<>();
-        copies.values().forEach(c -> held.merge(c.ranges.get(range), 1, Integer::sum));
-        if (held.size() < 2) {
+    private Long majorityDigest(int range, int memberCount) {
+        Map<Long, Integer> memberCountByDigest = new HashMap<>();
+        digestsByMember
+                .values()
+                .forEach(
+                        copy ->
+                                memberCountByDigest.merge(
+                                        copy.digests.get(range), 1, Integer::sum));
+        if (memberCountByDigest.size() < 2) {
             return null;
         }
-        differing++;
-        for (Map.Entry<Long, Integer> e : held.entrySet()) {
-            if (e.getValue() > members / 2) {
-                return e.getKey();
+        differingRanges++;
+        for (Map.Entry<Long, Integer> entry : memberCountByDigest.entrySet()) {
+            if (entry.getValue() > memberCount / 2) {
+                return entry.getKey();
             }
         }
-        undecided++;
+        undecidedRanges++;
         return null;
     }
 }
--- a/src/main/java/gingerspool/codec/ComponentSerializer.java
+++ b/src/main/java/gingerspool/codec/ComponentSerializer.java
@@ -13,39 +13,40 @@
 import java.util.Comparator;
 
 /**
- * Writes a record component by component, in the order of their names, each as its declared type;
- * the form of Kryo's {@code RecordSerializer} with fixed field types. That one looks for records by
- * reflection on reflection, since it also serves Java 8, which costs a process that starts on a
- * small share of a processor a tenth of its start.
+ * Serializes a record as its components, sorted by name, each as its declared type. The encoding is
+ * that of Kryo's {@code RecordSerializer} with fixed field types. Kryo's own class, which also
+ * supports Java 8, looks up the record methods by reflection; with a small share of a processor
+ * that takes a tenth of a process's startup time.
  */
 final class ComponentSerializer<T> extends Serializer<T> {
-    /** A component and its place in the canonical constructor. */
+    /** A component and its position in the canonical constructor. */
     private record Component(int position, Class<?> type, Method accessor) {}
 
-    private final Component[] byName;
+    private final Component[] componentsByName;
     private final Constructor<T> constructor;
 
     ComponentSerializer(Class<T> type) {
         RecordComponent[] declared = type.getRecordComponents();
         Class<?>[] types = new Class<?>[declared.length];
-        byName = new Component[declared.length];
+        componentsByName = new Component[declared.length];
         for (int i = 0; i < declared.length; i++) {
             types[i] = declared[i].getType();
-            byName[i] = new Component(i, types[i], declared[i].getAccessor());
-            byName[i].accessor.setAccessible(true);
+            componentsByName[i] = new Component(i, types[i], declared[i].getAccessor());
+            componentsByName[i].accessor.setAccessible(true);
         }
-        Arrays.sort(byName, Comparator.comparing(component -> component.accessor.getName()));
+        Arrays.sort(
+                componentsByName, Comparator.comparing(component -> component.accessor.getName()));
         try {
             constructor = type.getDeclaredConstructor(types);
             constructor.setAccessible(true);
         } catch (NoSuchMethodException e) {
-            throw new IllegalArgumentException(type + " is no record", e);
+            throw new IllegalArgumentException(type + " is not a record", e);
         }
     }
 
     @Override
     public void write(Kryo kryo, Output output, T message) {
-        for (Component component : byName) {
+        for (Component component : componentsByName) {
             Object value = valueOf(component, message);
             if (component.type.isPrimitive()) {
                 kryo.writeObject(output, value);
@@ -65,8 +66,8 @@
 
     @Override
     public T read(Kryo kryo, Input input, Class<? extends T> type) {
-        Object[] values = new Object[byName.length];
-        for (Component component : byName) {
+        Object[] values = new Object[componentsByName.length];
+        for (Component component : componentsByName) {
             values[component.position] =
                     component.type.isPrimitive()
                             ? kryo.readObject(input, component.type)
@@ -75,7 +76,7 @@
         return create(values);
     }
 
-    /** A constructor that refuses what was read says that the peer wrote none of ours. */
+    /** Values that the record's constructor rejects mean that the message is malformed. */
     private T create(Object[] values) {
         try {
             return constructor.newInstance(values);
--- a/src/main/java/gingerspool/codec/KryoCodec.java
+++ b/src/main/java/gingerspool/codec/KryoCodec.java
@@ -13,61 +13,64 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** Messages to bytes and back, by Kryo. Only what is registered is read; for one thread. */
+/**
+ * Encodes messages to bytes and decodes them with Kryo, for links between processes and for the log
+ * on disk. Only registered types are read. Not thread-safe.
+ */
 public final class KryoCodec {
-    private static final int INITIAL_BYTES = 512;
+    private static final int INITIAL_BUFFER_BYTES = 512;
 
-    /** Far over what any message nests, far under what a thread's stack bears. */
+    /** Far above the nesting of any message, far below what would overflow a thread's stack. */
     private static final int MAX_DEPTH = 64;
 
-    /** What Kryo adds to a type's identifier, since nothing and names come before it. */
-    private static final int FIRST_NUMBER = 2;
+    /** Kryo's offset of encoded type identifiers: the values below mean null and class names. */
+    private static final int CLASS_ID_OFFSET = 2;
 
     private final Kryo kryo = new Kryo();
-    private final Output output = new Output(INITIAL_BYTES, -1);
+    private final Output output = new Output(INITIAL_BUFFER_BYTES, -1);
 
-    /** A type is written as its number in this list, which both sides must share. */
+    /** A type is encoded as its position in this list, which writer and reader must share. */
     public KryoCodec(List<Class<?>> types) {
         this(types, ComponentSerializer::new);
     }
 
-    /** With another serializer of records, as tests compare them. */
-    KryoCodec(List<Class<?>> types, Function<Class<?>, Serializer<?>> ofRecords) {
+    /** Takes the serializer of records, so that tests can compare another one. */
+    KryoCodec(List<Class<?>> types, Function<Class<?>, Serializer<?>> recordSerializer) {
         kryo.setReferences(false);
         kryo.setMaxDepth(MAX_DEPTH);
         kryo.register(byte[].class);
-        kryo.addDefaultSerializer(List.class, new Lists());
-        kryo.addDefaultSerializer(Map.class, new Maps());
-        kryo.register(List.class, new Lists());
-        kryo.register(ArrayList.class, new Lists());
-        kryo.register(Map.class, new Maps());
-        kryo.register(HashMap.class, new Maps());
+        kryo.addDefaultSerializer(List.class, new ArrayListSerializer());
+        kryo.addDefaultSerializer(Map.class, new HashMapSerializer());
+        kryo.register(List.class, new ArrayListSerializer());
+        kryo.register(ArrayList.class, new ArrayListSerializer());
+        kryo.register(Map.class, new HashMapSerializer());
+        kryo.register(HashMap.class, new HashMapSerializer());
         for (Class<?> type : types) {
             if (type.isRecord()) {
-                kryo.register(type, ofRecords.apply(type));
+                kryo.register(type, recordSerializer.apply(type));
             } else if (type.isInterface()) {
-                kryo.register(type, new Any());
+                kryo.register(type, new PolymorphicSerializer());
             } else {
                 kryo.register(type);
             }
         }
     }
 
-    private static void checkFollows(Input input, int size) {
-        ((MessageInput) input).checkFollows(size);
+    private static void checkAvailable(Input input, int size) {
+        ((MessageInput) input).checkAvailable(size);
     }
 
-    /** Whatever sort of list is written, an ArrayList is read. */
-    private static final class Lists extends CollectionSerializer<List<?>> {
+    /** Reads every list as an ArrayList, whichever class was written. */
+    private static final class ArrayListSerializer extends CollectionSerializer<List<?>> {
         @Override
         protected List<?> create(Kryo kryo, Input input, Class<? extends List<?>> type, int size) {
-            checkFollows(input, size);
+            checkAvailable(input, size);
             return new ArrayList<>(size);
         }
     }
 
-    /** A component that may be one of several types. */
-    private static final class Any extends Serializer<Object> {
+    /** Serializes a component declared as an interface, with the type of its value. */
+    private static final class PolymorphicSerializer extends Serializer<Object> {
         @Override
         public void write(Kryo kryo, Output output, Object message) {
             kryo.writeClassAndObject(output, message);
@@ -79,28 +82,29 @@
         }
     }
 
-    private static final class Maps extends MapSerializer<Map<?, ?>> {
+    /** Reads every map as a HashMap, whichever class was written. */
+    private static final class HashMapSerializer extends MapSerializer<Map<?, ?>> {
         @Override
         protected Map<?, ?> create(
                 Kryo kryo, Input input, Class<? extends Map<?, ?>> type, int size) {
-            checkFollows(input, size);
+            checkAvailable(input, size);
             return new HashMap<>();
         }
     }
 
-    /** The bytes of a message of a registered type. */
+    /** Encodes a message of a registered type. */
     public byte[] write(Object message) {
         output.reset();
         kryo.writeClassAndObject(output, message);
         return output.toBytes();
     }
 
-    /** The number that a message of the type begins with. */
-    int number(Class<?> type) {
-        return kryo.getRegistration(type).getId() + FIRST_NUMBER;
+    /** The encoded type identifier that a message of this type begins with. */
+    int encodedTypeId(Class<?> type) {
+        return kryo.getRegistration(type).getId() + CLASS_ID_OFFSET;
     }
 
-    /** Reads a message; an exception says that the peer wrote none of ours. */
+    /** Decodes a message; throws if the bytes are not a message of a registered type. */
     public Object read(byte[] bytes) throws MalformedMessageException {
         try {
             return kryo.readClassAndObject(new MessageInput(bytes));
--- a/src/main/java/gingerspool/storage/LogFormat1.java
+++ b/src/main/java/gingerspool/storage/LogFormat1.java
@@ -8,19 +8,20 @@
 import java.util.List;
 
 /**
- * The records of log files of form 1, in which voters were one list. Their components keep the
- * names and order that were written.
+ * The records of log files of format 1, which stored the voters as one list. {@link DurableLog}
+ * upgrades them as it reads. The component names are part of the format on disk: they determine the
+ * order of the components.
  */
 final class LogFormat1 {
-    /** An entry, as it was. */
-    record Entry(long term, byte[] command, List<Member> members) {
+    /** A log entry of format 1; members is null unless the entry changes the voters. */
+    record EntryV1(long term, byte[] command, List<Member> members) {
         LogEntry upgraded() {
             return new LogEntry(term, command, members == null ? null : VoterSet.of(members));
         }
     }
 
-    /** A snapshot, as it was. */
-    record State(long index, long term, List<Member> members, byte[] state) {
+    /** A snapshot of format 1. */
+    record SnapshotV1(long index, long term, List<Member> members, byte[] state) {
         Snapshot upgraded() {
             return new Snapshot(index, term, members, state);
         }
@@ -28,7 +29,7 @@
 
     static KryoCodec codec() {
         return new KryoCodec(
-                List.of(DurableLog.Vote.class, Member.class, Entry.class, State.class));
+                List.of(DurableLog.Vote.class, Member.class, EntryV1.class, SnapshotV1.class));
     }
 
     private LogFormat1() {}
--- a/src/main/java/gingerspool/storage/StorageException.java
+++ b/src/main/java/gingerspool/storage/StorageException.java
@@ -1,14 +1,14 @@
 package gingerspool.storage;
 
-/** The disk failed; the text names the folder or file, and what was said of it. */
+/** Reading or writing the log failed; the message names the folder or file and the cause. */
 public class StorageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    StorageException(String text) {
-        super(text);
+    StorageException(String message) {
+        super(message);
     }
 
-    public StorageException(String text, Throwable cause) {
-        super(text + ": " + cause.getMessage(), cause);
+    public StorageException(String message, Throwable cause) {
+        super(message + ": " + cause.getMessage(), cause);
     }
 }
--- a/src/main/java/gingerspool/storage/UnreadableLogException.java
+++ b/src/main/java/gingerspool/storage/UnreadableLogException.java
@@ -1,10 +1,10 @@
 package gingerspool.storage;
 
-/** A file of the log holds no whole content. */
+/** The content of a log file is incomplete or invalid. */
 final class UnreadableLogException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    UnreadableLogException(String text) {
-        super(text);
+    UnreadableLogException(String message) {
+        super(message);
     }
 }
--- a/src/test/java/gingerspool/codec/KryoCodecTest.java
+++ b/src/test/java/gingerspool/codec/KryoCodecTest.java
@@ -20,13 +20,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** The encoding of messages, and the rejection of malformed ones. */
 public class KryoCodecTest {
     private static final int NESTED_LISTS = 100_000;
     private static final Member A = new Member("10.0.0.1", "0");
-    private final KryoCodec coder = new KryoCodec(MessageTypes.ALL);
+    private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
 
-    /** Kryo's own serializer of records wrote what stands on disks. */
-    private final KryoCodec libraryCoder =
+    /** Uses Kryo's own record serializer, which wrote the data that is on existing disks. */
+    private final KryoCodec kryoRecordCodec =
             new KryoCodec(
                     MessageTypes.ALL,
                     type -> {
@@ -35,16 +36,16 @@
                         return serializer;
                     });
 
-    @Test(dataProvider = "words")
-    public void recordsHaveTheFormOfKryosOwnSerializer(Object word) throws Exception {
-        byte[] bytes = libraryCoder.write(word);
-        assertEquals(coder.write(word), bytes);
-        assertEquals(coder.read(bytes), word);
-        assertEquals(libraryCoder.read(coder.write(word)), word);
+    @Test(dataProvider = "messages")
+    public void recordEncodingMatchesKryosRecordSerializer(Object message) throws Exception {
+        byte[] bytes = kryoRecordCodec.write(message);
+        assertEquals(codec.write(message), bytes);
+        assertEquals(codec.read(bytes), message);
+        assertEquals(kryoRecordCodec.read(codec.write(message)), message);
     }
 
     @DataProvider
-    Object[][] words() {
+    Object[][] messages() {
         return new Object[][] {
             {new Messages.Heartbeat("10.0.0.1")},
             {new Messages.LeaderAnnouncement(3, "", List.of("a", "b"))},
@@ -84,81 +85,92 @@
         };
     }
 
-    @Test(dataProvider = "words")
-    public void aWordComesBackAndACutOneIsABadWord(Object word) throws MalformedMessageException {
-        byte[] bytes = coder.write(word);
-        assertEquals(coder.read(bytes), word);
+    @Test(dataProvider = "messages")
+    public void messageRoundTripsAndEachTruncationIsRejected(Object message)
+            throws MalformedMessageException {
+        byte[] bytes = codec.write(message);
+        assertEquals(codec.read(bytes), message);
         for (int cut = 0; cut < bytes.length; cut++) {
-            byte[] part = Arrays.copyOf(bytes, cut);
-            expectThrows(MalformedMessageException.class, () -> coder.read(part));
+            byte[] truncated = Arrays.copyOf(bytes, cut);
+            expectThrows(MalformedMessageException.class, () -> codec.read(truncated));
         }
     }
 
     @Test
-    public void rubbishIsABadWordOrAnother() {
-        SplittableRandom chance = new SplittableRandom(1);
+    public void rejectsOrReadsRandomBytes() {
+        SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 20_000; i++) {
-            byte[] rubbish = new byte[chance.nextInt(40)];
-            chance.nextBytes(rubbish);
+            byte[] bytes = new byte[random.nextInt(40)];
+            random.nextBytes(bytes);
             try {
-                coder.read(rubbish);
+                codec.read(bytes);
             } catch (MalformedMessageException e) {
-                // What a peer says that is none of ours may not break the loop in any other way.
+                // Malformed input from a peer must not fail the event loop with any other
+                // exception.
                 assertEquals(e.getClass(), MalformedMessageException.class);
             }
         }
     }
 
-    /** Guards against a message of a few bytes that takes the whole heap of its reader. */
-    @Test(dataProvider = "namedLengths")
-    public void aLengthThatCannotFollowIsRefusedBeforeItIsReserved(String what, byte[] message) {
-        expectThrows(MalformedMessageException.class, () -> coder.read(message));
+    /** Guards against a message of a few bytes that exhausts the reader's heap. */
+    @Test(dataProvider = "declaredLengths")
+    public void declaredLengthBeyondTheInputIsRejectedBeforeAllocation(
+            String declared, byte[] message) {
+        expectThrows(MalformedMessageException.class, () -> codec.read(message));
     }
 
     @DataProvider
-    Object[][] namedLengths() {
+    Object[][] declaredLengths() {
         return new Object[][] {
-            {"bytes", named(byte[].class, output -> output.writeVarInt(Integer.MAX_VALUE, true))},
+            {
+                "bytes",
+                messageStartingWith(
+                        byte[].class, output -> output.writeVarInt(Integer.MAX_VALUE, true))
+            },
             {
                 "a string",
-                named(
+                messageStartingWith(
                         Messages.Heartbeat.class,
                         output -> output.writeVarIntFlag(true, Integer.MAX_VALUE, true))
             },
             {
                 "nulls",
-                named(
+                messageStartingWith(
                         ArrayList.class,
                         output -> {
                             output.writeVarIntFlag(true, Integer.MAX_VALUE, true);
                             output.writeVarInt(0, true);
                         })
             },
-            {"entries", named(HashMap.class, output -> output.writeVarInt(Integer.MAX_VALUE, true))}
+            {
+                "entries",
+                messageStartingWith(
+                        HashMap.class, output -> output.writeVarInt(Integer.MAX_VALUE, true))
+            }
         };
     }
 
-    /** Guards against a message of lists in lists that takes the whole stack of its reader. */
+    /** Guards against a message of nested lists that overflows the reader's stack. */
     @Test
-    public void listsInListsAreRefusedBeforeTheStackEnds() {
+    public void nestedListsAreRejectedBeforeTheStackOverflows() {
         byte[] message =
-                named(
+                messageStartingWith(
                         ArrayList.class,
                         output -> {
                             for (int i = 0; i < NESTED_LISTS; i++) {
                                 output.writeVarIntFlag(true, 2, true);
-                                output.writeVarInt(coder.number(ArrayList.class), true);
+                                output.writeVarInt(codec.encodedTypeId(ArrayList.class), true);
                                 output.writeBoolean(false);
                             }
                         });
-        expectThrows(MalformedMessageException.class, () -> coder.read(message));
+        expectThrows(MalformedMessageException.class, () -> codec.read(message));
     }
 
-    /** A message that begins as one of the type and goes on as said. */
-    private byte[] named(Class<?> type, Consumer<Output> rest) {
+    /** A message that begins with the type's identifier, followed by the written content. */
+    private byte[] messageStartingWith(Class<?> type, Consumer<Output> writeContent) {
         Output output = new Output(64, -1);
-        output.writeVarInt(coder.number(type), true);
-        rest.accept(output);
+        output.writeVarInt(codec.encodedTypeId(type), true);
+        writeContent.accept(output);
         return output.toBytes();
     }
 }
--- a/src/test/java/gingerspool/storage/LogWriterTest.java
+++ b/src/test/java/gingerspool/storage/LogWriterTest.java
@@ -22,34 +22,34 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The log's thread on a disk that is in trouble as it starts. */
+/** The log's thread on a disk that fails, is full or holds an unsupported format at the start. */
 public class LogWriterTest {
     private static final Member SELF = new Member("10.0.0.1", "m");
     private static final Snapshot EMPTY = new Snapshot(0, 0, List.of(SELF), null);
-    private static final long WHOLE = 7;
-    private static final long PATIENCE_S = 10;
+    private static final long FULL_STATE_TICKET = 7;
+    private static final long EVENT_TIMEOUT_S = 10;
 
-    private static final int UNKNOWN = -1;
+    private static final int UNKNOWN_FILE_COUNT = -1;
 
-    /** Those of the present test: a writer that still ends may tell of the one before. */
+    /** Events of the current test only: the writer of the previous test may still be stopping. */
     private LinkedBlockingQueue<Object> events;
 
-    /** How many files there were each time the whole content was asked for. */
-    private List<Integer> filesWhenAsked;
+    /** The number of files each time the full state was requested. */
+    private List<Integer> fileCounts;
 
     private ExecutorService loop;
     private LogWriter writer;
 
-    private static LogWrite whole(long ticket) {
+    private static LogWrite stateAt(long ticket) {
         List<LogEntry> entries = List.of(new LogEntry(1, new byte[] {1}, null));
         return new LogWrite(ticket, SELF, 1, null, 1, entries, EMPTY);
     }
 
     @BeforeMethod
     public void begin() {
-        ModelDisk.begin();
+        ModelDisk.reset();
         events = new LinkedBlockingQueue<>();
-        filesWhenAsked = new CopyOnWriteArrayList<>();
+        fileCounts = new CopyOnWriteArrayList<>();
         loop =
                 new ThreadPoolExecutor(
                         1,
@@ -67,8 +67,8 @@
     }
 
     private void start(LogFolder folder) {
-        LinkedBlockingQueue<Object> told = events;
-        List<Integer> files = filesWhenAsked;
+        LinkedBlockingQueue<Object> testEvents = events;
+        List<Integer> files = fileCounts;
         DurableLog log = new DurableLog(folder, 128, ModelDisk.SCHEME);
         writer =
                 new LogWriter(
@@ -76,105 +76,105 @@
                         loop,
                         new LogWriter.Owner() {
                             @Override
-                            public void recovered(RecoveredLog found) {
-                                told.add(found);
+                            public void recovered(RecoveredLog recovered) {
+                                testEvents.add(recovered);
                             }
 
                             @Override
                             public void unusable(StorageException why) {
-                                told.add(why);
+                                testEvents.add(why);
                             }
 
                             @Override
                             public void persisted(long ticket) {
-                                told.add(ticket);
+                                testEvents.add(ticket);
                             }
 
                             @Override
                             public LogWrite fullState() {
-                                noteFiles(folder, files);
-                                told.add("asked");
-                                return whole(WHOLE);
+                                recordFileCount(folder, files);
+                                testEvents.add("asked");
+                                return stateAt(FULL_STATE_TICKET);
                             }
                         });
         writer.start();
     }
 
-    /** Between two attempts, which nothing else tells: an attempt has a file while it lasts. */
-    private static void noteFiles(LogFolder folder, List<Integer> files) {
+    /** Called between attempts, the only time at which a failed attempt's file must be gone. */
+    private static void recordFileCount(LogFolder folder, List<Integer> files) {
         try {
             files.add(folder.files().size());
         } catch (IOException e) {
-            files.add(UNKNOWN);
+            files.add(UNKNOWN_FILE_COUNT);
         }
     }
 
-    private Object next() throws InterruptedException {
-        Object event = events.poll(PATIENCE_S, TimeUnit.SECONDS);
-        assertNotNull(event, "nothing came");
+    private Object nextEvent() throws InterruptedException {
+        Object event = events.poll(EVENT_TIMEOUT_S, TimeUnit.SECONDS);
+        assertNotNull(event, "no event arrived in time");
         return event;
     }
 
-    private static Path folder() throws Exception {
+    private static Path createFolder() throws Exception {
         return Files.createTempDirectory("log");
     }
 
     @Test
-    public void startsOnAFullDiskConfirmsNothingAndGoesOnOnceThereIsRoom() throws Exception {
-        Path at = folder();
-        try (DurableLog before = new DurableLog(at, 128)) {
-            before.open();
-            before.rewrite(whole(1));
+    public void startsOnAFullDiskAndConfirmsNothingUntilThereIsSpace() throws Exception {
+        Path folder = createFolder();
+        try (DurableLog earlierLog = new DurableLog(folder, 128)) {
+            earlierLog.open();
+            earlierLog.rewrite(stateAt(1));
         }
         ModelDisk.full = true;
-        start(ModelDisk.folder(at));
-        assertEquals(((RecoveredLog) next()).state().entries().size(), 1);
+        start(ModelDisk.folder(folder));
+        assertEquals(((RecoveredLog) nextEvent()).state().entries().size(), 1);
         for (int attempt = 0; attempt < 3; attempt++) {
-            assertEquals(next(), "asked", "nothing is confirmed, it is tried again");
+            assertEquals(nextEvent(), "asked", "nothing is confirmed, the write is retried");
         }
         assertTrue(writer.isFailing());
         assertEquals(
-                List.copyOf(filesWhenAsked).subList(0, 3),
+                List.copyOf(fileCounts).subList(0, 3),
                 List.of(1, 1, 1),
-                "failed attempts leave nothing");
+                "failed attempts leave no files");
         ModelDisk.full = false;
-        Object event = next();
+        Object event = nextEvent();
         while (event.equals("asked")) {
-            event = next();
+            event = nextEvent();
         }
-        assertEquals(event, WHOLE);
-        writer.save(whole(WHOLE + 1));
-        assertEquals(next(), WHOLE + 1);
+        assertEquals(event, FULL_STATE_TICKET);
+        writer.save(stateAt(FULL_STATE_TICKET + 1));
+        assertEquals(nextEvent(), FULL_STATE_TICKET + 1);
     }
 
     @Test
-    public void aDiskThatCanNotBeReadIsTriedAgainAndIsNoEmptyOne() throws Exception {
-        LinkedBlockingQueue<Object> told = events;
+    public void diskThatCannotBeReadIsRetriedAndNotTakenAsEmpty() throws Exception {
+        LinkedBlockingQueue<Object> testEvents = events;
         start(
-                new LogFolder(folder()) {
+                new LogFolder(createFolder()) {
                     private int attempts;
 
                     @Override
                     void create() throws IOException {
-                        told.add("tried");
+                        testEvents.add("tried");
                         if (++attempts < 3) {
                             throw new IOException("Input/output error");
                         }
                     }
                 });
         for (int attempt = 0; attempt < 3; attempt++) {
-            assertEquals(next(), "tried");
+            assertEquals(nextEvent(), "tried");
         }
-        assertTrue(((RecoveredLog) next()).isEmpty());
+        assertTrue(((RecoveredLog) nextEvent()).isEmpty());
     }
 
     @Test
-    public void aNewerFormatEndsIt() throws Exception {
-        Path at = folder();
-        try (MVStore newer = MVStore.open(at.resolve("ledger-1.mv").toString())) {
+    public void newerFormatStopsTheWriter() throws Exception {
+        Path folder = createFolder();
+        try (MVStore newer = MVStore.open(folder.resolve("ledger-1.mv").toString())) {
             newer.openMap("meta").put("form", new byte[] {DurableLog.FORMAT + 1});
         }
-        start(ModelDisk.folder(at));
-        assertTrue(next() instanceof UnsupportedFormatException);
+        start(ModelDisk.folder(folder));
+        assertTrue(nextEvent() instanceof UnsupportedFormatException);
     }
 }
--- a/src/test/java/gingerspool/storage/ModelDisk.java
+++ b/src/test/java/gingerspool/storage/ModelDisk.java
@@ -20,22 +20,22 @@
 import org.h2.store.fs.FilePathWrapper;
 
 /**
- * A layer of H2's own files that records every write, cut, sync and removal, so that the disk can
- * be laid out anew as a loss of power at any moment would have left it: what was synced is there,
- * of what came after it each write is present, absent or torn, and each name that was made or
- * removed without a sync of the folder is kept or lost by itself. It can be full, and fail its
+ * A layer of H2's file system that records every write, truncation, sync and deletion, so that the
+ * files can be written as a power loss at any step would have left them. Synced content is present;
+ * each later write is present, absent or torn; each creation or deletion of a file without a sync
+ * of the folder is kept or lost independently. Can simulate a full disk and failing reads and
  * syncs.
  */
 public final class ModelDisk extends FilePathWrapper {
     static final String SCHEME = "model:";
 
-    /** Every write is refused. */
+    /** Whether every write fails because the disk is full. */
     static volatile boolean full;
 
-    /** So many of the next syncs fail, and make nothing durable. */
+    /** The number of next syncs that fail and make nothing durable. */
     static volatile int failingSyncs;
 
-    /** So many of the next reads fail. */
+    /** The number of next reads that fail. */
     static volatile int failingReads;
 
     private static final List<Step> STEPS = new ArrayList<>();
@@ -48,14 +48,14 @@
         SYNC_FOLDER
     }
 
-    /** One call of the disk. */
+    /** One recorded disk operation; position is the new length in a truncation. */
     private record Step(Kind kind, String file, long position, byte[] bytes) {
         static Step of(Kind kind, String file) {
             return new Step(kind, file, 0, null);
         }
     }
 
-    static void begin() {
+    static void reset() {
         FilePath.register(new ModelDisk());
         full = false;
         failingSyncs = 0;
@@ -63,11 +63,11 @@
         STEPS.clear();
     }
 
-    static int steps() {
+    static int stepCount() {
         return STEPS.size();
     }
 
-    /** The log's folder on this disk. */
+    /** The log's folder on this disk; records its syncs and deletions. */
     static LogFolder folder(Path path) {
         return new LogFolder(path) {
             @Override
@@ -78,19 +78,19 @@
 
             @Override
             void syncFile(Path file) throws IOException {
-                failSync();
+                failSyncIfRequested();
                 STEPS.add(Step.of(Kind.SYNC, file.getFileName().toString()));
             }
 
             @Override
             void sync() throws IOException {
-                failSync();
+                failSyncIfRequested();
                 STEPS.add(Step.of(Kind.SYNC_FOLDER, ""));
             }
         };
     }
 
-    private static void failSync() throws IOException {
+    private static void failSyncIfRequested() throws IOException {
         if (failingSyncs > 0) {
             failingSyncs--;
             throw new IOException("Input/output error");
@@ -104,54 +104,60 @@
 
     @Override
     public FileChannel open(String mode) throws IOException {
-        return new Recorder(
+        return new RecordingChannel(
                 super.open(mode), Path.of(getBase().toString()).getFileName().toString());
     }
 
     /**
-     * The names that a loss of power after so many steps keeps or loses each by itself: made and
-     * not synced, or removed without a sync of the folder after it.
+     * The files that may or may not exist after a power loss, each independently: those created and
+     * not synced, or removed without a later sync of the folder, within this number of steps.
      */
-    static List<String> undecided(int steps) {
-        Set<String> made = new LinkedHashSet<>();
+    static List<String> uncertainNames(int steps) {
+        Set<String> created = new LinkedHashSet<>();
         Set<String> removed = new LinkedHashSet<>();
-        for (Step s : STEPS.subList(0, steps)) {
-            switch (s.kind) {
-                case WRITE -> made.add(s.file);
-                case REMOVE -> removed.add(s.file);
+        for (Step step : STEPS.subList(0, steps)) {
+            switch (step.kind) {
+                case WRITE -> created.add(step.file);
+                case REMOVE -> removed.add(step.file);
                 case SYNC_FOLDER -> removed.clear();
                 default -> {}
             }
         }
-        Set<String> all = new LinkedHashSet<>(removed);
-        made.stream().filter(f -> !isDurable(f, steps) && !isGone(f, steps)).forEach(all::add);
-        return List.copyOf(all);
+        Set<String> names = new LinkedHashSet<>(removed);
+        created.stream()
+                .filter(file -> !isDurable(file, steps) && !isDurablyRemoved(file, steps))
+                .forEach(names::add);
+        return List.copyOf(names);
     }
 
     private static boolean isDurable(String file, int steps) {
         boolean exists = false;
-        for (Step s : STEPS.subList(0, steps)) {
-            exists |= s.kind == Kind.WRITE && s.file.equals(file);
-            if (exists && (s.kind == Kind.SYNC_FOLDER || s.equals(Step.of(Kind.SYNC, file)))) {
+        for (Step step : STEPS.subList(0, steps)) {
+            exists |= step.kind == Kind.WRITE && step.file.equals(file);
+            if (exists
+                    && (step.kind == Kind.SYNC_FOLDER || step.equals(Step.of(Kind.SYNC, file)))) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether it was removed, and the folder synced after that. */
-    private static boolean isGone(String file, int steps) {
-        List<Step> played = STEPS.subList(0, steps);
-        int removedAt = played.lastIndexOf(Step.of(Kind.REMOVE, file));
-        return removedAt >= 0 && played.lastIndexOf(Step.of(Kind.SYNC_FOLDER, "")) > removedAt;
+    /** Whether the file was removed and the folder was synced afterwards. */
+    private static boolean isDurablyRemoved(String file, int steps) {
+        List<Step> past = STEPS.subList(0, steps);
+        int removedAt = past.lastIndexOf(Step.of(Kind.REMOVE, file));
+        return removedAt >= 0 && past.lastIndexOf(Step.of(Kind.SYNC_FOLDER, "")) > removedAt;
     }
 
     /**
-     * Lays the files out as a loss of power after so many steps leaves them: what was not synced by
-     * chance, or all gone; of the undecided names those of the mask are kept.
+     * Writes the files as a power loss after this number of steps leaves them. Writes that were not
+     * synced are kept, lost or torn at random, or all lost.
+     *
+     * @param keptNames which of the uncertain names exist, as a bit mask
      */
-    static void lay(Path folder, int steps, SplittableRandom chance, int kept) throws IOException {
-        boolean all = chance.nextInt(4) == 0;
+    static void writeFilesAfterPowerLoss(
+            Path folder, int steps, SplittableRandom random, int keptNames) throws IOException {
+        boolean loseAllUnsynced = random.nextInt(4) == 0;
         Map<String, Integer> syncedUpTo = new HashMap<>();
         for (int i = 0; i < steps; i++) {
             if (STEPS.get(i).kind == Kind.SYNC) {
@@ -160,41 +166,50 @@
         }
         Map<String, byte[]> files = new HashMap<>();
         for (int i = 0; i < steps; i++) {
-            Step s = STEPS.get(i);
-            boolean synced = i <= syncedUpTo.getOrDefault(s.file, -1);
-            int fate = synced ? 0 : all ? 1 : chance.nextInt(3);
-            if ((s.kind == Kind.WRITE || s.kind == Kind.LENGTH) && fate != 1) {
-                int torn = fate == 0 || s.bytes == null ? -1 : chance.nextInt(s.bytes.length + 1);
-                files.put(s.file, applied(files.getOrDefault(s.file, new byte[0]), s, torn));
+            Step step = STEPS.get(i);
+            boolean isSynced = i <= syncedUpTo.getOrDefault(step.file, -1);
+            // 0: present, 1: lost, 2: torn.
+            int fate = isSynced ? 0 : loseAllUnsynced ? 1 : random.nextInt(3);
+            if ((step.kind == Kind.WRITE || step.kind == Kind.LENGTH) && fate != 1) {
+                int tornLength =
+                        fate == 0 || step.bytes == null
+                                ? -1
+                                : random.nextInt(step.bytes.length + 1);
+                files.put(
+                        step.file,
+                        applyStep(files.getOrDefault(step.file, new byte[0]), step, tornLength));
             }
         }
-        List<String> undecided = undecided(steps);
-        for (Map.Entry<String, byte[]> f : files.entrySet()) {
-            int at = undecided.indexOf(f.getKey());
-            if (at >= 0 ? (kept & 1 << at) != 0 : !isGone(f.getKey(), steps)) {
-                Files.write(folder.resolve(f.getKey()), f.getValue());
+        List<String> uncertain = uncertainNames(steps);
+        for (Map.Entry<String, byte[]> file : files.entrySet()) {
+            int nameIndex = uncertain.indexOf(file.getKey());
+            if (nameIndex >= 0
+                    ? (keptNames & 1 << nameIndex) != 0
+                    : !isDurablyRemoved(file.getKey(), steps)) {
+                Files.write(folder.resolve(file.getKey()), file.getValue());
             }
         }
     }
 
-    /** The file after this step; torn: only its first bytes, -1 for all. */
-    private static byte[] applied(byte[] file, Step s, int torn) {
-        if (s.kind == Kind.LENGTH) {
-            return java.util.Arrays.copyOf(file, (int) s.position);
+    /** Returns the file after this step; only tornLength bytes are written, or all if -1. */
+    private static byte[] applyStep(byte[] file, Step step, int tornLength) {
+        if (step.kind == Kind.LENGTH) {
+            return java.util.Arrays.copyOf(file, (int) step.position);
         }
-        int n = torn < 0 ? s.bytes.length : torn;
-        byte[] next = java.util.Arrays.copyOf(file, (int) Math.max(file.length, s.position + n));
-        System.arraycopy(s.bytes, 0, next, (int) s.position, n);
-        return next;
+        int length = tornLength < 0 ? step.bytes.length : tornLength;
+        byte[] result =
+                java.util.Arrays.copyOf(file, (int) Math.max(file.length, step.position + length));
+        System.arraycopy(step.bytes, 0, result, (int) step.position, length);
+        return result;
     }
 
-    /** The channel beneath, every change of which is written down. */
-    private static final class Recorder extends FileChannel {
-        private final FileChannel below;
+    /** Records every change and forwards it to the underlying channel. */
+    private static final class RecordingChannel extends FileChannel {
+        private final FileChannel delegate;
         private final String file;
 
-        Recorder(FileChannel below, String file) {
-            this.below = below;
+        RecordingChannel(FileChannel delegate, String file) {
+            this.delegate = delegate;
             this.file = file;
         }
 
@@ -205,38 +220,39 @@
             }
             byte[] bytes = new byte[from.remaining()];
             from.duplicate().get(bytes);
-            int n = below.write(from, position);
-            STEPS.add(new Step(Kind.WRITE, file, position, java.util.Arrays.copyOf(bytes, n)));
-            return n;
+            int written = delegate.write(from, position);
+            STEPS.add(
+                    new Step(Kind.WRITE, file, position, java.util.Arrays.copyOf(bytes, written)));
+            return written;
         }
 
         @Override
         public int write(ByteBuffer from) throws IOException {
-            long at = below.position();
-            int n = write(from, at);
-            below.position(at + n);
-            return n;
+            long position = delegate.position();
+            int written = write(from, position);
+            delegate.position(position + written);
+            return written;
         }
 
         @Override
         public FileChannel truncate(long size) throws IOException {
-            if (size < below.size()) {
+            if (size < delegate.size()) {
                 STEPS.add(new Step(Kind.LENGTH, file, size, null));
             }
-            below.truncate(size);
+            delegate.truncate(size);
             return this;
         }
 
         @Override
         public void force(boolean metaData) throws IOException {
-            failSync();
-            below.force(metaData);
+            failSyncIfRequested();
+            delegate.force(metaData);
             STEPS.add(Step.of(Kind.SYNC, file));
         }
 
         @Override
         public int read(ByteBuffer to) throws IOException {
-            return below.read(to);
+            return delegate.read(to);
         }
 
         @Override
@@ -245,43 +261,43 @@
                 failingReads--;
                 throw new IOException("Input/output error");
             }
-            return below.read(to, position);
+            return delegate.read(to, position);
         }
 
         @Override
         public long read(ByteBuffer[] to, int offset, int length) throws IOException {
-            return below.read(to, offset, length);
+            return delegate.read(to, offset, length);
         }
 
         @Override
         public long write(ByteBuffer[] from, int offset, int length) throws IOException {
-            long n = 0;
+            long written = 0;
             for (int i = offset; i < offset + length; i++) {
-                n += write(from[i]);
+                written += write(from[i]);
             }
-            return n;
+            return written;
         }
 
         @Override
         public long position() throws IOException {
-            return below.position();
+            return delegate.position();
         }
 
         @Override
         public FileChannel position(long newPosition) throws IOException {
-            below.position(newPosition);
+            delegate.position(newPosition);
             return this;
         }
 
         @Override
         public long size() throws IOException {
-            return below.size();
+            return delegate.size();
         }
 
         @Override
         public long transferTo(long position, long count, WritableByteChannel to)
                 throws IOException {
-            return below.transferTo(position, count, to);
+            return delegate.transferTo(position, count, to);
         }
 
         @Override
@@ -296,17 +312,17 @@
 
         @Override
         public FileLock lock(long position, long size, boolean shared) throws IOException {
-            return below.lock(position, size, shared);
+            return delegate.lock(position, size, shared);
         }
 
         @Override
         public FileLock tryLock(long position, long size, boolean shared) throws IOException {
-            return below.tryLock(position, size, shared);
+            return delegate.tryLock(position, size, shared);
         }
 
         @Override
         protected void implCloseChannel() throws IOException {
-            below.close();
+            delegate.close();
         }
     }
 }
--- a/src/test/java/gingerspool/storage/StoredCore.java
+++ b/src/test/java/gingerspool/storage/StoredCore.java
@@ -20,58 +20,65 @@
 import java.util.TreeMap;
 
 /**
- * A core whose members keep real files, on one thread: every write is synced and every message
- * delivered before time goes on.
+ * A core whose members store their logs in real files, simulated on one thread: every write is
+ * synced and every message delivered before the simulated time advances.
  */
 final class StoredCore implements AutoCloseable {
     static final int SEEDS = 3;
-    private static final double LEASE = 300;
-    private static final int SNAPSHOT_FLOOR = 18 << 10;
+    private static final double LEASE_MS = 300;
+    private static final int SNAPSHOT_FLOOR_BYTES = 18 << 10;
     private static final int PIECE_BYTES = 4 << 10;
     private static final double DISK_MB = 128;
 
     private record Packet(Node to, ConsensusMessage.Envelope envelope) {}
 
-    /** One member: its files, its replica and its copy of the configuration. */
+    /** A member with its log, its replica and its copy of the configuration. */
     final class Node implements ReplicaEnvironment {
         final String ip;
         final ConfigurationState state = new ConfigurationState();
         private final DurableLog log;
         private final List<LogWrite> writes = new ArrayList<>();
         Replica replica;
-        ConfigurationState.ChangeResult verdict;
+        ConfigurationState.ChangeResult lastResult;
 
         Node(int number, Path folder, boolean firstStart) throws StorageException {
             ip = "10.0.0." + number;
             log = new DurableLog(folder, DISK_MB);
-            RecoveredLog found = log.open();
+            RecoveredLog recovered = log.open();
             List<String> seeds = List.of("10.0.0.0", "10.0.0.1", "10.0.0.2").subList(0, SEEDS);
             List<Member> founders =
                     firstStart
-                            ? seeds.stream().map(s -> new Member(s, Member.FOUNDER)).toList()
+                            ? seeds.stream().map(seed -> new Member(seed, Member.FOUNDER)).toList()
                             : List.of();
             replica =
                     new Replica(
                             new Member(ip, firstStart ? Member.FOUNDER : "life-" + number),
-                            found.state(),
+                            recovered.state(),
                             founders,
                             new ReplicaSettings(
-                                    1, LEASE, seeds, number, SNAPSHOT_FLOOR, PIECE_BYTES, Set.of()),
+                                    1,
+                                    LEASE_MS,
+                                    seeds,
+                                    number,
+                                    SNAPSHOT_FLOOR_BYTES,
+                                    PIECE_BYTES,
+                                    Set.of()),
                             now,
                             this);
             writes.clear();
-            LogWrite whole = replica.fullState();
-            log.rewrite(whole);
-            replica.persisted(now, whole.ticket());
+            LogWrite fullState = replica.fullState();
+            log.rewrite(fullState);
+            replica.persisted(now, fullState.ticket());
         }
 
         @Override
         public void send(Member to, ConsensusMessage message) {
-            Node other = nodes.get(to.ip());
-            if (other != null) {
+            Node receiver = nodes.get(to.ip());
+            if (receiver != null) {
                 packets.add(
                         new Packet(
-                                other, new ConsensusMessage.Envelope(replica.self(), to, message)));
+                                receiver,
+                                new ConsensusMessage.Envelope(replica.self(), to, message)));
             }
         }
 
@@ -80,22 +87,22 @@
             writes.add(write);
         }
 
-        private boolean sync() throws StorageException {
+        private boolean syncWrites() throws StorageException {
             if (writes.isEmpty()) {
                 return false;
             }
-            List<LogWrite> all = List.copyOf(writes);
+            List<LogWrite> pending = List.copyOf(writes);
             writes.clear();
-            log.save(all);
-            replica.persisted(now, all.get(all.size() - 1).ticket());
+            log.save(pending);
+            replica.persisted(now, pending.get(pending.size() - 1).ticket());
             return true;
         }
 
         @Override
         public void apply(long index, byte[] command) {
             try {
-                Messages.ChangeCommand c = (Messages.ChangeCommand) codec.read(command);
-                verdict = state.apply(c.whole(), c.on(), c.body());
+                Messages.ChangeCommand change = (Messages.ChangeCommand) codec.read(command);
+                lastResult = state.apply(change.whole(), change.on(), change.body());
             } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
@@ -124,34 +131,36 @@
         return node;
     }
 
-    /** Lets time go on by this span. */
-    void pass(double span) throws StorageException {
-        for (double until = now + span; now < until; now += 5) {
+    /** Advances the simulated time by this many milliseconds. */
+    void advance(double spanMs) throws StorageException {
+        for (double until = now + spanMs; now < until; now += 5) {
             for (Node node : nodes.values()) {
                 node.replica.tick(now);
             }
-            settle();
+            syncAndDeliverAll();
         }
     }
 
-    private void settle() throws StorageException {
-        boolean busy = true;
-        while (busy) {
-            busy = false;
+    private void syncAndDeliverAll() throws StorageException {
+        boolean hasProgress = true;
+        while (hasProgress) {
+            hasProgress = false;
             for (Node node : List.copyOf(nodes.values())) {
-                busy |= node.sync();
+                hasProgress |= node.syncWrites();
             }
             for (int i = packets.size(); i > 0; i--) {
-                Packet p = packets.poll();
-                if (nodes.containsValue(p.to) && p.envelope.isFor(p.to.replica.self())) {
-                    p.to.replica.receive(now, p.envelope.from(), p.envelope.message());
+                Packet packet = packets.poll();
+                if (nodes.containsValue(packet.to)
+                        && packet.envelope.isFor(packet.to.replica.self())) {
+                    packet.to.replica.receive(
+                            now, packet.envelope.from(), packet.envelope.message());
                 }
-                busy = true;
+                hasProgress = true;
             }
         }
     }
 
-    /** The member that leads once one does. */
+    /** Waits until a member is leader and returns it. */
     Node leader() throws StorageException {
         for (int i = 0; i < 100; i++) {
             for (Node node : nodes.values()) {
@@ -159,27 +168,27 @@
                     return node;
                 }
             }
-            pass(100);
+            advance(100);
         }
         throw new AssertionError("no leader");
     }
 
-    /** Has a change agreed on, and tells what became of it. */
+    /** Proposes a change and returns its result once it was applied. */
     ConfigurationState.ChangeResult change(boolean whole, long on, byte[] body)
             throws StorageException {
         Node leader = leader();
-        leader.verdict = null;
+        leader.lastResult = null;
         leader.replica.propose(
                 now, codec.write(new Messages.ChangeCommand(++commands, whole, on, body)));
-        pass(100);
-        return leader.verdict;
+        advance(100);
+        return leader.lastResult;
     }
 
-    /** A member asks to be replaced and stops once it may. */
+    /** Requests the replacement of a member and stops it once that is allowed. */
     void leave(Node node) throws StorageException {
         node.replica.leave(now);
         for (int i = 0; i < 100 && !node.replica.mayStop(now); i++) {
-            pass(50);
+            advance(50);
         }
         if (!node.replica.mayStop(now)) {
             throw new AssertionError("not replaced: " + node.replica.members());
@@ -188,7 +197,7 @@
         node.log.close();
     }
 
-    /** The body of the change to this version: the first is a whole configuration. */
+    /** The body of the change to this version; the first is a complete configuration. */
     static byte[] body(long version) {
         String service =
                 "{\"Name\":\"f%d\",\"BootMs\":500,\"MaxConcurrency\":2,\"MemoryMb\":%d}"
--- a/src/test/java/gingerspool/storage/StoredDiskTest.java
+++ b/src/test/java/gingerspool/storage/StoredDiskTest.java
@@ -22,11 +22,12 @@
 import org.testng.annotations.Test;
 
 /**
- * Disks that an earlier version wrote, some 90 changes, a snapshot and a replaced member on each,
- * are read by this one: it leads with them, knows the last change again and takes the next.
+ * Compatibility with disks recorded by an earlier version, each with about 90 changes, a snapshot
+ * and a replaced member: members elect a leader from them, recognize changes that were already
+ * accepted, and accept the next one.
  */
 public class StoredDiskTest {
-    private static final int LAST = StoredDiskRecorder.CHANGES;
+    private static final int LAST_VERSION = StoredDiskRecorder.CHANGES;
     private static final List<Integer> MEMBERS = List.of(0, 1, 3);
     private Path folder;
 
@@ -41,12 +42,12 @@
     }
 
     @DataProvider
-    Object[][] forms() {
+    Object[][] formats() {
         return new Object[][] {{"form1"}, {"form2"}};
     }
 
-    private void unpack(String form) throws IOException {
-        try (InputStream in = getClass().getResourceAsStream("/stored/" + form + ".zip");
+    private void unpack(String format) throws IOException {
+        try (InputStream in = getClass().getResourceAsStream("/stored/" + format + ".zip");
                 ZipInputStream zip = new ZipInputStream(in)) {
             for (ZipEntry entry; (entry = zip.getNextEntry()) != null; ) {
                 Path file = folder.resolve(entry.getName());
@@ -64,9 +65,9 @@
         return core;
     }
 
-    @Test(dataProvider = "forms")
-    public void theRecordedDiskHoldsSnapshotEntriesAndMembers(String form) throws Exception {
-        unpack(form);
+    @Test(dataProvider = "formats")
+    public void recordedDiskHoldsSnapshotEntriesAndMembers(String format) throws Exception {
+        unpack(format);
         for (int number : MEMBERS) {
             try (DurableLog log = new DurableLog(folder.resolve("node-" + number), 128)) {
                 PersistedState state = log.open().state();
@@ -80,34 +81,36 @@
         }
     }
 
-    @Test(dataProvider = "forms")
-    public void membersLeadWithItKnowTheLastChangeAndTakeTheNext(String form) throws Exception {
-        unpack(form);
+    @Test(dataProvider = "formats")
+    public void membersResumeFromTheRecordedDiskAndAcceptTheNextChange(String format)
+            throws Exception {
+        unpack(format);
         try (StoredCore core = start()) {
             StoredCore.Node leader = core.leader();
-            assertEquals(leader.state.version(), LAST);
+            assertEquals(leader.state.version(), LAST_VERSION);
             assertEquals(
                     leader.replica.members().stream().map(m -> m.ip()).sorted().toList(),
                     List.of("10.0.0.0", "10.0.0.1", "10.0.0.3"));
-            for (long version : new long[] {LAST, 1, 40}) {
-                ConfigurationState.ChangeResult again =
+            for (long version : new long[] {LAST_VERSION, 1, 40}) {
+                ConfigurationState.ChangeResult repeated =
                         core.change(version == 1, version - 1, StoredCore.body(version));
-                assertEquals(again.status(), ConfigurationState.ACCEPTED);
-                assertEquals(again.version(), version);
+                assertEquals(repeated.status(), ConfigurationState.ACCEPTED);
+                assertEquals(repeated.version(), version);
             }
-            assertEquals(leader.state.version(), LAST);
+            assertEquals(leader.state.version(), LAST_VERSION);
             assertEquals(
-                    core.change(false, LAST - 1, StoredCore.body(LAST + 1)).status(),
+                    core.change(false, LAST_VERSION - 1, StoredCore.body(LAST_VERSION + 1))
+                            .status(),
                     ConfigurationState.VERSION_CONFLICT);
             assertEquals(
-                    core.change(false, LAST, StoredCore.body(LAST + 1)).status(),
+                    core.change(false, LAST_VERSION, StoredCore.body(LAST_VERSION + 1)).status(),
                     ConfigurationState.ACCEPTED);
-            core.pass(1000);
+            core.advance(1000);
         }
         try (StoredCore core = start()) {
             core.leader();
             for (StoredCore.Node node : core.nodes.values()) {
-                assertEquals(node.state.version(), LAST + 1);
+                assertEquals(node.state.version(), LAST_VERSION + 1);
                 String text = new String(node.state.toJson(), StandardCharsets.UTF_8);
                 assertTrue(text.contains("\"Unknown\":{\"a\":1.5}"), text);
                 assertTrue(text.contains("\"Kept\":[1,\"x\"]"), text);
