--- a/src/main/java/gingerspool/controlplane/ConfigurationPublisher.java
+++ b/src/main/java/gingerspool/controlplane/ConfigurationPublisher.java
@@ -28,7 +28,7 @@
      * Changes are gathered for this part of the time in which they must be in force everywhere,
      * counted from the last push: it bounds what a storm of changes costs schedulers and links.
      */
-    private static final double GATHER_PART = 1.0 / 16;
+    private static final double BATCH_DELAY_FRACTION = 1.0 / 16;
 
     /** A scheduler that is told the configuration, on one link. */
     static final class Subscription {
@@ -36,52 +36,52 @@
         private final InternalEndpoint.Link link;
 
         /** The newest version that it has said to have in force. */
-        private long inForce;
+        private long acknowledgedVersion;
 
         /** The version last pushed; unacknowledged while it is above the one in force. */
-        private long pushed;
+        private long pushedVersion;
 
-        private double pushedAt = Double.NEGATIVE_INFINITY;
+        private double lastPushAt = Double.NEGATIVE_INFINITY;
 
         private Subscription(String name, InternalEndpoint.Link link, long inForce) {
             this.name = name;
             this.link = link;
-            this.inForce = inForce;
+            this.acknowledgedVersion = inForce;
         }
 
         /** The newest version that it has said to have in force. */
-        long inForce() {
-            return inForce;
+        long acknowledgedVersion() {
+            return acknowledgedVersion;
         }
     }
 
     private final EventLoop loop;
-    private final double heartbeat;
-    private final double gatherFor;
+    private final double heartbeatInterval;
+    private final double batchDelay;
     private final ConfigurationHistory history = new ConfigurationHistory();
     private final Set<Subscription> subscriptions = new LinkedHashSet<>();
 
     /** The newest version as it is sent, by the version that it is a delta to; 0: complete. */
-    private final Map<Long, SharedMessage> messages = new HashMap<>();
+    private final Map<Long, SharedMessage> messagesByBase = new HashMap<>();
 
-    private double publishedAt = Double.NEGATIVE_INFINITY;
+    private double lastPublishedAt = Double.NEGATIVE_INFINITY;
     private boolean isPublishScheduled;
 
     /** Times in milliseconds: the heartbeat interval, and how soon changes must be in force. */
     ConfigurationPublisher(EventLoop loop, double heartbeat, double applyWithin) {
         this.loop = loop;
-        this.heartbeat = heartbeat;
-        gatherFor = GATHER_PART * applyWithin;
+        this.heartbeatInterval = heartbeat;
+        batchDelay = BATCH_DELAY_FRACTION * applyWithin;
     }
 
     /** A version took effect here; schedulers are told at once, or when the pause is over. */
-    void configured(Configuration configuration) {
+    void onConfigurationChanged(Configuration configuration) {
         history.add(configuration);
-        messages.clear();
+        messagesByBase.clear();
         if (subscriptions.isEmpty() || isPublishScheduled) {
             return;
         }
-        double wait = publishedAt + gatherFor - loop.now();
+        double wait = lastPublishedAt + batchDelay - loop.now();
         if (wait <= 0) {
             publish();
         } else {
@@ -96,7 +96,7 @@
     }
 
     private void publish() {
-        publishedAt = loop.now();
+        lastPublishedAt = loop.now();
         List.copyOf(subscriptions).forEach(this::pushNewest);
     }
 
@@ -118,9 +118,9 @@
     }
 
     /** A scheduler says what it has in force, and the checksum of its copy. */
-    void acknowledged(Subscription from, Messages.ConfigurationAck ack) {
-        from.inForce = Math.max(from.inForce, ack.number());
-        boolean isQuiet = loop.now() > from.pushedAt + heartbeat;
+    void onAcknowledgement(Subscription from, Messages.ConfigurationAck ack) {
+        from.acknowledgedVersion = Math.max(from.acknowledgedVersion, ack.number());
+        boolean isQuiet = loop.now() > from.lastPushAt + heartbeatInterval;
         boolean differs = ack.number() == history.version() && ack.digest() != history.checksum();
         if (ack.number() > 0 && differs && isQuiet) {
             LOG.warn("scheduler.config_diverged scheduler={} version={}", from.name, ack.number());
@@ -128,7 +128,7 @@
         } else {
             if (isQuiet) {
                 // Guards against a push that was passed over: nothing else would repeat it.
-                from.pushed = from.inForce;
+                from.pushedVersion = from.acknowledgedVersion;
             }
             if (!isPublishScheduled) {
                 pushNewest(from);
@@ -137,25 +137,25 @@
     }
 
     /** A scheduler could not apply a delta: it gets a complete copy. */
-    void copyRequested(Subscription from) {
+    void onCopyRequest(Subscription from) {
         LOG.warn("scheduler.config_copy_requested scheduler={}", from.name);
-        push(from, messages.computeIfAbsent(0L, version -> completeCopy(false)));
+        push(from, messagesByBase.computeIfAbsent(0L, version -> completeCopy(false)));
     }
 
     private void pushNewest(Subscription to) {
-        boolean isUnacknowledged = to.pushed > to.inForce;
-        if (to.inForce < history.version() && !isUnacknowledged) {
-            push(to, messages.computeIfAbsent(to.inForce, this::newestFrom));
+        boolean isUnacknowledged = to.pushedVersion > to.acknowledgedVersion;
+        if (to.acknowledgedVersion < history.version() && !isUnacknowledged) {
+            push(to, messagesByBase.computeIfAbsent(to.acknowledgedVersion, this::messageFrom));
         }
     }
 
     private void push(Subscription to, SharedMessage message) {
-        to.pushed = history.version();
-        to.pushedAt = loop.now();
+        to.pushedVersion = history.version();
+        to.lastPushAt = loop.now();
         to.link.send(message);
     }
 
-    private SharedMessage newestFrom(long version) {
+    private SharedMessage messageFrom(long version) {
         return history.deltaFrom(version)
                 .map(
                         delta ->
--- a/src/main/java/gingerspool/controlplane/ControlNode.java
+++ b/src/main/java/gingerspool/controlplane/ControlNode.java
@@ -29,7 +29,7 @@
  * the core from then on; stopping after SIGTERM. Everything happens on one event loop, which owns
  * all state; only the log has a thread besides. Decides nothing itself.
  */
-public final class ControlNode implements LogWriter.Owner, InternalEndpoint.Owner {
+public final class ControlNode implements LogWriter.Owner, InternalEndpoint.LinkHandler {
     private static final Logger LOG = LoggerFactory.getLogger(ControlNode.class);
 
     /** Leader announcements and heartbeats in a heartbeat interval. */
@@ -47,14 +47,14 @@
     final SingleThreadEventLoop loop;
     final ConfigurationState configurationState = new ConfigurationState();
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
-    private final LogWriter writer;
-    private final OperatorCalls calls;
-    private final OperatorEndpoint operators;
-    private final InternalEndpoint endpoint;
-    private final PeerLinks peers;
-    private final SchedulerRegistry schedulers;
+    private final LogWriter logWriter;
+    private final OperatorCalls operatorCalls;
+    private final OperatorEndpoint operatorEndpoint;
+    private final InternalEndpoint internalEndpoint;
+    private final PeerLinks peerLinks;
+    private final SchedulerRegistry schedulerRegistry;
     private final List<String> seeds;
-    private Consumer<StorageException> whenUnusable = why -> {};
+    private Consumer<StorageException> onStorageUnusable = why -> {};
     private Runnable reloadSettings = () -> {};
 
     /** Empty while recovering. */
@@ -69,12 +69,12 @@
     public ControlNode(NodeSettings settings) throws IOException {
         this.settings = settings;
         loop = new SingleThreadEventLoop();
-        writer =
+        logWriter =
                 new LogWriter(
                         new DurableLog(settings.dataDirectory, settings.diskMb),
                         loop::submit,
                         this);
-        calls =
+        operatorCalls =
                 new OperatorCalls(
                         loop,
                         settings.controlAddress.getPort(),
@@ -82,10 +82,10 @@
                         configurationState,
                         this::replica,
                         this::status);
-        operators = new OperatorEndpoint(loop, settings.controlAddress, this::run);
-        endpoint = new InternalEndpoint(loop, settings, codec, this);
-        peers = new PeerLinks(loop, settings, codec);
-        schedulers = new SchedulerRegistry(loop, settings, configurationState);
+        operatorEndpoint = new OperatorEndpoint(loop, settings.controlAddress, this::run);
+        internalEndpoint = new InternalEndpoint(loop, settings, codec, this);
+        peerLinks = new PeerLinks(loop, settings, codec);
+        schedulerRegistry = new SchedulerRegistry(loop, settings, configurationState);
         seeds = new ArrayList<>(seedsOf(settings));
     }
 
@@ -93,18 +93,18 @@
 
     /** Answers operators at once, with 503 until the disk was read; takes part from then on. */
     public void begin(Consumer<StorageException> whenUnusable) {
-        this.whenUnusable = whenUnusable;
-        writer.start();
+        this.onStorageUnusable = whenUnusable;
+        logWriter.start();
         loop.submit(
                 () -> {
-                    operators.begin();
+                    operatorEndpoint.begin();
                     logSummary();
                 });
     }
 
     @Override
     public void unusable(StorageException why) {
-        whenUnusable.accept(why);
+        onStorageUnusable.accept(why);
     }
 
     @Override
@@ -116,7 +116,7 @@
         }
         CoreMember recoveredMember = new CoreMember(new MemberNode(), recovered, seeds);
         member = Optional.of(recoveredMember);
-        endpoint.begin();
+        internalEndpoint.begin();
         recoveredMember.start();
         maintainLinks(recoveredMember);
         announceRegularly(recoveredMember);
@@ -145,35 +145,35 @@
         }
 
         @Override
-        public PeerLinks peers() {
-            return peers;
+        public PeerLinks peerLinks() {
+            return peerLinks;
         }
 
         @Override
-        public SchedulerRegistry schedulers() {
-            return schedulers;
+        public SchedulerRegistry schedulerRegistry() {
+            return schedulerRegistry;
         }
 
         @Override
-        public OperatorCalls calls() {
-            return calls;
+        public OperatorCalls operatorCalls() {
+            return operatorCalls;
         }
 
         @Override
         public void save(LogWrite write) {
-            writer.save(write);
+            logWriter.save(write);
         }
 
         @Override
         public void sendToAll(Object message) {
-            endpoint.sendToAll(message);
+            internalEndpoint.sendToAll(message);
         }
 
         @Override
         public void onConfigurationChanged() {
             member.flatMap(CoreMember::duties)
-                    .ifPresent(d -> d.configured(configurationState.configuration()));
-            schedulers.configured();
+                    .ifPresent(d -> d.onConfigurationChanged(configurationState.configuration()));
+            schedulerRegistry.onConfigurationChanged();
         }
     }
 
@@ -231,7 +231,7 @@
                 () -> {
                     if (shutdown.isEmpty()) {
                         LOG.info("stop.started");
-                        Stopping stopping = new Stopping(then);
+                        ShutdownProcess stopping = new ShutdownProcess(then);
                         shutdown =
                                 Optional.of(
                                         new GracefulShutdown(loop, settings.gracePeriod, stopping));
@@ -241,11 +241,11 @@
                 });
     }
 
-    private final class Stopping implements GracefulShutdown.Process {
-        private final Runnable then;
+    private final class ShutdownProcess implements GracefulShutdown.Process {
+        private final Runnable onStopped;
 
-        Stopping(Runnable then) {
-            this.then = then;
+        ShutdownProcess(Runnable then) {
+            this.onStopped = then;
         }
 
         @Override
@@ -255,13 +255,13 @@
 
         @Override
         public boolean hasPendingCalls() {
-            return calls.hasPendingCalls();
+            return operatorCalls.hasPendingCalls();
         }
 
         @Override
         public void closeToOperators() {
             LOG.info("stop.replaced={}", mayStop());
-            operators.end();
+            operatorEndpoint.drain();
         }
 
         @Override
@@ -270,15 +270,15 @@
             loop.schedule(
                     settings.heartbeatInterval / MAINTENANCE_PER_HEARTBEAT,
                     () -> {
-                        writer.end();
-                        then.run();
+                        logWriter.end();
+                        onStopped.run();
                     });
         }
     }
 
     /** Releases the log's thread and the loop, where the process goes on without this node. */
     public void close() {
-        writer.end();
+        logWriter.end();
         loop.stop();
     }
 
@@ -288,14 +288,14 @@
         if (of.maintainPeers()) {
             reloadSettings.run();
         }
-        endpoint.closeSilent();
+        internalEndpoint.closeSilentLinks();
         loop.schedule(
                 settings.heartbeatInterval / MAINTENANCE_PER_HEARTBEAT, () -> maintainLinks(of));
     }
 
     private void announceRegularly(CoreMember of) {
         of.announceLeader();
-        peers.sendHeartbeats();
+        peerLinks.sendHeartbeats();
         if (++announcements % ANNOUNCEMENTS_PER_COMPARISON == 0) {
             of.repair().compare();
         }
@@ -307,9 +307,9 @@
     private void logSummary() {
         loop.schedule(SUMMARY_INTERVAL_MS, this::logSummary);
         if (member.isPresent()) {
-            member.get().logSummary(writer.isFailing());
+            member.get().logSummary(logWriter.isFailing());
         } else {
-            LOG.info("summary member=none disk_failing={}", writer.isFailing());
+            LOG.info("summary member=none disk_failing={}", logWriter.isFailing());
         }
     }
 
@@ -328,8 +328,8 @@
     // ---- Operators ----
 
     private void run(OperatorCall call) {
-        calls.run(call);
-        member.ifPresent(CoreMember::afterReplica);
+        operatorCalls.run(call);
+        member.ifPresent(CoreMember::afterReplicaUpdate);
     }
 
     private String status() {
@@ -352,18 +352,18 @@
         } else if (message instanceof Messages.RangeRepair m) {
             receiver.repair().received(m);
         } else if (message instanceof Messages.Heartbeat m) {
-            if (!peers.heardHeartbeat(m.ip())) {
+            if (!peerLinks.onHeartbeat(m.ip())) {
                 link.send(receiver.announcement());
             }
         } else if (message instanceof Messages.Register m) {
             receiver.register(link, m);
         } else {
-            schedulers.received(link, message);
+            schedulerRegistry.received(link, message);
         }
     }
 
     @Override
     public void closed(InternalEndpoint.Link link) {
-        schedulers.closed(link);
+        schedulerRegistry.closed(link);
     }
 }
--- a/src/main/java/gingerspool/controlplane/CoreMember.java
+++ b/src/main/java/gingerspool/controlplane/CoreMember.java
@@ -36,7 +36,7 @@
     private static final double PLATFORM_TIMEOUT_HEARTBEATS = 0.8;
 
     /** The shortest pause between two ticks of the replica, in milliseconds. */
-    private static final double TICK_PAUSE_MS = 1;
+    private static final double MIN_TICK_INTERVAL_MS = 1;
 
     /** What a member needs of the node round it. */
     interface Node {
@@ -48,11 +48,11 @@
 
         KryoCodec codec();
 
-        PeerLinks peers();
+        PeerLinks peerLinks();
 
-        SchedulerRegistry schedulers();
+        SchedulerRegistry schedulerRegistry();
 
-        OperatorCalls calls();
+        OperatorCalls operatorCalls();
 
         /** Hands a write to the log's thread. */
         void save(LogWrite write);
@@ -71,15 +71,15 @@
     private final RepairExchange repair;
     private final Leadership leadership;
     private final LeaderWatch leaderWatch;
-    private double tickAt = Double.POSITIVE_INFINITY;
+    private double nextTickAt = Double.POSITIVE_INFINITY;
 
     /** The seeds may be changed by the node; the replica sees it. */
     CoreMember(Node node, RecoveredLog recovered, List<String> seeds) {
         this.node = node;
         loop = node.loop();
         settings = node.settings();
-        replica = replicaOf(recovered, seeds);
-        BiConsumer<String, Object> toPeer = node.peers()::send;
+        replica = createReplica(recovered, seeds);
+        BiConsumer<String, Object> toPeer = node.peerLinks()::send;
         repair =
                 new RepairExchange(
                         loop,
@@ -93,7 +93,7 @@
     }
 
     /** Only an empty disk may be that of a first start; one that can't be read has lost votes. */
-    private Replica replicaOf(RecoveredLog recovered, List<String> seeds) {
+    private Replica createReplica(RecoveredLog recovered, List<String> seeds) {
         boolean bootstraps = recovered.isEmpty() && settings.firstStart;
         List<Member> founders =
                 bootstraps
@@ -122,7 +122,7 @@
                 replica.members(),
                 replica.term(),
                 node.configurationState().version());
-        afterReplica();
+        afterReplicaUpdate();
     }
 
     Replica replica() {
@@ -145,7 +145,7 @@
     /** This process is about to end; see Replica.leave. */
     void leave() {
         replica.leave(loop.now());
-        afterReplica();
+        afterReplicaUpdate();
     }
 
     boolean mayStop() {
@@ -155,30 +155,30 @@
     /** Looks after the links to the peers; true where the settings file should be read anew. */
     boolean maintainPeers() {
         boolean isLost = leaderWatch.isDue(replica.leader(loop.now()) != null, loop.now());
-        node.peers().maintain(replica.contacts());
+        node.peerLinks().maintain(replica.contacts());
         return isLost;
     }
 
     // ---- Time ----
 
     /** What follows from whatever the replica was just told. */
-    void afterReplica() {
+    void afterReplicaUpdate() {
         leadership.update(loop.now());
         scheduleTick();
     }
 
     private void scheduleTick() {
-        double at = Math.max(replica.nextTick(), loop.now() + TICK_PAUSE_MS);
-        if (at < tickAt) {
-            tickAt = at;
+        double at = Math.max(replica.nextTick(), loop.now() + MIN_TICK_INTERVAL_MS);
+        if (at < nextTickAt) {
+            nextTickAt = at;
             loop.schedule(at - loop.now(), this::tick);
         }
     }
 
     private void tick() {
-        tickAt = Double.POSITIVE_INFINITY;
+        nextTickAt = Double.POSITIVE_INFINITY;
         replica.tick(loop.now());
-        afterReplica();
+        afterReplicaUpdate();
     }
 
     // ---- Leading ----
@@ -196,17 +196,17 @@
                         platform,
                         term,
                         this::isLeading,
-                        node.schedulers()::tell,
-                        node.schedulers()::tellAll);
-        duties.configured(node.configurationState().configuration());
-        node.schedulers().lead(duties);
+                        node.schedulerRegistry()::send,
+                        node.schedulerRegistry()::sendToAll);
+        duties.onConfigurationChanged(node.configurationState().configuration());
+        node.schedulerRegistry().startLeading(duties);
         announceLeader();
         return duties;
     }
 
     /** Schedulers that hear only this member are told that it leads no more. */
     private void endDuties() {
-        node.schedulers().leadNoMore();
+        node.schedulerRegistry().stopLeading();
         announceLeader();
     }
 
@@ -227,12 +227,12 @@
 
     /** A message of another member's replica, for this one or an earlier one on this machine. */
     void receive(ConsensusMessage.Envelope envelope) {
-        PeerLinks peers = node.peers();
-        peers.heardMember(envelope.from().ip());
+        PeerLinks peers = node.peerLinks();
+        peers.onMemberMessage(envelope.from().ip());
         if (envelope.isFor(replica.self())) {
             peers.connectBack(envelope.from().ip());
             replica.receive(loop.now(), envelope.from(), envelope.message());
-            afterReplica();
+            afterReplicaUpdate();
         } else {
             replica.noteSender(envelope.from());
         }
@@ -241,7 +241,7 @@
     /** A scheduler asks to be registered: the leader does, others say who leads. */
     void register(InternalEndpoint.Link link, Messages.Register message) {
         if (leadership.duties() != null && isLeading()) {
-            node.schedulers().register(link, message, replica.term());
+            node.schedulerRegistry().register(link, message, replica.term());
         } else {
             link.send(announcement());
         }
@@ -251,7 +251,7 @@
 
     @Override
     public void send(Member to, ConsensusMessage message) {
-        node.peers().send(to.ip(), new ConsensusMessage.Envelope(replica.self(), to, message));
+        node.peerLinks().send(to.ip(), new ConsensusMessage.Envelope(replica.self(), to, message));
     }
 
     @Override
@@ -261,7 +261,7 @@
 
     void persisted(long ticket) {
         replica.persisted(loop.now(), ticket);
-        afterReplica();
+        afterReplicaUpdate();
     }
 
     @Override
@@ -276,7 +276,7 @@
                 LOG.info("config.committed version={} index={}", state.version(), index);
                 node.onConfigurationChanged();
             }
-            node.calls().applied(change.id(), verdict);
+            node.operatorCalls().applied(change.id(), verdict);
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(
                     "a command that was committed can't be read: " + e.getMessage(), e);
@@ -304,7 +304,7 @@
         lines.add("member " + replica.self() + " term " + replica.term() + " leader " + leader);
         lines.add("members " + replica.members());
         lines.add("version " + version + " applied " + replica.appliedIndex());
-        lines.addAll(node.schedulers().status());
+        lines.addAll(node.schedulerRegistry().status());
         duties().ifPresent(duties -> lines.addAll(duties.allocator.status()));
         return lines;
     }
@@ -319,11 +319,11 @@
                 isLeading(),
                 replica.appliedIndex(),
                 node.configurationState().version(),
-                node.schedulers().size(),
-                node.calls().counters(),
+                node.schedulerRegistry().size(),
+                node.operatorCalls().counters(),
                 diskIsFailing,
-                repair.differing(),
-                repair.undecided());
-        duties().ifPresent(LeaderDuties::log);
+                repair.differingRanges(),
+                repair.undecidedRanges());
+        duties().ifPresent(LeaderDuties::logSummary);
     }
 }
--- a/src/main/java/gingerspool/controlplane/GracefulShutdown.java
+++ b/src/main/java/gingerspool/controlplane/GracefulShutdown.java
@@ -11,13 +11,13 @@
  */
 final class GracefulShutdown {
     /** The part of the grace period in which a replacement is waited for. */
-    private static final double REPLACEMENT_WAIT_PART = 0.6;
+    private static final double REPLACEMENT_WAIT_FRACTION = 0.6;
 
     /** The part of the grace period after which it ends, whoever waits for an answer. */
-    private static final double ANSWERS_WAIT_PART = 0.85;
+    private static final double PENDING_CALLS_WAIT_FRACTION = 0.85;
 
     /** How often it checks, in parts of the grace period. */
-    private static final double CHECK_INTERVAL_PART = 0.005;
+    private static final double CHECK_INTERVAL_FRACTION = 0.005;
 
     /** What it asks of the process, and tells it. */
     interface Process {
@@ -44,7 +44,7 @@
     private final double gracePeriod;
     private final Process process;
     private State state = State.RUNNING;
-    private double beganAt;
+    private double startedAt;
 
     /** The grace period is in milliseconds. */
     GracefulShutdown(EventLoop loop, double gracePeriod, Process process) {
@@ -57,24 +57,25 @@
     void begin() {
         if (state == State.RUNNING) {
             state = State.WAITING_FOR_REPLACEMENT;
-            beganAt = loop.now();
+            startedAt = loop.now();
             check();
         }
     }
 
     private void check() {
-        double elapsed = loop.now() - beganAt;
+        double elapsed = loop.now() - startedAt;
         if (state == State.WAITING_FOR_REPLACEMENT
-                && (process.mayStop() || elapsed >= REPLACEMENT_WAIT_PART * gracePeriod)) {
+                && (process.mayStop() || elapsed >= REPLACEMENT_WAIT_FRACTION * gracePeriod)) {
             state = State.CLOSED_TO_OPERATORS;
             process.closeToOperators();
         }
         if (state == State.CLOSED_TO_OPERATORS
-                && (!process.hasPendingCalls() || elapsed >= ANSWERS_WAIT_PART * gracePeriod)) {
+                && (!process.hasPendingCalls()
+                        || elapsed >= PENDING_CALLS_WAIT_FRACTION * gracePeriod)) {
             state = State.ENDED;
             process.end();
         } else {
-            loop.schedule(CHECK_INTERVAL_PART * gracePeriod, this::check);
+            loop.schedule(CHECK_INTERVAL_FRACTION * gracePeriod, this::check);
         }
     }
 }
--- a/src/main/java/gingerspool/controlplane/InstanceCalls.java
+++ b/src/main/java/gingerspool/controlplane/InstanceCalls.java
@@ -10,10 +10,10 @@
  * carried out. The term is the fencing token; the same nonce is the same start. Runs on the loop.
  */
 final class InstanceCalls {
-    private static final int ATTEMPTS_MOST = 4;
+    private static final int MAX_ATTEMPTS = 4;
 
     /** The pause between two attempts, in milliseconds. */
-    private static final double RETRY_PAUSE_MS = 50;
+    private static final double RETRY_DELAY_MS = 50;
 
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
@@ -36,7 +36,7 @@
     private boolean isEnded;
     private long starts;
     private long stops;
-    private long refusals;
+    private long failedStarts;
 
     InstanceCalls(
             EventLoop loop,
@@ -69,20 +69,20 @@
                 host,
                 nonce,
                 answer -> {
-                    String id = JsonTree.text("", answer.tree(), "Identifier");
+                    String id = JsonTree.text("", answer.body(), "Identifier");
                     boolean mayHaveStarted =
                             answer.status() == 0 || answer.status() >= SERVER_ERROR;
                     if (isEnded) {
                         return;
                     }
                     if (answer.status() == OK && !id.isEmpty()) {
-                        listener.started(id, JsonTree.text("", answer.tree(), "Address"));
-                    } else if (mayHaveStarted && attempt < ATTEMPTS_MOST) {
+                        listener.started(id, JsonTree.text("", answer.body(), "Address"));
+                    } else if (mayHaveStarted && attempt < MAX_ATTEMPTS) {
                         retry(
                                 () -> start(function, host, nonce, listener, attempt + 1),
                                 () -> listener.failed(false));
                     } else {
-                        refusals++;
+                        failedStarts++;
                         listener.failed(answer.status() == CONFLICT);
                     }
                 });
@@ -100,7 +100,7 @@
                 instance,
                 answer -> {
                     boolean isGone = answer.status() == OK || answer.status() == NOT_FOUND;
-                    if (!isGone && attempt < ATTEMPTS_MOST && !isEnded) {
+                    if (!isGone && attempt < MAX_ATTEMPTS && !isEnded) {
                         retry(() -> stop(instance, attempt + 1), () -> {});
                     }
                 });
@@ -108,11 +108,11 @@
 
     /** Calls again after a pause, if the lease holds then. */
     private void retry(Runnable call, Runnable orElse) {
-        loop.schedule(RETRY_PAUSE_MS, () -> (mayAct.getAsBoolean() ? call : orElse).run());
+        loop.schedule(RETRY_DELAY_MS, () -> (mayAct.getAsBoolean() ? call : orElse).run());
     }
 
     /** In the form of the log's fields. */
     String counters() {
-        return "starts=%d stops=%d refused=%d".formatted(starts, stops, refusals);
+        return "starts=%d stops=%d refused=%d".formatted(starts, stops, failedStarts);
     }
 }
--- a/src/main/java/gingerspool/controlplane/InternalEndpoint.java
+++ b/src/main/java/gingerspool/controlplane/InternalEndpoint.java
@@ -18,10 +18,10 @@
 /** Where other processes of ours, members and schedulers, open their links. */
 final class InternalEndpoint implements Frames.Owner, Listener.Owner {
     private static final Logger LOG = LoggerFactory.getLogger(InternalEndpoint.class);
-    private static final int LINKS_MOST = 1024;
+    private static final int MAX_LINKS = 1024;
 
     /** Who is told of what comes on the links. */
-    interface Owner {
+    interface LinkHandler {
         void received(Link link, Object message);
 
         void closed(Link link);
@@ -37,11 +37,11 @@
         }
     }
 
-    private final class Accepted implements Link {
+    private final class AcceptedLink implements Link {
         private final Frames frames;
-        private double heardAt = loop.now();
+        private double lastReceivedAt = loop.now();
 
-        Accepted(Frames frames) {
+        AcceptedLink(Frames frames) {
             this.frames = frames;
         }
 
@@ -59,16 +59,16 @@
     private final EventLoop loop;
     private final NodeSettings settings;
     private final KryoCodec codec;
-    private final Owner owner;
+    private final LinkHandler linkHandler;
     private final Listener listener;
-    private final Map<Frames, Accepted> links = new LinkedHashMap<>();
+    private final Map<Frames, AcceptedLink> links = new LinkedHashMap<>();
 
-    InternalEndpoint(EventLoop loop, NodeSettings settings, KryoCodec codec, Owner owner)
+    InternalEndpoint(EventLoop loop, NodeSettings settings, KryoCodec codec, LinkHandler owner)
             throws IOException {
         this.loop = loop;
         this.settings = settings;
         this.codec = codec;
-        this.owner = owner;
+        this.linkHandler = owner;
         listener =
                 new Listener(loop, new InetSocketAddress(settings.ip, settings.internalPort), this);
     }
@@ -77,11 +77,11 @@
         listener.acceptOn();
     }
 
-    void closeSilent() {
-        for (Map.Entry<Frames, Accepted> e : List.copyOf(links.entrySet())) {
+    void closeSilentLinks() {
+        for (Map.Entry<Frames, AcceptedLink> e : List.copyOf(links.entrySet())) {
             if (loop.now()
-                    > e.getValue().heardAt
-                            + PeerLinks.SILENCE_HEARTBEATS * settings.heartbeatInterval) {
+                    > e.getValue().lastReceivedAt
+                            + PeerLinks.SILENCE_TIMEOUT_HEARTBEATS * settings.heartbeatInterval) {
                 e.getKey().close();
             }
         }
@@ -94,7 +94,7 @@
 
     @Override
     public boolean hasRoom() {
-        return links.size() < LINKS_MOST;
+        return links.size() < MAX_LINKS;
     }
 
     @Override
@@ -103,19 +103,19 @@
     @Override
     public void accepted(AsynchronousSocketChannel channel) {
         Frames frames = Frames.accepted(loop, channel, this);
-        links.put(frames, new Accepted(frames));
+        links.put(frames, new AcceptedLink(frames));
     }
 
     @Override
     public void came(Frames frames, byte[] frame) {
-        Accepted link = links.get(frames);
+        AcceptedLink link = links.get(frames);
         if (link == null) {
             return;
         }
         try {
             Object message = codec.read(frame);
-            link.heardAt = loop.now();
-            owner.received(link, message);
+            link.lastReceivedAt = loop.now();
+            linkHandler.received(link, message);
         } catch (MalformedMessageException e) {
             LOG.warn("link.bad_message why=\"{}\"", e.getMessage());
             frames.close();
@@ -124,9 +124,9 @@
 
     @Override
     public void closed(Frames frames) {
-        Accepted link = links.remove(frames);
+        AcceptedLink link = links.remove(frames);
         if (link != null) {
-            owner.closed(link);
+            linkHandler.closed(link);
         }
         listener.acceptOn();
     }
--- a/src/main/java/gingerspool/controlplane/LeaderDuties.java
+++ b/src/main/java/gingerspool/controlplane/LeaderDuties.java
@@ -26,14 +26,14 @@
 final class LeaderDuties
         implements Autoscaler.Actions,
                 SlotAllocator.Messenger,
-                SchedulerRegistry.Slots,
+                SchedulerRegistry.SchedulerListener,
                 PlatformListReader.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderDuties.class);
 
-    private static final double TICK_MS = 50;
+    private static final double TICK_INTERVAL_MS = 50;
 
     /** An instance that was never listed is gone so many list delays after it began to drain. */
-    private static final double UNLISTED_LIST_DELAYS = 2;
+    private static final double UNLISTED_TIMEOUT_LIST_DELAYS = 2;
 
     private final EventLoop loop;
     private final NodeSettings settings;
@@ -41,14 +41,14 @@
     private final BooleanSupplier holdsLease;
     private final BiConsumer<String, Object> send;
     private final Consumer<Object> sendToAll;
-    private final PlatformListReader lists;
-    private final InstanceCalls calls;
+    private final PlatformListReader listReader;
+    private final InstanceCalls instanceCalls;
     final SlotAllocator allocator;
     private final Autoscaler autoscaler;
     private boolean isEnded;
 
     /** When the list before this one was asked for. */
-    private double listedBefore = Double.NEGATIVE_INFINITY;
+    private double previousListAt = Double.NEGATIVE_INFINITY;
 
     /** The two consumers send to one registered scheduler, by its name, and to all of them. */
     LeaderDuties(
@@ -65,8 +65,8 @@
         this.holdsLease = holdsLease;
         this.send = send;
         this.sendToAll = sendToAll;
-        lists = new PlatformListReader(loop, settings, platform, this::mayAct, this);
-        calls = new InstanceCalls(loop, settings, platform, term, this::mayAct);
+        listReader = new PlatformListReader(loop, settings, platform, this::mayAct, this);
+        instanceCalls = new InstanceCalls(loop, settings, platform, term, this::mayAct);
         allocator = new SlotAllocator(settings.heartbeatInterval, loop.now(), this);
         autoscaler =
                 new Autoscaler(
@@ -76,17 +76,17 @@
                         term + "-" + settings.name + "-",
                         loop.now(),
                         this);
-        lists.read();
+        listReader.read();
         tick();
     }
 
     void end() {
         isEnded = true;
-        lists.end();
-        calls.end();
+        listReader.end();
+        instanceCalls.end();
     }
 
-    void configured(Configuration configuration) {
+    void onConfigurationChanged(Configuration configuration) {
         allocator.configure(configuration);
     }
 
@@ -102,13 +102,13 @@
             allocator.tick(loop.now());
             autoscaler.tick(loop.now());
         }
-        loop.schedule(TICK_MS, this::tick);
+        loop.schedule(TICK_INTERVAL_MS, this::tick);
     }
 
     // ---- Schedulers ----
 
     @Override
-    public void registered(String scheduler, Messages.Register message) {
+    public void onRegistered(String scheduler, Messages.Register message) {
         allocator.onRegister(loop.now(), scheduler, message);
         // Guards one that was with nobody, or another leader, as these were seen to drain.
         List<String> draining =
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public void received(String scheduler, Object message) {
+    public void onMessage(String scheduler, Object message) {
         double now = loop.now();
         if (message instanceof Messages.SlotDemand m) {
             allocator.onDemand(now, scheduler, m);
@@ -135,7 +135,7 @@
     }
 
     @Override
-    public void lost(String scheduler) {
+    public void onDisconnected(String scheduler) {
         allocator.onDisconnect(loop.now(), scheduler);
     }
 
@@ -160,7 +160,7 @@
         Set<String> withdrawn = new HashSet<>();
         for (Object entry : entries) {
             String id = JsonTree.text("", entry, "Identifier");
-            if (!id.isEmpty() && isWithdrawnBy(entry, id, askedAt)) {
+            if (!id.isEmpty() && recordEntry(entry, id, askedAt)) {
                 withdrawn.add(id);
             }
         }
@@ -173,12 +173,12 @@
         if (!withdrawn.isEmpty()) {
             sendToAll.accept(new Messages.InstanceWithdrawal(List.copyOf(withdrawn)));
         }
-        listedBefore = askedAt;
+        previousListAt = askedAt;
         autoscaler.instancesListed();
     }
 
     /** Notes what an entry says; whether it is the first that shows the instance draining. */
-    private boolean isWithdrawnBy(Object entry, String id, double askedAt) {
+    private boolean recordEntry(Object entry, String id, double askedAt) {
         double now = loop.now();
         Instance known = allocator.instance(id);
         Instance instance = known != null ? known : addListed(entry, id);
@@ -208,9 +208,9 @@
 
     /** Guards against pages that shift while they are read: it must be missing twice. */
     private boolean isGone(Instance instance) {
-        boolean isMissingTwice = instance.listedAt < listedBefore;
+        boolean isMissingTwice = instance.listedAt < previousListAt;
         double unlistedUntil =
-                instance.drainingSince + UNLISTED_LIST_DELAYS * settings.platformListDelay;
+                instance.drainingSince + UNLISTED_TIMEOUT_LIST_DELAYS * settings.platformListDelay;
         return isMissingTwice || Double.isNaN(instance.listedAt) && loop.now() > unlistedUntil;
     }
 
@@ -218,7 +218,7 @@
 
     @Override
     public void start(Function function, String host, String nonce) {
-        calls.start(
+        instanceCalls.start(
                 function.name,
                 host,
                 nonce,
@@ -237,7 +237,7 @@
 
     @Override
     public void stop(String instance) {
-        calls.stop(instance);
+        instanceCalls.stop(instance);
     }
 
     @Override
@@ -259,13 +259,13 @@
 
     // ---- For operators ----
 
-    void log() {
+    void logSummary() {
         LOG.info(
                 "duty term={} functions={} schedulers={} {} {}",
                 term,
                 allocator.catalog().all().size(),
                 allocator.connectedSchedulers(),
-                calls.counters(),
+                instanceCalls.counters(),
                 allocator.usage());
     }
 }
--- a/src/main/java/gingerspool/controlplane/LeaderWatch.java
+++ b/src/main/java/gingerspool/controlplane/LeaderWatch.java
@@ -6,21 +6,21 @@
  */
 final class LeaderWatch {
     /** In heartbeat intervals: how long without a leader, and between two readings. */
-    private static final double LEADERLESS_HEARTBEATS = 4;
+    private static final double LEADERLESS_TIMEOUT_HEARTBEATS = 4;
 
-    private final double heartbeat;
-    private double quietUntil;
+    private final double heartbeatInterval;
+    private double nextDueAt;
 
     LeaderWatch(double heartbeat, double now) {
-        this.heartbeat = heartbeat;
-        quietUntil = now + LEADERLESS_HEARTBEATS * heartbeat;
+        this.heartbeatInterval = heartbeat;
+        nextDueAt = now + LEADERLESS_TIMEOUT_HEARTBEATS * heartbeat;
     }
 
     /** Whether the file is to be read now. */
     boolean isDue(boolean knowsLeader, double now) {
-        boolean isDue = !knowsLeader && now >= quietUntil;
+        boolean isDue = !knowsLeader && now >= nextDueAt;
         if (knowsLeader || isDue) {
-            quietUntil = now + LEADERLESS_HEARTBEATS * heartbeat;
+            nextDueAt = now + LEADERLESS_TIMEOUT_HEARTBEATS * heartbeatInterval;
         }
         return isDue;
     }
--- a/src/main/java/gingerspool/controlplane/Leadership.java
+++ b/src/main/java/gingerspool/controlplane/Leadership.java
@@ -16,8 +16,8 @@
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
     private final Replica replica;
-    private final LongFunction<LeaderDuties> begin;
-    private final Runnable end;
+    private final LongFunction<LeaderDuties> beginDuties;
+    private final Runnable endDuties;
     private LeaderDuties duties;
     private long term;
 
@@ -26,8 +26,8 @@
      */
     Leadership(Replica replica, LongFunction<LeaderDuties> begin, Runnable end) {
         this.replica = replica;
-        this.begin = begin;
-        this.end = end;
+        this.beginDuties = begin;
+        this.endDuties = end;
     }
 
     /** The duties at hand, or null. */
@@ -41,12 +41,12 @@
             LOG.info("duty.ended term={}", term);
             duties.end();
             duties = null;
-            end.run();
+            endDuties.run();
         }
         if (duties == null && replica.isActiveLeader(now)) {
             term = replica.term();
             LOG.info("duty.started term={} members={}", term, replica.members());
-            duties = begin.apply(term);
+            duties = beginDuties.apply(term);
         }
     }
 }
--- a/src/main/java/gingerspool/controlplane/OperatorCall.java
+++ b/src/main/java/gingerspool/controlplane/OperatorCall.java
@@ -18,13 +18,14 @@
     record Read(Reply reply, String target) implements OperatorCall {}
 
     /** A whole configuration, or changes, made on a version. */
-    record Change(Reply reply, String target, boolean isComplete, long onVersion, byte[] body)
+    record Change(Reply reply, String target, boolean isComplete, long baseVersion, byte[] body)
             implements OperatorCall {}
 
     record Status(Reply reply, String target) implements OperatorCall {}
 
     /** What can't be run, and what it is answered. */
-    record Invalid(Reply reply, String target, int status, String text) implements OperatorCall {}
+    record Invalid(Reply reply, String target, int status, String message)
+            implements OperatorCall {}
 
     static OperatorCall decode(Reply reply, Message request) {
         String path = request.method() + " " + request.target();
--- a/src/main/java/gingerspool/controlplane/OperatorCalls.java
+++ b/src/main/java/gingerspool/controlplane/OperatorCalls.java
@@ -36,10 +36,10 @@
     /** Changes that were proposed here and not answered, by the id of their command. */
     private final Map<Long, OperatorCall.Change> pending = new HashMap<>();
 
-    private long commands;
+    private long lastCommandNumber;
     private int reads;
     private int changes;
-    private int refused;
+    private int rejectedChanges;
 
     /** The replica is null until the disk was read. */
     OperatorCalls(
@@ -58,7 +58,7 @@
     }
 
     String counters() {
-        return "reads=%d changes=%d refused=%d".formatted(reads, changes, refused);
+        return "reads=%d changes=%d refused=%d".formatted(reads, changes, rejectedChanges);
     }
 
     /** Whether a caller waits for the log. */
@@ -69,9 +69,9 @@
     /** Runs one call; whoever calls this looks after the replica next. */
     void run(OperatorCall call) {
         if (call instanceof OperatorCall.Invalid invalid) {
-            answerError(call, invalid.status(), invalid.text());
+            answerError(call, invalid.status(), invalid.message());
         } else if (replica.get() == null) {
-            answerNothingRan(call, "the disk has not been read yet");
+            answerNotExecuted(call, "the disk has not been read yet");
         } else if (call instanceof OperatorCall.Status) {
             byte[] text = status.get().getBytes(StandardCharsets.UTF_8);
             call.reply().answer(200, List.of("Content-Type: text/plain"), text);
@@ -87,7 +87,7 @@
     private void redirect(OperatorCall call) {
         Member leader = replica.get().leader(loop.now());
         if (leader == null || leader.equals(replica.get().self())) {
-            answerNothingRan(call, "no leader is known here just now");
+            answerNotExecuted(call, "no leader is known here just now");
         } else {
             String there = Address.text(new InetSocketAddress(leader.ip(), controlPort));
             List<String> fields = List.of("Location: http://" + there + call.target());
@@ -106,7 +106,7 @@
 
     private void propose(OperatorCall.Change call) {
         changes++;
-        long id = replica.get().term() << 32 | ++commands;
+        long id = replica.get().term() << 32 | ++lastCommandNumber;
         pending.put(id, call);
         loop.schedule(
                 ANSWER_TIMEOUT_MS,
@@ -118,17 +118,17 @@
         byte[] command =
                 codec.write(
                         new Messages.ChangeCommand(
-                                id, call.isComplete(), call.onVersion(), call.body()));
+                                id, call.isComplete(), call.baseVersion(), call.body()));
         if (!replica.get().propose(loop.now(), command)) {
             pending.remove(id);
-            answerNothingRan(call, "the lease has just ended here");
+            answerNotExecuted(call, "the lease has just ended here");
         }
     }
 
     /** A command was committed and applied. */
     void applied(long id, ConfigurationState.ChangeResult verdict) {
         boolean isTaken = verdict.status() == ConfigurationState.ACCEPTED;
-        refused += isTaken ? 0 : 1;
+        rejectedChanges += isTaken ? 0 : 1;
         OperatorCall.Change call = pending.remove(id);
         if (call != null && isTaken) {
             String body = "{\"Version\":" + verdict.version() + "}";
@@ -139,20 +139,20 @@
     }
 
     /** Nothing of the call was or will be done; another member may know better. */
-    private static void answerNothingRan(OperatorCall call, String why) {
+    private static void answerNotExecuted(OperatorCall call, String why) {
         call.reply()
                 .answer(
                         503,
                         List.of("Content-Type: application/json", "Retry-After: " + RETRY_AFTER_S),
-                        error(why));
+                        errorBody(why));
     }
 
-    private static byte[] error(String why) {
+    private static byte[] errorBody(String why) {
         return Json.write(Map.of("Error", why)).getBytes(StandardCharsets.UTF_8);
     }
 
     private static void answerError(OperatorCall call, int status, String why) {
-        answer(call, status, error(why));
+        answer(call, status, errorBody(why));
     }
 
     private static void answer(OperatorCall call, int status, byte[] body) {
--- a/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
+++ b/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
@@ -14,20 +14,20 @@
 
 /** Where operators call: reads requests and hands them on as command objects. */
 final class OperatorEndpoint implements Listener.Owner, Inbound.Handler {
-    private static final double TIMEOUT_MS = 10_000;
-    private static final int HEADER_BYTES_MOST = 16 * 1024;
-    private static final int BODY_BYTES_MOST = 2 << 20;
-    private static final int CONNECTIONS_MOST = 256;
+    private static final double CONNECTION_TIMEOUT_MS = 10_000;
+    private static final int MAX_HEADER_BYTES = 16 * 1024;
+    private static final int MAX_BODY_BYTES = 2 << 20;
+    private static final int MAX_CONNECTIONS = 256;
 
     private final EventLoop loop;
-    private final Consumer<OperatorCall> run;
-    private final Set<Inbound> open = new HashSet<>();
+    private final Consumer<OperatorCall> callHandler;
+    private final Set<Inbound> openConnections = new HashSet<>();
     private final Listener listener;
 
     OperatorEndpoint(EventLoop loop, SocketAddress at, Consumer<OperatorCall> run)
             throws IOException {
         this.loop = loop;
-        this.run = run;
+        this.callHandler = run;
         listener = new Listener(loop, at, this);
     }
 
@@ -35,14 +35,14 @@
         listener.acceptOn();
     }
 
-    void end() {
+    void drain() {
         listener.close();
-        open.forEach(connection -> connection.endAfterAnswer(true));
+        openConnections.forEach(connection -> connection.endAfterAnswer(true));
     }
 
     @Override
     public boolean hasRoom() {
-        return open.size() < CONNECTIONS_MOST;
+        return openConnections.size() < MAX_CONNECTIONS;
     }
 
     @Override
@@ -55,17 +55,17 @@
                         loop,
                         channel,
                         this,
-                        TIMEOUT_MS,
-                        TIMEOUT_MS,
-                        HEADER_BYTES_MOST,
-                        BODY_BYTES_MOST);
-        open.add(connection);
+                        CONNECTION_TIMEOUT_MS,
+                        CONNECTION_TIMEOUT_MS,
+                        MAX_HEADER_BYTES,
+                        MAX_BODY_BYTES);
+        openConnections.add(connection);
         connection.start();
     }
 
     @Override
     public void asked(Inbound from, Message request) {
-        run.accept(OperatorCall.decode(from::answer, request));
+        callHandler.accept(OperatorCall.decode(from::answer, request));
     }
 
     @Override
@@ -76,7 +76,7 @@
 
     @Override
     public void closed(Inbound connection) {
-        open.remove(connection);
+        openConnections.remove(connection);
         listener.acceptOn();
     }
 }
--- a/src/main/java/gingerspool/controlplane/PeerLinks.java
+++ b/src/main/java/gingerspool/controlplane/PeerLinks.java
@@ -22,16 +22,16 @@
     private static final Logger LOG = LoggerFactory.getLogger(PeerLinks.class);
 
     /** In heartbeat intervals: silence after which a link is given up. */
-    static final double SILENCE_HEARTBEATS = 1.5;
+    static final double SILENCE_TIMEOUT_HEARTBEATS = 1.5;
 
     /** In heartbeat intervals: how long connecting may take. */
-    private static final double CONNECT_HEARTBEATS = 0.25;
+    private static final double CONNECT_TIMEOUT_HEARTBEATS = 0.25;
 
     /** In heartbeat intervals: the pause between two attempts to connect. */
-    private static final double RETRY_HEARTBEATS = 0.125;
+    private static final double RETRY_DELAY_HEARTBEATS = 0.125;
 
     /** In heartbeat intervals: how long a link is kept to one that is wanted no more. */
-    private static final double UNNEEDED_HEARTBEATS = 4;
+    private static final double UNNEEDED_TIMEOUT_HEARTBEATS = 4;
 
     private final EventLoop loop;
     private final NodeSettings settings;
@@ -41,8 +41,8 @@
     private static final class Peer {
         Frames link;
         boolean isUp;
-        double attemptedAt = Double.NEGATIVE_INFINITY;
-        double heardAt;
+        double connectAttemptedAt = Double.NEGATIVE_INFINITY;
+        double lastReceivedAt;
     }
 
     PeerLinks(EventLoop loop, NodeSettings settings, KryoCodec codec) {
@@ -62,13 +62,15 @@
             boolean isSilent =
                     peer.isUp
                             && now
-                                    > Math.max(peer.heardAt, peer.attemptedAt)
-                                            + SILENCE_HEARTBEATS * settings.heartbeatInterval;
+                                    > Math.max(peer.lastReceivedAt, peer.connectAttemptedAt)
+                                            + SILENCE_TIMEOUT_HEARTBEATS
+                                                    * settings.heartbeatInterval;
             boolean isUnwanted =
                     !wanted.contains(e.getKey())
                             && now
-                                    > peer.heardAt
-                                            + UNNEEDED_HEARTBEATS * settings.heartbeatInterval;
+                                    > peer.lastReceivedAt
+                                            + UNNEEDED_TIMEOUT_HEARTBEATS
+                                                    * settings.heartbeatInterval;
             if (peer.link != null && (isSilent || isUnwanted)) {
                 peer.link.close();
             }
@@ -79,14 +81,16 @@
         double now = loop.now();
         Peer peer = peers.computeIfAbsent(ip, k -> new Peer());
         if (peer.link == null
-                && now >= peer.attemptedAt + RETRY_HEARTBEATS * settings.heartbeatInterval) {
-            peer.attemptedAt = now;
+                && now
+                        >= peer.connectAttemptedAt
+                                + RETRY_DELAY_HEARTBEATS * settings.heartbeatInterval) {
+            peer.connectAttemptedAt = now;
             try {
                 peer.link =
                         Frames.open(
                                 loop,
                                 new InetSocketAddress(ip, settings.internalPort),
-                                CONNECT_HEARTBEATS * settings.heartbeatInterval,
+                                CONNECT_TIMEOUT_HEARTBEATS * settings.heartbeatInterval,
                                 this);
             } catch (IOException e) {
                 LOG.warn("link.failed to={} why=\"{}\"", ip, e.getMessage());
@@ -95,8 +99,8 @@
     }
 
     /** A member's message came; an answer to it needs a link. */
-    void heardMember(String ip) {
-        peers.computeIfAbsent(ip, k -> new Peer()).heardAt = loop.now();
+    void onMemberMessage(String ip) {
+        peers.computeIfAbsent(ip, k -> new Peer()).lastReceivedAt = loop.now();
     }
 
     void connectBack(String ip) {
@@ -104,10 +108,10 @@
     }
 
     /** A heartbeat came; false where none of the peers sent it. */
-    boolean heardHeartbeat(String ip) {
+    boolean onHeartbeat(String ip) {
         Peer peer = peers.get(ip);
         if (peer != null) {
-            peer.heardAt = loop.now();
+            peer.lastReceivedAt = loop.now();
         }
         return peer != null;
     }
--- a/src/main/java/gingerspool/controlplane/Platform.java
+++ b/src/main/java/gingerspool/controlplane/Platform.java
@@ -6,12 +6,12 @@
 /** The platform's interface, as the leader calls it. Every call has one end. */
 interface Platform {
     /** What a call came to: its status, 0 where no answer came that could be read; and the body. */
-    record Answer(int status, Object tree) {}
+    record Response(int status, Object body) {}
 
     /** All pages of the list of instances; null where one could not be had. */
     void instances(Consumer<List<Object>> then);
 
-    void hosts(Consumer<Answer> then);
+    void hosts(Consumer<Response> then);
 
     /** The fence is the leader's term; the same nonce gives the same instance. */
     void start(
@@ -20,7 +20,7 @@
             String service,
             String host,
             String nonce,
-            Consumer<Answer> then);
+            Consumer<Response> then);
 
-    void stop(String holder, long fence, String instance, Consumer<Answer> then);
+    void stop(String holder, long fence, String instance, Consumer<Response> then);
 }
--- a/src/main/java/gingerspool/controlplane/PlatformClient.java
+++ b/src/main/java/gingerspool/controlplane/PlatformClient.java
@@ -22,7 +22,7 @@
  * answers that can't be read are ends as well.
  */
 final class PlatformClient implements Platform {
-    private static final int CONNECTIONS_MOST = 32;
+    private static final int MAX_CONNECTIONS = 32;
     private static final double IDLE_TIMEOUT_MS = 5000;
 
     private final EventLoop loop;
@@ -34,36 +34,36 @@
         this.loop = loop;
         this.address = address;
         this.timeout = timeout;
-        pool = new ConnectionPool(loop, timeout, IDLE_TIMEOUT_MS, CONNECTIONS_MOST);
+        pool = new ConnectionPool(loop, timeout, IDLE_TIMEOUT_MS, MAX_CONNECTIONS);
     }
 
     @Override
     public void instances(Consumer<List<Object>> then) {
-        page("/instances", new ArrayList<>(), then);
+        readPage("/instances", new ArrayList<>(), then);
     }
 
-    private void page(String target, List<Object> all, Consumer<List<Object>> then) {
+    private void readPage(String target, List<Object> all, Consumer<List<Object>> then) {
         get(
                 target,
                 answer -> {
                     if (answer.status() != 200
-                            || !(JsonTree.at(answer.tree(), "Instances")
+                            || !(JsonTree.at(answer.body(), "Instances")
                                     instanceof List<?> instances)) {
                         then.accept(null);
                         return;
                     }
                     all.addAll(instances);
-                    String next = JsonTree.text("", answer.tree(), "NextPageToken");
+                    String next = JsonTree.text("", answer.body(), "NextPageToken");
                     if (next.isEmpty()) {
                         then.accept(all);
                     } else {
-                        page("/instances?PageToken=" + next, all, then);
+                        readPage("/instances?PageToken=" + next, all, then);
                     }
                 });
     }
 
     @Override
-    public void hosts(Consumer<Answer> then) {
+    public void hosts(Consumer<Response> then) {
         get("/v1/workers", then);
     }
 
@@ -74,7 +74,7 @@
             String service,
             String host,
             String nonce,
-            Consumer<Answer> then) {
+            Consumer<Response> then) {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("Service", service);
         body.put("Worker", host);
@@ -83,11 +83,11 @@
     }
 
     @Override
-    public void stop(String holder, long fence, String instance, Consumer<Answer> then) {
+    public void stop(String holder, long fence, String instance, Consumer<Response> then) {
         post("/v1/stop", holder, fence, Map.of("Identifier", instance), then);
     }
 
-    private void get(String target, Consumer<Answer> then) {
+    private void get(String target, Consumer<Response> then) {
         call(
                 Inbound.joined(
                         "GET "
@@ -100,7 +100,7 @@
     }
 
     private void post(
-            String target, String holder, long fence, Object tree, Consumer<Answer> then) {
+            String target, String holder, long fence, Object tree, Consumer<Response> then) {
         byte[] body = Json.write(tree).getBytes(java.nio.charset.StandardCharsets.UTF_8);
         call(
                 Inbound.joined(
@@ -119,7 +119,7 @@
                 then);
     }
 
-    private void call(byte[] request, Consumer<Answer> then) {
+    private void call(byte[] request, Consumer<Response> then) {
         try {
             pool.take(0, address)
                     .ask(
@@ -133,21 +133,21 @@
 
                                 @Override
                                 public void broke(boolean allWritten) {
-                                    then.accept(new Answer(0, null));
+                                    then.accept(new Response(0, null));
                                 }
                             });
         } catch (IOException e) {
-            loop.execute(() -> then.accept(new Answer(0, null)));
+            loop.execute(() -> then.accept(new Response(0, null)));
         }
     }
 
-    private static Answer read(Message message) {
+    private static Response read(Message message) {
         byte[] body = message.body();
         try {
-            return new Answer(
+            return new Response(
                     message.status(), body.length == 0 ? null : Json.read(body, 0, body.length));
         } catch (BadMessage e) {
-            return new Answer(message.status() == 200 ? 0 : message.status(), null);
+            return new Response(message.status() == 200 ? 0 : message.status(), null);
         }
     }
 }
--- a/src/main/java/gingerspool/controlplane/PlatformListReader.java
+++ b/src/main/java/gingerspool/controlplane/PlatformListReader.java
@@ -12,16 +12,16 @@
  */
 final class PlatformListReader {
     /** The instances are listed so often, in parts of how late the list is. */
-    private static final double INTERVAL_LIST_DELAYS = 0.5;
+    private static final double READ_INTERVAL_LIST_DELAYS = 0.5;
 
     /** The part of the platform's rate of calls that lists may take. */
-    private static final double RATE_PART = 0.5;
+    private static final double RATE_FRACTION = 0.5;
 
     /** Instances on one page of the list, each of which is a call. */
     private static final int PAGE_SIZE = 100;
 
     /** The pause while the lease does not hold, in milliseconds. */
-    private static final double LEASE_CHECK_MS = 50;
+    private static final double LEASE_CHECK_INTERVAL_MS = 50;
 
     /** Who is told what the lists say. */
     interface Listener {
@@ -62,7 +62,7 @@
             return;
         }
         if (!mayAct.getAsBoolean()) {
-            loop.schedule(LEASE_CHECK_MS, this::read);
+            loop.schedule(LEASE_CHECK_INTERVAL_MS, this::read);
             return;
         }
         double askedAt = loop.now();
@@ -80,14 +80,15 @@
             listener.instancesListed(instances, askedAt);
             calls = 1 + instances.size() / PAGE_SIZE;
         }
-        double byRate = 1000 * calls / (RATE_PART * settings.platformRate);
+        double byRate = 1000 * calls / (RATE_FRACTION * settings.platformRate);
         loop.schedule(
-                Math.max(INTERVAL_LIST_DELAYS * settings.platformListDelay, byRate), this::read);
+                Math.max(READ_INTERVAL_LIST_DELAYS * settings.platformListDelay, byRate),
+                this::read);
     }
 
-    private void onHosts(Platform.Answer answer) {
+    private void onHosts(Platform.Response answer) {
         if (answer.status() == 200
-                && JsonTree.at(answer.tree(), "Workers") instanceof List<?> hosts
+                && JsonTree.at(answer.body(), "Workers") instanceof List<?> hosts
                 && !isEnded) {
             listener.hostsListed(hosts);
         }
--- a/src/main/java/gingerspool/controlplane/RepairExchange.java
+++ b/src/main/java/gingerspool/controlplane/RepairExchange.java
@@ -25,22 +25,22 @@
 
     private final EventLoop loop;
     private final double digestTimeout;
-    private final String ip;
+    private final String ownIp;
     private final ConfigurationState state;
     private final Replica replica;
     private final BiConsumer<String, Object> send;
-    private final Runnable whenRepaired;
+    private final Runnable onRepaired;
     private final ReplicaRepair repair =
             new ReplicaRepair(
                     new ReplicaRepair.Exchange() {
                         @Override
                         public void requestDigests(String member, long comparison) {
-                            send.accept(member, new Messages.DigestRequest(ip, comparison));
+                            send.accept(member, new Messages.DigestRequest(ownIp, comparison));
                         }
 
                         @Override
                         public void ask(String member, long index, int ranges) {
-                            send.accept(member, new Messages.RangeRequest(ip, index, ranges));
+                            send.accept(member, new Messages.RangeRequest(ownIp, index, ranges));
                         }
 
                         @Override
@@ -58,18 +58,18 @@
             Runnable whenRepaired) {
         this.loop = loop;
         digestTimeout = DIGEST_TIMEOUT_HEARTBEATS * settings.heartbeatInterval;
-        ip = settings.ip;
+        ownIp = settings.ip;
         this.state = state;
         this.replica = replica;
         this.send = send;
-        this.whenRepaired = whenRepaired;
+        this.onRepaired = whenRepaired;
     }
 
-    int differing() {
+    int differingRanges() {
         return repair.differing();
     }
 
-    int undecided() {
+    int undecidedRanges() {
         return repair.undecided();
     }
 
@@ -80,17 +80,17 @@
         if (!replica.isActiveLeader(loop.now())) {
             return;
         }
-        long comparison = repair.begin(ip, replica.members().stream().map(Member::ip).toList());
+        long comparison = repair.begin(ownIp, replica.members().stream().map(Member::ip).toList());
         loop.schedule(
                 digestTimeout,
                 () -> {
                     if (repair.isUnderWay(comparison)) {
-                        end();
+                        finishComparison();
                     }
                 });
     }
 
-    private void end() {
+    private void finishComparison() {
         if (replica.isActiveLeader(loop.now())) {
             repair.end(replica.appliedIndex(), RangeDigests.digests(state.items()));
         }
@@ -101,7 +101,7 @@
             send.accept(
                     message.ip(),
                     new Messages.ReplicaDigest(
-                            ip,
+                            ownIp,
                             message.comparison(),
                             replica.appliedIndex(),
                             RangeDigests.digests(state.items())));
@@ -117,13 +117,13 @@
         send.accept(
                 member,
                 new Messages.RangeRepair(
-                        ip, index, ranges, RangeDigests.items(state.items(), ranges)));
+                        ownIp, index, ranges, RangeDigests.items(state.items(), ranges)));
     }
 
     void received(Messages.ReplicaDigest message) {
         if (repair.received(
                 message.ip(), message.comparison(), message.index(), message.ranges())) {
-            end();
+            finishComparison();
         }
     }
 
@@ -147,7 +147,7 @@
                     message.ip(),
                     message.index(),
                     state.version());
-            whenRepaired.run();
+            onRepaired.run();
         } catch (InvalidConfigurationException e) {
             LOG.warn("state.repair_refused from={} why=\"{}\"", message.ip(), e.getMessage());
         }
--- a/src/main/java/gingerspool/controlplane/SchedulerRegistry.java
+++ b/src/main/java/gingerspool/controlplane/SchedulerRegistry.java
@@ -14,18 +14,18 @@
  */
 final class SchedulerRegistry {
     /** What the registry needs of the leader's duties; none where this member doesn't lead. */
-    interface Slots {
-        void registered(String scheduler, Messages.Register message);
+    interface SchedulerListener {
+        void onRegistered(String scheduler, Messages.Register message);
 
-        void received(String scheduler, Object message);
+        void onMessage(String scheduler, Object message);
 
-        void lost(String scheduler);
+        void onDisconnected(String scheduler);
     }
 
     private record Scheduler(
             String name,
             InternalEndpoint.Link link,
-            ConfigurationPublisher.Subscription configuration) {}
+            ConfigurationPublisher.Subscription subscription) {}
 
     private final ConfigurationState state;
     private final ConfigurationPublisher publisher;
@@ -33,7 +33,7 @@
     private final Map<String, Scheduler> byName = new HashMap<>();
 
     /** Null where this member doesn't lead. */
-    private Slots slots;
+    private SchedulerListener schedulerListener;
 
     SchedulerRegistry(EventLoop loop, NodeSettings settings, ConfigurationState state) {
         this.state = state;
@@ -42,12 +42,12 @@
                         loop, settings.heartbeatInterval, settings.configurationApplyTimeout);
     }
 
-    void lead(Slots duties) {
-        slots = duties;
+    void startLeading(SchedulerListener duties) {
+        schedulerListener = duties;
     }
 
-    void leadNoMore() {
-        slots = null;
+    void stopLeading() {
+        schedulerListener = null;
         byLink.clear();
         byName.clear();
         publisher.clear();
@@ -59,7 +59,12 @@
 
     List<String> status() {
         return byName.values().stream()
-                .map(s -> "scheduler " + s.name + " version " + s.configuration.inForce())
+                .map(
+                        s ->
+                                "scheduler "
+                                        + s.name
+                                        + " version "
+                                        + s.subscription.acknowledgedVersion())
                 .toList();
     }
 
@@ -69,7 +74,7 @@
         if (earlier != null) {
             // Guards the counts of slots: what still comes on an earlier link was told before this.
             byLink.remove(earlier.link);
-            publisher.unsubscribe(earlier.configuration);
+            publisher.unsubscribe(earlier.subscription);
         }
         link.send(new Messages.Registered(term));
         Scheduler scheduler =
@@ -79,22 +84,22 @@
                         publisher.subscribe(message.name(), link, message.version()));
         byLink.put(link, scheduler);
         byName.put(message.name(), scheduler);
-        slots.registered(message.name(), message);
-        tellCount();
+        schedulerListener.onRegistered(message.name(), message);
+        sendSchedulerCount();
     }
 
     /** A message of a scheduler; one that isn't registered on this link is passed over. */
     void received(InternalEndpoint.Link link, Object message) {
         Scheduler scheduler = byLink.get(link);
-        if (scheduler == null || slots == null) {
+        if (scheduler == null || schedulerListener == null) {
             return;
         }
         if (message instanceof Messages.ConfigurationAck ack) {
-            publisher.acknowledged(scheduler.configuration, ack);
+            publisher.onAcknowledgement(scheduler.subscription, ack);
         } else if (message instanceof Messages.ConfigurationRequest) {
-            publisher.copyRequested(scheduler.configuration);
+            publisher.onCopyRequest(scheduler.subscription);
         } else {
-            slots.received(scheduler.name, message);
+            schedulerListener.onMessage(scheduler.name, message);
         }
     }
 
@@ -103,30 +108,30 @@
         if (scheduler == null) {
             return;
         }
-        publisher.unsubscribe(scheduler.configuration);
-        if (byName.remove(scheduler.name, scheduler) && slots != null) {
-            slots.lost(scheduler.name);
-            tellCount();
+        publisher.unsubscribe(scheduler.subscription);
+        if (byName.remove(scheduler.name, scheduler) && schedulerListener != null) {
+            schedulerListener.onDisconnected(scheduler.name);
+            sendSchedulerCount();
         }
     }
 
-    void tell(String name, Object message) {
+    void send(String name, Object message) {
         Scheduler scheduler = byName.get(name);
         if (scheduler != null) {
             scheduler.link.send(message);
         }
     }
 
-    void tellAll(Object message) {
+    void sendToAll(Object message) {
         byName.values().forEach(s -> s.link.send(message));
     }
 
-    private void tellCount() {
-        tellAll(new Messages.SchedulerCount(byName.size()));
+    private void sendSchedulerCount() {
+        sendToAll(new Messages.SchedulerCount(byName.size()));
     }
 
     /** The configuration has changed. */
-    void configured() {
-        publisher.configured(state.configuration());
+    void onConfigurationChanged() {
+        publisher.onConfigurationChanged(state.configuration());
     }
 }
--- a/src/test/java/gingerspool/controlplane/ConfigurationPublishingTest.java
+++ b/src/test/java/gingerspool/controlplane/ConfigurationPublishingTest.java
@@ -24,26 +24,26 @@
  * push.
  */
 public class ConfigurationPublishingTest {
-    private static final double HEARTBEAT = 1_000;
-    private static final double APPLY_WITHIN = 3_000;
+    private static final double HEARTBEAT_MS = 1_000;
+    private static final double APPLY_TIMEOUT_MS = 3_000;
     private static final double LINK_MS = 12;
-    private static final int FUNCTIONS = 100;
+    private static final int FUNCTION_COUNT = 100;
 
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
 
     /** Two publishers, as two members of the core have them; one of them leads. */
-    private final class Core {
+    private final class CoreOfTwo {
         final ModelEventLoop loop = new ModelEventLoop();
         final List<ConfigurationPublisher> members =
                 List.of(
-                        new ConfigurationPublisher(loop, HEARTBEAT, APPLY_WITHIN),
-                        new ConfigurationPublisher(loop, HEARTBEAT, APPLY_WITHIN));
+                        new ConfigurationPublisher(loop, HEARTBEAT_MS, APPLY_TIMEOUT_MS),
+                        new ConfigurationPublisher(loop, HEARTBEAT_MS, APPLY_TIMEOUT_MS));
         int leader;
-        Configuration newest = first();
+        Configuration newest = initialConfiguration();
 
         void commit(Configuration configuration) {
             newest = configuration;
-            members.forEach(member -> member.configured(configuration));
+            members.forEach(member -> member.onConfigurationChanged(configuration));
         }
 
         ConfigurationPublisher leader() {
@@ -51,9 +51,9 @@
         }
     }
 
-    private static Configuration first() {
+    private static Configuration initialConfiguration() {
         Configuration.Builder all = Configuration.newBuilder().setVersion(1);
-        for (int i = 0; i < FUNCTIONS; i++) {
+        for (int i = 0; i < FUNCTION_COUNT; i++) {
             all.addRoutes(route(i, 1_000)).addServices(Service.newBuilder().setName("s" + i));
         }
         return all.build();
@@ -69,7 +69,7 @@
                 .build();
     }
 
-    private static Configuration changed(Configuration base, Random chance) {
+    private static Configuration withRandomChange(Configuration base, Random chance) {
         int at = chance.nextInt(base.getRoutesCount());
         return base.toBuilder()
                 .setVersion(base.getVersion() + 1 + chance.nextInt(5))
@@ -80,20 +80,20 @@
     /** A scheduler and its link, which carries so many bytes a millisecond, in order. */
     private final class Scheduler
             implements InternalEndpoint.Link, ConfigurationSubscriber.Listener {
-        final Core core;
+        final CoreOfTwo core;
         final double bytesPerMs;
         final ConfigurationSubscriber subscriber = new ConfigurationSubscriber(this);
         ConfigurationPublisher.Subscription subscription;
-        int connection;
+        int connectionNumber;
         double linkFreeAt;
-        int waiting;
-        int mostWaiting;
-        long bytes;
-        int pushes;
+        int pendingPushes;
+        int maxPendingPushes;
+        long bytesReceived;
+        int pushCount;
         long version;
-        double since;
+        double appliedAt;
 
-        Scheduler(Core core, double bytesPerMs) {
+        Scheduler(CoreOfTwo core, double bytesPerMs) {
             this.core = core;
             this.bytesPerMs = bytesPerMs;
         }
@@ -104,8 +104,8 @@
         }
 
         void disconnect() {
-            connection++;
-            waiting = 0;
+            connectionNumber++;
+            pendingPushes = 0;
             linkFreeAt = 0;
             if (subscription != null) {
                 core.members.forEach(member -> member.unsubscribe(subscription));
@@ -116,17 +116,17 @@
         @Override
         public void send(Object message) {
             byte[] frame = codec.write(message);
-            waiting++;
-            mostWaiting = Math.max(mostWaiting, waiting);
-            bytes += frame.length;
-            pushes++;
+            pendingPushes++;
+            maxPendingPushes = Math.max(maxPendingPushes, pendingPushes);
+            bytesReceived += frame.length;
+            pushCount++;
             linkFreeAt = Math.max(linkFreeAt, core.loop.now()) + frame.length / bytesPerMs;
-            int on = connection;
+            int on = connectionNumber;
             core.loop.schedule(
                     linkFreeAt - core.loop.now() + LINK_MS,
                     () -> {
-                        if (on == connection) {
-                            waiting--;
+                        if (on == connectionNumber) {
+                            pendingPushes--;
                             receive(frame);
                         }
                     });
@@ -149,37 +149,38 @@
         public void onConfiguration(Configuration configuration) {
             assertTrue(configuration.getVersion() >= version, "it went back");
             version = configuration.getVersion();
-            since = core.loop.now();
+            appliedAt = core.loop.now();
         }
 
         @Override
         public void sendToLeader(Object message) {
-            int on = connection;
+            int on = connectionNumber;
             core.loop.schedule(
                     LINK_MS,
                     () -> {
-                        if (on == connection && message instanceof Messages.ConfigurationAck ack) {
-                            core.leader().acknowledged(subscription, ack);
-                        } else if (on == connection) {
-                            core.leader().copyRequested(subscription);
+                        if (on == connectionNumber
+                                && message instanceof Messages.ConfigurationAck ack) {
+                            core.leader().onAcknowledgement(subscription, ack);
+                        } else if (on == connectionNumber) {
+                            core.leader().onCopyRequest(subscription);
                         }
                     });
         }
     }
 
-    private List<Scheduler> schedulers(Core core, int count, double bytesPerMs) {
+    private List<Scheduler> connectSchedulers(CoreOfTwo core, int count, double bytesPerMs) {
         List<Scheduler> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             all.add(new Scheduler(core, bytesPerMs));
         }
         core.commit(core.newest);
         all.forEach(Scheduler::connect);
-        core.loop.run(APPLY_WITHIN);
+        core.loop.run(APPLY_TIMEOUT_MS);
         all.forEach(s -> assertEquals(s.version, core.newest.getVersion()));
         return all;
     }
 
-    private static void assertInForce(Core core, List<Scheduler> schedulers, String what) {
+    private static void assertAllApplied(CoreOfTwo core, List<Scheduler> schedulers, String what) {
         for (Scheduler s : schedulers) {
             assertEquals(s.version, core.newest.getVersion(), what);
             assertEquals(
@@ -191,122 +192,130 @@
 
     /** Twenty-five changes in two seconds, over links that carry one complete copy in a third. */
     @Test
-    public void aStormIsToldByFewSmallPushes() {
-        Core core = new Core();
+    public void burstOfChangesNeedsFewSmallPushes() {
+        CoreOfTwo core = new CoreOfTwo();
         double slow = core.newest.toByteArray().length / 333.0;
-        List<Scheduler> all = schedulers(core, 5, slow);
-        long copy = all.get(0).bytes;
+        List<Scheduler> all = connectSchedulers(core, 5, slow);
+        long copy = all.get(0).bytesReceived;
         Random chance = new Random(1);
         for (int i = 0; i < 25; i++) {
-            core.commit(changed(core.newest, chance));
+            core.commit(withRandomChange(core.newest, chance));
             core.loop.run(80);
         }
         double last = core.loop.now();
-        core.loop.run(APPLY_WITHIN);
-        assertInForce(core, all, "after the storm");
+        core.loop.run(APPLY_TIMEOUT_MS);
+        assertAllApplied(core, all, "after the storm");
         for (Scheduler s : all) {
-            assertTrue(s.since - last < APPLY_WITHIN / 4, "in force after " + (s.since - last));
-            assertTrue(s.bytes - copy < copy, "a storm cost " + (s.bytes - copy) + " bytes");
-            assertTrue(s.pushes <= 13, s.pushes + " pushes");
+            assertTrue(
+                    s.appliedAt - last < APPLY_TIMEOUT_MS / 4,
+                    "in force after " + (s.appliedAt - last));
+            assertTrue(
+                    s.bytesReceived - copy < copy,
+                    "a storm cost " + (s.bytesReceived - copy) + " bytes");
+            assertTrue(s.pushCount <= 13, s.pushCount + " pushes");
         }
     }
 
     /** A single change is told at once. */
     @Test
-    public void aSingleChangeDoesNotWait() {
-        Core core = new Core();
-        List<Scheduler> all = schedulers(core, 2, 1_000);
+    public void singleChangeIsPushedAtOnce() {
+        CoreOfTwo core = new CoreOfTwo();
+        List<Scheduler> all = connectSchedulers(core, 2, 1_000);
         double at = core.loop.now();
-        core.commit(changed(core.newest, new Random(4)));
-        core.loop.run(HEARTBEAT);
-        assertInForce(core, all, "after one change");
-        assertTrue(all.get(0).since - at < 2 * LINK_MS, "told after " + (all.get(0).since - at));
+        core.commit(withRandomChange(core.newest, new Random(4)));
+        core.loop.run(HEARTBEAT_MS);
+        assertAllApplied(core, all, "after one change");
+        assertTrue(
+                all.get(0).appliedAt - at < 2 * LINK_MS,
+                "told after " + (all.get(0).appliedAt - at));
     }
 
     /** A link that hardly carries anything holds one push, and holds up nobody else. */
     @Test
-    public void aSlowSchedulerHoldsUpNobody() {
-        Core core = new Core();
-        List<Scheduler> all = schedulers(core, 3, 1_000);
+    public void slowSchedulerDoesNotDelayOthers() {
+        CoreOfTwo core = new CoreOfTwo();
+        List<Scheduler> all = connectSchedulers(core, 3, 1_000);
         Scheduler slow = new Scheduler(core, 0.01);
         slow.connect();
         Random chance = new Random(2);
         for (int i = 0; i < 1_000; i++) {
-            core.commit(changed(core.newest, chance));
+            core.commit(withRandomChange(core.newest, chance));
             core.loop.run(10);
         }
-        core.loop.run(APPLY_WITHIN);
-        assertInForce(core, all, "beside a slow one");
-        assertEquals(slow.mostWaiting, 1, "pushes that wait in its link");
+        core.loop.run(APPLY_TIMEOUT_MS);
+        assertAllApplied(core, all, "beside a slow one");
+        assertEquals(slow.maxPendingPushes, 1, "pushes that wait in its link");
     }
 
     /** One that was away for a hundred versions goes on by a delta, for more by a copy. */
     @Test
-    public void whoMissedVersionsIsBroughtUp() {
+    public void reconnectedSchedulerCatchesUp() {
         for (int missed : new int[] {1, 100, 500}) {
-            Core core = new Core();
-            List<Scheduler> all = schedulers(core, 1, 100);
+            CoreOfTwo core = new CoreOfTwo();
+            List<Scheduler> all = connectSchedulers(core, 1, 100);
             Scheduler away = all.get(0);
             away.disconnect();
             Random chance = new Random(missed);
             for (int i = 0; i < missed; i++) {
-                core.commit(changed(core.newest, chance));
+                core.commit(withRandomChange(core.newest, chance));
             }
-            long before = away.bytes;
+            long before = away.bytesReceived;
             away.connect();
-            core.loop.run(APPLY_WITHIN);
-            assertInForce(core, all, "away for " + missed);
+            core.loop.run(APPLY_TIMEOUT_MS);
+            assertAllApplied(core, all, "away for " + missed);
             long copy = core.newest.toByteArray().length;
-            assertTrue(away.bytes - before <= copy + 50, "brought up by one push at the most");
+            assertTrue(
+                    away.bytesReceived - before <= copy + 50, "brought up by one push at the most");
         }
     }
 
     /** A copy that was damaged in memory is found by its report, or by the next delta. */
     @Test
-    public void aCopyThatDiffersIsSentAgain() {
-        Core core = new Core();
-        List<Scheduler> all = schedulers(core, 1, 100);
+    public void divergedCopyIsSentAgain() {
+        CoreOfTwo core = new CoreOfTwo();
+        List<Scheduler> all = connectSchedulers(core, 1, 100);
         Scheduler scheduler = all.get(0);
-        core.loop.run(2 * HEARTBEAT);
+        core.loop.run(2 * HEARTBEAT_MS);
         core.leader()
-                .acknowledged(
+                .onAcknowledgement(
                         scheduler.subscription,
                         new Messages.ConfigurationAck(scheduler.version, 7));
-        assertEquals(scheduler.pushes, 2);
-        core.loop.run(HEARTBEAT);
-        core.leader().copyRequested(scheduler.subscription);
-        assertEquals(scheduler.pushes, 3);
-        core.loop.run(APPLY_WITHIN);
-        assertInForce(core, all, "sent again");
+        assertEquals(scheduler.pushCount, 2);
+        core.loop.run(HEARTBEAT_MS);
+        core.leader().onCopyRequest(scheduler.subscription);
+        assertEquals(scheduler.pushCount, 3);
+        core.loop.run(APPLY_TIMEOUT_MS);
+        assertAllApplied(core, all, "sent again");
     }
 
     /** Changes, lost links and new leaders in any order. */
     @Test
-    public void whateverIsLostAllComeToTheNewestVersion() {
+    public void allConvergeDespiteLostLinksAndLeaderChanges() {
         for (int seed = 0; seed < 200; seed++) {
             Random chance = new Random(seed);
-            Core core = new Core();
-            List<Scheduler> all = schedulers(core, 4, 5 + chance.nextInt(200));
+            CoreOfTwo core = new CoreOfTwo();
+            List<Scheduler> all = connectSchedulers(core, 4, 5 + chance.nextInt(200));
             for (int step = 0; step < 60; step++) {
                 Scheduler one = all.get(chance.nextInt(all.size()));
                 switch (chance.nextInt(8)) {
                     case 0 -> one.disconnect();
                     case 1 -> one.connect();
                     case 2 -> changeLeader(core, all);
-                    default -> core.commit(changed(core.newest, chance));
+                    default -> core.commit(withRandomChange(core.newest, chance));
                 }
                 core.loop.run(chance.nextInt(200));
             }
             all.stream().filter(s -> s.subscription == null).forEach(Scheduler::connect);
-            core.loop.run(APPLY_WITHIN);
-            assertInForce(core, all, "seed " + seed);
+            core.loop.run(APPLY_TIMEOUT_MS);
+            assertAllApplied(core, all, "seed " + seed);
             for (Scheduler s : all) {
-                assertEquals(s.mostWaiting, 1, "seed " + seed + ": pushes that wait in a link");
+                assertEquals(
+                        s.maxPendingPushes, 1, "seed " + seed + ": pushes that wait in a link");
             }
         }
     }
 
-    private static void changeLeader(Core core, List<Scheduler> all) {
+    private static void changeLeader(CoreOfTwo core, List<Scheduler> all) {
         all.forEach(Scheduler::disconnect);
         core.leader().clear();
         core.leader = 1 - core.leader;
--- a/src/test/java/gingerspool/controlplane/CoreModel.java
+++ b/src/test/java/gingerspool/controlplane/CoreModel.java
@@ -25,24 +25,24 @@
  * cut, processes that are killed and started, disks that keep what was synced.
  */
 final class CoreModel {
-    static final double LEASE = 500;
+    static final double LEASE_MS = 500;
     private static final double LINK_MS = 2;
     private static final double DISK_MS = 3;
     private static final int CONTROL_PORT = 8248;
-    private static final int SNAPSHOT_FLOOR = 2_000;
+    private static final int MIN_SNAPSHOT_BYTES = 2_000;
 
     /** What an operator was answered; 0 while there is no answer. */
     static final class Answer {
         int status;
         String body = "";
-        double at;
+        double answeredAt;
     }
 
     final ModelEventLoop loop = new ModelEventLoop();
     final List<Node> nodes = new ArrayList<>();
 
     /** Links that carry nothing, as "from>to". */
-    final Set<String> cuts = new HashSet<>();
+    final Set<String> cutLinks = new HashSet<>();
 
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
     private final List<String> seeds = List.of("10.0.0.1", "10.0.0.2", "10.0.0.3");
@@ -59,10 +59,10 @@
         ConfigurationState state;
         Replica replica;
         OperatorCalls calls;
-        int restored;
+        int restoredSnapshots;
         private final long seed;
         private PersistedState disk;
-        private int life;
+        private int incarnation;
 
         Node(String ip, long seed) {
             this.ip = ip;
@@ -70,7 +70,7 @@
         }
 
         void start() {
-            life++;
+            incarnation++;
             state = new ConfigurationState();
             List<Member> founders =
                     disk == null
@@ -83,10 +83,10 @@
                             founders,
                             new ReplicaSettings(
                                     1,
-                                    LEASE,
+                                    LEASE_MS,
                                     seeds,
                                     seed + ip.hashCode(),
-                                    SNAPSHOT_FLOOR,
+                                    MIN_SNAPSHOT_BYTES,
                                     1 << 16,
                                     Set.of()),
                             loop.now(),
@@ -94,11 +94,11 @@
             calls =
                     new OperatorCalls(
                             loop, CONTROL_PORT, codec, state, () -> replica, () -> "status");
-            tick(life);
+            tick(incarnation);
         }
 
         void kill() {
-            life++;
+            incarnation++;
             replica = null;
         }
 
@@ -106,12 +106,12 @@
             return replica != null;
         }
 
-        boolean leads() {
+        boolean isLeading() {
             return isUp() && replica.isActiveLeader(loop.now());
         }
 
         private void tick(int of) {
-            if (of == life) {
+            if (of == incarnation) {
                 replica.tick(loop.now());
                 loop.schedule(5, () -> tick(of));
             }
@@ -131,9 +131,9 @@
         }
 
         private OperatorCall.Reply replyTo(Answer answer) {
-            int of = life;
+            int of = incarnation;
             return (status, fields, body) -> {
-                if (of != life) {
+                if (of != incarnation) {
                     return;
                 }
                 if (answer.status != 0) {
@@ -141,7 +141,7 @@
                 }
                 answer.status = status;
                 answer.body = new String(body, StandardCharsets.UTF_8);
-                answer.at = loop.now();
+                answer.answeredAt = loop.now();
             };
         }
 
@@ -161,19 +161,19 @@
 
         private void receive(String sender, Member from, Member to, ConsensusMessage message) {
             boolean isFor = to.id().isEmpty() || isUp() && to.equals(replica.self());
-            if (isUp() && isFor && !cuts.contains(sender + ">" + ip)) {
+            if (isUp() && isFor && !cutLinks.contains(sender + ">" + ip)) {
                 replica.receive(loop.now(), from, message);
             }
         }
 
         @Override
         public void persist(LogWrite write) {
-            int of = life;
+            int of = incarnation;
             loop.schedule(
                     DISK_MS,
                     () -> {
-                        if (of == life) {
-                            disk = merged(disk, write);
+                        if (of == incarnation) {
+                            disk = applyWrite(disk, write);
                             replica.persisted(loop.now(), write.ticket());
                         }
                     });
@@ -191,7 +191,7 @@
 
         @Override
         public void restore(long index, byte[] bytes) {
-            restored++;
+            restoredSnapshots++;
             state.restore(bytes);
         }
 
@@ -201,7 +201,7 @@
         }
     }
 
-    private static PersistedState merged(PersistedState disk, LogWrite w) {
+    private static PersistedState applyWrite(PersistedState disk, LogWrite w) {
         List<LogEntry> entries = new ArrayList<>();
         if (w.snapshot() == null) {
             long kept = w.from() - disk.snapshot().index() - 1;
@@ -220,7 +220,7 @@
     Node awaitLeader(List<Node> among) {
         for (int i = 0; i < 2_000; i++) {
             for (Node node : among) {
-                if (node.leads()) {
+                if (node.isLeading()) {
                     return node;
                 }
             }
@@ -237,15 +237,15 @@
         return nodes.stream().filter(n -> n != node).toList();
     }
 
-    void cut(Node node) {
+    void isolate(Node node) {
         for (Node other : others(node)) {
-            cuts.add(node.ip + ">" + other.ip);
-            cuts.add(other.ip + ">" + node.ip);
+            cutLinks.add(node.ip + ">" + other.ip);
+            cutLinks.add(other.ip + ">" + node.ip);
         }
     }
 
     /** Sends it to whoever leads until the answer is clear. */
-    Answer until(boolean whole, long on, String body) {
+    Answer changeUntilDecided(boolean whole, long on, String body) {
         for (int i = 0; i < 20; i++) {
             Answer answer = awaitLeader().change(whole, on, body);
             loop.run(900);
@@ -256,7 +256,7 @@
         throw new IllegalStateException("no clear answer");
     }
 
-    static String whole(long version, String note) {
+    static String completeConfiguration(long version, String note) {
         return "{\"Version\":%d,\"Routes\":[],\"Note\":\"%s\"}".formatted(version, note);
     }
 }
--- a/src/test/java/gingerspool/controlplane/LeaderDutiesTest.java
+++ b/src/test/java/gingerspool/controlplane/LeaderDutiesTest.java
@@ -23,7 +23,7 @@
 
 /** What the leader's duties do while the lease holds, has lapsed, and once the term is over. */
 public class LeaderDutiesTest {
-    private static final double BEAT = 2 * CoreModel.LEASE;
+    private static final double HEARTBEAT_MS = 2 * CoreModel.LEASE_MS;
     private static final String CONFIGURATION =
             "{\"Version\":1,\"Routes\":[{\"Name\":\"r\",\"HostName\":\"h\",\"PathPrefix\":\"/\","
                     + "\"Service\":\"f\",\"TargetLatencyMs\":100}],\"Services\":[{\"Name\":\"f\","
@@ -91,7 +91,7 @@
         }
 
         @Override
-        public void hosts(Consumer<Answer> then) {
+        public void hosts(Consumer<Response> then) {
             Map<String, Object> host =
                     Map.of(
                             "Name", "w",
@@ -99,7 +99,7 @@
                             "MemoryMb", 1024,
                             "FreeMemoryMb", 1024,
                             "State", "ready");
-            Answer answer = new Answer(200, Map.of("Workers", List.of(host)));
+            Response answer = new Response(200, Map.of("Workers", List.of(host)));
             core.loop.schedule(10, () -> then.accept(answer));
         }
 
@@ -110,7 +110,7 @@
                 String service,
                 String host,
                 String nonce,
-                Consumer<Answer> then) {
+                Consumer<Response> then) {
             calls.add("start");
             assertTrue(nonces.add(nonce), "the same nonce for another start: " + nonce);
             String id = "i-" + nonces.size();
@@ -119,15 +119,15 @@
                     10,
                     () ->
                             then.accept(
-                                    new Answer(
+                                    new Response(
                                             200,
                                             Map.of("Identifier", id, "Address", "10.1.0.1:1"))));
         }
 
         @Override
-        public void stop(String holder, long fence, String instance, Consumer<Answer> then) {
+        public void stop(String holder, long fence, String instance, Consumer<Response> then) {
             calls.add("stop");
-            core.loop.schedule(10, () -> then.accept(new Answer(200, null)));
+            core.loop.schedule(10, () -> then.accept(new Response(200, null)));
         }
     }
 
@@ -146,18 +146,18 @@
     }
 
     /** The leader's part of a control node, as ControlNode joins it. */
-    private final class Leading {
+    private final class LeaderSide {
         final Node node;
         final Leadership leadership;
         final SchedulerRegistry schedulers;
-        int ended;
+        int endedDuties;
 
-        Leading(Node node) {
+        LeaderSide(Node node) {
             this.node = node;
             ConfigurationState state = new ConfigurationState();
             state.apply(true, 0, CONFIGURATION.getBytes(StandardCharsets.UTF_8));
             schedulers = new SchedulerRegistry(core.loop, settings, state);
-            schedulers.configured();
+            schedulers.onConfigurationChanged();
             leadership =
                     new Leadership(
                             node.replica,
@@ -168,16 +168,16 @@
                                                 settings,
                                                 platform,
                                                 term,
-                                                node::leads,
-                                                schedulers::tell,
-                                                schedulers::tellAll);
-                                duties.configured(state.configuration());
-                                schedulers.lead(duties);
+                                                node::isLeading,
+                                                schedulers::send,
+                                                schedulers::sendToAll);
+                                duties.onConfigurationChanged(state.configuration());
+                                schedulers.startLeading(duties);
                                 return duties;
                             },
                             () -> {
-                                ended++;
-                                schedulers.leadNoMore();
+                                endedDuties++;
+                                schedulers.stopLeading();
                             });
             update();
         }
@@ -196,65 +196,65 @@
         return new Messages.SlotDemand("f", lacks, granted, lacks, lacks, 50);
     }
 
-    private Leading leading;
+    private LeaderSide leader;
     private Link link;
 
     @BeforeMethod
     public void lead() {
         core = new CoreModel(3);
         platform = new ModelPlatform();
-        leading = new Leading(core.awaitLeader());
-        core.loop.run(BEAT / 2);
+        leader = new LeaderSide(core.awaitLeader());
+        core.loop.run(HEARTBEAT_MS / 2);
         link = new Link();
-        leading.schedulers.register(link, register(Map.of()), 1);
-        leading.schedulers.received(link, demand(1, 0));
-        core.loop.run(BEAT);
+        leader.schedulers.register(link, register(Map.of()), 1);
+        leader.schedulers.received(link, demand(1, 0));
+        core.loop.run(HEARTBEAT_MS);
         assertTrue(link.grants() >= 1, "nothing was granted under the lease");
     }
 
     @Test
-    public void withoutTheLeaseNothingIsGrantedRecalledStartedOrListed() {
-        core.cut(leading.node);
-        while (leading.node.leads()) {
+    public void nothingIsDoneWithoutLease() {
+        core.isolate(leader.node);
+        while (leader.node.isLeading()) {
             core.loop.run(5);
         }
         platform.calls.clear();
         link.received.clear();
         for (int i = 0; i < 40; i++) {
-            leading.schedulers.received(link, demand(5, 0));
-            leading.schedulers.received(
+            leader.schedulers.received(link, demand(5, 0));
+            leader.schedulers.received(
                     link, new Messages.SlotReturn("i-1", 1, Messages.InstanceCondition.HEALTHY));
             core.loop.run(100);
         }
         assertEquals(link.grants(), 0);
         assertTrue(link.received.stream().noneMatch(Messages.SlotRecall.class::isInstance));
         assertEquals(platform.calls, List.of());
-        assertEquals(leading.ended, 1, "it steps down, and the duties end once");
-        assertEquals(leading.schedulers.size(), 0);
+        assertEquals(leader.endedDuties, 1, "it steps down, and the duties end once");
+        assertEquals(leader.schedulers.size(), 0);
     }
 
     /** A lease that lapses and is renewed in its term goes on with the same duties. */
     @Test
-    public void aLeaseThatLapsesForAMomentEndsNothing() {
-        long term = leading.node.replica.term();
-        core.cut(leading.node);
-        while (leading.node.leads()) {
+    public void dutiesContinueAfterLeaseIsRenewed() {
+        long term = leader.node.replica.term();
+        core.isolate(leader.node);
+        while (leader.node.isLeading()) {
             core.loop.run(5);
         }
-        core.cuts.clear();
-        core.loop.run(CoreModel.LEASE);
-        assertTrue(leading.node.leads());
-        assertEquals(leading.node.replica.term(), term);
-        assertEquals(leading.ended, 0);
+        core.cutLinks.clear();
+        core.loop.run(CoreModel.LEASE_MS);
+        assertTrue(leader.node.isLeading());
+        assertEquals(leader.node.replica.term(), term);
+        assertEquals(leader.endedDuties, 0);
         int before = link.grants();
-        leading.schedulers.received(link, demand(1, before));
-        core.loop.run(BEAT);
+        leader.schedulers.received(link, demand(1, before));
+        core.loop.run(HEARTBEAT_MS);
         assertTrue(link.grants() > before);
     }
 
     /** What still comes on an earlier link was told before the scheduler registered anew. */
     @Test
-    public void messagesOfAnEarlierLinkCountForNothing() {
+    public void messagesOnEarlierLinkAreIgnored() {
         String held =
                 link.received.stream()
                         .filter(Messages.SlotGrant.class::isInstance)
@@ -262,29 +262,29 @@
                         .findFirst()
                         .orElseThrow();
         Link next = new Link();
-        leading.schedulers.register(next, register(Map.of(held, 2)), 1);
-        leading.schedulers.received(
+        leader.schedulers.register(next, register(Map.of(held, 2)), 1);
+        leader.schedulers.received(
                 link, new Messages.SlotReturn(held, 2, Messages.InstanceCondition.HEALTHY));
-        leading.schedulers.closed(link);
-        assertEquals(leading.leadership.duties().allocator.instance(held).grantedSlots(), 2);
-        assertEquals(leading.schedulers.size(), 1);
+        leader.schedulers.closed(link);
+        assertEquals(leader.leadership.duties().allocator.instance(held).grantedSlots(), 2);
+        assertEquals(leader.schedulers.size(), 1);
     }
 
     /** It holds slots of what a new leader saw leave before this scheduler came to it. */
     @Test
-    public void whoeverRegistersIsToldWhatLeaves() {
-        Node old = leading.node;
-        core.cut(old);
+    public void registeringSchedulerLearnsOfDrainingInstances() {
+        Node old = leader.node;
+        core.isolate(old);
         platform.draining.addAll(platform.instances.keySet());
         Set<String> leaving = Set.copyOf(platform.draining);
-        Leading next = new Leading(core.awaitLeader(core.others(old)));
-        core.loop.run(2 * BEAT);
+        LeaderSide next = new LeaderSide(core.awaitLeader(core.others(old)));
+        core.loop.run(2 * HEARTBEAT_MS);
         Link moved = new Link();
         Map<String, Integer> held = new HashMap<>();
         leaving.forEach(id -> held.put(id, 1));
         next.schedulers.register(moved, register(held), 2);
         next.schedulers.received(moved, demand(2, 0));
-        core.loop.run(2 * BEAT);
+        core.loop.run(2 * HEARTBEAT_MS);
         Set<String> told = new HashSet<>();
         for (Object message : moved.received) {
             if (message instanceof Messages.InstanceWithdrawal w) {
--- a/src/test/java/gingerspool/controlplane/LeaderWatchTest.java
+++ b/src/test/java/gingerspool/controlplane/LeaderWatchTest.java
@@ -6,7 +6,7 @@
 
 public class LeaderWatchTest {
     @Test
-    public void isDueOnceInFourIntervalsWithoutALeader() {
+    public void isDueEveryFourIntervalsWithoutLeader() {
         LeaderWatch watch = new LeaderWatch(1_000, 0);
         StringBuilder due = new StringBuilder();
         for (int at = 500; at <= 20_000; at += 500) {
--- a/src/test/java/gingerspool/controlplane/PlatformCallsTest.java
+++ b/src/test/java/gingerspool/controlplane/PlatformCallsTest.java
@@ -27,25 +27,25 @@
  * works.
  */
 public class PlatformCallsTest {
-    private static final double PATIENCE = 200;
-    private static final String GOOD = page("{\"Identifier\":\"i-1234\"}");
+    private static final double TIMEOUT_MS = 200;
+    private static final String STARTED_RESPONSE = okResponse("{\"Identifier\":\"i-1234\"}");
     private SingleThreadEventLoop loop;
     private ServerSocket server;
     private PlatformClient platform;
 
     /** What each connection's first request is answered; nothing: it stays silent. */
-    private final LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> responses = new LinkedBlockingQueue<>();
 
     @BeforeMethod
     public void open() throws IOException {
         loop = new SingleThreadEventLoop();
-        answers.clear();
+        responses.clear();
         server = new ServerSocket(0, 20, InetAddress.getLoopbackAddress());
         platform =
                 new PlatformClient(
                         loop,
                         new InetSocketAddress(server.getInetAddress(), server.getLocalPort()),
-                        PATIENCE);
+                        TIMEOUT_MS);
         Thread serving = new Thread(this::serve);
         serving.setDaemon(true);
         serving.start();
@@ -62,7 +62,7 @@
             while (true) {
                 Socket s = server.accept();
                 s.getInputStream().read(new byte[4096]);
-                String answer = answers.take();
+                String answer = responses.take();
                 if (!answer.isEmpty()) {
                     s.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
                     s.close();
@@ -85,12 +85,12 @@
         return end.get(5, TimeUnit.SECONDS);
     }
 
-    private Platform.Answer start() throws Exception {
+    private Platform.Response start() throws Exception {
         return call(then -> platform.start("core-1", 3, "f", "h1", "n1", then));
     }
 
     @DataProvider
-    Object[][] troubles() {
+    Object[][] badResponses() {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: 24\r\n\r\n";
         return new Object[][] {
             {"", 0},
@@ -105,13 +105,13 @@
     }
 
     @Test(dataProvider = "troubles")
-    public void eachCallHasOneEndAndTheNextOneWorks(String answer, int status) throws Exception {
-        answers.add(answer);
+    public void everyCallCompletesOnceAndNextSucceeds(String answer, int status) throws Exception {
+        responses.add(answer);
         assertEquals(start().status(), status);
-        answers.add(GOOD);
-        Platform.Answer next = start();
+        responses.add(STARTED_RESPONSE);
+        Platform.Response next = start();
         assertEquals(next.status(), 200);
-        assertEquals(JsonTree.text("", next.tree(), "Identifier"), "i-1234");
+        assertEquals(JsonTree.text("", next.body(), "Identifier"), "i-1234");
     }
 
     /**
@@ -119,21 +119,21 @@
      * gone.
      */
     @Test
-    public void aListOfWhichAPageIsMissingIsNoList() throws Exception {
+    public void discardsListWithMissingPage() throws Exception {
         String first = "{\"Instances\":[{\"Identifier\":\"i-1\"}],\"NextPageToken\":\"p-1\"}";
         String last = "{\"Instances\":[{\"Identifier\":\"i-2\"}],\"NextPageToken\":null}";
-        answers.add(page(first));
-        answers.add("HTTP/1.1 429 Too Many\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+        responses.add(okResponse(first));
+        responses.add("HTTP/1.1 429 Too Many\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         assertNull(this.<List<Object>>call(then -> platform.instances(then)));
-        answers.add(page(first));
-        answers.add(page("{\"Instances\":\"none\"}"));
+        responses.add(okResponse(first));
+        responses.add(okResponse("{\"Instances\":\"none\"}"));
         assertNull(this.<List<Object>>call(then -> platform.instances(then)));
-        answers.add(page(first));
-        answers.add(page(last));
+        responses.add(okResponse(first));
+        responses.add(okResponse(last));
         assertEquals(this.<List<Object>>call(then -> platform.instances(then)).size(), 2);
     }
 
-    private static String page(String body) {
+    private static String okResponse(String body) {
         return "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: "
                 + body.length()
                 + "\r\n\r\n"
--- a/src/test/java/gingerspool/controlplane/ReadsUnderFaultsTest.java
+++ b/src/test/java/gingerspool/controlplane/ReadsUnderFaultsTest.java
@@ -1,6 +1,6 @@
 package gingerspool.controlplane;
 
-import static gingerspool.controlplane.CoreModel.whole;
+import static gingerspool.controlplane.CoreModel.completeConfiguration;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
@@ -20,11 +20,11 @@
  * acknowledged before the read was sent, and nothing acknowledged is lost.
  */
 public class ReadsUnderFaultsTest {
-    private static final int STEPS = 400;
+    private static final int FAULT_STEPS = 400;
     private static final double STEP_MS = 50;
 
     /** From here on nothing fails any more. */
-    private static final int CALM_STEPS = 100;
+    private static final int RECOVERY_STEPS = 100;
 
     private static final Pattern VERSION = Pattern.compile("\"Version\" ?: ?([0-9]+)");
 
@@ -38,27 +38,27 @@
     }
 
     /** A read, and the newest version that was acknowledged when it was sent. */
-    private record Read(Answer answer, long acknowledged) {}
+    private record Read(Answer answer, long newestAcknowledged) {}
 
     /** A change, and the version that it makes. */
     private record Change(Answer answer, long version) {}
 
-    private static final class Play {
-        private final SplittableRandom chance;
+    private static final class FaultRun {
+        private final SplittableRandom random;
         private final CoreModel core;
         private final List<Read> reads = new ArrayList<>();
         private final List<Change> changes = new ArrayList<>();
-        private long proposed;
-        private int served;
-        private int downAtOnce;
+        private long lastProposedVersion;
+        private int answeredReads;
+        private int maxNodesDown;
 
-        Play(long seed) {
-            chance = new SplittableRandom(seed);
+        FaultRun(long seed) {
+            random = new SplittableRandom(seed);
             core = new CoreModel(seed);
             core.awaitLeader();
         }
 
-        private long acknowledged() {
+        private long newestAcknowledged() {
             return changes.stream()
                     .filter(change -> change.answer.status == 200)
                     .mapToLong(Change::version)
@@ -67,15 +67,15 @@
         }
 
         void run() {
-            for (int step = 0; step < STEPS; step++) {
+            for (int step = 0; step < FAULT_STEPS; step++) {
                 if (step % 10 == 0) {
-                    disturb();
+                    injectFault();
                 }
                 step();
             }
-            core.cuts.clear();
+            core.cutLinks.clear();
             core.nodes.stream().filter(node -> !node.isUp()).forEach(Node::start);
-            for (int step = 0; step < CALM_STEPS; step++) {
+            for (int step = 0; step < RECOVERY_STEPS; step++) {
                 step();
             }
         }
@@ -83,23 +83,28 @@
         private void step() {
             for (Node node : core.nodes) {
                 if (node.isUp()) {
-                    reads.add(new Read(node.read(), acknowledged()));
+                    reads.add(new Read(node.read(), newestAcknowledged()));
                     changeAt(node);
                 }
             }
             core.loop.run(STEP_MS);
-            reads.forEach(Play::check);
-            served += (int) reads.stream().filter(read -> read.answer.status == 200).count();
+            reads.forEach(FaultRun::check);
+            answeredReads += (int) reads.stream().filter(read -> read.answer.status == 200).count();
             reads.removeIf(read -> read.answer.status != 0);
         }
 
         /** Versions are never proposed twice, so that an answer tells which change it has seen. */
         private void changeAt(Node node) {
-            if (node.leads() && chance.nextInt(3) == 0) {
-                proposed++;
+            if (node.isLeading() && random.nextInt(3) == 0) {
+                lastProposedVersion++;
                 long base = node.state.version();
-                Answer answer = node.change(true, base, whole(proposed, "n" + proposed));
-                changes.add(new Change(answer, proposed));
+                Answer answer =
+                        node.change(
+                                true,
+                                base,
+                                completeConfiguration(
+                                        lastProposedVersion, "n" + lastProposedVersion));
+                changes.add(new Change(answer, lastProposedVersion));
             }
         }
 
@@ -108,8 +113,8 @@
             if (status == 200 || status == 404) {
                 long version = versionOf(read.answer);
                 assertTrue(
-                        version >= read.acknowledged,
-                        version + " was read, " + read.acknowledged + " acknowledged before");
+                        version >= read.newestAcknowledged,
+                        version + " was read, " + read.newestAcknowledged + " acknowledged before");
             } else {
                 assertTrue(status == 0 || status == 503 || status == 307, "" + status);
             }
@@ -126,11 +131,11 @@
         }
 
         /** Cuts the core into two sides or joins it, kills or starts a member; disks are kept. */
-        private void disturb() {
-            Node node = core.nodes.get(chance.nextInt(core.nodes.size()));
-            switch (chance.nextInt(4)) {
-                case 0 -> core.cut(node);
-                case 1 -> core.cuts.clear();
+        private void injectFault() {
+            Node node = core.nodes.get(random.nextInt(core.nodes.size()));
+            switch (random.nextInt(4)) {
+                case 0 -> core.isolate(node);
+                case 1 -> core.cutLinks.clear();
                 case 2 -> {
                     if (node.isUp()) {
                         node.kill();
@@ -139,18 +144,19 @@
                 default -> core.nodes.stream().filter(n -> !n.isUp()).forEach(Node::start);
             }
             int down = (int) core.nodes.stream().filter(n -> !n.isUp()).count();
-            downAtOnce = Math.max(downAtOnce, down);
+            maxNodesDown = Math.max(maxNodesDown, down);
         }
     }
 
     @Test(dataProvider = "seeds")
-    public void noReadIsOlderThanWhatWasAcknowledged(long seed) {
-        Play play = new Play(seed);
+    public void readsAreNeverStale(long seed) {
+        FaultRun play = new FaultRun(seed);
         play.run();
-        assertTrue(play.served > 0, "nothing was served");
-        assertTrue(play.acknowledged() > 0, "nothing was acknowledged");
+        assertTrue(play.answeredReads > 0, "nothing was served");
+        assertTrue(play.newestAcknowledged() > 0, "nothing was acknowledged");
         long version = play.core.awaitLeader().state.version();
-        assertTrue(version >= play.acknowledged(), version + " of " + play.acknowledged());
+        assertTrue(
+                version >= play.newestAcknowledged(), version + " of " + play.newestAcknowledged());
         for (Node node : play.core.nodes) {
             assertEquals(node.state.version(), version);
         }
@@ -158,12 +164,12 @@
 
     /** The plays above do go beyond the one loss that three members tolerate. */
     @Test
-    public void lossesOverlapInTheseSeeds() {
+    public void faultsExceedToleranceInSomeSeeds() {
         int beyond = 0;
         for (Object[] seed : seeds()) {
-            Play play = new Play((long) seed[0]);
+            FaultRun play = new FaultRun((long) seed[0]);
             play.run();
-            beyond += play.downAtOnce >= 2 ? 1 : 0;
+            beyond += play.maxNodesDown >= 2 ? 1 : 0;
         }
         assertTrue(beyond >= 5, beyond + " seeds");
     }
--- a/src/test/java/gingerspool/controlplane/RepairTest.java
+++ b/src/test/java/gingerspool/controlplane/RepairTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    public void eachMembersCopyIsMendedFromTheOthersTheLeadersToo() throws Exception {
+    public void damagedCopyIsRepairedOnEveryMember() throws Exception {
         try (Platforms.Running platform =
                 new Platforms.Running(Files.createTempDirectory("repair"))) {
             assertEquals(platform.configure().statusCode(), 200);
--- a/src/test/java/gingerspool/controlplane/RepeatedOrderTest.java
+++ b/src/test/java/gingerspool/controlplane/RepeatedChangeTest.java
@@ -1,6 +1,6 @@
 package gingerspool.controlplane;
 
-import static gingerspool.controlplane.CoreModel.whole;
+import static gingerspool.controlplane.CoreModel.completeConfiguration;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 
 /** Orders that are sent again, and several under one number, over the real replica, in memory. */
-public class RepeatedOrderTest {
+public class RepeatedChangeTest {
     private static final long SEEDS = 20;
 
     @DataProvider
@@ -25,34 +25,34 @@
         return all;
     }
 
-    private static void assertTaken(Answer answer, long version) {
+    private static void assertAccepted(Answer answer, long version) {
         assertEquals(answer.status, 200, answer.body);
         assertEquals(answer.body, "{\"Version\":" + version + "}");
     }
 
     @Test(dataProvider = "seeds")
-    public void aRepeatWhileTheFirstIsUnderWayIsTakenOnce(long seed) {
+    public void repeatOfPendingChangeIsAppliedOnce(long seed) {
         CoreModel core = new CoreModel(seed);
         Node leader = core.awaitLeader();
-        Answer first = leader.change(true, 0, whole(5, "a"));
-        Answer again = leader.change(true, 0, whole(5, "a"));
-        Answer next = leader.change(true, 5, whole(9, "b"));
-        Answer late = leader.change(true, 0, whole(5, "a"));
+        Answer first = leader.change(true, 0, completeConfiguration(5, "a"));
+        Answer again = leader.change(true, 0, completeConfiguration(5, "a"));
+        Answer next = leader.change(true, 5, completeConfiguration(9, "b"));
+        Answer late = leader.change(true, 0, completeConfiguration(5, "a"));
         core.loop.run(100);
-        assertTaken(first, 5);
-        assertTaken(again, 5);
-        assertTaken(next, 9);
-        assertTaken(late, 5);
+        assertAccepted(first, 5);
+        assertAccepted(again, 5);
+        assertAccepted(next, 9);
+        assertAccepted(late, 5);
     }
 
     @Test(dataProvider = "seeds")
-    public void oneOfManyUnderOneNumberIsTakenWhereverTheyAsk(long seed) {
+    public void onlyOneOfSeveralWithSameVersionIsAccepted(long seed) {
         CoreModel core = new CoreModel(seed);
         core.awaitLeader();
         List<Answer> answers = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             Node node = core.nodes.get((int) (i + seed) % 3);
-            answers.add(node.change(true, 0, whole(5, "operator " + i)));
+            answers.add(node.change(true, 0, completeConfiguration(5, "operator " + i)));
         }
         core.loop.run(900);
         answers.forEach(a -> assertNotEquals(a.status, 0));
@@ -62,46 +62,46 @@
 
     /** It is only in the old leader's log, which nobody else has. */
     @Test(dataProvider = "seeds")
-    public void aRepeatWhileTheFirstIsInACutOffLeadersLog(long seed) {
+    public void repeatIsAcceptedAfterFirstReachedPartitionedLeaderOnly(long seed) {
         CoreModel core = new CoreModel(seed);
-        assertTaken(core.until(true, 0, whole(2, "before")), 2);
+        assertAccepted(core.changeUntilDecided(true, 0, completeConfiguration(2, "before")), 2);
         Node old = core.awaitLeader();
-        core.cut(old);
-        Answer first = old.change(true, 2, whole(5, "a"));
+        core.isolate(old);
+        Answer first = old.change(true, 2, completeConfiguration(5, "a"));
         Node next = core.awaitLeader(core.others(old));
-        Answer again = next.change(true, 2, whole(5, "a"));
-        Answer rival = next.change(true, 2, whole(5, "rival"));
+        Answer again = next.change(true, 2, completeConfiguration(5, "a"));
+        Answer rival = next.change(true, 2, completeConfiguration(5, "rival"));
         core.loop.run(100);
-        assertTaken(again, 5);
+        assertAccepted(again, 5);
         assertEquals(rival.status, 412);
-        core.cuts.clear();
+        core.cutLinks.clear();
         core.loop.run(3_000);
         assertEquals(first.status, 503, "it can't know");
         assertEquals(old.state.items(), next.state.items());
-        assertTaken(core.until(true, 2, whole(5, "a")), 5);
+        assertAccepted(core.changeUntilDecided(true, 2, completeConfiguration(5, "a")), 5);
     }
 
     /** The leader falls once one follower has the command, and before anybody was told. */
     @Test(dataProvider = "seeds")
-    public void whatAFallenLeaderLeftInAnothersLogIsNotRefusedToItsRepeat(long seed) {
+    public void repeatOfChangeLeftByFailedLeaderIsAccepted(long seed) {
         CoreModel core = new CoreModel(seed);
-        assertTaken(core.until(true, 0, whole(2, "before")), 2);
+        assertAccepted(core.changeUntilDecided(true, 0, completeConfiguration(2, "before")), 2);
         Node old = core.awaitLeader();
         Node holder = core.others(old).get((int) (seed % 2));
         Node lacking = core.others(old).get((int) (1 - seed % 2));
-        core.cuts.add(old.ip + ">" + lacking.ip);
-        core.cuts.add(holder.ip + ">" + old.ip);
-        Answer first = old.change(true, 2, whole(5, "a"));
+        core.cutLinks.add(old.ip + ">" + lacking.ip);
+        core.cutLinks.add(holder.ip + ">" + old.ip);
+        Answer first = old.change(true, 2, completeConfiguration(5, "a"));
         core.loop.run(20);
         old.kill();
-        core.cuts.clear();
+        core.cutLinks.clear();
         Node next = core.awaitLeader(core.others(old));
         assertEquals(next.ip, holder.ip, "only the one with the longer log can be elected");
-        Answer again = next.change(true, 2, whole(5, "a"));
-        Answer rival = next.change(true, 2, whole(7, "rival"));
+        Answer again = next.change(true, 2, completeConfiguration(5, "a"));
+        Answer rival = next.change(true, 2, completeConfiguration(7, "rival"));
         core.loop.run(200);
         assertEquals(first.status, 0, "it was not answered");
-        assertTaken(again, 5);
+        assertAccepted(again, 5);
         assertEquals(rival.status, 412);
         old.start();
         core.loop.run(3_000);
@@ -109,28 +109,35 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void aRepeatIsKnownAfterASnapshotWasInstalledAndAfterARestartOfAll(long seed) {
+    public void repeatIsKnownAfterSnapshotAndRestart(long seed) {
         CoreModel core = new CoreModel(seed);
         Node away = core.others(core.awaitLeader()).get(0);
         away.kill();
         for (int version = 1; version <= 150; version++) {
-            assertTaken(core.until(true, version - 1, whole(version, "v")), version);
+            assertAccepted(
+                    core.changeUntilDecided(true, version - 1, completeConfiguration(version, "v")),
+                    version);
         }
         away.start();
         core.loop.run(2_000);
-        assertTrue(away.restored > 0, "no snapshot was installed");
+        assertTrue(away.restoredSnapshots > 0, "no snapshot was installed");
         core.others(away).get(0).kill();
         core.awaitLeader();
         core.others(away).get(0).start();
         for (int version = 1; version <= 150; version += 29) {
-            assertTaken(core.until(true, version - 1, whole(version, "v")), version);
+            assertAccepted(
+                    core.changeUntilDecided(true, version - 1, completeConfiguration(version, "v")),
+                    version);
         }
         core.nodes.forEach(Node::kill);
         core.loop.run(50);
         core.nodes.forEach(Node::start);
         for (int version = 1; version <= 150; version += 29) {
-            assertTaken(core.until(true, version - 1, whole(version, "v")), version);
+            assertAccepted(
+                    core.changeUntilDecided(true, version - 1, completeConfiguration(version, "v")),
+                    version);
         }
-        assertEquals(core.until(true, 3, whole(150, "other")).status, 412);
+        assertEquals(
+                core.changeUntilDecided(true, 3, completeConfiguration(150, "other")).status, 412);
     }
 }
--- a/src/test/java/gingerspool/controlplane/StartWithoutDiskTest.java
+++ b/src/test/java/gingerspool/controlplane/StartWithoutDiskTest.java
@@ -55,7 +55,7 @@
     }
 
     @Test
-    public void answers503UntilTheDiskIsThereThenGoesOn() throws Exception {
+    public void returns503UntilDiskIsUsable() throws Exception {
         Path folder = Files.createTempDirectory("start");
         Path inTheWay = folder.resolve("in-the-way");
         Files.write(inTheWay, new byte[1]);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    public void aLogThatCanNotBeReadIsNoFirstStart() throws Exception {
+    public void joinsAsLearnerWhenLogIsUnreadable() throws Exception {
         Path folder = Files.createTempDirectory("start");
         Path data = Files.createDirectories(folder.resolve("data"));
         Files.write(data.resolve("ledger-3.mv"), new byte[9000]);
