--- a/src/main/java/gingerspool/controlplane/CoreMember.java
+++ b/src/main/java/gingerspool/controlplane/ClusterMember.java
@@ -26,8 +26,8 @@
  * what it sends, writes and applies, the leader's duties while it leads, and the comparison of
  * copies. All calls come on the loop. Owns the replica; the configuration's state is the node's.
  */
-final class CoreMember implements ReplicaEnvironment {
-    private static final Logger LOG = LoggerFactory.getLogger(CoreMember.class);
+final class ClusterMember implements ReplicaEnvironment {
+    private static final Logger LOG = LoggerFactory.getLogger(ClusterMember.class);
 
     /** The leader's lease, in heartbeat intervals. */
     private static final double LEASE_HEARTBEATS = 0.5;
@@ -74,19 +74,19 @@
     private double nextTickAt = Double.POSITIVE_INFINITY;
 
     /** The seeds may be changed by the node; the replica sees it. */
-    CoreMember(Node node, RecoveredLog recovered, List<String> seeds) {
+    ClusterMember(Node node, RecoveredLog recovered, List<String> seeds) {
         this.node = node;
         loop = node.loop();
         settings = node.settings();
         replica = createReplica(recovered, seeds);
-        BiConsumer<String, Object> toPeer = node.peerLinks()::send;
+        BiConsumer<String, Object> sendToPeer = node.peerLinks()::send;
         repair =
                 new RepairExchange(
                         loop,
                         settings,
                         node.configurationState(),
                         replica,
-                        toPeer,
+                        sendToPeer,
                         node::onConfigurationChanged);
         leaderWatch = new LeaderWatch(settings.heartbeatInterval, loop.now());
         leadership = new Leadership(replica, this::beginDuties, this::endDuties);
@@ -94,13 +94,13 @@
 
     /** Only an empty disk may be that of a first start; one that can't be read has lost votes. */
     private Replica createReplica(RecoveredLog recovered, List<String> seeds) {
-        boolean bootstraps = recovered.isEmpty() && settings.firstStart;
+        boolean isFirstStart = recovered.isEmpty() && settings.firstStart;
         List<Member> founders =
-                bootstraps
+                isFirstStart
                         ? seeds.stream().map(seed -> new Member(seed, Member.FOUNDER)).toList()
                         : List.of();
         // Never the same twice, whatever was on a disk before: so not from a seed.
-        String id = bootstraps ? Member.FOUNDER : UUID.randomUUID().toString();
+        String id = isFirstStart ? Member.FOUNDER : UUID.randomUUID().toString();
         return new Replica(
                 new Member(settings.ip, id),
                 recovered.state(),
@@ -154,9 +154,9 @@
 
     /** Looks after the links to the peers; true where the settings file should be read anew. */
     boolean maintainPeers() {
-        boolean isLost = leaderWatch.isDue(replica.leader(loop.now()) != null, loop.now());
+        boolean isLeaderless = leaderWatch.isDue(replica.leader(loop.now()) != null, loop.now());
         node.peerLinks().maintain(replica.contacts());
-        return isLost;
+        return isLeaderless;
     }
 
     // ---- Time ----
@@ -168,10 +168,10 @@
     }
 
     private void scheduleTick() {
-        double at = Math.max(replica.nextTick(), loop.now() + MIN_TICK_INTERVAL_MS);
-        if (at < nextTickAt) {
-            nextTickAt = at;
-            loop.schedule(at - loop.now(), this::tick);
+        double tickAt = Math.max(replica.nextTick(), loop.now() + MIN_TICK_INTERVAL_MS);
+        if (tickAt < nextTickAt) {
+            nextTickAt = tickAt;
+            loop.schedule(tickAt - loop.now(), this::tick);
         }
     }
 
@@ -269,14 +269,14 @@
         ConfigurationState state = node.configurationState();
         try {
             Messages.ChangeCommand change = (Messages.ChangeCommand) node.codec().read(command);
-            long before = state.version();
-            ConfigurationState.ChangeResult verdict =
+            long previousVersion = state.version();
+            ConfigurationState.ChangeResult result =
                     state.apply(change.whole(), change.on(), change.body());
-            if (state.version() != before) {
+            if (state.version() != previousVersion) {
                 LOG.info("config.committed version={} index={}", state.version(), index);
                 node.onConfigurationChanged();
             }
-            node.operatorCalls().applied(change.id(), verdict);
+            node.operatorCalls().applied(change.id(), result);
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(
                     "a command that was committed can't be read: " + e.getMessage(), e);
--- a/src/main/java/gingerspool/controlplane/ConfigurationPublisher.java
+++ b/src/main/java/gingerspool/controlplane/ConfigurationPublisher.java
@@ -43,10 +43,10 @@
 
         private double lastPushAt = Double.NEGATIVE_INFINITY;
 
-        private Subscription(String name, InternalEndpoint.Link link, long inForce) {
+        private Subscription(String name, InternalEndpoint.Link link, long acknowledgedVersion) {
             this.name = name;
             this.link = link;
-            this.acknowledgedVersion = inForce;
+            this.acknowledgedVersion = acknowledgedVersion;
         }
 
         /** The newest version that it has said to have in force. */
@@ -68,10 +68,10 @@
     private boolean isPublishScheduled;
 
     /** Times in milliseconds: the heartbeat interval, and how soon changes must be in force. */
-    ConfigurationPublisher(EventLoop loop, double heartbeat, double applyWithin) {
+    ConfigurationPublisher(EventLoop loop, double heartbeatInterval, double applyTimeout) {
         this.loop = loop;
-        this.heartbeatInterval = heartbeat;
-        batchDelay = BATCH_DELAY_FRACTION * applyWithin;
+        this.heartbeatInterval = heartbeatInterval;
+        batchDelay = BATCH_DELAY_FRACTION * applyTimeout;
     }
 
     /** A version took effect here; schedulers are told at once, or when the pause is over. */
@@ -81,13 +81,13 @@
         if (subscriptions.isEmpty() || isPublishScheduled) {
             return;
         }
-        double wait = lastPublishedAt + batchDelay - loop.now();
-        if (wait <= 0) {
+        double delay = lastPublishedAt + batchDelay - loop.now();
+        if (delay <= 0) {
             publish();
         } else {
             isPublishScheduled = true;
             loop.schedule(
-                    wait,
+                    delay,
                     () -> {
                         isPublishScheduled = false;
                         publish();
@@ -101,8 +101,8 @@
     }
 
     /** A scheduler registered, with this version in force. */
-    Subscription subscribe(String name, InternalEndpoint.Link link, long version) {
-        Subscription subscription = new Subscription(name, link, version);
+    Subscription subscribe(String name, InternalEndpoint.Link link, long activeVersion) {
+        Subscription subscription = new Subscription(name, link, activeVersion);
         subscriptions.add(subscription);
         pushNewest(subscription);
         return subscription;
@@ -118,55 +118,62 @@
     }
 
     /** A scheduler says what it has in force, and the checksum of its copy. */
-    void onAcknowledgement(Subscription from, Messages.ConfigurationAck ack) {
-        from.acknowledgedVersion = Math.max(from.acknowledgedVersion, ack.number());
-        boolean isQuiet = loop.now() > from.lastPushAt + heartbeatInterval;
-        boolean differs = ack.number() == history.version() && ack.digest() != history.checksum();
-        if (ack.number() > 0 && differs && isQuiet) {
-            LOG.warn("scheduler.config_diverged scheduler={} version={}", from.name, ack.number());
-            push(from, completeCopy(true));
+    void onAcknowledgement(Subscription subscription, Messages.ConfigurationAck ack) {
+        subscription.acknowledgedVersion = Math.max(subscription.acknowledgedVersion, ack.number());
+        boolean isPushTimedOut = loop.now() > subscription.lastPushAt + heartbeatInterval;
+        boolean isDiverged =
+                ack.number() == history.version() && ack.digest() != history.checksum();
+        if (ack.number() > 0 && isDiverged && isPushTimedOut) {
+            LOG.warn(
+                    "scheduler.config_diverged scheduler={} version={}",
+                    subscription.name,
+                    ack.number());
+            push(subscription, completeCopy(true));
         } else {
-            if (isQuiet) {
+            if (isPushTimedOut) {
                 // Guards against a push that was passed over: nothing else would repeat it.
-                from.pushedVersion = from.acknowledgedVersion;
+                subscription.pushedVersion = subscription.acknowledgedVersion;
             }
             if (!isPublishScheduled) {
-                pushNewest(from);
+                pushNewest(subscription);
             }
         }
     }
 
     /** A scheduler could not apply a delta: it gets a complete copy. */
-    void onCopyRequest(Subscription from) {
-        LOG.warn("scheduler.config_copy_requested scheduler={}", from.name);
-        push(from, messagesByBase.computeIfAbsent(0L, version -> completeCopy(false)));
+    void onCopyRequest(Subscription subscription) {
+        LOG.warn("scheduler.config_copy_requested scheduler={}", subscription.name);
+        push(subscription, messagesByBase.computeIfAbsent(0L, baseVersion -> completeCopy(false)));
     }
 
-    private void pushNewest(Subscription to) {
-        boolean isUnacknowledged = to.pushedVersion > to.acknowledgedVersion;
-        if (to.acknowledgedVersion < history.version() && !isUnacknowledged) {
-            push(to, messagesByBase.computeIfAbsent(to.acknowledgedVersion, this::messageFrom));
+    private void pushNewest(Subscription subscription) {
+        boolean isUnacknowledged = subscription.pushedVersion > subscription.acknowledgedVersion;
+        if (subscription.acknowledgedVersion < history.version() && !isUnacknowledged) {
+            push(
+                    subscription,
+                    messagesByBase.computeIfAbsent(
+                            subscription.acknowledgedVersion, this::messageFrom));
         }
     }
 
-    private void push(Subscription to, SharedMessage message) {
-        to.pushedVersion = history.version();
-        to.lastPushAt = loop.now();
-        to.link.send(message);
+    private void push(Subscription subscription, SharedMessage message) {
+        subscription.pushedVersion = history.version();
+        subscription.lastPushAt = loop.now();
+        subscription.link.send(message);
     }
 
-    private SharedMessage messageFrom(long version) {
-        return history.deltaFrom(version)
+    private SharedMessage messageFrom(long baseVersion) {
+        return history.deltaFrom(baseVersion)
                 .map(
                         delta ->
                                 new SharedMessage(
                                         new Messages.ConfigurationDeltaPush(
-                                                version, history.version(), delta)))
+                                                baseVersion, history.version(), delta)))
                 .orElseGet(() -> completeCopy(false));
     }
 
-    private SharedMessage completeCopy(boolean again) {
+    private SharedMessage completeCopy(boolean isRepeat) {
         return new SharedMessage(
-                new Messages.ConfigurationPush(history.version(), history.copy(), again));
+                new Messages.ConfigurationPush(history.version(), history.copy(), isRepeat));
     }
 }
--- a/src/main/java/gingerspool/controlplane/ControlNode.java
+++ b/src/main/java/gingerspool/controlplane/ControlNode.java
@@ -58,7 +58,7 @@
     private Runnable reloadSettings = () -> {};
 
     /** Empty while recovering. */
-    private Optional<CoreMember> member = Optional.empty();
+    private Optional<ClusterMember> member = Optional.empty();
 
     /** Empty until SIGTERM. */
     private Optional<GracefulShutdown> shutdown = Optional.empty();
@@ -92,8 +92,8 @@
     // ---- Start ----
 
     /** Answers operators at once, with 503 until the disk was read; takes part from then on. */
-    public void begin(Consumer<StorageException> whenUnusable) {
-        this.onStorageUnusable = whenUnusable;
+    public void begin(Consumer<StorageException> onUnusable) {
+        this.onStorageUnusable = onUnusable;
         logWriter.start();
         loop.submit(
                 () -> {
@@ -103,8 +103,8 @@
     }
 
     @Override
-    public void unusable(StorageException why) {
-        onStorageUnusable.accept(why);
+    public void unusable(StorageException cause) {
+        onStorageUnusable.accept(cause);
     }
 
     @Override
@@ -114,7 +114,7 @@
                     "log.lost why=\"no file of the log can be read: this member joins anew under"
                             + " another id\"");
         }
-        CoreMember recoveredMember = new CoreMember(new MemberNode(), recovered, seeds);
+        ClusterMember recoveredMember = new ClusterMember(new MemberNode(), recovered, seeds);
         member = Optional.of(recoveredMember);
         internalEndpoint.begin();
         recoveredMember.start();
@@ -123,7 +123,7 @@
     }
 
     /** What a member uses of this process. */
-    private final class MemberNode implements CoreMember.Node {
+    private final class MemberNode implements ClusterMember.Node {
         @Override
         public EventLoop loop() {
             return loop;
@@ -171,8 +171,11 @@
 
         @Override
         public void onConfigurationChanged() {
-            member.flatMap(CoreMember::duties)
-                    .ifPresent(d -> d.onConfigurationChanged(configurationState.configuration()));
+            member.flatMap(ClusterMember::duties)
+                    .ifPresent(
+                            duties ->
+                                    duties.onConfigurationChanged(
+                                            configurationState.configuration()));
             schedulerRegistry.onConfigurationChanged();
         }
     }
@@ -192,7 +195,7 @@
 
     /** Null while recovering. */
     private Replica replica() {
-        return member.map(CoreMember::replica).orElse(null);
+        return member.map(ClusterMember::replica).orElse(null);
     }
 
     // ---- Settings ----
@@ -205,12 +208,12 @@
     }
 
     /** Takes the seeds of settings that were read anew. From any thread. */
-    public void reload(NodeSettings now) {
+    public void reload(NodeSettings reloaded) {
         loop.submit(
                 () -> {
-                    if (!seeds.equals(seedsOf(now))) {
+                    if (!seeds.equals(seedsOf(reloaded))) {
                         seeds.clear();
-                        seeds.addAll(seedsOf(now));
+                        seeds.addAll(seedsOf(reloaded));
                         LOG.info("settings.reloaded seeds={}", seeds);
                     }
                 });
@@ -226,16 +229,16 @@
      * SIGTERM: hands over what it leads, stays until that is safe, answers who waits, ends. From
      * any thread; again it changes nothing.
      */
-    public void stop(Runnable then) {
+    public void stop(Runnable onStopped) {
         loop.submit(
                 () -> {
                     if (shutdown.isEmpty()) {
                         LOG.info("stop.started");
-                        ShutdownProcess stopping = new ShutdownProcess(then);
+                        ShutdownProcess process = new ShutdownProcess(onStopped);
                         shutdown =
                                 Optional.of(
-                                        new GracefulShutdown(loop, settings.gracePeriod, stopping));
-                        member.ifPresent(CoreMember::leave);
+                                        new GracefulShutdown(loop, settings.gracePeriod, process));
+                        member.ifPresent(ClusterMember::leave);
                         shutdown.get().begin();
                     }
                 });
@@ -244,8 +247,8 @@
     private final class ShutdownProcess implements GracefulShutdown.Process {
         private final Runnable onStopped;
 
-        ShutdownProcess(Runnable then) {
-            this.onStopped = then;
+        ShutdownProcess(Runnable onStopped) {
+            this.onStopped = onStopped;
         }
 
         @Override
@@ -284,24 +287,25 @@
 
     // ---- Time ----
 
-    private void maintainLinks(CoreMember of) {
-        if (of.maintainPeers()) {
+    private void maintainLinks(ClusterMember coreMember) {
+        if (coreMember.maintainPeers()) {
             reloadSettings.run();
         }
         internalEndpoint.closeSilentLinks();
         loop.schedule(
-                settings.heartbeatInterval / MAINTENANCE_PER_HEARTBEAT, () -> maintainLinks(of));
+                settings.heartbeatInterval / MAINTENANCE_PER_HEARTBEAT,
+                () -> maintainLinks(coreMember));
     }
 
-    private void announceRegularly(CoreMember of) {
-        of.announceLeader();
+    private void announceRegularly(ClusterMember coreMember) {
+        coreMember.announceLeader();
         peerLinks.sendHeartbeats();
         if (++announcements % ANNOUNCEMENTS_PER_COMPARISON == 0) {
-            of.repair().compare();
+            coreMember.repair().compare();
         }
         loop.schedule(
                 settings.heartbeatInterval / ANNOUNCEMENTS_PER_HEARTBEAT,
-                () -> announceRegularly(of));
+                () -> announceRegularly(coreMember));
     }
 
     private void logSummary() {
@@ -329,7 +333,7 @@
 
     private void run(OperatorCall call) {
         operatorCalls.run(call);
-        member.ifPresent(CoreMember::afterReplicaUpdate);
+        member.ifPresent(ClusterMember::afterReplicaUpdate);
     }
 
     private String status() {
@@ -340,7 +344,7 @@
 
     @Override
     public void received(InternalEndpoint.Link link, Object message) {
-        CoreMember receiver = member.orElseThrow();
+        ClusterMember receiver = member.orElseThrow();
         if (message instanceof ConsensusMessage.Envelope m) {
             receiver.receive(m);
         } else if (message instanceof Messages.DigestRequest m) {
--- a/src/main/java/gingerspool/controlplane/InstanceCalls.java
+++ b/src/main/java/gingerspool/controlplane/InstanceCalls.java
@@ -25,7 +25,7 @@
         void started(String instance, String address);
 
         /** Without room on the host nothing else starts there either. */
-        void failed(boolean hasNoRoom);
+        void failed(boolean isHostFull);
     }
 
     private final EventLoop loop;
@@ -68,22 +68,22 @@
                 function,
                 host,
                 nonce,
-                answer -> {
-                    String id = JsonTree.text("", answer.body(), "Identifier");
+                response -> {
+                    String id = JsonTree.text("", response.body(), "Identifier");
                     boolean mayHaveStarted =
-                            answer.status() == 0 || answer.status() >= SERVER_ERROR;
+                            response.status() == 0 || response.status() >= SERVER_ERROR;
                     if (isEnded) {
                         return;
                     }
-                    if (answer.status() == OK && !id.isEmpty()) {
-                        listener.started(id, JsonTree.text("", answer.body(), "Address"));
+                    if (response.status() == OK && !id.isEmpty()) {
+                        listener.started(id, JsonTree.text("", response.body(), "Address"));
                     } else if (mayHaveStarted && attempt < MAX_ATTEMPTS) {
                         retry(
                                 () -> start(function, host, nonce, listener, attempt + 1),
                                 () -> listener.failed(false));
                     } else {
                         failedStarts++;
-                        listener.failed(answer.status() == CONFLICT);
+                        listener.failed(response.status() == CONFLICT);
                     }
                 });
     }
@@ -98,17 +98,17 @@
                 settings.name,
                 term,
                 instance,
-                answer -> {
-                    boolean isGone = answer.status() == OK || answer.status() == NOT_FOUND;
-                    if (!isGone && attempt < MAX_ATTEMPTS && !isEnded) {
+                response -> {
+                    boolean isStopped = response.status() == OK || response.status() == NOT_FOUND;
+                    if (!isStopped && attempt < MAX_ATTEMPTS && !isEnded) {
                         retry(() -> stop(instance, attempt + 1), () -> {});
                     }
                 });
     }
 
     /** Calls again after a pause, if the lease holds then. */
-    private void retry(Runnable call, Runnable orElse) {
-        loop.schedule(RETRY_DELAY_MS, () -> (mayAct.getAsBoolean() ? call : orElse).run());
+    private void retry(Runnable call, Runnable ifLeaseLost) {
+        loop.schedule(RETRY_DELAY_MS, () -> (mayAct.getAsBoolean() ? call : ifLeaseLost).run());
     }
 
     /** In the form of the log's fields. */
--- a/src/main/java/gingerspool/controlplane/InternalEndpoint.java
+++ b/src/main/java/gingerspool/controlplane/InternalEndpoint.java
@@ -63,12 +63,13 @@
     private final Listener listener;
     private final Map<Frames, AcceptedLink> links = new LinkedHashMap<>();
 
-    InternalEndpoint(EventLoop loop, NodeSettings settings, KryoCodec codec, LinkHandler owner)
+    InternalEndpoint(
+            EventLoop loop, NodeSettings settings, KryoCodec codec, LinkHandler linkHandler)
             throws IOException {
         this.loop = loop;
         this.settings = settings;
         this.codec = codec;
-        this.linkHandler = owner;
+        this.linkHandler = linkHandler;
         listener =
                 new Listener(loop, new InetSocketAddress(settings.ip, settings.internalPort), this);
     }
@@ -78,11 +79,11 @@
     }
 
     void closeSilentLinks() {
-        for (Map.Entry<Frames, AcceptedLink> e : List.copyOf(links.entrySet())) {
+        for (Map.Entry<Frames, AcceptedLink> entry : List.copyOf(links.entrySet())) {
             if (loop.now()
-                    > e.getValue().lastReceivedAt
+                    > entry.getValue().lastReceivedAt
                             + PeerLinks.SILENCE_TIMEOUT_HEARTBEATS * settings.heartbeatInterval) {
-                e.getKey().close();
+                entry.getKey().close();
             }
         }
     }
--- a/src/main/java/gingerspool/controlplane/LeaderDuties.java
+++ b/src/main/java/gingerspool/controlplane/LeaderDuties.java
@@ -156,33 +156,33 @@
     }
 
     @Override
-    public void instancesListed(List<Object> entries, double askedAt) {
-        Set<String> withdrawn = new HashSet<>();
+    public void instancesListed(List<Object> entries, double requestedAt) {
+        Set<String> withdrawnIds = new HashSet<>();
         for (Object entry : entries) {
             String id = JsonTree.text("", entry, "Identifier");
-            if (!id.isEmpty() && recordEntry(entry, id, askedAt)) {
-                withdrawn.add(id);
+            if (!id.isEmpty() && recordEntry(entry, id, requestedAt)) {
+                withdrawnIds.add(id);
             }
         }
         for (Instance instance : allocator.instances()) {
             if (isGone(instance)) {
-                withdrawn.add(instance.id);
+                withdrawnIds.add(instance.id);
                 allocator.removeInstance(loop.now(), instance);
             }
         }
-        if (!withdrawn.isEmpty()) {
-            sendToAll.accept(new Messages.InstanceWithdrawal(List.copyOf(withdrawn)));
+        if (!withdrawnIds.isEmpty()) {
+            sendToAll.accept(new Messages.InstanceWithdrawal(List.copyOf(withdrawnIds)));
         }
-        previousListAt = askedAt;
+        previousListAt = requestedAt;
         autoscaler.instancesListed();
     }
 
     /** Notes what an entry says; whether it is the first that shows the instance draining. */
-    private boolean recordEntry(Object entry, String id, double askedAt) {
+    private boolean recordEntry(Object entry, String id, double requestedAt) {
         double now = loop.now();
-        Instance known = allocator.instance(id);
-        Instance instance = known != null ? known : addListed(entry, id);
-        instance.listedAt = askedAt;
+        Instance existing = allocator.instance(id);
+        Instance instance = existing != null ? existing : addListed(entry, id);
+        instance.listedAt = requestedAt;
         if (JsonTree.text("", entry, "State").equals("ready")) {
             allocator.markReady(now, instance);
             return false;
@@ -209,9 +209,9 @@
     /** Guards against pages that shift while they are read: it must be missing twice. */
     private boolean isGone(Instance instance) {
         boolean isMissingTwice = instance.listedAt < previousListAt;
-        double unlistedUntil =
+        double unlistedDeadline =
                 instance.drainingSince + UNLISTED_TIMEOUT_LIST_DELAYS * settings.platformListDelay;
-        return isMissingTwice || Double.isNaN(instance.listedAt) && loop.now() > unlistedUntil;
+        return isMissingTwice || Double.isNaN(instance.listedAt) && loop.now() > unlistedDeadline;
     }
 
     // ---- What the allocator and the autoscaler act by ----
@@ -229,8 +229,8 @@
                     }
 
                     @Override
-                    public void failed(boolean hasNoRoom) {
-                        autoscaler.startFailed(loop.now(), nonce, hasNoRoom);
+                    public void failed(boolean isHostFull) {
+                        autoscaler.startFailed(loop.now(), nonce, isHostFull);
                     }
                 });
     }
--- a/src/main/java/gingerspool/controlplane/LeaderWatch.java
+++ b/src/main/java/gingerspool/controlplane/LeaderWatch.java
@@ -11,9 +11,9 @@
     private final double heartbeatInterval;
     private double nextDueAt;
 
-    LeaderWatch(double heartbeat, double now) {
-        this.heartbeatInterval = heartbeat;
-        nextDueAt = now + LEADERLESS_TIMEOUT_HEARTBEATS * heartbeat;
+    LeaderWatch(double heartbeatInterval, double now) {
+        this.heartbeatInterval = heartbeatInterval;
+        nextDueAt = now + LEADERLESS_TIMEOUT_HEARTBEATS * heartbeatInterval;
     }
 
     /** Whether the file is to be read now. */
--- a/src/main/java/gingerspool/controlplane/Leadership.java
+++ b/src/main/java/gingerspool/controlplane/Leadership.java
@@ -24,10 +24,10 @@
     /**
      * The duties of a term are made by the first, and what else hangs on them ends by the second.
      */
-    Leadership(Replica replica, LongFunction<LeaderDuties> begin, Runnable end) {
+    Leadership(Replica replica, LongFunction<LeaderDuties> beginDuties, Runnable endDuties) {
         this.replica = replica;
-        this.beginDuties = begin;
-        this.endDuties = end;
+        this.beginDuties = beginDuties;
+        this.endDuties = endDuties;
     }
 
     /** The duties at hand, or null. */
--- a/src/main/java/gingerspool/controlplane/OperatorCall.java
+++ b/src/main/java/gingerspool/controlplane/OperatorCall.java
@@ -28,23 +28,24 @@
             implements OperatorCall {}
 
     static OperatorCall decode(Reply reply, Message request) {
-        String path = request.method() + " " + request.target();
-        return switch (path) {
+        String methodAndTarget = request.method() + " " + request.target();
+        return switch (methodAndTarget) {
             case "GET /v1/configuration/read" -> new Read(reply, request.target());
             case "POST /v1/configuration/replace" -> change(reply, request, true);
             case "POST /v1/configuration/modify" -> change(reply, request, false);
             case "GET /v1/status" -> new Status(reply, request.target());
-            default -> new Invalid(reply, request.target(), 404, "no such call: " + path);
+            default ->
+                    new Invalid(reply, request.target(), 404, "no such call: " + methodAndTarget);
         };
     }
 
     private static OperatorCall change(Reply reply, Message request, boolean isComplete) {
-        String onVersion = request.field("based-on-version");
-        if (onVersion == null || !onVersion.matches("[0-9]{1,18}")) {
-            String why = "Based-On-Version is missing or no whole number";
-            return new Invalid(reply, request.target(), 400, why);
+        String baseVersion = request.field("based-on-version");
+        if (baseVersion == null || !baseVersion.matches("[0-9]{1,18}")) {
+            String message = "Based-On-Version is missing or no whole number";
+            return new Invalid(reply, request.target(), 400, message);
         }
         return new Change(
-                reply, request.target(), isComplete, Long.parseLong(onVersion), request.body());
+                reply, request.target(), isComplete, Long.parseLong(baseVersion), request.body());
     }
 }
--- a/src/main/java/gingerspool/controlplane/OperatorCalls.java
+++ b/src/main/java/gingerspool/controlplane/OperatorCalls.java
@@ -89,8 +89,8 @@
         if (leader == null || leader.equals(replica.get().self())) {
             answerNotExecuted(call, "no leader is known here just now");
         } else {
-            String there = Address.text(new InetSocketAddress(leader.ip(), controlPort));
-            List<String> fields = List.of("Location: http://" + there + call.target());
+            String leaderAddress = Address.text(new InetSocketAddress(leader.ip(), controlPort));
+            List<String> fields = List.of("Location: http://" + leaderAddress + call.target());
             call.reply().answer(307, fields, new byte[0]);
         }
     }
@@ -126,33 +126,33 @@
     }
 
     /** A command was committed and applied. */
-    void applied(long id, ConfigurationState.ChangeResult verdict) {
-        boolean isTaken = verdict.status() == ConfigurationState.ACCEPTED;
-        rejectedChanges += isTaken ? 0 : 1;
+    void applied(long id, ConfigurationState.ChangeResult result) {
+        boolean isAccepted = result.status() == ConfigurationState.ACCEPTED;
+        rejectedChanges += isAccepted ? 0 : 1;
         OperatorCall.Change call = pending.remove(id);
-        if (call != null && isTaken) {
-            String body = "{\"Version\":" + verdict.version() + "}";
-            answer(call, verdict.status(), body.getBytes(StandardCharsets.UTF_8));
+        if (call != null && isAccepted) {
+            String body = "{\"Version\":" + result.version() + "}";
+            answer(call, result.status(), body.getBytes(StandardCharsets.UTF_8));
         } else if (call != null) {
-            answerError(call, verdict.status(), verdict.message());
+            answerError(call, result.status(), result.message());
         }
     }
 
     /** Nothing of the call was or will be done; another member may know better. */
-    private static void answerNotExecuted(OperatorCall call, String why) {
+    private static void answerNotExecuted(OperatorCall call, String reason) {
         call.reply()
                 .answer(
                         503,
                         List.of("Content-Type: application/json", "Retry-After: " + RETRY_AFTER_S),
-                        errorBody(why));
+                        errorBody(reason));
     }
 
-    private static byte[] errorBody(String why) {
-        return Json.write(Map.of("Error", why)).getBytes(StandardCharsets.UTF_8);
+    private static byte[] errorBody(String reason) {
+        return Json.write(Map.of("Error", reason)).getBytes(StandardCharsets.UTF_8);
     }
 
-    private static void answerError(OperatorCall call, int status, String why) {
-        answer(call, status, errorBody(why));
+    private static void answerError(OperatorCall call, int status, String reason) {
+        answer(call, status, errorBody(reason));
     }
 
     private static void answer(OperatorCall call, int status, byte[] body) {
--- a/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
+++ b/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
@@ -24,11 +24,11 @@
     private final Set<Inbound> openConnections = new HashSet<>();
     private final Listener listener;
 
-    OperatorEndpoint(EventLoop loop, SocketAddress at, Consumer<OperatorCall> run)
+    OperatorEndpoint(EventLoop loop, SocketAddress address, Consumer<OperatorCall> callHandler)
             throws IOException {
         this.loop = loop;
-        this.callHandler = run;
-        listener = new Listener(loop, at, this);
+        this.callHandler = callHandler;
+        listener = new Listener(loop, address, this);
     }
 
     void begin() {
--- a/src/main/java/gingerspool/controlplane/PeerLinks.java
+++ b/src/main/java/gingerspool/controlplane/PeerLinks.java
@@ -51,12 +51,12 @@
         this.codec = codec;
     }
 
-    /** Opens links that lack, and closes those that are silent or not wanted. */
-    void maintain(Set<String> wanted) {
+    /** Opens links that lack, and closes those that are silent or not neededIps. */
+    void maintain(Set<String> neededIps) {
         double now = loop.now();
-        wanted.forEach(this::connect);
-        for (Map.Entry<String, Peer> e : List.copyOf(peers.entrySet())) {
-            Peer peer = e.getValue();
+        neededIps.forEach(this::connect);
+        for (Map.Entry<String, Peer> entry : List.copyOf(peers.entrySet())) {
+            Peer peer = entry.getValue();
             // Guards against links that a cut has left half dead: a new one works as soon as the
             // cut ends.
             boolean isSilent =
@@ -65,13 +65,13 @@
                                     > Math.max(peer.lastReceivedAt, peer.connectAttemptedAt)
                                             + SILENCE_TIMEOUT_HEARTBEATS
                                                     * settings.heartbeatInterval;
-            boolean isUnwanted =
-                    !wanted.contains(e.getKey())
+            boolean isUnneeded =
+                    !neededIps.contains(entry.getKey())
                             && now
                                     > peer.lastReceivedAt
                                             + UNNEEDED_TIMEOUT_HEARTBEATS
                                                     * settings.heartbeatInterval;
-            if (peer.link != null && (isSilent || isUnwanted)) {
+            if (peer.link != null && (isSilent || isUnneeded)) {
                 peer.link.close();
             }
         }
@@ -79,7 +79,7 @@
 
     private void connect(String ip) {
         double now = loop.now();
-        Peer peer = peers.computeIfAbsent(ip, k -> new Peer());
+        Peer peer = peers.computeIfAbsent(ip, key -> new Peer());
         if (peer.link == null
                 && now
                         >= peer.connectAttemptedAt
@@ -100,7 +100,7 @@
 
     /** A member's message came; an answer to it needs a link. */
     void onMemberMessage(String ip) {
-        peers.computeIfAbsent(ip, k -> new Peer()).lastReceivedAt = loop.now();
+        peers.computeIfAbsent(ip, key -> new Peer()).lastReceivedAt = loop.now();
     }
 
     void connectBack(String ip) {
--- a/src/main/java/gingerspool/controlplane/Platform.java
+++ b/src/main/java/gingerspool/controlplane/Platform.java
@@ -9,18 +9,18 @@
     record Response(int status, Object body) {}
 
     /** All pages of the list of instances; null where one could not be had. */
-    void instances(Consumer<List<Object>> then);
+    void instances(Consumer<List<Object>> callback);
 
-    void hosts(Consumer<Response> then);
+    void hosts(Consumer<Response> callback);
 
-    /** The fence is the leader's term; the same nonce gives the same instance. */
+    /** The fencingToken is the leader's term; the same nonce gives the same instance. */
     void start(
-            String holder,
-            long fence,
+            String leaderName,
+            long fencingToken,
             String service,
             String host,
             String nonce,
-            Consumer<Response> then);
+            Consumer<Response> callback);
 
-    void stop(String holder, long fence, String instance, Consumer<Response> then);
+    void stop(String leaderName, long fencingToken, String instance, Consumer<Response> callback);
 }
--- a/src/main/java/gingerspool/controlplane/PlatformClient.java
+++ b/src/main/java/gingerspool/controlplane/PlatformClient.java
@@ -38,56 +38,57 @@
     }
 
     @Override
-    public void instances(Consumer<List<Object>> then) {
-        readPage("/instances", new ArrayList<>(), then);
+    public void instances(Consumer<List<Object>> callback) {
+        readPage("/instances", new ArrayList<>(), callback);
     }
 
-    private void readPage(String target, List<Object> all, Consumer<List<Object>> then) {
+    private void readPage(String target, List<Object> entries, Consumer<List<Object>> callback) {
         get(
                 target,
-                answer -> {
-                    if (answer.status() != 200
-                            || !(JsonTree.at(answer.body(), "Instances")
+                response -> {
+                    if (response.status() != 200
+                            || !(JsonTree.at(response.body(), "Instances")
                                     instanceof List<?> instances)) {
-                        then.accept(null);
+                        callback.accept(null);
                         return;
                     }
-                    all.addAll(instances);
-                    String next = JsonTree.text("", answer.body(), "NextPageToken");
-                    if (next.isEmpty()) {
-                        then.accept(all);
+                    entries.addAll(instances);
+                    String nextPage = JsonTree.text("", response.body(), "NextPageToken");
+                    if (nextPage.isEmpty()) {
+                        callback.accept(entries);
                     } else {
-                        readPage("/instances?PageToken=" + next, all, then);
+                        readPage("/instances?PageToken=" + nextPage, entries, callback);
                     }
                 });
     }
 
     @Override
-    public void hosts(Consumer<Response> then) {
-        get("/v1/workers", then);
+    public void hosts(Consumer<Response> callback) {
+        get("/v1/workers", callback);
     }
 
     @Override
     public void start(
-            String holder,
-            long fence,
+            String leaderName,
+            long fencingToken,
             String service,
             String host,
             String nonce,
-            Consumer<Response> then) {
+            Consumer<Response> callback) {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("Service", service);
         body.put("Worker", host);
         body.put("Nonce", nonce);
-        post("/v1/begin", holder, fence, body, then);
+        post("/v1/begin", leaderName, fencingToken, body, callback);
     }
 
     @Override
-    public void stop(String holder, long fence, String instance, Consumer<Response> then) {
-        post("/v1/stop", holder, fence, Map.of("Identifier", instance), then);
+    public void stop(
+            String leaderName, long fencingToken, String instance, Consumer<Response> callback) {
+        post("/v1/stop", leaderName, fencingToken, Map.of("Identifier", instance), callback);
     }
 
-    private void get(String target, Consumer<Response> then) {
+    private void get(String target, Consumer<Response> callback) {
         call(
                 Inbound.joined(
                         "GET "
@@ -96,11 +97,15 @@
                                 + Address.text(address)
                                 + "\r\n\r\n",
                         new byte[0]),
-                then);
+                callback);
     }
 
     private void post(
-            String target, String holder, long fence, Object tree, Consumer<Response> then) {
+            String target,
+            String leaderName,
+            long fencingToken,
+            Object tree,
+            Consumer<Response> callback) {
         byte[] body = Json.write(tree).getBytes(java.nio.charset.StandardCharsets.UTF_8);
         call(
                 Inbound.joined(
@@ -109,17 +114,17 @@
                                 + " HTTP/1.1\r\nHost: "
                                 + Address.text(address)
                                 + "\r\nDuty-Holder: "
-                                + holder
+                                + leaderName
                                 + "\r\nFence-Number: "
-                                + fence
+                                + fencingToken
                                 + "\r\nContent-Type: application/json\r\nContent-Length: "
                                 + body.length
                                 + "\r\n\r\n",
                         body),
-                then);
+                callback);
     }
 
-    private void call(byte[] request, Consumer<Response> then) {
+    private void call(byte[] request, Consumer<Response> callback) {
         try {
             pool.take(0, address)
                     .ask(
@@ -128,16 +133,16 @@
                             new Outbound.Caller() {
                                 @Override
                                 public void answered(Message message) {
-                                    then.accept(read(message));
+                                    callback.accept(read(message));
                                 }
 
                                 @Override
                                 public void broke(boolean allWritten) {
-                                    then.accept(new Response(0, null));
+                                    callback.accept(new Response(0, null));
                                 }
                             });
         } catch (IOException e) {
-            loop.execute(() -> then.accept(new Response(0, null)));
+            loop.execute(() -> callback.accept(new Response(0, null)));
         }
     }
 
--- a/src/main/java/gingerspool/controlplane/PlatformListReader.java
+++ b/src/main/java/gingerspool/controlplane/PlatformListReader.java
@@ -26,7 +26,7 @@
     /** Who is told what the lists say. */
     interface Listener {
         /** The complete list of instances, and when it was asked for. */
-        void instancesListed(List<Object> instances, double askedAt);
+        void instancesListed(List<Object> instances, double requestedAt);
 
         void hostsListed(List<?> hosts);
     }
@@ -65,30 +65,30 @@
             loop.schedule(LEASE_CHECK_INTERVAL_MS, this::read);
             return;
         }
-        double askedAt = loop.now();
-        platform.instances(instances -> onInstances(instances, askedAt));
-        if (askedAt >= hostsDueAt) {
-            hostsDueAt = askedAt + settings.platformListDelay;
+        double requestedAt = loop.now();
+        platform.instances(instances -> onInstances(instances, requestedAt));
+        if (requestedAt >= hostsDueAt) {
+            hostsDueAt = requestedAt + settings.platformListDelay;
             platform.hosts(this::onHosts);
         }
     }
 
     /** The instances are null where a page could not be had. */
-    private void onInstances(List<Object> instances, double askedAt) {
-        int calls = 1;
+    private void onInstances(List<Object> instances, double requestedAt) {
+        int callCount = 1;
         if (instances != null && !isEnded) {
-            listener.instancesListed(instances, askedAt);
-            calls = 1 + instances.size() / PAGE_SIZE;
+            listener.instancesListed(instances, requestedAt);
+            callCount = 1 + instances.size() / PAGE_SIZE;
         }
-        double byRate = 1000 * calls / (RATE_FRACTION * settings.platformRate);
+        double rateInterval = 1000 * callCount / (RATE_FRACTION * settings.platformRate);
         loop.schedule(
-                Math.max(READ_INTERVAL_LIST_DELAYS * settings.platformListDelay, byRate),
+                Math.max(READ_INTERVAL_LIST_DELAYS * settings.platformListDelay, rateInterval),
                 this::read);
     }
 
-    private void onHosts(Platform.Response answer) {
-        if (answer.status() == 200
-                && JsonTree.at(answer.body(), "Workers") instanceof List<?> hosts
+    private void onHosts(Platform.Response response) {
+        if (response.status() == 200
+                && JsonTree.at(response.body(), "Workers") instanceof List<?> hosts
                 && !isEnded) {
             listener.hostsListed(hosts);
         }
--- a/src/main/java/gingerspool/controlplane/RepairExchange.java
+++ b/src/main/java/gingerspool/controlplane/RepairExchange.java
@@ -55,14 +55,14 @@
             ConfigurationState state,
             Replica replica,
             BiConsumer<String, Object> send,
-            Runnable whenRepaired) {
+            Runnable onRepaired) {
         this.loop = loop;
         digestTimeout = DIGEST_TIMEOUT_HEARTBEATS * settings.heartbeatInterval;
         ownIp = settings.ip;
         this.state = state;
         this.replica = replica;
         this.send = send;
-        this.onRepaired = whenRepaired;
+        this.onRepaired = onRepaired;
     }
 
     int differingRanges() {
--- a/src/main/java/gingerspool/controlplane/SchedulerRegistry.java
+++ b/src/main/java/gingerspool/controlplane/SchedulerRegistry.java
@@ -42,8 +42,8 @@
                         loop, settings.heartbeatInterval, settings.configurationApplyTimeout);
     }
 
-    void startLeading(SchedulerListener duties) {
-        schedulerListener = duties;
+    void startLeading(SchedulerListener listener) {
+        schedulerListener = listener;
     }
 
     void stopLeading() {
@@ -60,21 +60,21 @@
     List<String> status() {
         return byName.values().stream()
                 .map(
-                        s ->
+                        scheduler ->
                                 "scheduler "
-                                        + s.name
+                                        + scheduler.name
                                         + " version "
-                                        + s.subscription.acknowledgedVersion())
+                                        + scheduler.subscription.acknowledgedVersion())
                 .toList();
     }
 
     /** Only where this member leads. */
     void register(InternalEndpoint.Link link, Messages.Register message, long term) {
-        Scheduler earlier = byName.remove(message.name());
-        if (earlier != null) {
+        Scheduler previous = byName.remove(message.name());
+        if (previous != null) {
             // Guards the counts of slots: what still comes on an earlier link was told before this.
-            byLink.remove(earlier.link);
-            publisher.unsubscribe(earlier.subscription);
+            byLink.remove(previous.link);
+            publisher.unsubscribe(previous.subscription);
         }
         link.send(new Messages.Registered(term));
         Scheduler scheduler =
@@ -123,7 +123,7 @@
     }
 
     void sendToAll(Object message) {
-        byName.values().forEach(s -> s.link.send(message));
+        byName.values().forEach(scheduler -> scheduler.link.send(message));
     }
 
     private void sendSchedulerCount() {
--- a/src/test/java/gingerspool/controlplane/CoreModel.java
+++ b/src/test/java/gingerspool/controlplane/ClusterModel.java
@@ -24,7 +24,7 @@
  * Three control nodes in memory, over the real replica, state and operators' calls: links that are
  * cut, processes that are killed and started, disks that keep what was synced.
  */
-final class CoreModel {
+final class ClusterModel {
     static final double LEASE_MS = 500;
     private static final double LINK_MS = 2;
     private static final double DISK_MS = 3;
@@ -47,7 +47,7 @@
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
     private final List<String> seeds = List.of("10.0.0.1", "10.0.0.2", "10.0.0.3");
 
-    CoreModel(long seed) {
+    ClusterModel(long seed) {
         for (String ip : seeds) {
             nodes.add(new Node(ip, seed));
         }
@@ -110,17 +110,19 @@
             return isUp() && replica.isActiveLeader(loop.now());
         }
 
-        private void tick(int of) {
-            if (of == incarnation) {
+        private void tick(int startedIn) {
+            if (startedIn == incarnation) {
                 replica.tick(loop.now());
-                loop.schedule(5, () -> tick(of));
+                loop.schedule(5, () -> tick(startedIn));
             }
         }
 
-        Answer change(boolean whole, long on, String body) {
+        Answer change(boolean isComplete, long baseVersion, String body) {
             Answer answer = new Answer();
             byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-            calls.run(new OperatorCall.Change(replyTo(answer), "/v1/x", whole, on, bytes));
+            calls.run(
+                    new OperatorCall.Change(
+                            replyTo(answer), "/v1/x", isComplete, baseVersion, bytes));
             return answer;
         }
 
@@ -131,9 +133,9 @@
         }
 
         private OperatorCall.Reply replyTo(Answer answer) {
-            int of = incarnation;
+            int startedIn = incarnation;
             return (status, fields, body) -> {
-                if (of != incarnation) {
+                if (startedIn != incarnation) {
                     return;
                 }
                 if (answer.status != 0) {
@@ -159,20 +161,20 @@
                     });
         }
 
-        private void receive(String sender, Member from, Member to, ConsensusMessage message) {
-            boolean isFor = to.id().isEmpty() || isUp() && to.equals(replica.self());
-            if (isUp() && isFor && !cutLinks.contains(sender + ">" + ip)) {
+        private void receive(String senderIp, Member from, Member to, ConsensusMessage message) {
+            boolean isAddressee = to.id().isEmpty() || isUp() && to.equals(replica.self());
+            if (isUp() && isAddressee && !cutLinks.contains(senderIp + ">" + ip)) {
                 replica.receive(loop.now(), from, message);
             }
         }
 
         @Override
         public void persist(LogWrite write) {
-            int of = incarnation;
+            int startedIn = incarnation;
             loop.schedule(
                     DISK_MS,
                     () -> {
-                        if (of == incarnation) {
+                        if (startedIn == incarnation) {
                             disk = applyWrite(disk, write);
                             replica.persisted(loop.now(), write.ticket());
                         }
@@ -182,8 +184,8 @@
         @Override
         public void apply(long index, byte[] command) {
             try {
-                Messages.ChangeCommand c = (Messages.ChangeCommand) codec.read(command);
-                calls.applied(c.id(), state.apply(c.whole(), c.on(), c.body()));
+                Messages.ChangeCommand change = (Messages.ChangeCommand) codec.read(command);
+                calls.applied(change.id(), state.apply(change.whole(), change.on(), change.body()));
             } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
@@ -201,25 +203,26 @@
         }
     }
 
-    private static PersistedState applyWrite(PersistedState disk, LogWrite w) {
+    private static PersistedState applyWrite(PersistedState disk, LogWrite write) {
         List<LogEntry> entries = new ArrayList<>();
-        if (w.snapshot() == null) {
-            long kept = w.from() - disk.snapshot().index() - 1;
-            entries.addAll(disk.entries().subList(0, (int) Math.min(kept, disk.entries().size())));
+        if (write.snapshot() == null) {
+            long keptEntries = write.from() - disk.snapshot().index() - 1;
+            entries.addAll(
+                    disk.entries().subList(0, (int) Math.min(keptEntries, disk.entries().size())));
         }
-        entries.addAll(w.entries());
+        entries.addAll(write.entries());
         return new PersistedState(
-                w.self(),
-                w.term(),
-                w.votedFor(),
-                w.snapshot() == null ? disk.snapshot() : w.snapshot(),
+                write.self(),
+                write.term(),
+                write.votedFor(),
+                write.snapshot() == null ? disk.snapshot() : write.snapshot(),
                 entries);
     }
 
     /** The leader, once there is one among these. */
-    Node awaitLeader(List<Node> among) {
+    Node awaitLeader(List<Node> candidates) {
         for (int i = 0; i < 2_000; i++) {
-            for (Node node : among) {
+            for (Node node : candidates) {
                 if (node.isLeading()) {
                     return node;
                 }
@@ -245,9 +248,9 @@
     }
 
     /** Sends it to whoever leads until the answer is clear. */
-    Answer changeUntilDecided(boolean whole, long on, String body) {
+    Answer changeUntilDecided(boolean isComplete, long baseVersion, String body) {
         for (int i = 0; i < 20; i++) {
-            Answer answer = awaitLeader().change(whole, on, body);
+            Answer answer = awaitLeader().change(isComplete, baseVersion, body);
             loop.run(900);
             if (answer.status != 503 && answer.status != 307) {
                 return answer;
--- a/src/test/java/gingerspool/controlplane/ConfigurationPublishingTest.java
+++ b/src/test/java/gingerspool/controlplane/ConfigurationPublishingTest.java
@@ -32,7 +32,7 @@
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
 
     /** Two publishers, as two members of the core have them; one of them leads. */
-    private final class CoreOfTwo {
+    private final class PublisherPair {
         final ModelEventLoop loop = new ModelEventLoop();
         final List<ConfigurationPublisher> members =
                 List.of(
@@ -52,11 +52,11 @@
     }
 
     private static Configuration initialConfiguration() {
-        Configuration.Builder all = Configuration.newBuilder().setVersion(1);
+        Configuration.Builder builder = Configuration.newBuilder().setVersion(1);
         for (int i = 0; i < FUNCTION_COUNT; i++) {
-            all.addRoutes(route(i, 1_000)).addServices(Service.newBuilder().setName("s" + i));
+            builder.addRoutes(route(i, 1_000)).addServices(Service.newBuilder().setName("s" + i));
         }
-        return all.build();
+        return builder.build();
     }
 
     private static Route route(int i, int timeout) {
@@ -69,18 +69,18 @@
                 .build();
     }
 
-    private static Configuration withRandomChange(Configuration base, Random chance) {
-        int at = chance.nextInt(base.getRoutesCount());
+    private static Configuration withRandomChange(Configuration base, Random random) {
+        int index = random.nextInt(base.getRoutesCount());
         return base.toBuilder()
-                .setVersion(base.getVersion() + 1 + chance.nextInt(5))
-                .setRoutes(at, route(at, 1 + chance.nextInt(9_000)))
+                .setVersion(base.getVersion() + 1 + random.nextInt(5))
+                .setRoutes(index, route(index, 1 + random.nextInt(9_000)))
                 .build();
     }
 
     /** A scheduler and its link, which carries so many bytes a millisecond, in order. */
     private final class Scheduler
             implements InternalEndpoint.Link, ConfigurationSubscriber.Listener {
-        final CoreOfTwo core;
+        final PublisherPair publishers;
         final double bytesPerMs;
         final ConfigurationSubscriber subscriber = new ConfigurationSubscriber(this);
         ConfigurationPublisher.Subscription subscription;
@@ -93,14 +93,14 @@
         long version;
         double appliedAt;
 
-        Scheduler(CoreOfTwo core, double bytesPerMs) {
-            this.core = core;
+        Scheduler(PublisherPair publishers, double bytesPerMs) {
+            this.publishers = publishers;
             this.bytesPerMs = bytesPerMs;
         }
 
         void connect() {
             disconnect();
-            subscription = core.leader().subscribe("s", this, version);
+            subscription = publishers.leader().subscribe("s", this, version);
         }
 
         void disconnect() {
@@ -108,7 +108,7 @@
             pendingPushes = 0;
             linkFreeAt = 0;
             if (subscription != null) {
-                core.members.forEach(member -> member.unsubscribe(subscription));
+                publishers.members.forEach(member -> member.unsubscribe(subscription));
                 subscription = null;
             }
         }
@@ -120,12 +120,12 @@
             maxPendingPushes = Math.max(maxPendingPushes, pendingPushes);
             bytesReceived += frame.length;
             pushCount++;
-            linkFreeAt = Math.max(linkFreeAt, core.loop.now()) + frame.length / bytesPerMs;
-            int on = connectionNumber;
-            core.loop.schedule(
-                    linkFreeAt - core.loop.now() + LINK_MS,
+            linkFreeAt = Math.max(linkFreeAt, publishers.loop.now()) + frame.length / bytesPerMs;
+            int sentOn = connectionNumber;
+            publishers.loop.schedule(
+                    linkFreeAt - publishers.loop.now() + LINK_MS,
                     () -> {
-                        if (on == connectionNumber) {
+                        if (sentOn == connectionNumber) {
                             pendingPushes--;
                             receive(frame);
                         }
@@ -149,176 +149,184 @@
         public void onConfiguration(Configuration configuration) {
             assertTrue(configuration.getVersion() >= version, "it went back");
             version = configuration.getVersion();
-            appliedAt = core.loop.now();
+            appliedAt = publishers.loop.now();
         }
 
         @Override
         public void sendToLeader(Object message) {
-            int on = connectionNumber;
-            core.loop.schedule(
+            int sentOn = connectionNumber;
+            publishers.loop.schedule(
                     LINK_MS,
                     () -> {
-                        if (on == connectionNumber
+                        if (sentOn == connectionNumber
                                 && message instanceof Messages.ConfigurationAck ack) {
-                            core.leader().onAcknowledgement(subscription, ack);
-                        } else if (on == connectionNumber) {
-                            core.leader().onCopyRequest(subscription);
+                            publishers.leader().onAcknowledgement(subscription, ack);
+                        } else if (sentOn == connectionNumber) {
+                            publishers.leader().onCopyRequest(subscription);
                         }
                     });
         }
     }
 
-    private List<Scheduler> connectSchedulers(CoreOfTwo core, int count, double bytesPerMs) {
+    private List<Scheduler> connectSchedulers(
+            PublisherPair publishers, int count, double bytesPerMs) {
         List<Scheduler> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(new Scheduler(core, bytesPerMs));
+            all.add(new Scheduler(publishers, bytesPerMs));
         }
-        core.commit(core.newest);
+        publishers.commit(publishers.newest);
         all.forEach(Scheduler::connect);
-        core.loop.run(APPLY_TIMEOUT_MS);
-        all.forEach(s -> assertEquals(s.version, core.newest.getVersion()));
+        publishers.loop.run(APPLY_TIMEOUT_MS);
+        all.forEach(scheduler -> assertEquals(scheduler.version, publishers.newest.getVersion()));
         return all;
     }
 
-    private static void assertAllApplied(CoreOfTwo core, List<Scheduler> schedulers, String what) {
-        for (Scheduler s : schedulers) {
-            assertEquals(s.version, core.newest.getVersion(), what);
+    private static void assertAllApplied(
+            PublisherPair publishers, List<Scheduler> schedulers, String context) {
+        for (Scheduler scheduler : schedulers) {
+            assertEquals(scheduler.version, publishers.newest.getVersion(), context);
             assertEquals(
-                    ConfigurationChecksum.of(s.subscriber.configuration()),
-                    ConfigurationChecksum.of(core.newest),
-                    what);
+                    ConfigurationChecksum.of(scheduler.subscriber.configuration()),
+                    ConfigurationChecksum.of(publishers.newest),
+                    context);
         }
     }
 
     /** Twenty-five changes in two seconds, over links that carry one complete copy in a third. */
     @Test
     public void burstOfChangesNeedsFewSmallPushes() {
-        CoreOfTwo core = new CoreOfTwo();
-        double slow = core.newest.toByteArray().length / 333.0;
-        List<Scheduler> all = connectSchedulers(core, 5, slow);
-        long copy = all.get(0).bytesReceived;
-        Random chance = new Random(1);
+        PublisherPair publishers = new PublisherPair();
+        double bytesPerMs = publishers.newest.toByteArray().length / 333.0;
+        List<Scheduler> all = connectSchedulers(publishers, 5, bytesPerMs);
+        long copyBytes = all.get(0).bytesReceived;
+        Random random = new Random(1);
         for (int i = 0; i < 25; i++) {
-            core.commit(withRandomChange(core.newest, chance));
-            core.loop.run(80);
+            publishers.commit(withRandomChange(publishers.newest, random));
+            publishers.loop.run(80);
         }
-        double last = core.loop.now();
-        core.loop.run(APPLY_TIMEOUT_MS);
-        assertAllApplied(core, all, "after the storm");
-        for (Scheduler s : all) {
+        double lastCommitAt = publishers.loop.now();
+        publishers.loop.run(APPLY_TIMEOUT_MS);
+        assertAllApplied(publishers, all, "after the storm");
+        for (Scheduler scheduler : all) {
             assertTrue(
-                    s.appliedAt - last < APPLY_TIMEOUT_MS / 4,
-                    "in force after " + (s.appliedAt - last));
+                    scheduler.appliedAt - lastCommitAt < APPLY_TIMEOUT_MS / 4,
+                    "in force after " + (scheduler.appliedAt - lastCommitAt));
             assertTrue(
-                    s.bytesReceived - copy < copy,
-                    "a storm cost " + (s.bytesReceived - copy) + " bytes");
-            assertTrue(s.pushCount <= 13, s.pushCount + " pushes");
+                    scheduler.bytesReceived - copyBytes < copyBytes,
+                    "a storm cost " + (scheduler.bytesReceived - copyBytes) + " bytes");
+            assertTrue(scheduler.pushCount <= 13, scheduler.pushCount + " pushes");
         }
     }
 
     /** A single change is told at once. */
     @Test
     public void singleChangeIsPushedAtOnce() {
-        CoreOfTwo core = new CoreOfTwo();
-        List<Scheduler> all = connectSchedulers(core, 2, 1_000);
-        double at = core.loop.now();
-        core.commit(withRandomChange(core.newest, new Random(4)));
-        core.loop.run(HEARTBEAT_MS);
-        assertAllApplied(core, all, "after one change");
+        PublisherPair publishers = new PublisherPair();
+        List<Scheduler> all = connectSchedulers(publishers, 2, 1_000);
+        double committedAt = publishers.loop.now();
+        publishers.commit(withRandomChange(publishers.newest, new Random(4)));
+        publishers.loop.run(HEARTBEAT_MS);
+        assertAllApplied(publishers, all, "after one change");
         assertTrue(
-                all.get(0).appliedAt - at < 2 * LINK_MS,
-                "told after " + (all.get(0).appliedAt - at));
+                all.get(0).appliedAt - committedAt < 2 * LINK_MS,
+                "told after " + (all.get(0).appliedAt - committedAt));
     }
 
     /** A link that hardly carries anything holds one push, and holds up nobody else. */
     @Test
     public void slowSchedulerDoesNotDelayOthers() {
-        CoreOfTwo core = new CoreOfTwo();
-        List<Scheduler> all = connectSchedulers(core, 3, 1_000);
-        Scheduler slow = new Scheduler(core, 0.01);
+        PublisherPair publishers = new PublisherPair();
+        List<Scheduler> all = connectSchedulers(publishers, 3, 1_000);
+        Scheduler slow = new Scheduler(publishers, 0.01);
         slow.connect();
-        Random chance = new Random(2);
+        Random random = new Random(2);
         for (int i = 0; i < 1_000; i++) {
-            core.commit(withRandomChange(core.newest, chance));
-            core.loop.run(10);
+            publishers.commit(withRandomChange(publishers.newest, random));
+            publishers.loop.run(10);
         }
-        core.loop.run(APPLY_TIMEOUT_MS);
-        assertAllApplied(core, all, "beside a slow one");
+        publishers.loop.run(APPLY_TIMEOUT_MS);
+        assertAllApplied(publishers, all, "beside a slow one");
         assertEquals(slow.maxPendingPushes, 1, "pushes that wait in its link");
     }
 
     /** One that was away for a hundred versions goes on by a delta, for more by a copy. */
     @Test
     public void reconnectedSchedulerCatchesUp() {
-        for (int missed : new int[] {1, 100, 500}) {
-            CoreOfTwo core = new CoreOfTwo();
-            List<Scheduler> all = connectSchedulers(core, 1, 100);
-            Scheduler away = all.get(0);
-            away.disconnect();
-            Random chance = new Random(missed);
-            for (int i = 0; i < missed; i++) {
-                core.commit(withRandomChange(core.newest, chance));
+        for (int missedVersions : new int[] {1, 100, 500}) {
+            PublisherPair publishers = new PublisherPair();
+            List<Scheduler> all = connectSchedulers(publishers, 1, 100);
+            Scheduler disconnected = all.get(0);
+            disconnected.disconnect();
+            Random random = new Random(missedVersions);
+            for (int i = 0; i < missedVersions; i++) {
+                publishers.commit(withRandomChange(publishers.newest, random));
             }
-            long before = away.bytesReceived;
-            away.connect();
-            core.loop.run(APPLY_TIMEOUT_MS);
-            assertAllApplied(core, all, "away for " + missed);
-            long copy = core.newest.toByteArray().length;
+            long bytesBefore = disconnected.bytesReceived;
+            disconnected.connect();
+            publishers.loop.run(APPLY_TIMEOUT_MS);
+            assertAllApplied(publishers, all, "away for " + missedVersions);
+            long copyBytes = publishers.newest.toByteArray().length;
             assertTrue(
-                    away.bytesReceived - before <= copy + 50, "brought up by one push at the most");
+                    disconnected.bytesReceived - bytesBefore <= copyBytes + 50,
+                    "brought up by one push at the most");
         }
     }
 
     /** A copy that was damaged in memory is found by its report, or by the next delta. */
     @Test
     public void divergedCopyIsSentAgain() {
-        CoreOfTwo core = new CoreOfTwo();
-        List<Scheduler> all = connectSchedulers(core, 1, 100);
+        PublisherPair publishers = new PublisherPair();
+        List<Scheduler> all = connectSchedulers(publishers, 1, 100);
         Scheduler scheduler = all.get(0);
-        core.loop.run(2 * HEARTBEAT_MS);
-        core.leader()
+        publishers.loop.run(2 * HEARTBEAT_MS);
+        publishers
+                .leader()
                 .onAcknowledgement(
                         scheduler.subscription,
                         new Messages.ConfigurationAck(scheduler.version, 7));
         assertEquals(scheduler.pushCount, 2);
-        core.loop.run(HEARTBEAT_MS);
-        core.leader().onCopyRequest(scheduler.subscription);
+        publishers.loop.run(HEARTBEAT_MS);
+        publishers.leader().onCopyRequest(scheduler.subscription);
         assertEquals(scheduler.pushCount, 3);
-        core.loop.run(APPLY_TIMEOUT_MS);
-        assertAllApplied(core, all, "sent again");
+        publishers.loop.run(APPLY_TIMEOUT_MS);
+        assertAllApplied(publishers, all, "sent again");
     }
 
     /** Changes, lost links and new leaders in any order. */
     @Test
     public void allConvergeDespiteLostLinksAndLeaderChanges() {
         for (int seed = 0; seed < 200; seed++) {
-            Random chance = new Random(seed);
-            CoreOfTwo core = new CoreOfTwo();
-            List<Scheduler> all = connectSchedulers(core, 4, 5 + chance.nextInt(200));
+            Random random = new Random(seed);
+            PublisherPair publishers = new PublisherPair();
+            List<Scheduler> all = connectSchedulers(publishers, 4, 5 + random.nextInt(200));
             for (int step = 0; step < 60; step++) {
-                Scheduler one = all.get(chance.nextInt(all.size()));
-                switch (chance.nextInt(8)) {
-                    case 0 -> one.disconnect();
-                    case 1 -> one.connect();
-                    case 2 -> changeLeader(core, all);
-                    default -> core.commit(withRandomChange(core.newest, chance));
+                Scheduler scheduler = all.get(random.nextInt(all.size()));
+                switch (random.nextInt(8)) {
+                    case 0 -> scheduler.disconnect();
+                    case 1 -> scheduler.connect();
+                    case 2 -> changeLeader(publishers, all);
+                    default -> publishers.commit(withRandomChange(publishers.newest, random));
                 }
-                core.loop.run(chance.nextInt(200));
+                publishers.loop.run(random.nextInt(200));
             }
-            all.stream().filter(s -> s.subscription == null).forEach(Scheduler::connect);
-            core.loop.run(APPLY_TIMEOUT_MS);
-            assertAllApplied(core, all, "seed " + seed);
-            for (Scheduler s : all) {
+            all.stream()
+                    .filter(scheduler -> scheduler.subscription == null)
+                    .forEach(Scheduler::connect);
+            publishers.loop.run(APPLY_TIMEOUT_MS);
+            assertAllApplied(publishers, all, "seed " + seed);
+            for (Scheduler scheduler : all) {
                 assertEquals(
-                        s.maxPendingPushes, 1, "seed " + seed + ": pushes that wait in a link");
+                        scheduler.maxPendingPushes,
+                        1,
+                        "seed " + seed + ": pushes that wait in a link");
             }
         }
     }
 
-    private static void changeLeader(CoreOfTwo core, List<Scheduler> all) {
+    private static void changeLeader(PublisherPair publishers, List<Scheduler> all) {
         all.forEach(Scheduler::disconnect);
-        core.leader().clear();
-        core.leader = 1 - core.leader;
+        publishers.leader().clear();
+        publishers.leader = 1 - publishers.leader;
         all.forEach(Scheduler::connect);
     }
 }
--- a/src/test/java/gingerspool/controlplane/GracefulShutdownTest.java
+++ b/src/test/java/gingerspool/controlplane/GracefulShutdownTest.java
@@ -1,12 +1,12 @@
 package gingerspool.controlplane;
 
-import static gingerspool.controlplane.CoreModel.completeConfiguration;
+import static gingerspool.controlplane.ClusterModel.completeConfiguration;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.controlplane.CoreModel.Answer;
-import gingerspool.controlplane.CoreModel.Node;
+import gingerspool.controlplane.ClusterModel.Answer;
+import gingerspool.controlplane.ClusterModel.Node;
 import gingerspool.peers.ModelEventLoop;
 import java.util.ArrayList;
 import java.util.List;
@@ -49,9 +49,9 @@
     public void endsAtOnceWhenNothingIsPending() {
         RecordingProcess process = new RecordingProcess();
         process.mayStop = true;
-        GracefulShutdown stop = new GracefulShutdown(loop, GRACE_PERIOD_MS, process);
-        stop.begin();
-        stop.begin();
+        GracefulShutdown shutdown = new GracefulShutdown(loop, GRACE_PERIOD_MS, process);
+        shutdown.begin();
+        shutdown.begin();
         loop.run(GRACE_PERIOD_MS);
         assertEquals(process.events, List.of("closed 0", "ended 0"));
     }
@@ -83,15 +83,15 @@
     @Test
     public void answersPendingChangeWhenLeaderLeaves() {
         for (long seed = 0; seed < 10; seed++) {
-            CoreModel core = new CoreModel(seed);
-            Node leader = core.awaitLeader();
+            ClusterModel cluster = new ClusterModel(seed);
+            Node leader = cluster.awaitLeader();
             Answer answer = leader.change(true, 0, completeConfiguration(1, "a"));
-            leader.replica.leave(core.loop.now());
+            leader.replica.leave(cluster.loop.now());
             assertFalse(leader.isLeading());
-            core.loop.run(3 * CoreModel.LEASE_MS);
+            cluster.loop.run(3 * ClusterModel.LEASE_MS);
             assertEquals(answer.status, 200, answer.body);
-            assertTrue(core.others(leader).stream().anyMatch(Node::isLeading));
-            assertTrue(leader.replica.mayStop(core.loop.now()), "nobody waits to replace it");
+            assertTrue(cluster.others(leader).stream().anyMatch(Node::isLeading));
+            assertTrue(leader.replica.mayStop(cluster.loop.now()), "nobody waits to replace it");
         }
     }
 }
--- a/src/test/java/gingerspool/controlplane/LeaderDutiesTest.java
+++ b/src/test/java/gingerspool/controlplane/LeaderDutiesTest.java
@@ -6,7 +6,7 @@
 
 import gingerspool.codec.Messages;
 import gingerspool.configuration.ConfigurationState;
-import gingerspool.controlplane.CoreModel.Node;
+import gingerspool.controlplane.ClusterModel.Node;
 import gingerspool.settings.NodeSettings;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -23,13 +23,13 @@
 
 /** What the leader's duties do while the lease holds, has lapsed, and once the term is over. */
 public class LeaderDutiesTest {
-    private static final double HEARTBEAT_MS = 2 * CoreModel.LEASE_MS;
+    private static final double HEARTBEAT_MS = 2 * ClusterModel.LEASE_MS;
     private static final String CONFIGURATION =
             "{\"Version\":1,\"Routes\":[{\"Name\":\"r\",\"HostName\":\"h\",\"PathPrefix\":\"/\","
                     + "\"Service\":\"f\",\"TargetLatencyMs\":100}],\"Services\":[{\"Name\":\"f\","
                     + "\"MemoryMb\":128,\"BootMs\":200,\"MaxConcurrency\":2}]}";
 
-    private CoreModel core;
+    private ClusterModel cluster;
     private final NodeSettings settings = settings();
     private ModelPlatform platform;
 
@@ -66,12 +66,12 @@
         final Set<String> draining = new HashSet<>();
 
         @Override
-        public void instances(Consumer<List<Object>> then) {
+        public void instances(Consumer<List<Object>> callback) {
             calls.add("list");
-            List<Object> all = new ArrayList<>();
+            List<Object> entries = new ArrayList<>();
             instances.forEach(
                     (id, host) ->
-                            all.add(
+                            entries.add(
                                     Map.of(
                                             "Identifier",
                                             id,
@@ -87,11 +87,11 @@
                                             2,
                                             "State",
                                             draining.contains(id) ? "draining" : "ready")));
-            core.loop.schedule(10, () -> then.accept(all));
+            cluster.loop.schedule(10, () -> callback.accept(entries));
         }
 
         @Override
-        public void hosts(Consumer<Response> then) {
+        public void hosts(Consumer<Response> callback) {
             Map<String, Object> host =
                     Map.of(
                             "Name", "w",
@@ -99,35 +99,39 @@
                             "MemoryMb", 1024,
                             "FreeMemoryMb", 1024,
                             "State", "ready");
-            Response answer = new Response(200, Map.of("Workers", List.of(host)));
-            core.loop.schedule(10, () -> then.accept(answer));
+            Response response = new Response(200, Map.of("Workers", List.of(host)));
+            cluster.loop.schedule(10, () -> callback.accept(response));
         }
 
         @Override
         public void start(
-                String holder,
-                long fence,
+                String leaderName,
+                long fencingToken,
                 String service,
                 String host,
                 String nonce,
-                Consumer<Response> then) {
+                Consumer<Response> callback) {
             calls.add("start");
             assertTrue(nonces.add(nonce), "the same nonce for another start: " + nonce);
             String id = "i-" + nonces.size();
             instances.put(id, host);
-            core.loop.schedule(
+            cluster.loop.schedule(
                     10,
                     () ->
-                            then.accept(
+                            callback.accept(
                                     new Response(
                                             200,
                                             Map.of("Identifier", id, "Address", "10.1.0.1:1"))));
         }
 
         @Override
-        public void stop(String holder, long fence, String instance, Consumer<Response> then) {
+        public void stop(
+                String leaderName,
+                long fencingToken,
+                String instance,
+                Consumer<Response> callback) {
             calls.add("stop");
-            core.loop.schedule(10, () -> then.accept(new Response(200, null)));
+            cluster.loop.schedule(10, () -> callback.accept(new Response(200, null)));
         }
     }
 
@@ -156,7 +160,7 @@
             this.node = node;
             ConfigurationState state = new ConfigurationState();
             state.apply(true, 0, CONFIGURATION.getBytes(StandardCharsets.UTF_8));
-            schedulers = new SchedulerRegistry(core.loop, settings, state);
+            schedulers = new SchedulerRegistry(cluster.loop, settings, state);
             schedulers.onConfigurationChanged();
             leadership =
                     new Leadership(
@@ -164,7 +168,7 @@
                             term -> {
                                 LeaderDuties duties =
                                         new LeaderDuties(
-                                                core.loop,
+                                                cluster.loop,
                                                 settings,
                                                 platform,
                                                 term,
@@ -183,8 +187,8 @@
         }
 
         private void update() {
-            leadership.update(core.loop.now());
-            core.loop.schedule(5, this::update);
+            leadership.update(cluster.loop.now());
+            cluster.loop.schedule(5, this::update);
         }
     }
 
@@ -192,8 +196,8 @@
         return new Messages.Register("s", "a", 0, held);
     }
 
-    private static Messages.SlotDemand demand(int lacks, long granted) {
-        return new Messages.SlotDemand("f", lacks, granted, lacks, lacks, 50);
+    private static Messages.SlotDemand demand(int missingSlots, long granted) {
+        return new Messages.SlotDemand("f", missingSlots, granted, missingSlots, missingSlots, 50);
     }
 
     private LeaderSide leader;
@@ -201,22 +205,22 @@
 
     @BeforeMethod
     public void lead() {
-        core = new CoreModel(3);
+        cluster = new ClusterModel(3);
         platform = new ModelPlatform();
-        leader = new LeaderSide(core.awaitLeader());
-        core.loop.run(HEARTBEAT_MS / 2);
+        leader = new LeaderSide(cluster.awaitLeader());
+        cluster.loop.run(HEARTBEAT_MS / 2);
         link = new Link();
         leader.schedulers.register(link, register(Map.of()), 1);
         leader.schedulers.received(link, demand(1, 0));
-        core.loop.run(HEARTBEAT_MS);
+        cluster.loop.run(HEARTBEAT_MS);
         assertTrue(link.grants() >= 1, "nothing was granted under the lease");
     }
 
     @Test
     public void nothingIsDoneWithoutLease() {
-        core.isolate(leader.node);
+        cluster.isolate(leader.node);
         while (leader.node.isLeading()) {
-            core.loop.run(5);
+            cluster.loop.run(5);
         }
         platform.calls.clear();
         link.received.clear();
@@ -224,7 +228,7 @@
             leader.schedulers.received(link, demand(5, 0));
             leader.schedulers.received(
                     link, new Messages.SlotReturn("i-1", 1, Messages.InstanceCondition.HEALTHY));
-            core.loop.run(100);
+            cluster.loop.run(100);
         }
         assertEquals(link.grants(), 0);
         assertTrue(link.received.stream().noneMatch(Messages.SlotRecall.class::isInstance));
@@ -237,62 +241,62 @@
     @Test
     public void dutiesContinueAfterLeaseIsRenewed() {
         long term = leader.node.replica.term();
-        core.isolate(leader.node);
+        cluster.isolate(leader.node);
         while (leader.node.isLeading()) {
-            core.loop.run(5);
+            cluster.loop.run(5);
         }
-        core.cutLinks.clear();
-        core.loop.run(CoreModel.LEASE_MS);
+        cluster.cutLinks.clear();
+        cluster.loop.run(ClusterModel.LEASE_MS);
         assertTrue(leader.node.isLeading());
         assertEquals(leader.node.replica.term(), term);
         assertEquals(leader.endedDuties, 0);
-        int before = link.grants();
-        leader.schedulers.received(link, demand(1, before));
-        core.loop.run(HEARTBEAT_MS);
-        assertTrue(link.grants() > before);
+        int grantsBefore = link.grants();
+        leader.schedulers.received(link, demand(1, grantsBefore));
+        cluster.loop.run(HEARTBEAT_MS);
+        assertTrue(link.grants() > grantsBefore);
     }
 
-    /** What still comes on an earlier link was told before the scheduler registered anew. */
+    /** What still comes on an earlier link was withdrawn before the scheduler registered anew. */
     @Test
     public void messagesOnEarlierLinkAreIgnored() {
-        String held =
+        String heldInstance =
                 link.received.stream()
                         .filter(Messages.SlotGrant.class::isInstance)
                         .map(m -> ((Messages.SlotGrant) m).instance())
                         .findFirst()
                         .orElseThrow();
-        Link next = new Link();
-        leader.schedulers.register(next, register(Map.of(held, 2)), 1);
+        Link newLink = new Link();
+        leader.schedulers.register(newLink, register(Map.of(heldInstance, 2)), 1);
         leader.schedulers.received(
-                link, new Messages.SlotReturn(held, 2, Messages.InstanceCondition.HEALTHY));
+                link, new Messages.SlotReturn(heldInstance, 2, Messages.InstanceCondition.HEALTHY));
         leader.schedulers.closed(link);
-        assertEquals(leader.leadership.duties().allocator.instance(held).grantedSlots(), 2);
+        assertEquals(leader.leadership.duties().allocator.instance(heldInstance).grantedSlots(), 2);
         assertEquals(leader.schedulers.size(), 1);
     }
 
     /** It holds slots of what a new leader saw leave before this scheduler came to it. */
     @Test
     public void registeringSchedulerLearnsOfDrainingInstances() {
-        Node old = leader.node;
-        core.isolate(old);
+        Node oldLeader = leader.node;
+        cluster.isolate(oldLeader);
         platform.draining.addAll(platform.instances.keySet());
-        Set<String> leaving = Set.copyOf(platform.draining);
-        LeaderSide next = new LeaderSide(core.awaitLeader(core.others(old)));
-        core.loop.run(2 * HEARTBEAT_MS);
-        Link moved = new Link();
+        Set<String> drainingIds = Set.copyOf(platform.draining);
+        LeaderSide newLeader = new LeaderSide(cluster.awaitLeader(cluster.others(oldLeader)));
+        cluster.loop.run(2 * HEARTBEAT_MS);
+        Link newLink = new Link();
         Map<String, Integer> held = new HashMap<>();
-        leaving.forEach(id -> held.put(id, 1));
-        next.schedulers.register(moved, register(held), 2);
-        next.schedulers.received(moved, demand(2, 0));
-        core.loop.run(2 * HEARTBEAT_MS);
-        Set<String> told = new HashSet<>();
-        for (Object message : moved.received) {
+        drainingIds.forEach(id -> held.put(id, 1));
+        newLeader.schedulers.register(newLink, register(held), 2);
+        newLeader.schedulers.received(newLink, demand(2, 0));
+        cluster.loop.run(2 * HEARTBEAT_MS);
+        Set<String> withdrawn = new HashSet<>();
+        for (Object message : newLink.received) {
             if (message instanceof Messages.InstanceWithdrawal w) {
-                told.addAll(w.instances());
+                withdrawn.addAll(w.instances());
             } else if (message instanceof Messages.SlotGrant g) {
-                assertFalse(leaving.contains(g.instance()), "a leaving instance was granted");
+                assertFalse(drainingIds.contains(g.instance()), "a leaving instance was granted");
             }
         }
-        assertEquals(told, leaving);
+        assertEquals(withdrawn, drainingIds);
     }
 }
--- a/src/test/java/gingerspool/controlplane/LeaderWatchTest.java
+++ b/src/test/java/gingerspool/controlplane/LeaderWatchTest.java
@@ -8,13 +8,13 @@
     @Test
     public void isDueEveryFourIntervalsWithoutLeader() {
         LeaderWatch watch = new LeaderWatch(1_000, 0);
-        StringBuilder due = new StringBuilder();
+        StringBuilder dueTimes = new StringBuilder();
         for (int at = 500; at <= 20_000; at += 500) {
             boolean knowsLeader = at > 1_000 && at <= 6_000 || at == 15_000;
             if (watch.isDue(knowsLeader, at)) {
-                due.append(at).append(' ');
+                dueTimes.append(at).append(' ');
             }
         }
-        assertEquals(due.toString(), "10000 14000 19000 ");
+        assertEquals(dueTimes.toString(), "10000 14000 19000 ");
     }
 }
--- a/src/test/java/gingerspool/controlplane/PartitionedLeaderTest.java
+++ b/src/test/java/gingerspool/controlplane/PartitionedLeaderTest.java
@@ -1,12 +1,12 @@
 package gingerspool.controlplane;
 
-import static gingerspool.controlplane.CoreModel.completeConfiguration;
+import static gingerspool.controlplane.ClusterModel.completeConfiguration;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.controlplane.CoreModel.Answer;
-import gingerspool.controlplane.CoreModel.Node;
+import gingerspool.controlplane.ClusterModel.Answer;
+import gingerspool.controlplane.ClusterModel.Node;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.DataProvider;
@@ -24,74 +24,81 @@
     /** Once others may lead, nothing is answered from the state of the one that is cut off. */
     @Test(dataProvider = "seeds")
     public void answersWithoutStaleReadsOrRejections(long seed) {
-        CoreModel core = new CoreModel(seed);
+        ClusterModel cluster = new ClusterModel(seed);
         assertEquals(
-                core.changeUntilDecided(true, 0, completeConfiguration(1, "before")).status, 200);
-        Node old = core.awaitLeader();
-        core.isolate(old);
+                cluster.changeUntilDecided(true, 0, completeConfiguration(1, "before")).status,
+                200);
+        Node oldLeader = cluster.awaitLeader();
+        cluster.isolate(oldLeader);
         List<Answer> reads = new ArrayList<>();
         List<Answer> changes = new ArrayList<>();
         long version = 1;
-        boolean otherLed = false;
+        boolean hasOtherLed = false;
         for (double at = 0; at < PARTITION_MS; at += 100) {
-            boolean otherLeads = core.others(old).stream().anyMatch(Node::isLeading);
-            otherLed |= otherLeads;
-            assertFalse(otherLeads && old.isLeading(), "two lead");
-            Answer read = old.read();
-            if (otherLed) {
+            boolean otherLeads = cluster.others(oldLeader).stream().anyMatch(Node::isLeading);
+            hasOtherLed |= otherLeads;
+            assertFalse(otherLeads && oldLeader.isLeading(), "two lead");
+            Answer read = oldLeader.read();
+            if (hasOtherLed) {
                 assertTrue(read.status == 503 || read.status == 307, "" + read.status);
-                Node other = core.awaitLeader(core.others(old));
+                Node newLeader = cluster.awaitLeader(cluster.others(oldLeader));
                 assertEquals(
-                        other.change(true, version, completeConfiguration(++version, "n")).status,
+                        newLeader.change(true, version, completeConfiguration(++version, "n"))
+                                .status,
                         0);
             }
             reads.add(read);
-            changes.add(old.change(true, 1, completeConfiguration(100 + (long) at, "cut off")));
-            double sentAt = core.loop.now();
-            core.loop.run(100);
+            changes.add(
+                    oldLeader.change(true, 1, completeConfiguration(100 + (long) at, "cut off")));
+            double sentAt = cluster.loop.now();
+            cluster.loop.run(100);
             assertTrue(read.answeredAt <= sentAt, "silence");
         }
-        assertTrue(otherLed);
-        core.loop.run(1_000);
+        assertTrue(hasOtherLed);
+        cluster.loop.run(1_000);
         for (Answer change : changes) {
             assertTrue(change.status == 503 || change.status == 307, "" + change.status);
         }
-        core.cutLinks.clear();
-        core.loop.run(3_000);
-        assertEquals(old.state.version(), version);
-        assertEquals(old.state.items(), core.awaitLeader().state.items());
+        cluster.cutLinks.clear();
+        cluster.loop.run(3_000);
+        assertEquals(oldLeader.state.version(), version);
+        assertEquals(oldLeader.state.items(), cluster.awaitLeader().state.items());
     }
 
     /** It is heard and hears nobody, or hears and is heard by nobody. */
     @Test(dataProvider = "seeds")
     public void oneWayCutEndsLease(long seed) {
-        CoreModel core = new CoreModel(seed);
+        ClusterModel cluster = new ClusterModel(seed);
         assertEquals(
-                core.changeUntilDecided(true, 0, completeConfiguration(1, "before")).status, 200);
-        Node old = core.awaitLeader();
-        for (Node other : core.others(old)) {
-            core.cutLinks.add(seed % 2 == 0 ? old.ip + ">" + other.ip : other.ip + ">" + old.ip);
+                cluster.changeUntilDecided(true, 0, completeConfiguration(1, "before")).status,
+                200);
+        Node oldLeader = cluster.awaitLeader();
+        for (Node other : cluster.others(oldLeader)) {
+            cluster.cutLinks.add(
+                    seed % 2 == 0 ? oldLeader.ip + ">" + other.ip : other.ip + ">" + oldLeader.ip);
         }
-        core.loop.run(4 * CoreModel.LEASE_MS);
-        int read = old.read().status;
-        assertTrue(read == 503 || read == 307, "" + read);
-        Node next = core.awaitLeader(core.others(old));
-        Answer change = next.change(true, 1, completeConfiguration(2, "after"));
-        core.loop.run(200);
+        cluster.loop.run(4 * ClusterModel.LEASE_MS);
+        int readStatus = oldLeader.read().status;
+        assertTrue(readStatus == 503 || readStatus == 307, "" + readStatus);
+        Node newLeader = cluster.awaitLeader(cluster.others(oldLeader));
+        Answer change = newLeader.change(true, 1, completeConfiguration(2, "after"));
+        cluster.loop.run(200);
         assertEquals(change.status, 200);
-        core.loop.run(PARTITION_MS);
-        assertTrue(core.others(old).stream().anyMatch(Node::isLeading), "it disturbs the others");
+        cluster.loop.run(PARTITION_MS);
+        assertTrue(
+                cluster.others(oldLeader).stream().anyMatch(Node::isLeading),
+                "it disturbs the others");
     }
 
     /** A change that was under way as the cut came is answered within a second, without a claim. */
     @Test(dataProvider = "seeds")
     public void pendingChangeIsAnsweredWithinOneSecond(long seed) {
-        CoreModel core = new CoreModel(seed);
-        Node old = core.awaitLeader();
-        core.isolate(old);
-        double sentAt = core.loop.now();
-        Answer change = old.change(true, 0, completeConfiguration(1, "a"));
-        core.loop.run(PARTITION_MS);
+        ClusterModel cluster = new ClusterModel(seed);
+        Node oldLeader = cluster.awaitLeader();
+        cluster.isolate(oldLeader);
+        double sentAt = cluster.loop.now();
+        Answer change = oldLeader.change(true, 0, completeConfiguration(1, "a"));
+        cluster.loop.run(PARTITION_MS);
         assertEquals(change.status, 503);
         assertTrue(change.answeredAt - sentAt < 1_000, "after " + (change.answeredAt - sentAt));
     }
--- a/src/test/java/gingerspool/controlplane/PlatformCallsTest.java
+++ b/src/test/java/gingerspool/controlplane/PlatformCallsTest.java
@@ -46,9 +46,9 @@
                         loop,
                         new InetSocketAddress(server.getInetAddress(), server.getLocalPort()),
                         TIMEOUT_MS);
-        Thread serving = new Thread(this::serve);
-        serving.setDaemon(true);
-        serving.start();
+        Thread serverThread = new Thread(this::serve);
+        serverThread.setDaemon(true);
+        serverThread.start();
     }
 
     @AfterMethod
@@ -60,12 +60,12 @@
     private void serve() {
         try {
             while (true) {
-                Socket s = server.accept();
-                s.getInputStream().read(new byte[4096]);
-                String answer = responses.take();
-                if (!answer.isEmpty()) {
-                    s.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
-                    s.close();
+                Socket socket = server.accept();
+                socket.getInputStream().read(new byte[4096]);
+                String response = responses.take();
+                if (!response.isEmpty()) {
+                    socket.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
+                    socket.close();
                 }
             }
         } catch (IOException | InterruptedException e) {
@@ -73,20 +73,20 @@
         }
     }
 
-    private <T> T call(Consumer<Consumer<T>> what) throws Exception {
-        CompletableFuture<T> end = new CompletableFuture<>();
+    private <T> T call(Consumer<Consumer<T>> operation) throws Exception {
+        CompletableFuture<T> completion = new CompletableFuture<>();
         loop.submit(
                 () ->
-                        what.accept(
-                                a -> {
-                                    assertTrue(!end.isDone(), "one end only");
-                                    end.complete(a);
+                        operation.accept(
+                                result -> {
+                                    assertTrue(!completion.isDone(), "one end only");
+                                    completion.complete(result);
                                 }));
-        return end.get(5, TimeUnit.SECONDS);
+        return completion.get(5, TimeUnit.SECONDS);
     }
 
     private Platform.Response start() throws Exception {
-        return call(then -> platform.start("core-1", 3, "f", "h1", "n1", then));
+        return call(callback -> platform.start("core-1", 3, "f", "h1", "n1", callback));
     }
 
     @DataProvider
@@ -105,8 +105,9 @@
     }
 
     @Test(dataProvider = "troubles")
-    public void everyCallCompletesOnceAndNextSucceeds(String answer, int status) throws Exception {
-        responses.add(answer);
+    public void everyCallCompletesOnceAndNextSucceeds(String response, int status)
+            throws Exception {
+        responses.add(response);
         assertEquals(start().status(), status);
         responses.add(STARTED_RESPONSE);
         Platform.Response next = start();
@@ -120,17 +121,17 @@
      */
     @Test
     public void discardsListWithMissingPage() throws Exception {
-        String first = "{\"Instances\":[{\"Identifier\":\"i-1\"}],\"NextPageToken\":\"p-1\"}";
-        String last = "{\"Instances\":[{\"Identifier\":\"i-2\"}],\"NextPageToken\":null}";
-        responses.add(okResponse(first));
+        String firstPage = "{\"Instances\":[{\"Identifier\":\"i-1\"}],\"NextPageToken\":\"p-1\"}";
+        String lastPage = "{\"Instances\":[{\"Identifier\":\"i-2\"}],\"NextPageToken\":null}";
+        responses.add(okResponse(firstPage));
         responses.add("HTTP/1.1 429 Too Many\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-        assertNull(this.<List<Object>>call(then -> platform.instances(then)));
-        responses.add(okResponse(first));
+        assertNull(this.<List<Object>>call(callback -> platform.instances(callback)));
+        responses.add(okResponse(firstPage));
         responses.add(okResponse("{\"Instances\":\"none\"}"));
-        assertNull(this.<List<Object>>call(then -> platform.instances(then)));
-        responses.add(okResponse(first));
-        responses.add(okResponse(last));
-        assertEquals(this.<List<Object>>call(then -> platform.instances(then)).size(), 2);
+        assertNull(this.<List<Object>>call(callback -> platform.instances(callback)));
+        responses.add(okResponse(firstPage));
+        responses.add(okResponse(lastPage));
+        assertEquals(this.<List<Object>>call(callback -> platform.instances(callback)).size(), 2);
     }
 
     private static String okResponse(String body) {
--- a/src/test/java/gingerspool/controlplane/ReadsUnderFaultsTest.java
+++ b/src/test/java/gingerspool/controlplane/ReadsUnderFaultsTest.java
@@ -1,11 +1,11 @@
 package gingerspool.controlplane;
 
-import static gingerspool.controlplane.CoreModel.completeConfiguration;
+import static gingerspool.controlplane.ClusterModel.completeConfiguration;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.controlplane.CoreModel.Answer;
-import gingerspool.controlplane.CoreModel.Node;
+import gingerspool.controlplane.ClusterModel.Answer;
+import gingerspool.controlplane.ClusterModel.Node;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -45,7 +45,7 @@
 
     private static final class FaultRun {
         private final SplittableRandom random;
-        private final CoreModel core;
+        private final ClusterModel cluster;
         private final List<Read> reads = new ArrayList<>();
         private final List<Change> changes = new ArrayList<>();
         private long lastProposedVersion;
@@ -54,8 +54,8 @@
 
         FaultRun(long seed) {
             random = new SplittableRandom(seed);
-            core = new CoreModel(seed);
-            core.awaitLeader();
+            cluster = new ClusterModel(seed);
+            cluster.awaitLeader();
         }
 
         private long newestAcknowledged() {
@@ -73,21 +73,21 @@
                 }
                 step();
             }
-            core.cutLinks.clear();
-            core.nodes.stream().filter(node -> !node.isUp()).forEach(Node::start);
+            cluster.cutLinks.clear();
+            cluster.nodes.stream().filter(node -> !node.isUp()).forEach(Node::start);
             for (int step = 0; step < RECOVERY_STEPS; step++) {
                 step();
             }
         }
 
         private void step() {
-            for (Node node : core.nodes) {
+            for (Node node : cluster.nodes) {
                 if (node.isUp()) {
                     reads.add(new Read(node.read(), newestAcknowledged()));
                     changeAt(node);
                 }
             }
-            core.loop.run(STEP_MS);
+            cluster.loop.run(STEP_MS);
             reads.forEach(FaultRun::check);
             answeredReads += (int) reads.stream().filter(read -> read.answer.status == 200).count();
             reads.removeIf(read -> read.answer.status != 0);
@@ -97,11 +97,11 @@
         private void changeAt(Node node) {
             if (node.isLeading() && random.nextInt(3) == 0) {
                 lastProposedVersion++;
-                long base = node.state.version();
+                long baseVersion = node.state.version();
                 Answer answer =
                         node.change(
                                 true,
-                                base,
+                                baseVersion,
                                 completeConfiguration(
                                         lastProposedVersion, "n" + lastProposedVersion));
                 changes.add(new Change(answer, lastProposedVersion));
@@ -132,32 +132,32 @@
 
         /** Cuts the core into two sides or joins it, kills or starts a member; disks are kept. */
         private void injectFault() {
-            Node node = core.nodes.get(random.nextInt(core.nodes.size()));
+            Node node = cluster.nodes.get(random.nextInt(cluster.nodes.size()));
             switch (random.nextInt(4)) {
-                case 0 -> core.isolate(node);
-                case 1 -> core.cutLinks.clear();
+                case 0 -> cluster.isolate(node);
+                case 1 -> cluster.cutLinks.clear();
                 case 2 -> {
                     if (node.isUp()) {
                         node.kill();
                     }
                 }
-                default -> core.nodes.stream().filter(n -> !n.isUp()).forEach(Node::start);
+                default -> cluster.nodes.stream().filter(n -> !n.isUp()).forEach(Node::start);
             }
-            int down = (int) core.nodes.stream().filter(n -> !n.isUp()).count();
-            maxNodesDown = Math.max(maxNodesDown, down);
+            int nodesDown = (int) cluster.nodes.stream().filter(n -> !n.isUp()).count();
+            maxNodesDown = Math.max(maxNodesDown, nodesDown);
         }
     }
 
     @Test(dataProvider = "seeds")
     public void readsAreNeverStale(long seed) {
-        FaultRun play = new FaultRun(seed);
-        play.run();
-        assertTrue(play.answeredReads > 0, "nothing was served");
-        assertTrue(play.newestAcknowledged() > 0, "nothing was acknowledged");
-        long version = play.core.awaitLeader().state.version();
+        FaultRun run = new FaultRun(seed);
+        run.run();
+        assertTrue(run.answeredReads > 0, "nothing was served");
+        assertTrue(run.newestAcknowledged() > 0, "nothing was acknowledged");
+        long version = run.cluster.awaitLeader().state.version();
         assertTrue(
-                version >= play.newestAcknowledged(), version + " of " + play.newestAcknowledged());
-        for (Node node : play.core.nodes) {
+                version >= run.newestAcknowledged(), version + " of " + run.newestAcknowledged());
+        for (Node node : run.cluster.nodes) {
             assertEquals(node.state.version(), version);
         }
     }
@@ -165,12 +165,12 @@
     /** The plays above do go beyond the one loss that three members tolerate. */
     @Test
     public void faultsExceedToleranceInSomeSeeds() {
-        int beyond = 0;
+        int runsBeyondTolerance = 0;
         for (Object[] seed : seeds()) {
-            FaultRun play = new FaultRun((long) seed[0]);
-            play.run();
-            beyond += play.maxNodesDown >= 2 ? 1 : 0;
+            FaultRun run = new FaultRun((long) seed[0]);
+            run.run();
+            runsBeyondTolerance += run.maxNodesDown >= 2 ? 1 : 0;
         }
-        assertTrue(beyond >= 5, beyond + " seeds");
+        assertTrue(runsBeyondTolerance >= 5, runsBeyondTolerance + " seeds");
     }
 }
--- a/src/test/java/gingerspool/controlplane/RepairTest.java
+++ b/src/test/java/gingerspool/controlplane/RepairTest.java
@@ -15,11 +15,11 @@
 public class RepairTest {
     /** Done once this member holds these items. */
     private static void await(
-            ControlNode of, Map<String, String> right, CompletableFuture<Void> done) {
-        if (of.configurationState.items().equals(right)) {
+            ControlNode node, Map<String, String> expectedItems, CompletableFuture<Void> done) {
+        if (node.configurationState.items().equals(expectedItems)) {
             done.complete(null);
         } else {
-            of.loop.schedule(20, () -> await(of, right, done));
+            node.loop.schedule(20, () -> await(node, expectedItems, done));
         }
     }
 
@@ -28,17 +28,17 @@
         try (Platforms.Running platform =
                 new Platforms.Running(Files.createTempDirectory("repair"))) {
             assertEquals(platform.configure().statusCode(), 200);
-            ConfigurationState taken = new ConfigurationState();
-            taken.apply(true, 0, Platforms.Running.CONFIGURATION.getBytes());
-            Map<String, String> right = taken.items();
+            ConfigurationState expected = new ConfigurationState();
+            expected.apply(true, 0, Platforms.Running.CONFIGURATION.getBytes());
+            Map<String, String> expectedItems = expected.items();
             for (ControlNode member : platform.core) {
                 // All have delivered it once they answer to it.
-                CompletableFuture<Void> has = new CompletableFuture<>();
-                member.loop.submit(() -> await(member, right, has));
-                has.get(10, TimeUnit.SECONDS);
+                CompletableFuture<Void> isApplied = new CompletableFuture<>();
+                member.loop.submit(() -> await(member, expectedItems, isApplied));
+                isApplied.get(10, TimeUnit.SECONDS);
             }
             for (ControlNode member : platform.core) {
-                CompletableFuture<Void> mended = new CompletableFuture<>();
+                CompletableFuture<Void> repaired = new CompletableFuture<>();
                 member.loop.submit(
                         () -> {
                             Map<String, String> damaged =
@@ -49,19 +49,19 @@
                             damaged.put("F/Version", "[9]");
                             damaged.remove("T/1");
                             try {
-                                ConfigurationState a = member.configurationState;
-                                a.repair(damaged);
-                                await(member, right, mended);
+                                ConfigurationState state = member.configurationState;
+                                state.repair(damaged);
+                                await(member, expectedItems, repaired);
                             } catch (gingerspool.configuration.InvalidConfigurationException e) {
-                                mended.completeExceptionally(e);
+                                repaired.completeExceptionally(e);
                             }
                         });
-                mended.get(20, TimeUnit.SECONDS);
+                repaired.get(20, TimeUnit.SECONDS);
             }
             for (ControlNode member : platform.core) {
-                CompletableFuture<Map<String, String>> held = new CompletableFuture<>();
-                member.loop.submit(() -> held.complete(member.configurationState.items()));
-                assertEquals(held.get(10, TimeUnit.SECONDS), right);
+                CompletableFuture<Map<String, String>> actualItems = new CompletableFuture<>();
+                member.loop.submit(() -> actualItems.complete(member.configurationState.items()));
+                assertEquals(actualItems.get(10, TimeUnit.SECONDS), expectedItems);
             }
         }
     }
--- a/src/test/java/gingerspool/controlplane/StartWithoutDiskTest.java
+++ b/src/test/java/gingerspool/controlplane/StartWithoutDiskTest.java
@@ -22,8 +22,8 @@
 
     private final HttpClient client = HttpClient.newHttpClient();
 
-    private static ControlNode node(Path folder, Path data, int port) throws Exception {
-        int inner = Ports.free(IP);
+    private static ControlNode node(Path folder, Path dataDirectory, int port) throws Exception {
+        int internalPort = Ports.free(IP);
         Path file = folder.resolve("settings.toml");
         Files.writeString(
                 file,
@@ -43,7 +43,8 @@
                 [Cloud]
                 Address = "127.0.8.9:1"
                 """
-                        .formatted(IP, inner, inner, IP, port, data, IP, port));
+                        .formatted(
+                                IP, internalPort, internalPort, IP, port, dataDirectory, IP, port));
         return new ControlNode(NodeSettings.read(file));
     }
 
@@ -57,31 +58,31 @@
     @Test
     public void returns503UntilDiskIsUsable() throws Exception {
         Path folder = Files.createTempDirectory("start");
-        Path inTheWay = folder.resolve("in-the-way");
-        Files.write(inTheWay, new byte[1]);
+        Path blockingFile = folder.resolve("in-the-way");
+        Files.write(blockingFile, new byte[1]);
         int port = Ports.free(IP);
-        ControlNode node = node(folder, inTheWay.resolve("data"), port);
+        ControlNode node = node(folder, blockingFile.resolve("data"), port);
         try {
-            CompletableFuture<Void> listens = new CompletableFuture<>();
-            node.begin(listens::completeExceptionally);
-            node.loop.submit(() -> listens.complete(null));
-            listens.get(10, TimeUnit.SECONDS);
+            CompletableFuture<Void> listening = new CompletableFuture<>();
+            node.begin(listening::completeExceptionally);
+            node.loop.submit(() -> listening.complete(null));
+            listening.get(10, TimeUnit.SECONDS);
             assertEquals(read(port), 503);
-            Files.delete(inTheWay);
-            CompletableFuture<Void> leads = new CompletableFuture<>();
-            node.loop.submit(() -> awaitLead(node, leads));
-            leads.get(10, TimeUnit.SECONDS);
+            Files.delete(blockingFile);
+            CompletableFuture<Void> leading = new CompletableFuture<>();
+            node.loop.submit(() -> awaitLead(node, leading));
+            leading.get(10, TimeUnit.SECONDS);
             assertEquals(read(port), 404, "it leads, alone, and has no configuration");
         } finally {
             node.close();
         }
     }
 
-    private static void awaitLead(ControlNode node, CompletableFuture<Void> leads) {
+    private static void awaitLead(ControlNode node, CompletableFuture<Void> leading) {
         if (node.isLeading()) {
-            leads.complete(null);
+            leading.complete(null);
         } else {
-            node.loop.schedule(20, () -> awaitLead(node, leads));
+            node.loop.schedule(20, () -> awaitLead(node, leading));
         }
     }
 
@@ -92,20 +93,20 @@
         Files.write(data.resolve("ledger-3.mv"), new byte[9000]);
         ControlNode node = node(folder, data, Ports.free(IP));
         try {
-            CompletableFuture<Boolean> learner = new CompletableFuture<>();
-            node.begin(learner::completeExceptionally);
-            node.loop.submit(() -> awaitMember(node, learner));
-            assertTrue(learner.get(10, TimeUnit.SECONDS), "it founded a core of its own");
+            CompletableFuture<Boolean> isLearner = new CompletableFuture<>();
+            node.begin(isLearner::completeExceptionally);
+            node.loop.submit(() -> awaitMember(node, isLearner));
+            assertTrue(isLearner.get(10, TimeUnit.SECONDS), "it founded a cluster of its own");
         } finally {
             node.close();
         }
     }
 
-    private static void awaitMember(ControlNode node, CompletableFuture<Boolean> learner) {
+    private static void awaitMember(ControlNode node, CompletableFuture<Boolean> isLearner) {
         if (node.isRecovered()) {
-            learner.complete(node.isLearner());
+            isLearner.complete(node.isLearner());
         } else {
-            node.loop.schedule(20, () -> awaitMember(node, learner));
+            node.loop.schedule(20, () -> awaitMember(node, isLearner));
         }
     }
 }
