--- a/src/main/java/gingerspool/controlplane/ClusterMember.java
+++ b/src/main/java/gingerspool/controlplane/ClusterMember.java
@@ -22,9 +22,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A control node as a member of the core, from the moment that its disk was read: the replica with
- * what it sends, writes and applies, the leader's duties while it leads, and the comparison of
- * copies. All calls come on the loop. Owns the replica; the configuration's state is the node's.
+ * A control node as a member of the control cluster, once its log has been read: runs the replica
+ * and carries out what it sends, persists and applies, runs the leader's duties while this member
+ * leads, and the comparison of the members' state. Created by {@link ControlNode}, which calls it
+ * on the event loop. Owns the replica; the configuration state belongs to the node.
  */
 final class ClusterMember implements ReplicaEnvironment {
     private static final Logger LOG = LoggerFactory.getLogger(ClusterMember.class);
@@ -32,13 +33,13 @@
     /** The leader's lease, in heartbeat intervals. */
     private static final double LEASE_HEARTBEATS = 0.5;
 
-    /** When a call of the platform has failed without an answer, in heartbeat intervals. */
+    /** Timeout of a call to the platform, in heartbeat intervals. */
     private static final double PLATFORM_TIMEOUT_HEARTBEATS = 0.8;
 
-    /** The shortest pause between two ticks of the replica, in milliseconds. */
+    /** Shortest interval between two ticks of the replica. */
     private static final double MIN_TICK_INTERVAL_MS = 1;
 
-    /** What a member needs of the node round it. */
+    /** What the member uses of its control node. */
     interface Node {
         EventLoop loop();
 
@@ -54,13 +55,13 @@
 
         OperatorCalls operatorCalls();
 
-        /** Hands a write to the log's thread. */
+        /** Passes a write to the log's thread. */
         void save(LogWrite write);
 
-        /** Sends to all processes that opened a link here. */
+        /** Sends a message on every link that another process opened to this node. */
         void sendToAll(Object message);
 
-        /** The configuration has changed. */
+        /** Called after a new configuration was applied or restored. */
         void onConfigurationChanged();
     }
 
@@ -73,7 +74,10 @@
     private final LeaderWatch leaderWatch;
     private double nextTickAt = Double.POSITIVE_INFINITY;
 
-    /** The seeds may be changed by the node; the replica sees it. */
+    /**
+     * The list of seeds is shared: the node may change it later, and the replica reads the current
+     * content.
+     */
     ClusterMember(Node node, RecoveredLog recovered, List<String> seeds) {
         this.node = node;
         loop = node.loop();
@@ -92,14 +96,17 @@
         leadership = new Leadership(replica, this::beginDuties, this::endDuties);
     }
 
-    /** Only an empty disk may be that of a first start; one that can't be read has lost votes. */
+    /**
+     * Founds a new cluster only if the log is empty: a log that cannot be read may have held votes,
+     * and a member that votes twice in a term can elect two leaders.
+     */
     private Replica createReplica(RecoveredLog recovered, List<String> seeds) {
         boolean isFirstStart = recovered.isEmpty() && settings.firstStart;
         List<Member> founders =
                 isFirstStart
                         ? seeds.stream().map(seed -> new Member(seed, Member.FOUNDER)).toList()
                         : List.of();
-        // Never the same twice, whatever was on a disk before: so not from a seed.
+        // A random id, so that a member that lost its log never reuses an earlier identity.
         String id = isFirstStart ? Member.FOUNDER : UUID.randomUUID().toString();
         return new Replica(
                 new Member(settings.ip, id),
@@ -114,7 +121,7 @@
                 this);
     }
 
-    /** Takes part from now on. */
+    /** Starts taking part in the cluster. */
     void start() {
         LOG.info(
                 "start member={} members={} term={} version={}",
@@ -133,7 +140,7 @@
         return repair;
     }
 
-    /** The duties of the leader, where this member leads. */
+    /** The leader's duties, if this member leads. */
     Optional<LeaderDuties> duties() {
         return Optional.ofNullable(leadership.duties());
     }
@@ -142,7 +149,7 @@
         return replica.isActiveLeader(loop.now());
     }
 
-    /** This process is about to end; see Replica.leave. */
+    /** Starts leaving the cluster, as this process is about to stop; see {@link Replica#leave}. */
     void leave() {
         replica.leave(loop.now());
         afterReplicaUpdate();
@@ -152,7 +159,10 @@
         return replica.mayStop(loop.now());
     }
 
-    /** Looks after the links to the peers; true where the settings file should be read anew. */
+    /**
+     * Maintains the links to the peers. Returns whether the settings file should be read again, as
+     * no leader has been known for long.
+     */
     boolean maintainPeers() {
         boolean isLeaderless = leaderWatch.isDue(replica.leader(loop.now()) != null, loop.now());
         node.peerLinks().maintain(replica.contacts());
@@ -161,7 +171,10 @@
 
     // ---- Time ----
 
-    /** What follows from whatever the replica was just told. */
+    /**
+     * Starts or ends the leader's duties and schedules the next tick. Must follow every call that
+     * may change the replica's state.
+     */
     void afterReplicaUpdate() {
         leadership.update(loop.now());
         scheduleTick();
@@ -204,13 +217,16 @@
         return duties;
     }
 
-    /** Schedulers that hear only this member are told that it leads no more. */
+    /**
+     * Announces that this member no longer leads, also to schedulers that are connected to no
+     * other.
+     */
     private void endDuties() {
         node.schedulerRegistry().stopLeading();
         announceLeader();
     }
 
-    /** Tells all who opened a link here who leads, as far as is known. */
+    /** Sends the leader that this member knows of to every process that opened a link to it. */
     void announceLeader() {
         node.sendToAll(announcement());
     }
@@ -225,7 +241,10 @@
 
     // ---- Messages ----
 
-    /** A message of another member's replica, for this one or an earlier one on this machine. */
+    /**
+     * Handles a message of another member's replica. It may be addressed to an earlier member of
+     * this machine, in which case only the sender is noted.
+     */
     void receive(ConsensusMessage.Envelope envelope) {
         PeerLinks peers = node.peerLinks();
         peers.onMemberMessage(envelope.from().ip());
@@ -238,7 +257,7 @@
         }
     }
 
-    /** A scheduler asks to be registered: the leader does, others say who leads. */
+    /** Registers a scheduler if this member leads; otherwise replies with the known leader. */
     void register(InternalEndpoint.Link link, Messages.Register message) {
         if (leadership.duties() != null && isLeading()) {
             node.schedulerRegistry().register(link, message, replica.term());
@@ -279,7 +298,7 @@
             node.operatorCalls().applied(change.id(), result);
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(
-                    "a command that was committed can't be read: " + e.getMessage(), e);
+                    "cannot decode a committed command: " + e.getMessage(), e);
         }
     }
 
@@ -296,7 +315,7 @@
 
     // ---- For operators ----
 
-    /** The lines of the status page that tell of this member and the core. */
+    /** The lines of the status page about this member and the cluster. */
     List<String> status() {
         List<String> lines = new ArrayList<>();
         Member leader = replica.leader(loop.now());
@@ -309,7 +328,7 @@
         return lines;
     }
 
-    /** One line of counters, and one of the leader's. */
+    /** Logs the counters of this member, and those of the leader's duties if it leads. */
     void logSummary(boolean diskIsFailing) {
         LOG.info(
                 "summary member={} term={} leads={} applied={} version={} schedulers={} {}"
--- a/src/main/java/gingerspool/controlplane/ConfigurationPublisher.java
+++ b/src/main/java/gingerspool/controlplane/ConfigurationPublisher.java
@@ -13,32 +13,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells the schedulers of this leader the configuration: as a delta from the version that each has
- * in force, or as a complete copy where it asks for one or its version is not known here.
+ * Pushes the configuration to the schedulers registered with this leader: as a delta from the
+ * version that a scheduler has in force, or as a complete copy if the scheduler asks for one or its
+ * version is not in the history.
  *
- * <p>Invariants: a scheduler has one push unacknowledged at the most, so what waits in its link is
- * bounded by one copy, and that copy's bytes are shared by all links; versions that come meanwhile
- * are told together, by one delta, after the acknowledgement. Changes in quick succession are told
- * at a pace of {@link #GATHER_PART}. Runs on the loop. Times are milliseconds.
+ * <p>Invariants: a scheduler has at most one unacknowledged push, so the data queued on its link is
+ * bounded by one complete copy, whose bytes are shared by all links. Versions committed in the
+ * meantime are combined into one delta that is sent after the acknowledgement. Changes in quick
+ * succession are batched, see {@link #BATCH_DELAY_FRACTION}. Used by {@link SchedulerRegistry} on
+ * the event loop. Times are in milliseconds.
  */
 final class ConfigurationPublisher {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationPublisher.class);
 
     /**
-     * Changes are gathered for this part of the time in which they must be in force everywhere,
-     * counted from the last push: it bounds what a storm of changes costs schedulers and links.
+     * Minimum time between two batches of pushes, as a fraction of the time within which a change
+     * must be in force everywhere. Bounds the load that a burst of changes puts on schedulers and
+     * links.
      */
     private static final double BATCH_DELAY_FRACTION = 1.0 / 16;
 
-    /** A scheduler that is told the configuration, on one link. */
+    /** A scheduler that receives the configuration, on one link. */
     static final class Subscription {
         private final String name;
         private final InternalEndpoint.Link link;
 
-        /** The newest version that it has said to have in force. */
+        /** The newest version that the scheduler has acknowledged as in force. */
         private long acknowledgedVersion;
 
-        /** The version last pushed; unacknowledged while it is above the one in force. */
+        /**
+         * The version of the last push; unacknowledged while it is higher than the acknowledged
+         * version.
+         */
         private long pushedVersion;
 
         private double lastPushAt = Double.NEGATIVE_INFINITY;
@@ -49,7 +55,7 @@
             this.acknowledgedVersion = acknowledgedVersion;
         }
 
-        /** The newest version that it has said to have in force. */
+        /** The newest version that the scheduler has acknowledged as in force. */
         long acknowledgedVersion() {
             return acknowledgedVersion;
         }
@@ -61,20 +67,26 @@
     private final ConfigurationHistory history = new ConfigurationHistory();
     private final Set<Subscription> subscriptions = new LinkedHashSet<>();
 
-    /** The newest version as it is sent, by the version that it is a delta to; 0: complete. */
+    /**
+     * The encoded pushes of the newest version, by the base version of their delta; 0 stands for
+     * the complete copy.
+     */
     private final Map<Long, SharedMessage> messagesByBase = new HashMap<>();
 
     private double lastPublishedAt = Double.NEGATIVE_INFINITY;
     private boolean isPublishScheduled;
 
-    /** Times in milliseconds: the heartbeat interval, and how soon changes must be in force. */
+    /** The apply timeout is the time within which a change must be in force everywhere. */
     ConfigurationPublisher(EventLoop loop, double heartbeatInterval, double applyTimeout) {
         this.loop = loop;
         this.heartbeatInterval = heartbeatInterval;
         batchDelay = BATCH_DELAY_FRACTION * applyTimeout;
     }
 
-    /** A version took effect here; schedulers are told at once, or when the pause is over. */
+    /**
+     * Called when a version has been applied on this member. Pushes it at once, or when the batch
+     * delay after the last push is over.
+     */
     void onConfigurationChanged(Configuration configuration) {
         history.add(configuration);
         messagesByBase.clear();
@@ -100,7 +112,10 @@
         List.copyOf(subscriptions).forEach(this::pushNewest);
     }
 
-    /** A scheduler registered, with this version in force. */
+    /**
+     * Adds a scheduler that has this version in force, and pushes the newest version if that is
+     * higher.
+     */
     Subscription subscribe(String name, InternalEndpoint.Link link, long activeVersion) {
         Subscription subscription = new Subscription(name, link, activeVersion);
         subscriptions.add(subscription);
@@ -112,12 +127,15 @@
         subscriptions.remove(subscription);
     }
 
-    /** This member leads no more: it tells nobody. */
+    /** Drops all subscriptions, as this member no longer leads. */
     void clear() {
         subscriptions.clear();
     }
 
-    /** A scheduler says what it has in force, and the checksum of its copy. */
+    /**
+     * Handles a scheduler's report of the version that it has in force and the checksum of its
+     * copy.
+     */
     void onAcknowledgement(Subscription subscription, Messages.ConfigurationAck ack) {
         subscription.acknowledgedVersion = Math.max(subscription.acknowledgedVersion, ack.number());
         boolean isPushTimedOut = loop.now() > subscription.lastPushAt + heartbeatInterval;
@@ -131,7 +149,7 @@
             push(subscription, completeCopy(true));
         } else {
             if (isPushTimedOut) {
-                // Guards against a push that was passed over: nothing else would repeat it.
+                // Guards against a push that the scheduler ignored: nothing else would repeat it.
                 subscription.pushedVersion = subscription.acknowledgedVersion;
             }
             if (!isPublishScheduled) {
@@ -140,7 +158,7 @@
         }
     }
 
-    /** A scheduler could not apply a delta: it gets a complete copy. */
+    /** Sends a complete copy to a scheduler that could not apply a delta. */
     void onCopyRequest(Subscription subscription) {
         LOG.warn("scheduler.config_copy_requested scheduler={}", subscription.name);
         push(subscription, messagesByBase.computeIfAbsent(0L, baseVersion -> completeCopy(false)));
--- a/src/main/java/gingerspool/controlplane/ControlNode.java
+++ b/src/main/java/gingerspool/controlplane/ControlNode.java
@@ -23,22 +23,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One control process: its endpoints, its links, its log and its end.
+ * A control process: connects the endpoints, the links to peers, the durable log and the cluster
+ * member, and runs the shutdown. Created by NodeProgram, one per process.
  *
- * <p>States: recovering, in which operators are answered 503, until the log was read; a member of
- * the core from then on; stopping after SIGTERM. Everything happens on one event loop, which owns
- * all state; only the log has a thread besides. Decides nothing itself.
+ * <p>States: recovering until the log has been read, during which operators get status 503; then a
+ * member of the control cluster; stopping after SIGTERM. All state belongs to one event loop; only
+ * the log writer has a thread of its own. This class forwards events and contains no decisions of
+ * the protocol.
  */
 public final class ControlNode implements LogWriter.Owner, InternalEndpoint.LinkHandler {
     private static final Logger LOG = LoggerFactory.getLogger(ControlNode.class);
 
-    /** Leader announcements and heartbeats in a heartbeat interval. */
+    /** Leader announcements and heartbeats sent per heartbeat interval. */
     private static final double ANNOUNCEMENTS_PER_HEARTBEAT = 2;
 
-    /** Copies of the state are compared at one in so many announcements. */
+    /** The leader compares the members' copies of the state once per this many announcements. */
     private static final int ANNOUNCEMENTS_PER_COMPARISON = 8;
 
-    /** How often links are looked after in a heartbeat interval. */
+    /** Runs of link maintenance per heartbeat interval. */
     private static final double MAINTENANCE_PER_HEARTBEAT = 8;
 
     private static final double SUMMARY_INTERVAL_MS = 10_000;
@@ -65,7 +67,7 @@
 
     private int announcements;
 
-    /** Binds the endpoints; an exception says that one of the addresses can't be listened on. */
+    /** Binds the endpoints. Throws an IOException if one of the addresses cannot be bound. */
     public ControlNode(NodeSettings settings) throws IOException {
         this.settings = settings;
         loop = new SingleThreadEventLoop();
@@ -91,7 +93,11 @@
 
     // ---- Start ----
 
-    /** Answers operators at once, with 503 until the disk was read; takes part from then on. */
+    /**
+     * Starts the node, from any thread: operators get status 503 until the log has been read, then
+     * the node joins the cluster. The consumer is called on the event loop if this version of the
+     * software cannot use the log.
+     */
     public void begin(Consumer<StorageException> onUnusable) {
         this.onStorageUnusable = onUnusable;
         logWriter.start();
@@ -111,8 +117,8 @@
     public void recovered(RecoveredLog recovered) {
         if (recovered.isLost()) {
             LOG.error(
-                    "log.lost why=\"no file of the log can be read: this member joins anew under"
-                            + " another id\"");
+                    "log.lost why=\"no log file can be read: this node joins the cluster"
+                            + " as a new member with a new id\"");
         }
         ClusterMember recoveredMember = new ClusterMember(new MemberNode(), recovered, seeds);
         member = Optional.of(recoveredMember);
@@ -122,7 +128,7 @@
         announceRegularly(recoveredMember);
     }
 
-    /** What a member uses of this process. */
+    /** Gives the cluster member access to this process. */
     private final class MemberNode implements ClusterMember.Node {
         @Override
         public EventLoop loop() {
@@ -180,7 +186,7 @@
         }
     }
 
-    /** Whether the disk was read, so that this process is a member. */
+    /** Whether the log has been read and this process is a member. */
     boolean isRecovered() {
         return member.isPresent();
     }
@@ -201,13 +207,17 @@
     // ---- Settings ----
 
     /**
-     * What is to be run where no leader is known for long, to have reload() called; before begin.
+     * Sets the task that runs on the event loop when no leader has been known for several heartbeat
+     * intervals; it should read the settings file and call reload(). Must be called before begin().
      */
     public void whenLost(Runnable reload) {
         reloadSettings = reload;
     }
 
-    /** Takes the seeds of settings that were read anew. From any thread. */
+    /**
+     * Applies the seed addresses of reloaded settings; all other settings stay as they were. May be
+     * called from any thread.
+     */
     public void reload(NodeSettings reloaded) {
         loop.submit(
                 () -> {
@@ -223,11 +233,11 @@
         return settings.seeds.stream().map(a -> a.getAddress().getHostAddress()).toList();
     }
 
-    // ---- End ----
+    // ---- Shutdown ----
 
     /**
-     * SIGTERM: hands over what it leads, stays until that is safe, answers who waits, ends. From
-     * any thread; again it changes nothing.
+     * Handles SIGTERM: transfers leadership, waits until the member may stop, answers pending
+     * operator calls, then stops. May be called from any thread; further calls have no effect.
      */
     public void stop(Runnable onStopped) {
         loop.submit(
@@ -244,6 +254,7 @@
                 });
     }
 
+    /** Gives the shutdown sequence access to this node. */
     private final class ShutdownProcess implements GracefulShutdown.Process {
         private final Runnable onStopped;
 
@@ -269,7 +280,7 @@
 
         @Override
         public void end() {
-            // What was answered just now is still on its way out.
+            // Leaves time for the last answers to be written to their connections.
             loop.schedule(
                     settings.heartbeatInterval / MAINTENANCE_PER_HEARTBEAT,
                     () -> {
@@ -279,13 +290,15 @@
         }
     }
 
-    /** Releases the log's thread and the loop, where the process goes on without this node. */
+    /**
+     * Stops the log's thread and the event loop, for a process that continues without this node.
+     */
     public void close() {
         logWriter.end();
         loop.stop();
     }
 
-    // ---- Time ----
+    // ---- Periodic tasks ----
 
     private void maintainLinks(ClusterMember coreMember) {
         if (coreMember.maintainPeers()) {
@@ -340,7 +353,7 @@
         return String.join("\n", member.orElseThrow().status()) + "\n";
     }
 
-    // ---- Messages of other processes; the endpoint opens only once this is a member ----
+    // ---- Messages of other processes; the endpoint accepts only once this node is a member ----
 
     @Override
     public void received(InternalEndpoint.Link link, Object message) {
--- a/src/main/java/gingerspool/controlplane/GracefulShutdown.java
+++ b/src/main/java/gingerspool/controlplane/GracefulShutdown.java
@@ -3,31 +3,35 @@
 import gingerspool.wire.EventLoop;
 
 /**
- * The end of a control process after SIGTERM. No I/O of its own.
+ * The shutdown sequence of a control process after SIGTERM. Does no I/O itself; runs on the event
+ * loop of its {@link ControlNode}.
  *
- * <p>States: waiting for its replacement to be agreed on, as it is a voter until then; closed to
- * operators once that is so, none is to be had, or a part of the grace period is over; ended once
- * those that wait are answered, or a later part of it is over.
+ * <p>States: waiting until the cluster has committed a replacement for this member, which stays a
+ * voter until then; closed to operators once that has happened, no replacement exists, or the first
+ * deadline within the grace period has passed; ended once all pending calls are answered or the
+ * second deadline has passed.
  */
 final class GracefulShutdown {
-    /** The part of the grace period in which a replacement is waited for. */
+    /** Longest wait for a replacement, as a fraction of the grace period. */
     private static final double REPLACEMENT_WAIT_FRACTION = 0.6;
 
-    /** The part of the grace period after which it ends, whoever waits for an answer. */
+    /** When the process ends even with calls pending, as a fraction of the grace period. */
     private static final double PENDING_CALLS_WAIT_FRACTION = 0.85;
 
-    /** How often it checks, in parts of the grace period. */
+    /** Interval between two checks, as a fraction of the grace period. */
     private static final double CHECK_INTERVAL_FRACTION = 0.005;
 
-    /** What it asks of the process, and tells it. */
+    /** The process that is shut down. */
     interface Process {
-        /** Whether nothing is lost by its end, as far as the replica knows. */
+        /**
+         * Whether this member may stop without a loss to the cluster, as far as its replica knows.
+         */
         boolean mayStop();
 
-        /** Whether an operator still waits for an answer. */
+        /** Whether an operator's call is still unanswered. */
         boolean hasPendingCalls();
 
-        /** From now on no operator's call is taken. */
+        /** Stops accepting operators' calls. */
         void closeToOperators();
 
         void end();
@@ -53,7 +57,7 @@
         this.process = process;
     }
 
-    /** SIGTERM came; another one changes nothing. */
+    /** Starts the shutdown; further calls have no effect. */
     void begin() {
         if (state == State.RUNNING) {
             state = State.WAITING_FOR_REPLACEMENT;
--- a/src/main/java/gingerspool/controlplane/InstanceCalls.java
+++ b/src/main/java/gingerspool/controlplane/InstanceCalls.java
@@ -6,13 +6,15 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Starts and stops of instances on the platform, tried again where they may or may not have been
- * carried out. The term is the fencing token; the same nonce is the same start. Runs on the loop.
+ * Starts and stops instances on the platform. A start is retried if it may or may not have been
+ * executed: the nonce makes it idempotent. A stop is retried until the platform confirms it or the
+ * attempts are used up. The term is the fencing token. Used by {@link LeaderDuties} on the event
+ * loop.
  */
 final class InstanceCalls {
     private static final int MAX_ATTEMPTS = 4;
 
-    /** The pause between two attempts, in milliseconds. */
+    /** Delay before the next attempt. */
     private static final double RETRY_DELAY_MS = 50;
 
     private static final int OK = 200;
@@ -20,11 +22,11 @@
     private static final int CONFLICT = 409;
     private static final int SERVER_ERROR = 500;
 
-    /** How a start ended. */
+    /** Receives the outcome of a start; called at most once. */
     interface StartListener {
         void started(String instance, String address);
 
-        /** Without room on the host nothing else starts there either. */
+        /** If the host is full, no other instance can start there either. */
         void failed(boolean isHostFull);
     }
 
@@ -106,12 +108,12 @@
                 });
     }
 
-    /** Calls again after a pause, if the lease holds then. */
+    /** Repeats a call after a delay, or runs the alternative if the lease does not hold then. */
     private void retry(Runnable call, Runnable ifLeaseLost) {
         loop.schedule(RETRY_DELAY_MS, () -> (mayAct.getAsBoolean() ? call : ifLeaseLost).run());
     }
 
-    /** In the form of the log's fields. */
+    /** The counters as fields of a log line. */
     String counters() {
         return "starts=%d stops=%d refused=%d".formatted(starts, stops, failedStarts);
     }
--- a/src/main/java/gingerspool/controlplane/InternalEndpoint.java
+++ b/src/main/java/gingerspool/controlplane/InternalEndpoint.java
@@ -15,28 +15,33 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Where other processes of ours, members and schedulers, open their links. */
+/**
+ * The endpoint to which the other processes of the system, members and schedulers, open their
+ * links. Decodes messages and passes them to its handler. Runs on the event loop of its {@link
+ * ControlNode}.
+ */
 final class InternalEndpoint implements Frames.Owner, Listener.Owner {
     private static final Logger LOG = LoggerFactory.getLogger(InternalEndpoint.class);
     private static final int MAX_LINKS = 1024;
 
-    /** Who is told of what comes on the links. */
+    /** Receives the messages of the links; called on the event loop. */
     interface LinkHandler {
         void received(Link link, Object message);
 
         void closed(Link link);
     }
 
-    /** A link that another process opened, as the rest of the control node sees it. */
+    /** A link that another process opened to this node. */
     interface Link {
         void send(Object message);
 
-        /** Sends what other links are sent, too. */
+        /** Sends a message that goes to several links. */
         default void send(SharedMessage message) {
             send(message.message());
         }
     }
 
+    /** An accepted link and the time of its last message, in milliseconds. */
     private final class AcceptedLink implements Link {
         private final Frames frames;
         private double lastReceivedAt = loop.now();
--- a/src/main/java/gingerspool/controlplane/LeaderDuties.java
+++ b/src/main/java/gingerspool/controlplane/LeaderDuties.java
@@ -19,9 +19,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the leader of a term does alone: grants slots, and joins the platform's lists with the
- * allocator and the autoscaler. The term's number is the fencing token. Every action asks first
- * whether the lease still holds. Ends with the term. Runs on the loop.
+ * The work that only the leader of a term does: granting slots to schedulers, starting and stopping
+ * instances, and feeding the platform's lists to the allocator and the autoscaler.
+ *
+ * <p>Created and ended by {@link Leadership}, once per term; the term is the fencing token of calls
+ * to the platform. Each action checks first that the lease still holds. Runs on the event loop.
  */
 final class LeaderDuties
         implements Autoscaler.Actions,
@@ -32,7 +34,10 @@
 
     private static final double TICK_INTERVAL_MS = 50;
 
-    /** An instance that was never listed is gone so many list delays after it began to drain. */
+    /**
+     * A draining instance that was never listed is removed this long after it began to drain, in
+     * multiples of the platform's list delay.
+     */
     private static final double UNLISTED_TIMEOUT_LIST_DELAYS = 2;
 
     private final EventLoop loop;
@@ -47,10 +52,13 @@
     private final Autoscaler autoscaler;
     private boolean isEnded;
 
-    /** When the list before this one was asked for. */
+    /** When the previous complete list of instances was requested, in milliseconds. */
     private double previousListAt = Double.NEGATIVE_INFINITY;
 
-    /** The two consumers send to one registered scheduler, by its name, and to all of them. */
+    /**
+     * {@code send} sends a message to the registered scheduler of this name, {@code sendToAll} to
+     * all registered schedulers.
+     */
     LeaderDuties(
             EventLoop loop,
             NodeSettings settings,
@@ -110,7 +118,8 @@
     @Override
     public void onRegistered(String scheduler, Messages.Register message) {
         allocator.onRegister(loop.now(), scheduler, message);
-        // Guards one that was with nobody, or another leader, as these were seen to drain.
+        // Guards against grants of draining instances that the scheduler still holds: it may have
+        // been disconnected, or registered with another leader, when their withdrawal was sent.
         List<String> draining =
                 allocator.instances().stream()
                         .filter(instance -> instance.state == Instance.State.DRAINING)
@@ -177,7 +186,10 @@
         autoscaler.instancesListed();
     }
 
-    /** Notes what an entry says; whether it is the first that shows the instance draining. */
+    /**
+     * Updates the instance from its list entry; returns whether the instance was found to be
+     * draining for the first time.
+     */
     private boolean recordEntry(Object entry, String id, double requestedAt) {
         double now = loop.now();
         Instance existing = allocator.instance(id);
@@ -206,7 +218,10 @@
                 Instance.State.STARTING);
     }
 
-    /** Guards against pages that shift while they are read: it must be missing twice. */
+    /**
+     * Whether the instance no longer exists. Guards against entries that move between pages while
+     * the list is read: an instance must be missing from two lists in a row.
+     */
     private boolean isGone(Instance instance) {
         boolean isMissingTwice = instance.listedAt < previousListAt;
         double unlistedDeadline =
@@ -214,7 +229,7 @@
         return isMissingTwice || Double.isNaN(instance.listedAt) && loop.now() > unlistedDeadline;
     }
 
-    // ---- What the allocator and the autoscaler act by ----
+    // ---- Actions of the allocator and the autoscaler ----
 
     @Override
     public void start(Function function, String host, String nonce) {
@@ -251,7 +266,10 @@
         send.accept(scheduler, message);
     }
 
-    /** Guards slots: without the lease another leader may grant the same ones. */
+    /**
+     * Guards against granting a slot twice: without the lease another leader may grant the same
+     * slots.
+     */
     @Override
     public boolean mayGrant() {
         return mayAct();
--- a/src/main/java/gingerspool/controlplane/LeaderWatch.java
+++ b/src/main/java/gingerspool/controlplane/LeaderWatch.java
@@ -1,11 +1,15 @@
 package gingerspool.controlplane;
 
 /**
- * Tells when no leader has been known for so long that the settings file, which may change without
- * a signal, is worth reading anew: its seeds may name machines that know more. No I/O, no clock.
+ * Decides when to read the settings file again because no leader has been known for long: its seeds
+ * may now name machines that know the leader, and the file may change without a signal. Does no I/O
+ * and reads no clock; {@link ClusterMember} calls it on the event loop with the current time in
+ * milliseconds.
  */
 final class LeaderWatch {
-    /** In heartbeat intervals: how long without a leader, and between two readings. */
+    /**
+     * Time without a leader before the file is read, and between two reads, in heartbeat intervals.
+     */
     private static final double LEADERLESS_TIMEOUT_HEARTBEATS = 4;
 
     private final double heartbeatInterval;
@@ -16,7 +20,7 @@
         nextDueAt = now + LEADERLESS_TIMEOUT_HEARTBEATS * heartbeatInterval;
     }
 
-    /** Whether the file is to be read now. */
+    /** Whether the file should be read now; if so, the next read is due a full timeout later. */
     boolean isDue(boolean knowsLeader, double now) {
         boolean isDue = !knowsLeader && now >= nextDueAt;
         if (knowsLeader || isDue) {
--- a/src/main/java/gingerspool/controlplane/Leadership.java
+++ b/src/main/java/gingerspool/controlplane/Leadership.java
@@ -6,11 +6,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Begins the leader's duties once it leads, and ends them when its term is over: when it was not
- * elected for the present one, or has stepped down, as it does without a lease. They don't end with
- * a lease that lapses and is renewed in the same term, since nobody else can have led meanwhile;
- * each of their actions asks for the lease itself. So they begin once a term at the most, and names
- * that are made from the term are never used twice.
+ * Starts the leader's duties when this member becomes the active leader, and ends them when its
+ * term is over: when the replica has moved to another term, or has stepped down because it could
+ * not renew its lease.
+ *
+ * <p>A lease that lapses and is renewed within the term does not end the duties: no other member
+ * can have led in between, and each action of the duties checks the lease itself. The duties
+ * therefore start at most once per term, so names derived from the term are never used twice. Owned
+ * by {@link ClusterMember}; runs on the event loop.
  */
 final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
@@ -22,7 +25,8 @@
     private long term;
 
     /**
-     * The duties of a term are made by the first, and what else hangs on them ends by the second.
+     * {@code beginDuties} creates the duties of a term; {@code endDuties} runs after they have
+     * ended.
      */
     Leadership(Replica replica, LongFunction<LeaderDuties> beginDuties, Runnable endDuties) {
         this.replica = replica;
@@ -30,12 +34,12 @@
         this.endDuties = endDuties;
     }
 
-    /** The duties at hand, or null. */
+    /** The current duties, or null if this member does not lead. */
     LeaderDuties duties() {
         return duties;
     }
 
-    /** To be called after whatever the replica was told. */
+    /** Must be called after every change of the replica's state. */
     void update(double now) {
         if (duties != null && (!replica.isElected() || replica.term() != term)) {
             LOG.info("duty.ended term={}", term);
--- a/src/main/java/gingerspool/controlplane/OperatorCall.java
+++ b/src/main/java/gingerspool/controlplane/OperatorCall.java
@@ -3,27 +3,32 @@
 import gingerspool.wire.Message;
 import java.util.List;
 
-/** An operator's call as a command object: decoded here, run elsewhere. */
+/**
+ * An operator's call, decoded from its HTTP request by {@link OperatorEndpoint} and executed by
+ * {@link OperatorCalls}.
+ */
 sealed interface OperatorCall {
-    /** Where the one answer to a call goes. */
+    /** Sends the answer to a call; must be called exactly once. */
     interface Reply {
         void answer(int status, List<String> fields, byte[] body);
     }
 
     Reply reply();
 
-    /** Path and query, for a redirect. */
+    /** Path and query of the request, for a redirect. */
     String target();
 
+    /** Reads the configuration. */
     record Read(Reply reply, String target) implements OperatorCall {}
 
-    /** A whole configuration, or changes, made on a version. */
+    /** Replaces the configuration, or modifies it; rejected unless the base version is in force. */
     record Change(Reply reply, String target, boolean isComplete, long baseVersion, byte[] body)
             implements OperatorCall {}
 
+    /** Reads the status page, which every member answers. */
     record Status(Reply reply, String target) implements OperatorCall {}
 
-    /** What can't be run, and what it is answered. */
+    /** A call that cannot be executed, with the status and the message to answer. */
     record Invalid(Reply reply, String target, int status, String message)
             implements OperatorCall {}
 
@@ -42,7 +47,7 @@
     private static OperatorCall change(Reply reply, Message request, boolean isComplete) {
         String baseVersion = request.field("based-on-version");
         if (baseVersion == null || !baseVersion.matches("[0-9]{1,18}")) {
-            String message = "Based-On-Version is missing or no whole number";
+            String message = "Based-On-Version is missing or not a whole number";
             return new Invalid(reply, request.target(), 400, message);
         }
         return new Change(
--- a/src/main/java/gingerspool/controlplane/OperatorCalls.java
+++ b/src/main/java/gingerspool/controlplane/OperatorCalls.java
@@ -16,14 +16,18 @@
 import java.util.function.Supplier;
 
 /**
- * Runs the operators' calls: the leader answers them from the state, or once the log has committed
- * them; other members name the leader, or say that they know none.
+ * Executes the operators' calls. The leader answers reads from its state, and changes once the log
+ * has committed them; other members redirect to the leader, or answer 503 if they know none. Runs
+ * on the event loop of its {@link ControlNode}.
  */
 final class OperatorCalls {
-    /** A caller allows a second of silence; it is answered before, in milliseconds. */
+    /**
+     * Latest answer to a change, in milliseconds; callers give up after one second without an
+     * answer.
+     */
     private static final double ANSWER_TIMEOUT_MS = 800;
 
-    /** Seconds until a member that knows no leader may be worth another call. */
+    /** Seconds after which a caller may retry a call that was not executed. */
     private static final int RETRY_AFTER_S = 1;
 
     private final EventLoop loop;
@@ -33,7 +37,7 @@
     private final Supplier<Replica> replica;
     private final Supplier<String> status;
 
-    /** Changes that were proposed here and not answered, by the id of their command. */
+    /** Changes proposed by this member and not answered yet, by command id. */
     private final Map<Long, OperatorCall.Change> pending = new HashMap<>();
 
     private long lastCommandNumber;
@@ -41,7 +45,7 @@
     private int changes;
     private int rejectedChanges;
 
-    /** The replica is null until the disk was read. */
+    /** The replica is null until the log has been read. */
     OperatorCalls(
             EventLoop loop,
             int controlPort,
@@ -61,17 +65,20 @@
         return "reads=%d changes=%d refused=%d".formatted(reads, changes, rejectedChanges);
     }
 
-    /** Whether a caller waits for the log. */
+    /** Whether a change still waits for its commit. */
     boolean hasPendingCalls() {
         return !pending.isEmpty();
     }
 
-    /** Runs one call; whoever calls this looks after the replica next. */
+    /**
+     * Executes a call. The caller must then let the replica's changes take effect, as {@link
+     * ClusterMember#afterReplicaUpdate} does.
+     */
     void run(OperatorCall call) {
         if (call instanceof OperatorCall.Invalid invalid) {
             answerError(call, invalid.status(), invalid.message());
         } else if (replica.get() == null) {
-            answerNotExecuted(call, "the disk has not been read yet");
+            answerNotExecuted(call, "the log has not been read yet");
         } else if (call instanceof OperatorCall.Status) {
             byte[] text = status.get().getBytes(StandardCharsets.UTF_8);
             call.reply().answer(200, List.of("Content-Type: text/plain"), text);
@@ -87,7 +94,7 @@
     private void redirect(OperatorCall call) {
         Member leader = replica.get().leader(loop.now());
         if (leader == null || leader.equals(replica.get().self())) {
-            answerNotExecuted(call, "no leader is known here just now");
+            answerNotExecuted(call, "no leader is known");
         } else {
             String leaderAddress = Address.text(new InetSocketAddress(leader.ip(), controlPort));
             List<String> fields = List.of("Location: http://" + leaderAddress + call.target());
@@ -112,7 +119,10 @@
                 ANSWER_TIMEOUT_MS,
                 () -> {
                     if (pending.remove(id) != null) {
-                        answerError(call, 503, "not agreed on in time; it may still be");
+                        answerError(
+                                call,
+                                503,
+                                "not committed in time; the change may still take effect");
                     }
                 });
         byte[] command =
@@ -121,11 +131,11 @@
                                 id, call.isComplete(), call.baseVersion(), call.body()));
         if (!replica.get().propose(loop.now(), command)) {
             pending.remove(id);
-            answerNotExecuted(call, "the lease has just ended here");
+            answerNotExecuted(call, "the leader lease has expired");
         }
     }
 
-    /** A command was committed and applied. */
+    /** Called when a command was committed and applied, whichever member proposed it. */
     void applied(long id, ConfigurationState.ChangeResult result) {
         boolean isAccepted = result.status() == ConfigurationState.ACCEPTED;
         rejectedChanges += isAccepted ? 0 : 1;
@@ -138,7 +148,10 @@
         }
     }
 
-    /** Nothing of the call was or will be done; another member may know better. */
+    /**
+     * Answers that the call had no effect and will have none, so that it may be retried, also on
+     * another member.
+     */
     private static void answerNotExecuted(OperatorCall call, String reason) {
         call.reply()
                 .answer(
--- a/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
+++ b/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
@@ -12,9 +12,14 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Where operators call: reads requests and hands them on as command objects. */
+/**
+ * The HTTP endpoint for operators: decodes requests and passes them on as {@link OperatorCall}s.
+ * Runs on the event loop of its {@link ControlNode}.
+ */
 final class OperatorEndpoint implements Listener.Owner, Inbound.Handler {
+    /** How long a connection may be idle, and how long one message or answer may take. */
     private static final double CONNECTION_TIMEOUT_MS = 10_000;
+
     private static final int MAX_HEADER_BYTES = 16 * 1024;
     private static final int MAX_BODY_BYTES = 2 << 20;
     private static final int MAX_CONNECTIONS = 256;
--- a/src/main/java/gingerspool/controlplane/PeerLinks.java
+++ b/src/main/java/gingerspool/controlplane/PeerLinks.java
@@ -15,22 +15,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Our own links to the other members of the core, by the address of their machines. Only we send on
- * them; what a peer says comes on the link that it opened itself.
+ * The links that this node opened to the other members of the cluster, by IP address. They carry
+ * messages in one direction only: a peer sends on the link that it opened itself. Runs on the event
+ * loop of its {@link ControlNode}.
  */
 final class PeerLinks implements Frames.Owner {
     private static final Logger LOG = LoggerFactory.getLogger(PeerLinks.class);
 
-    /** In heartbeat intervals: silence after which a link is given up. */
+    /** Silence after which a link is closed, in heartbeat intervals. */
     static final double SILENCE_TIMEOUT_HEARTBEATS = 1.5;
 
-    /** In heartbeat intervals: how long connecting may take. */
+    /** Timeout for connecting, in heartbeat intervals. */
     private static final double CONNECT_TIMEOUT_HEARTBEATS = 0.25;
 
-    /** In heartbeat intervals: the pause between two attempts to connect. */
+    /** Interval between two attempts to connect, in heartbeat intervals. */
     private static final double RETRY_DELAY_HEARTBEATS = 0.125;
 
-    /** In heartbeat intervals: how long a link is kept to one that is wanted no more. */
+    /**
+     * How long a link to a peer that is no longer needed is kept after its last message, in
+     * heartbeat intervals.
+     */
     private static final double UNNEEDED_TIMEOUT_HEARTBEATS = 4;
 
     private final EventLoop loop;
@@ -38,6 +42,7 @@
     private final KryoCodec codec;
     private final Map<String, Peer> peers = new HashMap<>();
 
+    /** A peer and the link to it, which is null while none is open. Times are in milliseconds. */
     private static final class Peer {
         Frames link;
         boolean isUp;
@@ -51,14 +56,17 @@
         this.codec = codec;
     }
 
-    /** Opens links that lack, and closes those that are silent or not neededIps. */
+    /**
+     * Opens missing links to the needed peers, and closes links that are silent or no longer
+     * needed.
+     */
     void maintain(Set<String> neededIps) {
         double now = loop.now();
         neededIps.forEach(this::connect);
         for (Map.Entry<String, Peer> entry : List.copyOf(peers.entrySet())) {
             Peer peer = entry.getValue();
-            // Guards against links that a cut has left half dead: a new one works as soon as the
-            // cut ends.
+            // Guards against links left half-open by a network partition: a new link works as soon
+            // as the partition ends.
             boolean isSilent =
                     peer.isUp
                             && now
@@ -98,7 +106,7 @@
         }
     }
 
-    /** A member's message came; an answer to it needs a link. */
+    /** Records a message of this member's replica; an unknown member becomes a peer. */
     void onMemberMessage(String ip) {
         peers.computeIfAbsent(ip, key -> new Peer()).lastReceivedAt = loop.now();
     }
@@ -107,7 +115,7 @@
         connect(ip);
     }
 
-    /** A heartbeat came; false where none of the peers sent it. */
+    /** Records a heartbeat; returns false if the sender is not a peer. */
     boolean onHeartbeat(String ip) {
         Peer peer = peers.get(ip);
         if (peer != null) {
@@ -116,7 +124,7 @@
         return peer != null;
     }
 
-    /** Sends, where there is a link. */
+    /** Sends a message if the link is up, and drops it otherwise. */
     void send(String ip, Object message) {
         Peer peer = peers.get(ip);
         if (peer != null && peer.isUp) {
@@ -138,7 +146,7 @@
 
     @Override
     public void came(Frames link, byte[] frame) {
-        // Announcements that are made to all who called: a member knows who leads by itself.
+        // Only leader announcements arrive here; a member learns the leader from its replica.
     }
 
     @Override
--- a/src/main/java/gingerspool/controlplane/Platform.java
+++ b/src/main/java/gingerspool/controlplane/Platform.java
@@ -3,17 +3,28 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The platform's interface, as the leader calls it. Every call has one end. */
+/**
+ * The platform's API, as the leader calls it. Every call ends with exactly one callback, on the
+ * event loop.
+ */
 interface Platform {
-    /** What a call came to: its status, 0 where no answer came that could be read; and the body. */
+    /**
+     * The response to a call: the HTTP status, or 0 if no readable response arrived, and the parsed
+     * JSON body, which may be null.
+     */
     record Response(int status, Object body) {}
 
-    /** All pages of the list of instances; null where one could not be had. */
+    /**
+     * Reads all pages of the list of instances; the callback gets null if a page could not be read.
+     */
     void instances(Consumer<List<Object>> callback);
 
     void hosts(Consumer<Response> callback);
 
-    /** The fencingToken is the leader's term; the same nonce gives the same instance. */
+    /**
+     * Starts an instance on a host. The fencing token is the leader's term; a repeated nonce
+     * returns the same instance.
+     */
     void start(
             String leaderName,
             long fencingToken,
--- a/src/main/java/gingerspool/controlplane/PlatformClient.java
+++ b/src/main/java/gingerspool/controlplane/PlatformClient.java
@@ -18,8 +18,9 @@
 import java.util.function.Consumer;
 
 /**
- * Calls of the platform's interface: lists, starts and stops. Every call has one end; silence and
- * answers that can't be read are ends as well.
+ * Calls the platform's API over HTTP. Every call ends with exactly one callback; a timeout, and a
+ * response with status 200 whose body cannot be parsed, count as status 0. Created by {@link
+ * ClusterMember} for each term that it leads; runs on the event loop. Times are in milliseconds.
  */
 final class PlatformClient implements Platform {
     private static final int MAX_CONNECTIONS = 32;
--- a/src/main/java/gingerspool/controlplane/PlatformListReader.java
+++ b/src/main/java/gingerspool/controlplane/PlatformListReader.java
@@ -7,25 +7,29 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Reads the platform's lists of instances and hosts again and again, while the lease holds, within
- * a part of the platform's rate. Runs on the loop; ends with the leader's term.
+ * Reads the platform's lists of instances and hosts periodically while the lease holds, using a
+ * fraction of the platform's rate limit. Owned by {@link LeaderDuties}, whose term it ends with;
+ * runs on the event loop.
  */
 final class PlatformListReader {
-    /** The instances are listed so often, in parts of how late the list is. */
+    /**
+     * Shortest interval between two reads of the instance list, in multiples of the platform's list
+     * delay.
+     */
     private static final double READ_INTERVAL_LIST_DELAYS = 0.5;
 
-    /** The part of the platform's rate of calls that lists may take. */
+    /** Fraction of the platform's rate limit that the lists may use. */
     private static final double RATE_FRACTION = 0.5;
 
-    /** Instances on one page of the list, each of which is a call. */
+    /** Instances on one page of the list; each page costs one call. */
     private static final int PAGE_SIZE = 100;
 
-    /** The pause while the lease does not hold, in milliseconds. */
+    /** Interval between two checks while the lease does not hold. */
     private static final double LEASE_CHECK_INTERVAL_MS = 50;
 
-    /** Who is told what the lists say. */
+    /** Receives the lists; called on the event loop. */
     interface Listener {
-        /** The complete list of instances, and when it was asked for. */
+        /** The complete list of instances, and the time at which it was requested. */
         void instancesListed(List<Object> instances, double requestedAt);
 
         void hostsListed(List<?> hosts);
@@ -56,7 +60,7 @@
         isEnded = true;
     }
 
-    /** Reads the lists now, and again after a pause. */
+    /** Reads the lists now and schedules the next read. */
     void read() {
         if (isEnded) {
             return;
@@ -73,7 +77,7 @@
         }
     }
 
-    /** The instances are null where a page could not be had. */
+    /** The list is null if a page could not be read. */
     private void onInstances(List<Object> instances, double requestedAt) {
         int callCount = 1;
         if (instances != null && !isEnded) {
--- a/src/main/java/gingerspool/controlplane/RepairExchange.java
+++ b/src/main/java/gingerspool/controlplane/RepairExchange.java
@@ -14,13 +14,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Compares the members' copies of the state and repairs what differs: the leader asks each for the
- * digests of its copy, then sends what most hold, or asks for it.
+ * Exchanges the messages with which the members compare and repair their copies of the state: the
+ * leader requests the digests of every copy, then sends the majority's content to members that
+ * differ, or requests it if its own copy differs. {@link ReplicaRepair} decides what to repair.
+ * Used by {@link ClusterMember} and {@link ControlNode} on the event loop.
  */
 final class RepairExchange {
     private static final Logger LOG = LoggerFactory.getLogger(RepairExchange.class);
 
-    /** How long the leader waits for the members' digests, in heartbeat intervals. */
+    /** Timeout for the members' digests, in heartbeat intervals. */
     private static final double DIGEST_TIMEOUT_HEARTBEATS = 0.5;
 
     private final EventLoop loop;
@@ -74,7 +76,8 @@
     }
 
     /**
-     * The leader begins a comparison of all copies; it ends with the last digest or the timeout.
+     * Begins a comparison of all copies if this member leads. It ends with the last digest or the
+     * timeout.
      */
     void compare() {
         if (!replica.isActiveLeader(loop.now())) {
@@ -133,7 +136,11 @@
         }
     }
 
-    /** A member says that it has these items where we have others: most hold them. */
+    /**
+     * Replaces ranges of our copy that differ from the majority's by the items that a member sent.
+     * Only answers to our own request and items of the leader are accepted, and only at the same
+     * log index.
+     */
     void received(Messages.RangeRepair message) {
         boolean isExpected = repair.takeAnswerOf(message.ip()) || isLeader(message.ip());
         if (message.index() != replica.appliedIndex() || !isExpected) {
--- a/src/main/java/gingerspool/controlplane/SchedulerRegistry.java
+++ b/src/main/java/gingerspool/controlplane/SchedulerRegistry.java
@@ -9,11 +9,14 @@
 import java.util.Map;
 
 /**
- * The schedulers that this leader has registered, each on one link: what they are told, the
- * configuration above all, and what they tell.
+ * The schedulers registered with this member while it leads, each on one link. Sends them the
+ * configuration and the messages of the leader's duties, and passes on what they send. Runs on the
+ * event loop of its {@link ControlNode}.
  */
 final class SchedulerRegistry {
-    /** What the registry needs of the leader's duties; none where this member doesn't lead. */
+    /**
+     * Receives the schedulers' events while this member leads; implemented by {@link LeaderDuties}.
+     */
     interface SchedulerListener {
         void onRegistered(String scheduler, Messages.Register message);
 
@@ -22,6 +25,7 @@
         void onDisconnected(String scheduler);
     }
 
+    /** A registered scheduler. */
     private record Scheduler(
             String name,
             InternalEndpoint.Link link,
@@ -32,7 +36,7 @@
     private final Map<InternalEndpoint.Link, Scheduler> byLink = new HashMap<>();
     private final Map<String, Scheduler> byName = new HashMap<>();
 
-    /** Null where this member doesn't lead. */
+    /** Null if this member does not lead. */
     private SchedulerListener schedulerListener;
 
     SchedulerRegistry(EventLoop loop, NodeSettings settings, ConfigurationState state) {
@@ -68,11 +72,12 @@
                 .toList();
     }
 
-    /** Only where this member leads. */
+    /** Registers a scheduler on this link. Must be called only while this member leads. */
     void register(InternalEndpoint.Link link, Messages.Register message, long term) {
         Scheduler previous = byName.remove(message.name());
         if (previous != null) {
-            // Guards the counts of slots: what still comes on an earlier link was told before this.
+            // Guards against wrong slot counts: messages that still arrive on the earlier link were
+            // sent before this registration.
             byLink.remove(previous.link);
             publisher.unsubscribe(previous.subscription);
         }
@@ -88,7 +93,7 @@
         sendSchedulerCount();
     }
 
-    /** A message of a scheduler; one that isn't registered on this link is passed over. */
+    /** Handles a scheduler's message; ignored if no scheduler is registered on this link. */
     void received(InternalEndpoint.Link link, Object message) {
         Scheduler scheduler = byLink.get(link);
         if (scheduler == null || schedulerListener == null) {
@@ -130,7 +135,7 @@
         sendToAll(new Messages.SchedulerCount(byName.size()));
     }
 
-    /** The configuration has changed. */
+    /** Called after the configuration has changed. */
     void onConfigurationChanged() {
         publisher.onConfigurationChanged(state.configuration());
     }
--- a/src/main/java/gingerspool/controlplane/SharedMessage.java
+++ b/src/main/java/gingerspool/controlplane/SharedMessage.java
@@ -3,7 +3,7 @@
 import gingerspool.codec.KryoCodec;
 import gingerspool.wire.Frames;
 
-/** A message to several links that is encoded once, and whose bytes they share. For one thread. */
+/** A message for several links that is encoded once; the links share its bytes. Not thread-safe. */
 final class SharedMessage {
     private final Object message;
     private byte[] frame;
@@ -16,7 +16,7 @@
         return message;
     }
 
-    /** The bytes of its frame, its length included; nobody may write to them. */
+    /** The encoded frame, including its length prefix. Callers must not modify the array. */
     byte[] frame(KryoCodec codec) {
         if (frame == null) {
             frame = Frames.frame(codec.write(message));
--- a/src/main/java/gingerspool/controlplane/package-info.java
+++ b/src/main/java/gingerspool/controlplane/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The program `control`: keeps the configuration and, on the leader, the slots and the number of
+ * The program `control`: stores the configuration and, on the leader, allocates slots and scales
  * instances. {@link gingerspool.controlplane.ControlNode} is the process, {@link
- * gingerspool.controlplane.CoreMember} its part in the core, {@link
- * gingerspool.controlplane.LeaderDuties} what the leader of a term does alone. All state belongs to
- * one event loop; the log on disk belongs to the thread of {@link gingerspool.storage.LogWriter}.
+ * gingerspool.controlplane.ClusterMember} its membership in the control cluster, {@link
+ * gingerspool.controlplane.LeaderDuties} the work of the leader of a term. All state belongs to one
+ * event loop; the log on disk belongs to the thread of {@link gingerspool.storage.LogWriter}.
  */
 package gingerspool.controlplane;
--- a/src/test/java/gingerspool/controlplane/ClusterModel.java
+++ b/src/test/java/gingerspool/controlplane/ClusterModel.java
@@ -21,8 +21,8 @@
 import java.util.Set;
 
 /**
- * Three control nodes in memory, over the real replica, state and operators' calls: links that are
- * cut, processes that are killed and started, disks that keep what was synced.
+ * Three control nodes in memory, with the real replica, configuration state and operator calls.
+ * Links can be cut, processes killed and restarted; disks keep what was persisted.
  */
 final class ClusterModel {
     static final double LEASE_MS = 500;
@@ -31,7 +31,7 @@
     private static final int CONTROL_PORT = 8248;
     private static final int MIN_SNAPSHOT_BYTES = 2_000;
 
-    /** What an operator was answered; 0 while there is no answer. */
+    /** The answer to an operator's call; the status is 0 until it arrives. */
     static final class Answer {
         int status;
         String body = "";
@@ -41,7 +41,7 @@
     final ModelEventLoop loop = new ModelEventLoop();
     final List<Node> nodes = new ArrayList<>();
 
-    /** Links that carry nothing, as "from>to". */
+    /** Links that drop all messages, as "from>to". */
     final Set<String> cutLinks = new HashSet<>();
 
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
@@ -54,6 +54,7 @@
         nodes.forEach(Node::start);
     }
 
+    /** A control node; a killed one loses everything but its disk. */
     final class Node implements ReplicaEnvironment {
         final String ip;
         ConfigurationState state;
@@ -219,7 +220,7 @@
                 entries);
     }
 
-    /** The leader, once there is one among these. */
+    /** Runs the model until one of these nodes leads. */
     Node awaitLeader(List<Node> candidates) {
         for (int i = 0; i < 2_000; i++) {
             for (Node node : candidates) {
@@ -229,7 +230,7 @@
             }
             loop.run(5);
         }
-        throw new IllegalStateException("nobody leads");
+        throw new IllegalStateException("no leader within 10 s");
     }
 
     Node awaitLeader() {
@@ -247,7 +248,7 @@
         }
     }
 
-    /** Sends it to whoever leads until the answer is clear. */
+    /** Sends a change to the current leader until the answer says whether it was accepted. */
     Answer changeUntilDecided(boolean isComplete, long baseVersion, String body) {
         for (int i = 0; i < 20; i++) {
             Answer answer = awaitLeader().change(isComplete, baseVersion, body);
@@ -256,7 +257,7 @@
                 return answer;
             }
         }
-        throw new IllegalStateException("no clear answer");
+        throw new IllegalStateException("the change was neither accepted nor rejected");
     }
 
     static String completeConfiguration(long version, String note) {
--- a/src/test/java/gingerspool/controlplane/ConfigurationPublishingTest.java
+++ b/src/test/java/gingerspool/controlplane/ConfigurationPublishingTest.java
@@ -19,9 +19,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Two members that lead by turns, schedulers on slow links, and operators in a hurry, by seed:
- * every scheduler comes to the newest version in time, never back, and no link holds more than one
- * push.
+ * Pushes to schedulers on slow links while the configuration changes often and two members take
+ * turns leading, with random steps by seed: every scheduler reaches the newest version in time,
+ * never goes back to an older one, and no link holds more than one push.
  */
 public class ConfigurationPublishingTest {
     private static final double HEARTBEAT_MS = 1_000;
@@ -31,7 +31,7 @@
 
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
 
-    /** Two publishers, as two members of the core have them; one of them leads. */
+    /** The publishers of two cluster members, of which one leads. */
     private final class PublisherPair {
         final ModelEventLoop loop = new ModelEventLoop();
         final List<ConfigurationPublisher> members =
@@ -77,7 +77,7 @@
                 .build();
     }
 
-    /** A scheduler and its link, which carries so many bytes a millisecond, in order. */
+    /** A scheduler and its link, which carries messages in order at a limited rate. */
     private final class Scheduler
             implements InternalEndpoint.Link, ConfigurationSubscriber.Listener {
         final PublisherPair publishers;
@@ -147,7 +147,7 @@
 
         @Override
         public void onConfiguration(Configuration configuration) {
-            assertTrue(configuration.getVersion() >= version, "it went back");
+            assertTrue(configuration.getVersion() >= version, "the version went back");
             version = configuration.getVersion();
             appliedAt = publishers.loop.now();
         }
@@ -192,7 +192,7 @@
         }
     }
 
-    /** Twenty-five changes in two seconds, over links that carry one complete copy in a third. */
+    /** 25 changes in 2 s, over links that take a third of a second for one complete copy. */
     @Test
     public void burstOfChangesNeedsFewSmallPushes() {
         PublisherPair publishers = new PublisherPair();
@@ -206,19 +206,19 @@
         }
         double lastCommitAt = publishers.loop.now();
         publishers.loop.run(APPLY_TIMEOUT_MS);
-        assertAllApplied(publishers, all, "after the storm");
+        assertAllApplied(publishers, all, "after the burst");
         for (Scheduler scheduler : all) {
             assertTrue(
                     scheduler.appliedAt - lastCommitAt < APPLY_TIMEOUT_MS / 4,
                     "in force after " + (scheduler.appliedAt - lastCommitAt));
             assertTrue(
                     scheduler.bytesReceived - copyBytes < copyBytes,
-                    "a storm cost " + (scheduler.bytesReceived - copyBytes) + " bytes");
+                    "the burst took " + (scheduler.bytesReceived - copyBytes) + " bytes");
             assertTrue(scheduler.pushCount <= 13, scheduler.pushCount + " pushes");
         }
     }
 
-    /** A single change is told at once. */
+    /** A change that follows no other is pushed without the batch delay. */
     @Test
     public void singleChangeIsPushedAtOnce() {
         PublisherPair publishers = new PublisherPair();
@@ -229,10 +229,12 @@
         assertAllApplied(publishers, all, "after one change");
         assertTrue(
                 all.get(0).appliedAt - committedAt < 2 * LINK_MS,
-                "told after " + (all.get(0).appliedAt - committedAt));
+                "in force after " + (all.get(0).appliedAt - committedAt));
     }
 
-    /** A link that hardly carries anything holds one push, and holds up nobody else. */
+    /**
+     * A very slow link holds at most one push and does not delay the pushes to other schedulers.
+     */
     @Test
     public void slowSchedulerDoesNotDelayOthers() {
         PublisherPair publishers = new PublisherPair();
@@ -245,11 +247,14 @@
             publishers.loop.run(10);
         }
         publishers.loop.run(APPLY_TIMEOUT_MS);
-        assertAllApplied(publishers, all, "beside a slow one");
-        assertEquals(slow.maxPendingPushes, 1, "pushes that wait in its link");
+        assertAllApplied(publishers, all, "with a slow scheduler");
+        assertEquals(slow.maxPendingPushes, 1, "pushes queued on its link");
     }
 
-    /** One that was away for a hundred versions goes on by a delta, for more by a copy. */
+    /**
+     * A scheduler that missed up to 100 versions gets a delta; one that missed more gets a complete
+     * copy.
+     */
     @Test
     public void reconnectedSchedulerCatchesUp() {
         for (int missedVersions : new int[] {1, 100, 500}) {
@@ -264,15 +269,18 @@
             long bytesBefore = disconnected.bytesReceived;
             disconnected.connect();
             publishers.loop.run(APPLY_TIMEOUT_MS);
-            assertAllApplied(publishers, all, "away for " + missedVersions);
+            assertAllApplied(publishers, all, "missed versions: " + missedVersions);
             long copyBytes = publishers.newest.toByteArray().length;
             assertTrue(
                     disconnected.bytesReceived - bytesBefore <= copyBytes + 50,
-                    "brought up by one push at the most");
+                    "caught up by at most one push");
         }
     }
 
-    /** A copy that was damaged in memory is found by its report, or by the next delta. */
+    /**
+     * A copy that was damaged in memory is detected by the checksum that its scheduler reports, or
+     * when the next delta cannot be applied.
+     */
     @Test
     public void divergedCopyIsSentAgain() {
         PublisherPair publishers = new PublisherPair();
@@ -292,7 +300,7 @@
         assertAllApplied(publishers, all, "sent again");
     }
 
-    /** Changes, lost links and new leaders in any order. */
+    /** Changes, lost links and leader changes in random order. */
     @Test
     public void allConvergeDespiteLostLinksAndLeaderChanges() {
         for (int seed = 0; seed < 200; seed++) {
@@ -318,7 +326,7 @@
                 assertEquals(
                         scheduler.maxPendingPushes,
                         1,
-                        "seed " + seed + ": pushes that wait in a link");
+                        "seed " + seed + ": pushes queued on a link");
             }
         }
     }
--- a/src/test/java/gingerspool/controlplane/GracefulShutdownTest.java
+++ b/src/test/java/gingerspool/controlplane/GracefulShutdownTest.java
@@ -12,12 +12,16 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
+/** What the shutdown waits for, and its deadlines within the grace period. */
 public class GracefulShutdownTest {
     private static final double GRACE_PERIOD_MS = 6_000;
 
     private final ModelEventLoop loop = new ModelEventLoop();
 
-    /** A process whose answers a test sets, and what it was told, with the time. */
+    /**
+     * A process whose state the test sets, and which records the calls with their times in units of
+     * 100 ms.
+     */
     private final class RecordingProcess implements GracefulShutdown.Process {
         final List<String> events = new ArrayList<>();
         final double startedAt = loop.now();
@@ -79,7 +83,7 @@
         assertEquals(process.events, List.of("closed 36", "ended 51"));
     }
 
-    /** The leader is told to leave with an order under way: it is answered, and another leads. */
+    /** A leader that leaves while a change is pending answers it, and another member takes over. */
     @Test
     public void answersPendingChangeWhenLeaderLeaves() {
         for (long seed = 0; seed < 10; seed++) {
@@ -91,7 +95,8 @@
             cluster.loop.run(3 * ClusterModel.LEASE_MS);
             assertEquals(answer.status, 200, answer.body);
             assertTrue(cluster.others(leader).stream().anyMatch(Node::isLeading));
-            assertTrue(leader.replica.mayStop(cluster.loop.now()), "nobody waits to replace it");
+            assertTrue(
+                    leader.replica.mayStop(cluster.loop.now()), "no member is left to replace it");
         }
     }
 }
--- a/src/test/java/gingerspool/controlplane/LeaderDutiesTest.java
+++ b/src/test/java/gingerspool/controlplane/LeaderDutiesTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What the leader's duties do while the lease holds, has lapsed, and once the term is over. */
+/** The leader's duties while the lease holds, after it has lapsed, and once the term is over. */
 public class LeaderDutiesTest {
     private static final double HEARTBEAT_MS = 2 * ClusterModel.LEASE_MS;
     private static final String CONFIGURATION =
@@ -58,7 +58,7 @@
         }
     }
 
-    /** A platform that does what it is asked at once, and notes it. */
+    /** A platform that executes every call at once and records it. */
     private final class ModelPlatform implements Platform {
         final List<String> calls = new ArrayList<>();
         final Set<String> nonces = new HashSet<>();
@@ -112,7 +112,7 @@
                 String nonce,
                 Consumer<Response> callback) {
             calls.add("start");
-            assertTrue(nonces.add(nonce), "the same nonce for another start: " + nonce);
+            assertTrue(nonces.add(nonce), "nonce used for a second start: " + nonce);
             String id = "i-" + nonces.size();
             instances.put(id, host);
             cluster.loop.schedule(
@@ -135,7 +135,7 @@
         }
     }
 
-    /** A scheduler's link, and all that came on it. */
+    /** A scheduler's link that records the messages sent on it. */
     private static final class Link implements InternalEndpoint.Link {
         final List<Object> received = new ArrayList<>();
 
@@ -149,7 +149,7 @@
         }
     }
 
-    /** The leader's part of a control node, as ControlNode joins it. */
+    /** The leader's part of a control node, connected as ControlNode connects it. */
     private final class LeaderSide {
         final Node node;
         final Leadership leadership;
@@ -213,7 +213,7 @@
         leader.schedulers.register(link, register(Map.of()), 1);
         leader.schedulers.received(link, demand(1, 0));
         cluster.loop.run(HEARTBEAT_MS);
-        assertTrue(link.grants() >= 1, "nothing was granted under the lease");
+        assertTrue(link.grants() >= 1, "no slots were granted under the lease");
     }
 
     @Test
@@ -233,11 +233,11 @@
         assertEquals(link.grants(), 0);
         assertTrue(link.received.stream().noneMatch(Messages.SlotRecall.class::isInstance));
         assertEquals(platform.calls, List.of());
-        assertEquals(leader.endedDuties, 1, "it steps down, and the duties end once");
+        assertEquals(leader.endedDuties, 1, "the leader steps down and its duties end once");
         assertEquals(leader.schedulers.size(), 0);
     }
 
-    /** A lease that lapses and is renewed in its term goes on with the same duties. */
+    /** The duties continue if the lease lapses and is renewed within the term. */
     @Test
     public void dutiesContinueAfterLeaseIsRenewed() {
         long term = leader.node.replica.term();
@@ -256,7 +256,10 @@
         assertTrue(link.grants() > grantsBefore);
     }
 
-    /** What still comes on an earlier link was withdrawn before the scheduler registered anew. */
+    /**
+     * Messages that arrive late on an earlier link were sent before the scheduler registered again;
+     * they must not change its slots.
+     */
     @Test
     public void messagesOnEarlierLinkAreIgnored() {
         String heldInstance =
@@ -274,7 +277,10 @@
         assertEquals(leader.schedulers.size(), 1);
     }
 
-    /** It holds slots of what a new leader saw leave before this scheduler came to it. */
+    /**
+     * A scheduler holds slots of instances that the new leader saw draining before the scheduler
+     * registered with it.
+     */
     @Test
     public void registeringSchedulerLearnsOfDrainingInstances() {
         Node oldLeader = leader.node;
@@ -294,7 +300,9 @@
             if (message instanceof Messages.InstanceWithdrawal w) {
                 withdrawn.addAll(w.instances());
             } else if (message instanceof Messages.SlotGrant g) {
-                assertFalse(drainingIds.contains(g.instance()), "a leaving instance was granted");
+                assertFalse(
+                        drainingIds.contains(g.instance()),
+                        "slots of a draining instance were granted");
             }
         }
         assertEquals(withdrawn, drainingIds);
--- a/src/test/java/gingerspool/controlplane/LeaderWatchTest.java
+++ b/src/test/java/gingerspool/controlplane/LeaderWatchTest.java
@@ -4,6 +4,7 @@
 
 import org.testng.annotations.Test;
 
+/** When the settings file is due to be read again because no leader is known. */
 public class LeaderWatchTest {
     @Test
     public void isDueEveryFourIntervalsWithoutLeader() {
--- a/src/test/java/gingerspool/controlplane/PartitionedLeaderTest.java
+++ b/src/test/java/gingerspool/controlplane/PartitionedLeaderTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What operators get from a leader that was cut off for twenty seconds. */
+/** The answers that operators get from a leader that is partitioned for 20 s. */
 public class PartitionedLeaderTest {
     private static final double PARTITION_MS = 20_000;
 
@@ -21,7 +21,7 @@
         return new Object[][] {{1L}, {2L}, {3L}, {4L}, {5L}, {6L}, {7L}, {8L}};
     }
 
-    /** Once others may lead, nothing is answered from the state of the one that is cut off. */
+    /** Once another member may lead, the partitioned one answers nothing from its own state. */
     @Test(dataProvider = "seeds")
     public void answersWithoutStaleReadsOrRejections(long seed) {
         ClusterModel cluster = new ClusterModel(seed);
@@ -37,7 +37,7 @@
         for (double at = 0; at < PARTITION_MS; at += 100) {
             boolean otherLeads = cluster.others(oldLeader).stream().anyMatch(Node::isLeading);
             hasOtherLed |= otherLeads;
-            assertFalse(otherLeads && oldLeader.isLeading(), "two lead");
+            assertFalse(otherLeads && oldLeader.isLeading(), "two leaders at the same time");
             Answer read = oldLeader.read();
             if (hasOtherLed) {
                 assertTrue(read.status == 503 || read.status == 307, "" + read.status);
@@ -49,10 +49,11 @@
             }
             reads.add(read);
             changes.add(
-                    oldLeader.change(true, 1, completeConfiguration(100 + (long) at, "cut off")));
+                    oldLeader.change(
+                            true, 1, completeConfiguration(100 + (long) at, "partitioned")));
             double sentAt = cluster.loop.now();
             cluster.loop.run(100);
-            assertTrue(read.answeredAt <= sentAt, "silence");
+            assertTrue(read.answeredAt <= sentAt, "the read was not answered at once");
         }
         assertTrue(hasOtherLed);
         cluster.loop.run(1_000);
@@ -65,7 +66,7 @@
         assertEquals(oldLeader.state.items(), cluster.awaitLeader().state.items());
     }
 
-    /** It is heard and hears nobody, or hears and is heard by nobody. */
+    /** The leader's links fail in one direction: it can only send, or only receive. */
     @Test(dataProvider = "seeds")
     public void oneWayCutEndsLease(long seed) {
         ClusterModel cluster = new ClusterModel(seed);
@@ -87,10 +88,12 @@
         cluster.loop.run(PARTITION_MS);
         assertTrue(
                 cluster.others(oldLeader).stream().anyMatch(Node::isLeading),
-                "it disturbs the others");
+                "the others have lost their leader");
     }
 
-    /** A change that was under way as the cut came is answered within a second, without a claim. */
+    /**
+     * A change that is pending when the partition begins is answered within a second, as undecided.
+     */
     @Test(dataProvider = "seeds")
     public void pendingChangeIsAnsweredWithinOneSecond(long seed) {
         ClusterModel cluster = new ClusterModel(seed);
--- a/src/test/java/gingerspool/controlplane/PlatformCallsTest.java
+++ b/src/test/java/gingerspool/controlplane/PlatformCallsTest.java
@@ -23,8 +23,8 @@
 import org.testng.annotations.Test;
 
 /**
- * A platform that answers rubbish, half, late or never: each call has one end, and the next call
- * works.
+ * Calls to a platform whose responses are malformed, truncated, late or missing: each call ends
+ * exactly once, and the next call succeeds.
  */
 public class PlatformCallsTest {
     private static final double TIMEOUT_MS = 200;
@@ -33,7 +33,9 @@
     private ServerSocket server;
     private PlatformClient platform;
 
-    /** What each connection's first request is answered; nothing: it stays silent. */
+    /**
+     * The response to the first request of each connection; if empty, the server does not respond.
+     */
     private final LinkedBlockingQueue<String> responses = new LinkedBlockingQueue<>();
 
     @BeforeMethod
@@ -69,7 +71,7 @@
                 }
             }
         } catch (IOException | InterruptedException e) {
-            // The test has ended.
+            // The server socket was closed at the end of the test.
         }
     }
 
@@ -79,7 +81,7 @@
                 () ->
                         operation.accept(
                                 result -> {
-                                    assertTrue(!completion.isDone(), "one end only");
+                                    assertTrue(!completion.isDone(), "the call ended twice");
                                     completion.complete(result);
                                 }));
         return completion.get(5, TimeUnit.SECONDS);
@@ -104,7 +106,7 @@
         };
     }
 
-    @Test(dataProvider = "troubles")
+    @Test(dataProvider = "badResponses")
     public void everyCallCompletesOnceAndNextSucceeds(String response, int status)
             throws Exception {
         responses.add(response);
@@ -116,7 +118,7 @@
     }
 
     /**
-     * A list counts only whole: where one page can't be had there is none, so that nothing seems
+     * A list with a missing page is discarded as a whole, so that no instance wrongly seems to be
      * gone.
      */
     @Test
--- a/src/test/java/gingerspool/controlplane/ReadsUnderFaultsTest.java
+++ b/src/test/java/gingerspool/controlplane/ReadsUnderFaultsTest.java
@@ -15,15 +15,15 @@
 import org.testng.annotations.Test;
 
 /**
- * Reads of the configuration on every member, in touch or not, while the core is cut into halves
- * and members are killed, also more at once than it tolerates: no answer is older than what was
- * acknowledged before the read was sent, and nothing acknowledged is lost.
+ * Reads of the configuration on every member during network partitions and crashes, including more
+ * crashes at once than the cluster tolerates: no answer is older than the newest version
+ * acknowledged before the read was sent, and no acknowledged version is lost.
  */
 public class ReadsUnderFaultsTest {
     private static final int FAULT_STEPS = 400;
     private static final double STEP_MS = 50;
 
-    /** From here on nothing fails any more. */
+    /** Steps without faults at the end of a run. */
     private static final int RECOVERY_STEPS = 100;
 
     private static final Pattern VERSION = Pattern.compile("\"Version\" ?: ?([0-9]+)");
@@ -93,7 +93,7 @@
             reads.removeIf(read -> read.answer.status != 0);
         }
 
-        /** Versions are never proposed twice, so that an answer tells which change it has seen. */
+        /** No version is proposed twice, so that the version in an answer identifies the change. */
         private void changeAt(Node node) {
             if (node.isLeading() && random.nextInt(3) == 0) {
                 lastProposedVersion++;
@@ -114,13 +114,16 @@
                 long version = versionOf(read.answer);
                 assertTrue(
                         version >= read.newestAcknowledged,
-                        version + " was read, " + read.newestAcknowledged + " acknowledged before");
+                        version
+                                + " was read after "
+                                + read.newestAcknowledged
+                                + " was acknowledged");
             } else {
                 assertTrue(status == 0 || status == 503 || status == 307, "" + status);
             }
         }
 
-        /** Without any configuration a read is answered 404. */
+        /** A read gets status 404 if there is no configuration yet. */
         private static long versionOf(Answer answer) {
             if (answer.status == 404) {
                 return 0;
@@ -130,7 +133,10 @@
             return Long.parseLong(version.group(1));
         }
 
-        /** Cuts the core into two sides or joins it, kills or starts a member; disks are kept. */
+        /**
+         * Isolates a member, restores all links, kills a member, or restarts the killed ones; disks
+         * keep their content.
+         */
         private void injectFault() {
             Node node = cluster.nodes.get(random.nextInt(cluster.nodes.size()));
             switch (random.nextInt(4)) {
@@ -152,8 +158,8 @@
     public void readsAreNeverStale(long seed) {
         FaultRun run = new FaultRun(seed);
         run.run();
-        assertTrue(run.answeredReads > 0, "nothing was served");
-        assertTrue(run.newestAcknowledged() > 0, "nothing was acknowledged");
+        assertTrue(run.answeredReads > 0, "no read was answered");
+        assertTrue(run.newestAcknowledged() > 0, "no change was acknowledged");
         long version = run.cluster.awaitLeader().state.version();
         assertTrue(
                 version >= run.newestAcknowledged(), version + " of " + run.newestAcknowledged());
@@ -162,7 +168,7 @@
         }
     }
 
-    /** The plays above do go beyond the one loss that three members tolerate. */
+    /** The runs above do exceed the one crash that three members tolerate. */
     @Test
     public void faultsExceedToleranceInSomeSeeds() {
         int runsBeyondTolerance = 0;
--- a/src/test/java/gingerspool/controlplane/RepairTest.java
+++ b/src/test/java/gingerspool/controlplane/RepairTest.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Copies of the configuration on a running core, damaged in memory. */
+/** Repair of copies of the configuration that were damaged in memory, on a running cluster. */
 public class RepairTest {
-    /** Done once this member holds these items. */
+    /** Completes the future once this node holds these items. */
     private static void await(
             ControlNode node, Map<String, String> expectedItems, CompletableFuture<Void> done) {
         if (node.configurationState.items().equals(expectedItems)) {
@@ -32,7 +32,7 @@
             expected.apply(true, 0, Platforms.Running.CONFIGURATION.getBytes());
             Map<String, String> expectedItems = expected.items();
             for (ControlNode member : platform.core) {
-                // All have delivered it once they answer to it.
+                // Waits until every member has applied the configuration.
                 CompletableFuture<Void> isApplied = new CompletableFuture<>();
                 member.loop.submit(() -> await(member, expectedItems, isApplied));
                 isApplied.get(10, TimeUnit.SECONDS);
--- a/src/test/java/gingerspool/controlplane/RepeatedChangeTest.java
+++ b/src/test/java/gingerspool/controlplane/RepeatedChangeTest.java
@@ -12,7 +12,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Orders that are sent again, and several under one number, over the real replica, in memory. */
+/**
+ * Changes that are sent again, and several changes with the same version, on the real replica in
+ * memory.
+ */
 public class RepeatedChangeTest {
     private static final long SEEDS = 20;
 
@@ -60,7 +63,7 @@
         assertTrue(answers.stream().allMatch(a -> List.of(200, 307, 412).contains(a.status)));
     }
 
-    /** It is only in the old leader's log, which nobody else has. */
+    /** The change is only in the partitioned leader's log when it is sent again. */
     @Test(dataProvider = "seeds")
     public void repeatIsAcceptedAfterFirstReachedPartitionedLeaderOnly(long seed) {
         ClusterModel cluster = new ClusterModel(seed);
@@ -76,12 +79,15 @@
         assertEquals(rival.status, 412);
         cluster.cutLinks.clear();
         cluster.loop.run(3_000);
-        assertEquals(first.status, 503, "it can't know");
+        assertEquals(first.status, 503, "the outcome is unknown to the partitioned leader");
         assertEquals(oldLeader.state.items(), newLeader.state.items());
         assertAccepted(cluster.changeUntilDecided(true, 2, completeConfiguration(5, "a")), 5);
     }
 
-    /** The leader falls once one follower has the command, and before anybody was told. */
+    /**
+     * The leader crashes after one follower has received the command and before the change is
+     * answered.
+     */
     @Test(dataProvider = "seeds")
     public void repeatOfChangeLeftByFailedLeaderIsAccepted(long seed) {
         ClusterModel cluster = new ClusterModel(seed);
@@ -100,7 +106,7 @@
         Answer repeat = newLeader.change(true, 2, completeConfiguration(5, "a"));
         Answer rival = newLeader.change(true, 2, completeConfiguration(7, "rival"));
         cluster.loop.run(200);
-        assertEquals(first.status, 0, "it was not answered");
+        assertEquals(first.status, 0, "answered by a crashed leader");
         assertAccepted(repeat, 5);
         assertEquals(rival.status, 412);
         oldLeader.start();
--- a/src/test/java/gingerspool/controlplane/StartWithoutDiskTest.java
+++ b/src/test/java/gingerspool/controlplane/StartWithoutDiskTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** A control process whose disk can't be used as it starts. */
+/** A control node whose disk is unusable, or whose log is unreadable, at the start. */
 public class StartWithoutDiskTest {
     private static final String IP = "127.0.8.1";
 
@@ -72,7 +72,7 @@
             CompletableFuture<Void> leading = new CompletableFuture<>();
             node.loop.submit(() -> awaitLead(node, leading));
             leading.get(10, TimeUnit.SECONDS);
-            assertEquals(read(port), 404, "it leads, alone, and has no configuration");
+            assertEquals(read(port), 404, "the node leads alone and has no configuration");
         } finally {
             node.close();
         }
@@ -96,7 +96,7 @@
             CompletableFuture<Boolean> isLearner = new CompletableFuture<>();
             node.begin(isLearner::completeExceptionally);
             node.loop.submit(() -> awaitMember(node, isLearner));
-            assertTrue(isLearner.get(10, TimeUnit.SECONDS), "it founded a cluster of its own");
+            assertTrue(isLearner.get(10, TimeUnit.SECONDS), "the node founded a new cluster");
         } finally {
             node.close();
         }
