--- a/src/main/java/gingerspool/controlplane/ClusterMember.java
+++ b/src/main/java/gingerspool/controlplane/ClusterMember.java
@@ -164,7 +164,8 @@
      * no leader has been known for long.
      */
     boolean maintainPeers() {
-        boolean isLeaderless = leaderWatch.isDue(replica.leader(loop.now()) != null, loop.now());
+        boolean isLeaderless =
+                leaderWatch.isReloadDue(replica.leader(loop.now()) != null, loop.now());
         node.peerLinks().maintain(replica.contacts());
         return isLeaderless;
     }
--- a/src/main/java/gingerspool/controlplane/ConfigurationPublisher.java
+++ b/src/main/java/gingerspool/controlplane/ConfigurationPublisher.java
@@ -138,17 +138,17 @@
      */
     void onAcknowledgement(Subscription subscription, Messages.ConfigurationAck ack) {
         subscription.acknowledgedVersion = Math.max(subscription.acknowledgedVersion, ack.number());
-        boolean isPushTimedOut = loop.now() > subscription.lastPushAt + heartbeatInterval;
+        boolean isLastPushOld = loop.now() > subscription.lastPushAt + heartbeatInterval;
         boolean isDiverged =
                 ack.number() == history.version() && ack.digest() != history.checksum();
-        if (ack.number() > 0 && isDiverged && isPushTimedOut) {
+        if (ack.number() > 0 && isDiverged && isLastPushOld) {
             LOG.warn(
                     "scheduler.config_diverged scheduler={} version={}",
                     subscription.name,
                     ack.number());
             push(subscription, completeCopy(true));
         } else {
-            if (isPushTimedOut) {
+            if (isLastPushOld) {
                 // Guards against a push that the scheduler ignored: nothing else would repeat it.
                 subscription.pushedVersion = subscription.acknowledgedVersion;
             }
--- a/src/main/java/gingerspool/controlplane/ControlNode.java
+++ b/src/main/java/gingerspool/controlplane/ControlNode.java
@@ -103,7 +103,7 @@
         logWriter.start();
         loop.submit(
                 () -> {
-                    operatorEndpoint.begin();
+                    operatorEndpoint.start();
                     logSummary();
                 });
     }
@@ -122,7 +122,7 @@
         }
         ClusterMember recoveredMember = new ClusterMember(new MemberNode(), recovered, seeds);
         member = Optional.of(recoveredMember);
-        internalEndpoint.begin();
+        internalEndpoint.start();
         recoveredMember.start();
         maintainLinks(recoveredMember);
         announceRegularly(recoveredMember);
@@ -208,7 +208,8 @@
 
     /**
      * Sets the task that runs on the event loop when no leader has been known for several heartbeat
-     * intervals; it should read the settings file and call reload(). Must be called before begin().
+     * intervals; it should read the settings file and call applySettings(). Must be called before
+     * start().
      */
     public void whenLost(Runnable reload) {
         reloadSettings = reload;
@@ -249,7 +250,7 @@
                                 Optional.of(
                                         new GracefulShutdown(loop, settings.gracePeriod, process));
                         member.ifPresent(ClusterMember::leave);
-                        shutdown.get().begin();
+                        shutdown.get().start();
                     }
                 });
     }
--- a/src/main/java/gingerspool/controlplane/GracefulShutdown.java
+++ b/src/main/java/gingerspool/controlplane/GracefulShutdown.java
@@ -58,7 +58,7 @@
     }
 
     /** Starts the shutdown; further calls have no effect. */
-    void begin() {
+    void start() {
         if (state == State.RUNNING) {
             state = State.WAITING_FOR_REPLACEMENT;
             startedAt = loop.now();
--- a/src/main/java/gingerspool/controlplane/InternalEndpoint.java
+++ b/src/main/java/gingerspool/controlplane/InternalEndpoint.java
@@ -79,7 +79,7 @@
                 new Listener(loop, new InetSocketAddress(settings.ip, settings.internalPort), this);
     }
 
-    void begin() {
+    void start() {
         listener.acceptOn();
     }
 
--- a/src/main/java/gingerspool/controlplane/LeaderWatch.java
+++ b/src/main/java/gingerspool/controlplane/LeaderWatch.java
@@ -21,7 +21,7 @@
     }
 
     /** Whether the file should be read now; if so, the next read is due a full timeout later. */
-    boolean isDue(boolean knowsLeader, double now) {
+    boolean isReloadDue(boolean knowsLeader, double now) {
         boolean isDue = !knowsLeader && now >= nextDueAt;
         if (knowsLeader || isDue) {
             nextDueAt = now + LEADERLESS_TIMEOUT_HEARTBEATS * heartbeatInterval;
--- a/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
+++ b/src/main/java/gingerspool/controlplane/OperatorEndpoint.java
@@ -36,7 +36,7 @@
         listener = new Listener(loop, address, this);
     }
 
-    void begin() {
+    void start() {
         listener.acceptOn();
     }
 
--- a/src/test/java/gingerspool/controlplane/ClusterModel.java
+++ b/src/test/java/gingerspool/controlplane/ClusterModel.java
@@ -26,8 +26,8 @@
  */
 final class ClusterModel {
     static final double LEASE_MS = 500;
-    private static final double LINK_MS = 2;
-    private static final double DISK_MS = 3;
+    private static final double LINK_DELAY_MS = 2;
+    private static final double PERSIST_DELAY_MS = 3;
     private static final int CONTROL_PORT = 8248;
     private static final int MIN_SNAPSHOT_BYTES = 2_000;
 
@@ -152,7 +152,7 @@
         public void send(Member to, ConsensusMessage message) {
             Member from = replica.self();
             loop.schedule(
-                    LINK_MS,
+                    LINK_DELAY_MS,
                     () -> {
                         for (Node node : nodes) {
                             if (node.ip.equals(to.ip())) {
@@ -173,7 +173,7 @@
         public void persist(LogWrite write) {
             int startedIn = incarnation;
             loop.schedule(
-                    DISK_MS,
+                    PERSIST_DELAY_MS,
                     () -> {
                         if (startedIn == incarnation) {
                             disk = applyWrite(disk, write);
--- a/src/test/java/gingerspool/controlplane/ConfigurationPublishingTest.java
+++ b/src/test/java/gingerspool/controlplane/ConfigurationPublishingTest.java
@@ -26,7 +26,7 @@
 public class ConfigurationPublishingTest {
     private static final double HEARTBEAT_MS = 1_000;
     private static final double APPLY_TIMEOUT_MS = 3_000;
-    private static final double LINK_MS = 12;
+    private static final double LINK_DELAY_MS = 12;
     private static final int FUNCTION_COUNT = 100;
 
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
@@ -88,7 +88,7 @@
         double linkFreeAt;
         int pendingPushes;
         int maxPendingPushes;
-        long bytesReceived;
+        long bytesSent;
         int pushCount;
         long version;
         double appliedAt;
@@ -118,12 +118,12 @@
             byte[] frame = codec.write(message);
             pendingPushes++;
             maxPendingPushes = Math.max(maxPendingPushes, pendingPushes);
-            bytesReceived += frame.length;
+            bytesSent += frame.length;
             pushCount++;
             linkFreeAt = Math.max(linkFreeAt, publishers.loop.now()) + frame.length / bytesPerMs;
             int sentOn = connectionNumber;
             publishers.loop.schedule(
-                    linkFreeAt - publishers.loop.now() + LINK_MS,
+                    linkFreeAt - publishers.loop.now() + LINK_DELAY_MS,
                     () -> {
                         if (sentOn == connectionNumber) {
                             pendingPushes--;
@@ -156,7 +156,7 @@
         public void sendToLeader(Object message) {
             int sentOn = connectionNumber;
             publishers.loop.schedule(
-                    LINK_MS,
+                    LINK_DELAY_MS,
                     () -> {
                         if (sentOn == connectionNumber
                                 && message instanceof Messages.ConfigurationAck ack) {
@@ -198,7 +198,7 @@
         PublisherPair publishers = new PublisherPair();
         double bytesPerMs = publishers.newest.toByteArray().length / 333.0;
         List<Scheduler> all = connectSchedulers(publishers, 5, bytesPerMs);
-        long copyBytes = all.get(0).bytesReceived;
+        long copyBytes = all.get(0).bytesSent;
         Random random = new Random(1);
         for (int i = 0; i < 25; i++) {
             publishers.commit(withRandomChange(publishers.newest, random));
@@ -212,8 +212,8 @@
                     scheduler.appliedAt - lastCommitAt < APPLY_TIMEOUT_MS / 4,
                     "in force after " + (scheduler.appliedAt - lastCommitAt));
             assertTrue(
-                    scheduler.bytesReceived - copyBytes < copyBytes,
-                    "the burst took " + (scheduler.bytesReceived - copyBytes) + " bytes");
+                    scheduler.bytesSent - copyBytes < copyBytes,
+                    "the burst took " + (scheduler.bytesSent - copyBytes) + " bytes");
             assertTrue(scheduler.pushCount <= 13, scheduler.pushCount + " pushes");
         }
     }
@@ -228,7 +228,7 @@
         publishers.loop.run(HEARTBEAT_MS);
         assertAllApplied(publishers, all, "after one change");
         assertTrue(
-                all.get(0).appliedAt - committedAt < 2 * LINK_MS,
+                all.get(0).appliedAt - committedAt < 2 * LINK_DELAY_MS,
                 "in force after " + (all.get(0).appliedAt - committedAt));
     }
 
@@ -266,13 +266,13 @@
             for (int i = 0; i < missedVersions; i++) {
                 publishers.commit(withRandomChange(publishers.newest, random));
             }
-            long bytesBefore = disconnected.bytesReceived;
+            long bytesBefore = disconnected.bytesSent;
             disconnected.connect();
             publishers.loop.run(APPLY_TIMEOUT_MS);
             assertAllApplied(publishers, all, "missed versions: " + missedVersions);
             long copyBytes = publishers.newest.toByteArray().length;
             assertTrue(
-                    disconnected.bytesReceived - bytesBefore <= copyBytes + 50,
+                    disconnected.bytesSent - bytesBefore <= copyBytes + 50,
                     "caught up by at most one push");
         }
     }
--- a/src/test/java/gingerspool/controlplane/GracefulShutdownTest.java
+++ b/src/test/java/gingerspool/controlplane/GracefulShutdownTest.java
@@ -54,8 +54,8 @@
         RecordingProcess process = new RecordingProcess();
         process.mayStop = true;
         GracefulShutdown shutdown = new GracefulShutdown(loop, GRACE_PERIOD_MS, process);
-        shutdown.begin();
-        shutdown.begin();
+        shutdown.start();
+        shutdown.start();
         loop.run(GRACE_PERIOD_MS);
         assertEquals(process.events, List.of("closed 0", "ended 0"));
     }
@@ -64,7 +64,7 @@
     public void waitsForReplacementAndPendingCalls() {
         RecordingProcess process = new RecordingProcess();
         process.hasPendingCalls = true;
-        new GracefulShutdown(loop, GRACE_PERIOD_MS, process).begin();
+        new GracefulShutdown(loop, GRACE_PERIOD_MS, process).start();
         loop.run(1_000);
         assertEquals(process.events, List.of());
         process.mayStop = true;
@@ -78,7 +78,7 @@
     public void endsWithinGracePeriod() {
         RecordingProcess process = new RecordingProcess();
         process.hasPendingCalls = true;
-        new GracefulShutdown(loop, GRACE_PERIOD_MS, process).begin();
+        new GracefulShutdown(loop, GRACE_PERIOD_MS, process).start();
         loop.run(GRACE_PERIOD_MS);
         assertEquals(process.events, List.of("closed 36", "ended 51"));
     }
--- a/src/test/java/gingerspool/controlplane/LeaderWatchTest.java
+++ b/src/test/java/gingerspool/controlplane/LeaderWatchTest.java
@@ -12,7 +12,7 @@
         StringBuilder dueTimes = new StringBuilder();
         for (int at = 500; at <= 20_000; at += 500) {
             boolean knowsLeader = at > 1_000 && at <= 6_000 || at == 15_000;
-            if (watch.isDue(knowsLeader, at)) {
+            if (watch.isReloadDue(knowsLeader, at)) {
                 dueTimes.append(at).append(' ');
             }
         }
--- a/src/test/java/gingerspool/controlplane/PartitionedLeaderTest.java
+++ b/src/test/java/gingerspool/controlplane/PartitionedLeaderTest.java
@@ -49,8 +49,7 @@
             }
             reads.add(read);
             changes.add(
-                    oldLeader.change(
-                            true, 1, completeConfiguration(100 + (long) at, "partitioned")));
+                    oldLeader.change(true, 1, completeConfiguration(100 + (long) at, "cut off")));
             double sentAt = cluster.loop.now();
             cluster.loop.run(100);
             assertTrue(read.answeredAt <= sentAt, "the read was not answered at once");
