--- a/src/main/java/gingerspool/controlplane/ControlNode.java
+++ b/src/main/java/gingerspool/controlplane/ControlNode.java
@@ -24,7 +24,8 @@
 
 /**
  * A control process: connects the endpoints, the links to peers, the durable log and the cluster
- * member, and runs the shutdown. Created by NodeProgram, one per process.
+ * member, and runs the shutdown. NodeProgram creates one per process; Platforms runs several in one
+ * process.
  *
  * <p>States: recovering until the log has been read, during which operators get status 503; then a
  * member of the control cluster; stopping after SIGTERM. All state belongs to one event loop; only
--- a/src/main/java/gingerspool/controlplane/Leadership.java
+++ b/src/main/java/gingerspool/controlplane/Leadership.java
@@ -7,8 +7,8 @@
 
 /**
  * Starts the leader's duties when this member becomes the active leader, and ends them when its
- * term is over: when the replica has moved to another term, or has stepped down because it could
- * not renew its lease.
+ * term is over: when the replica has moved to another term, or has stepped down, for example
+ * because it could not renew its lease.
  *
  * <p>A lease that lapses and is renewed within the term does not end the duties: no other member
  * can have led in between, and each action of the duties checks the lease itself. The duties
