--- a/src/main/java/gingerspool/controlplane/CoreMember.java
+++ b/src/main/java/gingerspool/controlplane/ClusterMember.java
@@ -22,23 +22,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A control node as a member of the core, from the moment that its disk was read: the replica with
- * what it sends, writes and applies, the leader's duties while it leads, and the comparison of
- * copies. All calls come on the loop. Owns the replica; the configuration's state is the node's.
+ * A control node as a member of the control cluster, once its log has been read: runs the replica
+ * and carries out what it sends, persists and applies, runs the leader's duties while this member
+ * leads, and the comparison of the members' state. Created by {@link ControlNode}, which calls it
+ * on the event loop. Owns the replica; the configuration state belongs to the node.
  */
-final class CoreMember implements ReplicaEnvironment {
-    private static final Logger LOG = LoggerFactory.getLogger(CoreMember.class);
+final class ClusterMember implements ReplicaEnvironment {
+    private static final Logger LOG = LoggerFactory.getLogger(ClusterMember.class);
 
     /** The leader's lease, in heartbeat intervals. */
     private static final double LEASE_HEARTBEATS = 0.5;
 
-    /** When a call of the platform has failed without an answer, in heartbeat intervals. */
+    /** Timeout of a call to the platform, in heartbeat intervals. */
     private static final double PLATFORM_TIMEOUT_HEARTBEATS = 0.8;
 
-    /** The shortest pause between two ticks of the replica, in milliseconds. */
-    private static final double TICK_PAUSE_MS = 1;
+    /** Shortest interval between two ticks of the replica. */
+    private static final double MIN_TICK_INTERVAL_MS = 1;
 
-    /** What a member needs of the node round it. */
+    /** What the member uses of its control node. */
     interface Node {
         EventLoop loop();
 
@@ -48,19 +49,19 @@
 
         KryoCodec codec();
 
-        PeerLinks peers();
+        PeerLinks peerLinks();
 
-        SchedulerRegistry schedulers();
+        SchedulerRegistry schedulerRegistry();
 
-        OperatorCalls calls();
+        OperatorCalls operatorCalls();
 
-        /** Hands a write to the log's thread. */
+        /** Passes a write to the log's thread. */
         void save(LogWrite write);
 
-        /** Sends to all processes that opened a link here. */
+        /** Sends a message on every link that another process opened to this node. */
         void sendToAll(Object message);
 
-        /** The configuration has changed. */
+        /** Called after a new configuration was applied or restored. */
         void onConfigurationChanged();
     }
 
@@ -71,36 +72,42 @@
     private final RepairExchange repair;
     private final Leadership leadership;
     private final LeaderWatch leaderWatch;
-    private double tickAt = Double.POSITIVE_INFINITY;
+    private double nextTickAt = Double.POSITIVE_INFINITY;
 
-    /** The seeds may be changed by the node; the replica sees it. */
-    CoreMember(Node node, RecoveredLog recovered, List<String> seeds) {
+    /**
+     * The list of seeds is shared: the node may change it later, and the replica reads the current
+     * content.
+     */
+    ClusterMember(Node node, RecoveredLog recovered, List<String> seeds) {
         this.node = node;
         loop = node.loop();
         settings = node.settings();
-        replica = replicaOf(recovered, seeds);
-        BiConsumer<String, Object> toPeer = node.peers()::send;
+        replica = createReplica(recovered, seeds);
+        BiConsumer<String, Object> sendToPeer = node.peerLinks()::send;
         repair =
                 new RepairExchange(
                         loop,
                         settings,
                         node.configurationState(),
                         replica,
-                        toPeer,
+                        sendToPeer,
                         node::onConfigurationChanged);
         leaderWatch = new LeaderWatch(settings.heartbeatInterval, loop.now());
         leadership = new Leadership(replica, this::beginDuties, this::endDuties);
     }
 
-    /** Only an empty disk may be that of a first start; one that can't be read has lost votes. */
-    private Replica replicaOf(RecoveredLog recovered, List<String> seeds) {
-        boolean bootstraps = recovered.isEmpty() && settings.firstStart;
+    /**
+     * Founds a new cluster only if the log is empty: a log that cannot be read may have held votes,
+     * and a member that votes twice in a term can elect two leaders.
+     */
+    private Replica createReplica(RecoveredLog recovered, List<String> seeds) {
+        boolean isFirstStart = recovered.isEmpty() && settings.firstStart;
         List<Member> founders =
-                bootstraps
+                isFirstStart
                         ? seeds.stream().map(seed -> new Member(seed, Member.FOUNDER)).toList()
                         : List.of();
-        // Never the same twice, whatever was on a disk before: so not from a seed.
-        String id = bootstraps ? Member.FOUNDER : UUID.randomUUID().toString();
+        // A random id, so that a member that lost its log never reuses an earlier identity.
+        String id = isFirstStart ? Member.FOUNDER : UUID.randomUUID().toString();
         return new Replica(
                 new Member(settings.ip, id),
                 recovered.state(),
@@ -114,7 +121,7 @@
                 this);
     }
 
-    /** Takes part from now on. */
+    /** Starts taking part in the cluster. */
     void start() {
         LOG.info(
                 "start member={} members={} term={} version={}",
@@ -122,7 +129,7 @@
                 replica.members(),
                 replica.term(),
                 node.configurationState().version());
-        afterReplica();
+        afterReplicaUpdate();
     }
 
     Replica replica() {
@@ -133,7 +140,7 @@
         return repair;
     }
 
-    /** The duties of the leader, where this member leads. */
+    /** The leader's duties, if this member leads. */
     Optional<LeaderDuties> duties() {
         return Optional.ofNullable(leadership.duties());
     }
@@ -142,43 +149,50 @@
         return replica.isActiveLeader(loop.now());
     }
 
-    /** This process is about to end; see Replica.leave. */
+    /** Starts leaving the cluster, as this process is about to stop; see {@link Replica#leave}. */
     void leave() {
         replica.leave(loop.now());
-        afterReplica();
+        afterReplicaUpdate();
     }
 
     boolean mayStop() {
         return replica.mayStop(loop.now());
     }
 
-    /** Looks after the links to the peers; true where the settings file should be read anew. */
+    /**
+     * Maintains the links to the peers. Returns whether the settings file should be read again, as
+     * no leader has been known for long.
+     */
     boolean maintainPeers() {
-        boolean isLost = leaderWatch.isDue(replica.leader(loop.now()) != null, loop.now());
-        node.peers().maintain(replica.contacts());
-        return isLost;
+        boolean isLeaderless =
+                leaderWatch.isReloadDue(replica.leader(loop.now()) != null, loop.now());
+        node.peerLinks().maintain(replica.contacts());
+        return isLeaderless;
     }
 
     // ---- Time ----
 
-    /** What follows from whatever the replica was just told. */
-    void afterReplica() {
+    /**
+     * Starts or ends the leader's duties and schedules the next tick. Must follow every call that
+     * may change the replica's state.
+     */
+    void afterReplicaUpdate() {
         leadership.update(loop.now());
         scheduleTick();
     }
 
     private void scheduleTick() {
-        double at = Math.max(replica.nextTick(), loop.now() + TICK_PAUSE_MS);
-        if (at < tickAt) {
-            tickAt = at;
-            loop.schedule(at - loop.now(), this::tick);
+        double tickAt = Math.max(replica.nextTick(), loop.now() + MIN_TICK_INTERVAL_MS);
+        if (tickAt < nextTickAt) {
+            nextTickAt = tickAt;
+            loop.schedule(tickAt - loop.now(), this::tick);
         }
     }
 
     private void tick() {
-        tickAt = Double.POSITIVE_INFINITY;
+        nextTickAt = Double.POSITIVE_INFINITY;
         replica.tick(loop.now());
-        afterReplica();
+        afterReplicaUpdate();
     }
 
     // ---- Leading ----
@@ -196,21 +210,24 @@
                         platform,
                         term,
                         this::isLeading,
-                        node.schedulers()::tell,
-                        node.schedulers()::tellAll);
-        duties.configured(node.configurationState().configuration());
-        node.schedulers().lead(duties);
+                        node.schedulerRegistry()::send,
+                        node.schedulerRegistry()::sendToAll);
+        duties.onConfigurationChanged(node.configurationState().configuration());
+        node.schedulerRegistry().startLeading(duties);
         announceLeader();
         return duties;
     }
 
-    /** Schedulers that hear only this member are told that it leads no more. */
+    /**
+     * Announces that this member no longer leads, also to schedulers that are connected to no
+     * other.
+     */
     private void endDuties() {
-        node.schedulers().leadNoMore();
+        node.schedulerRegistry().stopLeading();
         announceLeader();
     }
 
-    /** Tells all who opened a link here who leads, as far as is known. */
+    /** Sends the leader that this member knows of to every process that opened a link to it. */
     void announceLeader() {
         node.sendToAll(announcement());
     }
@@ -225,23 +242,26 @@
 
     // ---- Messages ----
 
-    /** A message of another member's replica, for this one or an earlier one on this machine. */
+    /**
+     * Handles a message of another member's replica. It may be addressed to an earlier member of
+     * this machine, in which case only the sender is noted.
+     */
     void receive(ConsensusMessage.Envelope envelope) {
-        PeerLinks peers = node.peers();
-        peers.heardMember(envelope.from().ip());
+        PeerLinks peers = node.peerLinks();
+        peers.onMemberMessage(envelope.from().ip());
         if (envelope.isFor(replica.self())) {
             peers.connectBack(envelope.from().ip());
             replica.receive(loop.now(), envelope.from(), envelope.message());
-            afterReplica();
+            afterReplicaUpdate();
         } else {
             replica.noteSender(envelope.from());
         }
     }
 
-    /** A scheduler asks to be registered: the leader does, others say who leads. */
+    /** Registers a scheduler if this member leads; otherwise replies with the known leader. */
     void register(InternalEndpoint.Link link, Messages.Register message) {
         if (leadership.duties() != null && isLeading()) {
-            node.schedulers().register(link, message, replica.term());
+            node.schedulerRegistry().register(link, message, replica.term());
         } else {
             link.send(announcement());
         }
@@ -251,7 +271,7 @@
 
     @Override
     public void send(Member to, ConsensusMessage message) {
-        node.peers().send(to.ip(), new ConsensusMessage.Envelope(replica.self(), to, message));
+        node.peerLinks().send(to.ip(), new ConsensusMessage.Envelope(replica.self(), to, message));
     }
 
     @Override
@@ -261,7 +281,7 @@
 
     void persisted(long ticket) {
         replica.persisted(loop.now(), ticket);
-        afterReplica();
+        afterReplicaUpdate();
     }
 
     @Override
@@ -269,17 +289,17 @@
         ConfigurationState state = node.configurationState();
         try {
             Messages.ChangeCommand change = (Messages.ChangeCommand) node.codec().read(command);
-            long before = state.version();
-            ConfigurationState.ChangeResult verdict =
+            long previousVersion = state.version();
+            ConfigurationState.ChangeResult result =
                     state.apply(change.whole(), change.on(), change.body());
-            if (state.version() != before) {
+            if (state.version() != previousVersion) {
                 LOG.info("config.committed version={} index={}", state.version(), index);
                 node.onConfigurationChanged();
             }
-            node.calls().applied(change.id(), verdict);
+            node.operatorCalls().applied(change.id(), result);
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(
-                    "a command that was committed can't be read: " + e.getMessage(), e);
+                    "cannot decode a committed command: " + e.getMessage(), e);
         }
     }
 
@@ -296,7 +316,7 @@
 
     // ---- For operators ----
 
-    /** The lines of the status page that tell of this member and the core. */
+    /** The lines of the status page about this member and the cluster. */
     List<String> status() {
         List<String> lines = new ArrayList<>();
         Member leader = replica.leader(loop.now());
@@ -304,12 +324,12 @@
         lines.add("member " + replica.self() + " term " + replica.term() + " leader " + leader);
         lines.add("members " + replica.members());
         lines.add("version " + version + " applied " + replica.appliedIndex());
-        lines.addAll(node.schedulers().status());
+        lines.addAll(node.schedulerRegistry().status());
         duties().ifPresent(duties -> lines.addAll(duties.allocator.status()));
         return lines;
     }
 
-    /** One line of counters, and one of the leader's. */
+    /** Logs the counters of this member, and those of the leader's duties if it leads. */
     void logSummary(boolean diskIsFailing) {
         LOG.info(
                 "summary member={} term={} leads={} applied={} version={} schedulers={} {}"
@@ -319,11 +339,11 @@
                 isLeading(),
                 replica.appliedIndex(),
                 node.configurationState().version(),
-                node.schedulers().size(),
-                node.calls().counters(),
+                node.schedulerRegistry().size(),
+                node.operatorCalls().counters(),
                 diskIsFailing,
-                repair.differing(),
-                repair.undecided());
-        duties().ifPresent(LeaderDuties::log);
+                repair.differingRanges(),
+                repair.undecidedRanges());
+        duties().ifPresent(LeaderDuties::logSummary);
     }
 }
--- a/src/main/java/gingerspool/controlplane/ConfigurationPublisher.java
+++ b/src/main/java/gingerspool/controlplane/ConfigurationPublisher.java
@@ -13,81 +13,93 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells the schedulers of this leader the configuration: as a delta from the version that each has
- * in force, or as a complete copy where it asks for one or its version is not known here.
+ * Pushes the configuration to the schedulers registered with this leader: as a delta from the
+ * version that a scheduler has in force, or as a complete copy if the scheduler asks for one or its
+ * version is not in the history.
  *
- * <p>Invariants: a scheduler has one push unacknowledged at the most, so what waits in its link is
- * bounded by one copy, and that copy's bytes are shared by all links; versions that come meanwhile
- * are told together, by one delta, after the acknowledgement. Changes in quick succession are told
- * at a pace of {@link #GATHER_PART}. Runs on the loop. Times are milliseconds.
+ * <p>Invariants: a scheduler has at most one unacknowledged push, so the data queued on its link is
+ * bounded by one complete copy, whose bytes are shared by all links. Versions committed in the
+ * meantime are combined into one delta that is sent after the acknowledgement. Changes in quick
+ * succession are batched, see {@link #BATCH_DELAY_FRACTION}. Used by {@link SchedulerRegistry} on
+ * the event loop. Times are in milliseconds.
  */
 final class ConfigurationPublisher {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationPublisher.class);
 
     /**
-     * Changes are gathered for this part of the time in which they must be in force everywhere,
-     * counted from the last push: it bounds what a storm of changes costs schedulers and links.
+     * Minimum time between two batches of pushes, as a fraction of the time within which a change
+     * must be in force everywhere. Bounds the load that a burst of changes puts on schedulers and
+     * links.
      */
-    private static final double GATHER_PART = 1.0 / 16;
+    private static final double BATCH_DELAY_FRACTION = 1.0 / 16;
 
-    /** A scheduler that is told the configuration, on one link. */
+    /** A scheduler that receives the configuration, on one link. */
     static final class Subscription {
         private final String name;
         private final InternalEndpoint.Link link;
 
-        /** The newest version that it has said to have in force. */
-        private long inForce;
+        /** The newest version that the scheduler has acknowledged as in force. */
+        private long acknowledgedVersion;
 
-        /** The version last pushed; unacknowledged while it is above the one in force. */
-        private long pushed;
+        /**
+         * The version of the last push; unacknowledged while it is higher than the acknowledged
+         * version.
+         */
+        private long pushedVersion;
 
-        private double pushedAt = Double.NEGATIVE_INFINITY;
+        private double lastPushAt = Double.NEGATIVE_INFINITY;
 
-        private Subscription(String name, InternalEndpoint.Link link, long inForce) {
+        private Subscription(String name, InternalEndpoint.Link link, long acknowledgedVersion) {
             this.name = name;
             this.link = link;
-            this.inForce = inForce;
+            this.acknowledgedVersion = acknowledgedVersion;
         }
 
-        /** The newest version that it has said to have in force. */
-        long inForce() {
-            return inForce;
+        /** The newest version that the scheduler has acknowledged as in force. */
+        long acknowledgedVersion() {
+            return acknowledgedVersion;
         }
     }
 
     private final EventLoop loop;
-    private final double heartbeat;
-    private final double gatherFor;
+    private final double heartbeatInterval;
+    private final double batchDelay;
     private final ConfigurationHistory history = new ConfigurationHistory();
     private final Set<Subscription> subscriptions = new LinkedHashSet<>();
 
-    /** The newest version as it is sent, by the version that it is a delta to; 0: complete. */
-    private final Map<Long, SharedMessage> messages = new HashMap<>();
+    /**
+     * The encoded pushes of the newest version, by the base version of their delta; 0 stands for
+     * the complete copy.
+     */
+    private final Map<Long, SharedMessage> messagesByBase = new HashMap<>();
 
-    private double publishedAt = Double.NEGATIVE_INFINITY;
+    private double lastPublishedAt = Double.NEGATIVE_INFINITY;
     private boolean isPublishScheduled;
 
-    /** Times in milliseconds: the heartbeat interval, and how soon changes must be in force. */
-    ConfigurationPublisher(EventLoop loop, double heartbeat, double applyWithin) {
+    /** The apply timeout is the time within which a change must be in force everywhere. */
+    ConfigurationPublisher(EventLoop loop, double heartbeatInterval, double applyTimeout) {
         this.loop = loop;
-        this.heartbeat = heartbeat;
-        gatherFor = GATHER_PART * applyWithin;
+        this.heartbeatInterval = heartbeatInterval;
+        batchDelay = BATCH_DELAY_FRACTION * applyTimeout;
     }
 
-    /** A version took effect here; schedulers are told at once, or when the pause is over. */
-    void configured(Configuration configuration) {
+    /**
+     * Called when a version has been applied on this member. Pushes it at once, or when the batch
+     * delay after the last push is over.
+     */
+    void onConfigurationChanged(Configuration configuration) {
         history.add(configuration);
-        messages.clear();
+        messagesByBase.clear();
         if (subscriptions.isEmpty() || isPublishScheduled) {
             return;
         }
-        double wait = publishedAt + gatherFor - loop.now();
-        if (wait <= 0) {
+        double delay = lastPublishedAt + batchDelay - loop.now();
+        if (delay <= 0) {
             publish();
         } else {
             isPublishScheduled = true;
             loop.schedule(
-                    wait,
+                    delay,
                     () -> {
                         isPublishScheduled = false;
                         publish();
@@ -96,13 +108,16 @@
     }
 
     private void publish() {
-        publishedAt = loop.now();
+        lastPublishedAt = loop.now();
         List.copyOf(subscriptions).forEach(this::pushNewest);
     }
 
-    /** A scheduler registered, with this version in force. */
-    Subscription subscribe(String name, InternalEndpoint.Link link, long version) {
-        Subscription subscription = new Subscription(name, link, version);
+    /**
+     * Adds a scheduler that has this version in force, and pushes the newest version if that is
+     * higher.
+     */
+    Subscription subscribe(String name, InternalEndpoint.Link link, long activeVersion) {
+        Subscription subscription = new Subscription(name, link, activeVersion);
         subscriptions.add(subscription);
         pushNewest(subscription);
         return subscription;
@@ -112,61 +127,71 @@
         subscriptions.remove(subscription);
     }
 
-    /** This member leads no more: it tells nobody. */
+    /** Drops all subscriptions, as this member no longer leads. */
     void clear() {
         subscriptions.clear();
     }
 
-    /** A scheduler says what it has in force, and the checksum of its copy. */
-    void acknowledged(Subscription from, Messages.ConfigurationAck ack) {
-        from.inForce = Math.max(from.inForce, ack.number());
-        boolean isQuiet = loop.now() > from.pushedAt + heartbeat;
-        boolean differs = ack.number() == history.version() && ack.digest() != history.checksum();
-        if (ack.number() > 0 && differs && isQuiet) {
-            LOG.warn("scheduler.config_diverged scheduler={} version={}", from.name, ack.number());
-            push(from, completeCopy(true));
+    /**
+     * Handles a scheduler's report of the version that it has in force and the checksum of its
+     * copy.
+     */
+    void onAcknowledgement(Subscription subscription, Messages.ConfigurationAck ack) {
+        subscription.acknowledgedVersion = Math.max(subscription.acknowledgedVersion, ack.number());
+        boolean isLastPushOld = loop.now() > subscription.lastPushAt + heartbeatInterval;
+        boolean isDiverged =
+                ack.number() == history.version() && ack.digest() != history.checksum();
+        if (ack.number() > 0 && isDiverged && isLastPushOld) {
+            LOG.warn(
+                    "scheduler.config_diverged scheduler={} version={}",
+                    subscription.name,
+                    ack.number());
+            push(subscription, completeCopy(true));
         } else {
-            if (isQuiet) {
-                // Guards against a push that was passed over: nothing else would repeat it.
-                from.pushed = from.inForce;
+            if (isLastPushOld) {
+                // Guards against a push that the scheduler ignored: nothing else would repeat it.
+                subscription.pushedVersion = subscription.acknowledgedVersion;
             }
             if (!isPublishScheduled) {
-                pushNewest(from);
+                pushNewest(subscription);
             }
         }
     }
 
-    /** A scheduler could not apply a delta: it gets a complete copy. */
-    void copyRequested(Subscription from) {
-        LOG.warn("scheduler.config_copy_requested scheduler={}", from.name);
-        push(from, messages.computeIfAbsent(0L, version -> completeCopy(false)));
+    /** Sends a complete copy to a scheduler that could not apply a delta. */
+    void onCopyRequest(Subscription subscription) {
+        LOG.warn("scheduler.config_copy_requested scheduler={}", subscription.name);
+        push(subscription, messagesByBase.computeIfAbsent(0L, baseVersion -> completeCopy(false)));
     }
 
-    private void pushNewest(Subscription to) {
-        boolean isUnacknowledged = to.pushed > to.inForce;
-        if (to.inForce < history.version() && !isUnacknowledged) {
-            push(to, messages.computeIfAbsent(to.inForce, this::newestFrom));
+    private void pushNewest(Subscription subscription) {
+        boolean isUnacknowledged = subscription.pushedVersion > subscription.acknowledgedVersion;
+        if (subscription.acknowledgedVersion < history.version() && !isUnacknowledged) {
+            push(
+                    subscription,
+                    messagesByBase.computeIfAbsent(
+                            subscription.acknowledgedVersion, this::messageFrom));
         }
     }
 
-    private void push(Subscription to, SharedMessage message) {
-        to.pushed = history.version();
-        to.pushedAt = loop.now();
-        to.link.send(message);
+    private void push(Subscription subscription, SharedMessage message) {
+        subscription.pushedVersion = history.version();
+        subscription.lastPushAt = loop.now();
+        subscription.link.send(message);
     }
 
-    private SharedMessage newestFrom(long version) {
-        return history.deltaFrom(version)
+    private SharedMessage messageFrom(long baseVersion) {
+        return history.deltaFrom(baseVersion)
                 .map(
                         delta ->
                                 new SharedMessage(
                                         new Messages.ConfigurationDeltaPush(
-                                                version, history.version(), delta)))
+                                                baseVersion, history.version(), delta)))
                 .orElseGet(() -> completeCopy(false));
     }
 
-    private SharedMessage completeCopy(boolean again) {
+    private SharedMessage completeCopy(boolean isRepeat) {
         return new SharedMessage(
-                new Messages.ConfigurationPush(history.version(), history.copy(), again));
+                new Messages.ConfigurationPush(history.version(), history.copy(), isRepeat));
     }
 }
--- a/src/main/java/gingerspool/controlplane/ControlNode.java
+++ b/src/main/java/gingerspool/controlplane/ControlNode.java
@@ -23,22 +23,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One control process: its endpoints, its links, its log and its end.
+ * A control process: connects the endpoints, the links to peers, the durable log and the cluster
+ * member, and runs the shutdown. NodeProgram creates one per process; Platforms runs several in one
+ * process.
  *
- * <p>States: recovering, in which operators are answered 503, until the log was read; a member of
- * the core from then on; stopping after SIGTERM. Everything happens on one event loop, which owns
- * all state; only the log has a thread besides. Decides nothing itself.
+ * <p>States: recovering until the log has been read, during which operators get status 503; then a
+ * member of the control cluster; stopping after SIGTERM. All state belongs to one event loop; only
+ * the log writer has a thread of its own. This class forwards events and contains no decisions of
+ * the protocol.
  */
-public final class ControlNode implements LogWriter.Owner, InternalEndpoint.Owner {
+public final class ControlNode implements LogWriter.Owner, InternalEndpoint.LinkHandler {
     private static final Logger LOG = LoggerFactory.getLogger(ControlNode.class);
 
-    /** Leader announcements and heartbeats in a heartbeat interval. */
+    /** Leader announcements and heartbeats sent per heartbeat interval. */
     private static final double ANNOUNCEMENTS_PER_HEARTBEAT = 2;
 
-    /** Copies of the state are compared at one in so many announcements. */
+    /** The leader compares the members' copies of the state once per this many announcements. */
     private static final int ANNOUNCEMENTS_PER_COMPARISON = 8;
 
-    /** How often links are looked after in a heartbeat interval. */
+    /** Runs of link maintenance per heartbeat interval. */
     private static final double MAINTENANCE_PER_HEARTBEAT = 8;
 
     private static final double SUMMARY_INTERVAL_MS = 10_000;
@@ -47,34 +50,34 @@
     final SingleThreadEventLoop loop;
     final ConfigurationState configurationState = new ConfigurationState();
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
-    private final LogWriter writer;
-    private final OperatorCalls calls;
-    private final OperatorEndpoint operators;
-    private final InternalEndpoint endpoint;
-    private final PeerLinks peers;
-    private final SchedulerRegistry schedulers;
+    private final LogWriter logWriter;
+    private final OperatorCalls operatorCalls;
+    private final OperatorEndpoint operatorEndpoint;
+    private final InternalEndpoint internalEndpoint;
+    private final PeerLinks peerLinks;
+    private final SchedulerRegistry schedulerRegistry;
     private final List<String> seeds;
-    private Consumer<StorageException> whenUnusable = why -> {};
+    private Consumer<StorageException> onStorageUnusable = why -> {};
     private Runnable reloadSettings = () -> {};
 
     /** Empty while recovering. */
-    private Optional<CoreMember> member = Optional.empty();
+    private Optional<ClusterMember> member = Optional.empty();
 
     /** Empty until SIGTERM. */
     private Optional<GracefulShutdown> shutdown = Optional.empty();
 
     private int announcements;
 
-    /** Binds the endpoints; an exception says that one of the addresses can't be listened on. */
+    /** Binds the endpoints. Throws an IOException if one of the addresses cannot be bound. */
     public ControlNode(NodeSettings settings) throws IOException {
         this.settings = settings;
         loop = new SingleThreadEventLoop();
-        writer =
+        logWriter =
                 new LogWriter(
                         new DurableLog(settings.dataDirectory, settings.diskMb),
                         loop::submit,
                         this);
-        calls =
+        operatorCalls =
                 new OperatorCalls(
                         loop,
                         settings.controlAddress.getPort(),
@@ -82,48 +85,52 @@
                         configurationState,
                         this::replica,
                         this::status);
-        operators = new OperatorEndpoint(loop, settings.controlAddress, this::run);
-        endpoint = new InternalEndpoint(loop, settings, codec, this);
-        peers = new PeerLinks(loop, settings, codec);
-        schedulers = new SchedulerRegistry(loop, settings, configurationState);
+        operatorEndpoint = new OperatorEndpoint(loop, settings.controlAddress, this::run);
+        internalEndpoint = new InternalEndpoint(loop, settings, codec, this);
+        peerLinks = new PeerLinks(loop, settings, codec);
+        schedulerRegistry = new SchedulerRegistry(loop, settings, configurationState);
         seeds = new ArrayList<>(seedsOf(settings));
     }
 
     // ---- Start ----
 
-    /** Answers operators at once, with 503 until the disk was read; takes part from then on. */
-    public void begin(Consumer<StorageException> whenUnusable) {
-        this.whenUnusable = whenUnusable;
-        writer.start();
+    /**
+     * Starts the node, from any thread: operators get status 503 until the log has been read, then
+     * the node joins the cluster. The consumer is called on the event loop if this version of the
+     * software cannot use the log.
+     */
+    public void begin(Consumer<StorageException> onUnusable) {
+        this.onStorageUnusable = onUnusable;
+        logWriter.start();
         loop.submit(
                 () -> {
-                    operators.begin();
+                    operatorEndpoint.start();
                     logSummary();
                 });
     }
 
     @Override
-    public void unusable(StorageException why) {
-        whenUnusable.accept(why);
+    public void unusable(StorageException cause) {
+        onStorageUnusable.accept(cause);
     }
 
     @Override
     public void recovered(RecoveredLog recovered) {
         if (recovered.isLost()) {
             LOG.error(
-                    "log.lost why=\"no file of the log can be read: this member joins anew under"
-                            + " another id\"");
+                    "log.lost why=\"no log file can be read: this node joins the cluster"
+                            + " as a new member with a new id\"");
         }
-        CoreMember recoveredMember = new CoreMember(new MemberNode(), recovered, seeds);
+        ClusterMember recoveredMember = new ClusterMember(new MemberNode(), recovered, seeds);
         member = Optional.of(recoveredMember);
-        endpoint.begin();
+        internalEndpoint.start();
         recoveredMember.start();
         maintainLinks(recoveredMember);
         announceRegularly(recoveredMember);
     }
 
-    /** What a member uses of this process. */
-    private final class MemberNode implements CoreMember.Node {
+    /** Gives the cluster member access to this process. */
+    private final class MemberNode implements ClusterMember.Node {
         @Override
         public EventLoop loop() {
             return loop;
@@ -145,39 +152,42 @@
         }
 
         @Override
-        public PeerLinks peers() {
-            return peers;
+        public PeerLinks peerLinks() {
+            return peerLinks;
         }
 
         @Override
-        public SchedulerRegistry schedulers() {
-            return schedulers;
+        public SchedulerRegistry schedulerRegistry() {
+            return schedulerRegistry;
         }
 
         @Override
-        public OperatorCalls calls() {
-            return calls;
+        public OperatorCalls operatorCalls() {
+            return operatorCalls;
         }
 
         @Override
         public void save(LogWrite write) {
-            writer.save(write);
+            logWriter.save(write);
         }
 
         @Override
         public void sendToAll(Object message) {
-            endpoint.sendToAll(message);
+            internalEndpoint.sendToAll(message);
         }
 
         @Override
         public void onConfigurationChanged() {
-            member.flatMap(CoreMember::duties)
-                    .ifPresent(d -> d.configured(configurationState.configuration()));
-            schedulers.configured();
+            member.flatMap(ClusterMember::duties)
+                    .ifPresent(
+                            duties ->
+                                    duties.onConfigurationChanged(
+                                            configurationState.configuration()));
+            schedulerRegistry.onConfigurationChanged();
         }
     }
 
-    /** Whether the disk was read, so that this process is a member. */
+    /** Whether the log has been read and this process is a member. */
     boolean isRecovered() {
         return member.isPresent();
     }
@@ -192,25 +202,30 @@
 
     /** Null while recovering. */
     private Replica replica() {
-        return member.map(CoreMember::replica).orElse(null);
+        return member.map(ClusterMember::replica).orElse(null);
     }
 
     // ---- Settings ----
 
     /**
-     * What is to be run where no leader is known for long, to have reload() called; before begin.
+     * Sets the task that runs on the event loop when no leader has been known for several heartbeat
+     * intervals; it should read the settings file and call applySettings(). Must be called before
+     * start().
      */
     public void whenLost(Runnable reload) {
         reloadSettings = reload;
     }
 
-    /** Takes the seeds of settings that were read anew. From any thread. */
-    public void reload(NodeSettings now) {
+    /**
+     * Applies the seed addresses of reloaded settings; all other settings stay as they were. May be
+     * called from any thread.
+     */
+    public void reload(NodeSettings reloaded) {
         loop.submit(
                 () -> {
-                    if (!seeds.equals(seedsOf(now))) {
+                    if (!seeds.equals(seedsOf(reloaded))) {
                         seeds.clear();
-                        seeds.addAll(seedsOf(now));
+                        seeds.addAll(seedsOf(reloaded));
                         LOG.info("settings.reloaded seeds={}", seeds);
                     }
                 });
@@ -220,32 +235,33 @@
         return settings.seeds.stream().map(a -> a.getAddress().getHostAddress()).toList();
     }
 
-    // ---- End ----
+    // ---- Shutdown ----
 
     /**
-     * SIGTERM: hands over what it leads, stays until that is safe, answers who waits, ends. From
-     * any thread; again it changes nothing.
+     * Handles SIGTERM: transfers leadership, waits until the member may stop, answers pending
+     * operator calls, then stops. May be called from any thread; further calls have no effect.
      */
-    public void stop(Runnable then) {
+    public void stop(Runnable onStopped) {
         loop.submit(
                 () -> {
                     if (shutdown.isEmpty()) {
                         LOG.info("stop.started");
-                        Stopping stopping = new Stopping(then);
+                        ShutdownProcess process = new ShutdownProcess(onStopped);
                         shutdown =
                                 Optional.of(
-                                        new GracefulShutdown(loop, settings.gracePeriod, stopping));
-                        member.ifPresent(CoreMember::leave);
-                        shutdown.get().begin();
+                                        new GracefulShutdown(loop, settings.gracePeriod, process));
+                        member.ifPresent(ClusterMember::leave);
+                        shutdown.get().start();
                     }
                 });
     }
 
-    private final class Stopping implements GracefulShutdown.Process {
-        private final Runnable then;
+    /** Gives the shutdown sequence access to this node. */
+    private final class ShutdownProcess implements GracefulShutdown.Process {
+        private final Runnable onStopped;
 
-        Stopping(Runnable then) {
-            this.then = then;
+        ShutdownProcess(Runnable onStopped) {
+            this.onStopped = onStopped;
         }
 
         @Override
@@ -255,61 +271,64 @@
 
         @Override
         public boolean hasPendingCalls() {
-            return calls.hasPendingCalls();
+            return operatorCalls.hasPendingCalls();
         }
 
         @Override
         public void closeToOperators() {
             LOG.info("stop.replaced={}", mayStop());
-            operators.end();
+            operatorEndpoint.drain();
         }
 
         @Override
         public void end() {
-            // What was answered just now is still on its way out.
+            // Leaves time for the last answers to be written to their connections.
             loop.schedule(
                     settings.heartbeatInterval / MAINTENANCE_PER_HEARTBEAT,
                     () -> {
-                        writer.end();
-                        then.run();
+                        logWriter.end();
+                        onStopped.run();
                     });
         }
     }
 
-    /** Releases the log's thread and the loop, where the process goes on without this node. */
+    /**
+     * Stops the log's thread and the event loop, for a process that continues without this node.
+     */
     public void close() {
-        writer.end();
+        logWriter.end();
         loop.stop();
     }
 
-    // ---- Time ----
+    // ---- Periodic tasks ----
 
-    private void maintainLinks(CoreMember of) {
-        if (of.maintainPeers()) {
+    private void maintainLinks(ClusterMember coreMember) {
+        if (coreMember.maintainPeers()) {
             reloadSettings.run();
         }
-        endpoint.closeSilent();
+        internalEndpoint.closeSilentLinks();
         loop.schedule(
-                settings.heartbeatInterval / MAINTENANCE_PER_HEARTBEAT, () -> maintainLinks(of));
+                settings.heartbeatInterval / MAINTENANCE_PER_HEARTBEAT,
+                () -> maintainLinks(coreMember));
     }
 
-    private void announceRegularly(CoreMember of) {
-        of.announceLeader();
-        peers.sendHeartbeats();
+    private void announceRegularly(ClusterMember coreMember) {
+        coreMember.announceLeader();
+        peerLinks.sendHeartbeats();
         if (++announcements % ANNOUNCEMENTS_PER_COMPARISON == 0) {
-            of.repair().compare();
+            coreMember.repair().compare();
         }
         loop.schedule(
                 settings.heartbeatInterval / ANNOUNCEMENTS_PER_HEARTBEAT,
-                () -> announceRegularly(of));
+                () -> announceRegularly(coreMember));
     }
 
     private void logSummary() {
         loop.schedule(SUMMARY_INTERVAL_MS, this::logSummary);
         if (member.isPresent()) {
-            member.get().logSummary(writer.isFailing());
+            member.get().logSummary(logWriter.isFailing());
         } else {
-            LOG.info("summary member=none disk_failing={}", writer.isFailing());
+            LOG.info("summary member=none disk_failing={}", logWriter.isFailing());
         }
     }
 
@@ -328,19 +347,19 @@
     // ---- Operators ----
 
     private void run(OperatorCall call) {
-        calls.run(call);
-        member.ifPresent(CoreMember::afterReplica);
+        operatorCalls.run(call);
+        member.ifPresent(ClusterMember::afterReplicaUpdate);
     }
 
     private String status() {
         return String.join("\n", member.orElseThrow().status()) + "\n";
     }
 
-    // ---- Messages of other processes; the endpoint opens only once this is a member ----
+    // ---- Messages of other processes; the endpoint accepts only once this node is a member ----
 
     @Override
     public void received(InternalEndpoint.Link link, Object message) {
-        CoreMember receiver = member.orElseThrow();
+        ClusterMember receiver = member.orElseThrow();
         if (message instanceof ConsensusMessage.Envelope m) {
             receiver.receive(m);
         } else if (message instanceof Messages.DigestRequest m) {
@@ -352,18 +371,18 @@
         } else if (message instanceof Messages.RangeRepair m) {
             receiver.repair().received(m);
         } else if (message instanceof Messages.Heartbeat m) {
-            if (!peers.heardHeartbeat(m.ip())) {
+            if (!peerLinks.onHeartbeat(m.ip())) {
                 link.send(receiver.announcement());
             }
         } else if (message instanceof Messages.Register m) {
             receiver.register(link, m);
         } else {
-            schedulers.received(link, message);
+            schedulerRegistry.received(link, message);
         }
     }
 
     @Override
     public void closed(InternalEndpoint.Link link) {
-        schedulers.closed(link);
+        schedulerRegistry.closed(link);
     }
 }
--- a/src/main/java/gingerspool/controlplane/InstanceCalls.java
+++ b/src/main/java/gingerspool/controlplane/InstanceCalls.java
@@ -6,26 +6,28 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Starts and stops of instances on the platform, tried again where they may or may not have been
- * carried out. The term is the fencing token; the same nonce is the same start. Runs on the loop.
+ * Starts and stops instances on the platform. A start is retried if it may or may not have been
+ * executed: the nonce makes it idempotent. A stop is retried until the platform confirms it or the
+ * attempts are used up. The term is the fencing token. Used by {@link LeaderDuties} on the event
+ * loop.
  */
 final class InstanceCalls {
-    private static final int ATTEMPTS_MOST = 4;
+    private static final int MAX_ATTEMPTS = 4;
 
-    /** The pause between two attempts, in milliseconds. */
-    private static final double RETRY_PAUSE_MS = 50;
+    /** Delay before the next attempt. */
+    private static final double RETRY_DELAY_MS = 50;
 
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
     private static final int SERVER_ERROR = 500;
 
-    /** How a start ended. */
+    /** Receives the outcome of a start; called at most once. */
     interface StartListener {
         void started(String instance, String address);
 
-        /** Without room on the host nothing else starts there either. */
-        void failed(boolean hasNoRoom);
+        /** If the host is full, no other instance can start there either. */
+        void failed(boolean isHostFull);
     }
 
     private final EventLoop loop;
@@ -36,7 +38,7 @@
     private boolean isEnded;
     private long starts;
     private long stops;
-    private long refusals;
+    private long failedStarts;
 
     InstanceCalls(
             EventLoop loop,
@@ -68,22 +70,22 @@
                 function,
                 host,
                 nonce,
-                answer -> {
-                    String id = JsonTree.text("", answer.tree(), "Identifier");
+                response -> {
+                    String id = JsonTree.text("", response.body(), "Identifier");
                     boolean mayHaveStarted =
-                            answer.status() == 0 || answer.status() >= SERVER_ERROR;
+                            response.status() == 0 || response.status() >= SERVER_ERROR;
                     if (isEnded) {
                         return;
                     }
-                    if (answer.status() == OK && !id.isEmpty()) {
-                        listener.started(id, JsonTree.text("", answer.tree(), "Address"));
-                    } else if (mayHaveStarted && attempt < ATTEMPTS_MOST) {
+                    if (response.status() == OK && !id.isEmpty()) {
+                        listener.started(id, JsonTree.text("", response.body(), "Address"));
+                    } else if (mayHaveStarted && attempt < MAX_ATTEMPTS) {
                         retry(
                                 () -> start(function, host, nonce, listener, attempt + 1),
                                 () -> listener.failed(false));
                     } else {
-                        refusals++;
-                        listener.failed(answer.status() == CONFLICT);
+                        failedStarts++;
+                        listener.failed(response.status() == CONFLICT);
                     }
                 });
     }
@@ -98,21 +100,21 @@
                 settings.name,
                 term,
                 instance,
-                answer -> {
-                    boolean isGone = answer.status() == OK || answer.status() == NOT_FOUND;
-                    if (!isGone && attempt < ATTEMPTS_MOST && !isEnded) {
+                response -> {
+                    boolean isStopped = response.status() == OK || response.status() == NOT_FOUND;
+                    if (!isStopped && attempt < MAX_ATTEMPTS && !isEnded) {
                         retry(() -> stop(instance, attempt + 1), () -> {});
                     }
                 });
     }
 
-    /** Calls again after a pause, if the lease holds then. */
-    private void retry(Runnable call, Runnable orElse) {
-        loop.schedule(RETRY_PAUSE_MS, () -> (mayAct.getAsBoolean() ? call : orElse).run());
+    /** Repeats a call after a delay, or runs the alternative if the lease does not hold then. */
+    private void retry(Runnable call, Runnable ifLeaseLost) {
+        loop.schedule(RETRY_DELAY_MS, () -> (mayAct.getAsBoolean() ? call : ifLeaseLost).run());
     }
 
-    /** In the form of the log's fields. */
+    /** The counters as fields of a log line. */
     String counters() {
-        return "starts=%d stops=%d refused=%d".formatted(starts, stops, refusals);
+        return "starts=%d stops=%d refused=%d".formatted(starts, stops, failedStarts);
     }
 }
--- a/src/main/java/gingerspool/controlplane/LeaderDuties.java
+++ b/src/main/java/gingerspool/controlplane/LeaderDuties.java
@@ -19,21 +19,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the leader of a term does alone: grants slots, and joins the platform's lists with the
- * allocator and the autoscaler. The term's number is the fencing token. Every action asks first
- * whether the lease still holds. Ends with the term. Runs on the loop.
+ * The work that only the leader of a term does: granting slots to schedulers, starting and stopping
+ * instances, and feeding the platform's lists to the allocator and the autoscaler.
+ *
+ * <p>Created and ended by {@link Leadership}, once per term; the term is the fencing token of calls
+ * to the platform. Each action checks first that the lease still holds. Runs on the event loop.
  */
 final class LeaderDuties
         implements Autoscaler.Actions,
                 SlotAllocator.Messenger,
-                SchedulerRegistry.Slots,
+                SchedulerRegistry.SchedulerListener,
                 PlatformListReader.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderDuties.class);
 
-    private static final double TICK_MS = 50;
+    private static final double TICK_INTERVAL_MS = 50;
 
-    /** An instance that was never listed is gone so many list delays after it began to drain. */
-    private static final double UNLISTED_LIST_DELAYS = 2;
+    /**
+     * A draining instance that was never listed is removed this long after it began to drain, in
+     * multiples of the platform's list delay.
+     */
+    private static final double UNLISTED_TIMEOUT_LIST_DELAYS = 2;
 
     private final EventLoop loop;
     private final NodeSettings settings;
@@ -41,16 +46,19 @@
     private final BooleanSupplier holdsLease;
     private final BiConsumer<String, Object> send;
     private final Consumer<Object> sendToAll;
-    private final PlatformListReader lists;
-    private final InstanceCalls calls;
+    private final PlatformListReader listReader;
+    private final InstanceCalls instanceCalls;
     final SlotAllocator allocator;
     private final Autoscaler autoscaler;
     private boolean isEnded;
 
-    /** When the list before this one was asked for. */
-    private double listedBefore = Double.NEGATIVE_INFINITY;
+    /** When the previous complete list of instances was requested, in milliseconds. */
+    private double previousListAt = Double.NEGATIVE_INFINITY;
 
-    /** The two consumers send to one registered scheduler, by its name, and to all of them. */
+    /**
+     * {@code send} sends a message to the registered scheduler of this name, {@code sendToAll} to
+     * all registered schedulers.
+     */
     LeaderDuties(
             EventLoop loop,
             NodeSettings settings,
@@ -65,8 +73,8 @@
         this.holdsLease = holdsLease;
         this.send = send;
         this.sendToAll = sendToAll;
-        lists = new PlatformListReader(loop, settings, platform, this::mayAct, this);
-        calls = new InstanceCalls(loop, settings, platform, term, this::mayAct);
+        listReader = new PlatformListReader(loop, settings, platform, this::mayAct, this);
+        instanceCalls = new InstanceCalls(loop, settings, platform, term, this::mayAct);
         allocator = new SlotAllocator(settings.heartbeatInterval, loop.now(), this);
         autoscaler =
                 new Autoscaler(
@@ -76,17 +84,17 @@
                         term + "-" + settings.name + "-",
                         loop.now(),
                         this);
-        lists.read();
+        listReader.read();
         tick();
     }
 
     void end() {
         isEnded = true;
-        lists.end();
-        calls.end();
+        listReader.end();
+        instanceCalls.end();
     }
 
-    void configured(Configuration configuration) {
+    void onConfigurationChanged(Configuration configuration) {
         allocator.configure(configuration);
     }
 
@@ -102,15 +110,16 @@
             allocator.tick(loop.now());
             autoscaler.tick(loop.now());
         }
-        loop.schedule(TICK_MS, this::tick);
+        loop.schedule(TICK_INTERVAL_MS, this::tick);
     }
 
     // ---- Schedulers ----
 
     @Override
-    public void registered(String scheduler, Messages.Register message) {
+    public void onRegistered(String scheduler, Messages.Register message) {
         allocator.onRegister(loop.now(), scheduler, message);
-        // Guards one that was with nobody, or another leader, as these were seen to drain.
+        // Guards against grants of draining instances that the scheduler still holds: it may have
+        // been disconnected, or registered with another leader, when their withdrawal was sent.
         List<String> draining =
                 allocator.instances().stream()
                         .filter(instance -> instance.state == Instance.State.DRAINING)
@@ -122,7 +131,7 @@
     }
 
     @Override
-    public void received(String scheduler, Object message) {
+    public void onMessage(String scheduler, Object message) {
         double now = loop.now();
         if (message instanceof Messages.SlotDemand m) {
             allocator.onDemand(now, scheduler, m);
@@ -135,7 +144,7 @@
     }
 
     @Override
-    public void lost(String scheduler) {
+    public void onDisconnected(String scheduler) {
         allocator.onDisconnect(loop.now(), scheduler);
     }
 
@@ -156,33 +165,36 @@
     }
 
     @Override
-    public void instancesListed(List<Object> entries, double askedAt) {
-        Set<String> withdrawn = new HashSet<>();
+    public void instancesListed(List<Object> entries, double requestedAt) {
+        Set<String> withdrawnIds = new HashSet<>();
         for (Object entry : entries) {
             String id = JsonTree.text("", entry, "Identifier");
-            if (!id.isEmpty() && isWithdrawnBy(entry, id, askedAt)) {
-                withdrawn.add(id);
+            if (!id.isEmpty() && recordEntry(entry, id, requestedAt)) {
+                withdrawnIds.add(id);
             }
         }
         for (Instance instance : allocator.instances()) {
             if (isGone(instance)) {
-                withdrawn.add(instance.id);
+                withdrawnIds.add(instance.id);
                 allocator.removeInstance(loop.now(), instance);
             }
         }
-        if (!withdrawn.isEmpty()) {
-            sendToAll.accept(new Messages.InstanceWithdrawal(List.copyOf(withdrawn)));
+        if (!withdrawnIds.isEmpty()) {
+            sendToAll.accept(new Messages.InstanceWithdrawal(List.copyOf(withdrawnIds)));
         }
-        listedBefore = askedAt;
+        previousListAt = requestedAt;
         autoscaler.instancesListed();
     }
 
-    /** Notes what an entry says; whether it is the first that shows the instance draining. */
-    private boolean isWithdrawnBy(Object entry, String id, double askedAt) {
+    /**
+     * Updates the instance from its list entry; returns whether the instance was found to be
+     * draining for the first time.
+     */
+    private boolean recordEntry(Object entry, String id, double requestedAt) {
         double now = loop.now();
-        Instance known = allocator.instance(id);
-        Instance instance = known != null ? known : addListed(entry, id);
-        instance.listedAt = askedAt;
+        Instance existing = allocator.instance(id);
+        Instance instance = existing != null ? existing : addListed(entry, id);
+        instance.listedAt = requestedAt;
         if (JsonTree.text("", entry, "State").equals("ready")) {
             allocator.markReady(now, instance);
             return false;
@@ -206,19 +218,22 @@
                 Instance.State.STARTING);
     }
 
-    /** Guards against pages that shift while they are read: it must be missing twice. */
+    /**
+     * Whether the instance no longer exists. Guards against entries that move between pages while
+     * the list is read: an instance must be missing from two lists in a row.
+     */
     private boolean isGone(Instance instance) {
-        boolean isMissingTwice = instance.listedAt < listedBefore;
-        double unlistedUntil =
-                instance.drainingSince + UNLISTED_LIST_DELAYS * settings.platformListDelay;
-        return isMissingTwice || Double.isNaN(instance.listedAt) && loop.now() > unlistedUntil;
+        boolean isMissingTwice = instance.listedAt < previousListAt;
+        double unlistedDeadline =
+                instance.drainingSince + UNLISTED_TIMEOUT_LIST_DELAYS * settings.platformListDelay;
+        return isMissingTwice || Double.isNaN(instance.listedAt) && loop.now() > unlistedDeadline;
     }
 
-    // ---- What the allocator and the autoscaler act by ----
+    // ---- Actions of the allocator and the autoscaler ----
 
     @Override
     public void start(Function function, String host, String nonce) {
-        calls.start(
+        instanceCalls.start(
                 function.name,
                 host,
                 nonce,
@@ -229,15 +244,15 @@
                     }
 
                     @Override
-                    public void failed(boolean hasNoRoom) {
-                        autoscaler.startFailed(loop.now(), nonce, hasNoRoom);
+                    public void failed(boolean isHostFull) {
+                        autoscaler.startFailed(loop.now(), nonce, isHostFull);
                     }
                 });
     }
 
     @Override
     public void stop(String instance) {
-        calls.stop(instance);
+        instanceCalls.stop(instance);
     }
 
     @Override
@@ -251,7 +266,10 @@
         send.accept(scheduler, message);
     }
 
-    /** Guards slots: without the lease another leader may grant the same ones. */
+    /**
+     * Guards against granting a slot twice: without the lease another leader may grant the same
+     * slots.
+     */
     @Override
     public boolean mayGrant() {
         return mayAct();
@@ -259,13 +277,13 @@
 
     // ---- For operators ----
 
-    void log() {
+    void logSummary() {
         LOG.info(
                 "duty term={} functions={} schedulers={} {} {}",
                 term,
                 allocator.catalog().all().size(),
                 allocator.connectedSchedulers(),
-                calls.counters(),
+                instanceCalls.counters(),
                 allocator.usage());
     }
 }
--- a/src/main/java/gingerspool/controlplane/OperatorCalls.java
+++ b/src/main/java/gingerspool/controlplane/OperatorCalls.java
@@ -16,14 +16,18 @@
 import java.util.function.Supplier;
 
 /**
- * Runs the operators' calls: the leader answers them from the state, or once the log has committed
- * them; other members name the leader, or say that they know none.
+ * Executes the operators' calls. The leader answers reads from its state, and changes once the log
+ * has committed them; other members redirect to the leader, or answer 503 if they know none. Runs
+ * on the event loop of its {@link ControlNode}.
  */
 final class OperatorCalls {
-    /** A caller allows a second of silence; it is answered before, in milliseconds. */
+    /**
+     * Latest answer to a change, in milliseconds; callers give up after one second without an
+     * answer.
+     */
     private static final double ANSWER_TIMEOUT_MS = 800;
 
-    /** Seconds until a member that knows no leader may be worth another call. */
+    /** Seconds after which a caller may retry a call that was not executed. */
     private static final int RETRY_AFTER_S = 1;
 
     private final EventLoop loop;
@@ -33,15 +37,15 @@
     private final Supplier<Replica> replica;
     private final Supplier<String> status;
 
-    /** Changes that were proposed here and not answered, by the id of their command. */
+    /** Changes proposed by this member and not answered yet, by command id. */
     private final Map<Long, OperatorCall.Change> pending = new HashMap<>();
 
-    private long commands;
+    private long lastCommandNumber;
     private int reads;
     private int changes;
-    private int refused;
+    private int rejectedChanges;
 
-    /** The replica is null until the disk was read. */
+    /** The replica is null until the log has been read. */
     OperatorCalls(
             EventLoop loop,
             int controlPort,
@@ -58,20 +62,23 @@
     }
 
     String counters() {
-        return "reads=%d changes=%d refused=%d".formatted(reads, changes, refused);
+        return "reads=%d changes=%d refused=%d".formatted(reads, changes, rejectedChanges);
     }
 
-    /** Whether a caller waits for the log. */
+    /** Whether a change still waits for its commit. */
     boolean hasPendingCalls() {
         return !pending.isEmpty();
     }
 
-    /** Runs one call; whoever calls this looks after the replica next. */
+    /**
+     * Executes a call. The caller must then let the replica's changes take effect, as {@link
+     * ClusterMember#afterReplicaUpdate} does.
+     */
     void run(OperatorCall call) {
         if (call instanceof OperatorCall.Invalid invalid) {
-            answerError(call, invalid.status(), invalid.text());
+            answerError(call, invalid.status(), invalid.message());
         } else if (replica.get() == null) {
-            answerNothingRan(call, "the disk has not been read yet");
+            answerNotExecuted(call, "the log has not been read yet");
         } else if (call instanceof OperatorCall.Status) {
             byte[] text = status.get().getBytes(StandardCharsets.UTF_8);
             call.reply().answer(200, List.of("Content-Type: text/plain"), text);
@@ -87,10 +94,10 @@
     private void redirect(OperatorCall call) {
         Member leader = replica.get().leader(loop.now());
         if (leader == null || leader.equals(replica.get().self())) {
-            answerNothingRan(call, "no leader is known here just now");
+            answerNotExecuted(call, "no leader is known");
         } else {
-            String there = Address.text(new InetSocketAddress(leader.ip(), controlPort));
-            List<String> fields = List.of("Location: http://" + there + call.target());
+            String leaderAddress = Address.text(new InetSocketAddress(leader.ip(), controlPort));
+            List<String> fields = List.of("Location: http://" + leaderAddress + call.target());
             call.reply().answer(307, fields, new byte[0]);
         }
     }
@@ -106,53 +113,59 @@
 
     private void propose(OperatorCall.Change call) {
         changes++;
-        long id = replica.get().term() << 32 | ++commands;
+        long id = replica.get().term() << 32 | ++lastCommandNumber;
         pending.put(id, call);
         loop.schedule(
                 ANSWER_TIMEOUT_MS,
                 () -> {
                     if (pending.remove(id) != null) {
-                        answerError(call, 503, "not agreed on in time; it may still be");
+                        answerError(
+                                call,
+                                503,
+                                "not committed in time; the change may still take effect");
                     }
                 });
         byte[] command =
                 codec.write(
                         new Messages.ChangeCommand(
-                                id, call.isComplete(), call.onVersion(), call.body()));
+                                id, call.isComplete(), call.baseVersion(), call.body()));
         if (!replica.get().propose(loop.now(), command)) {
             pending.remove(id);
-            answerNothingRan(call, "the lease has just ended here");
+            answerNotExecuted(call, "the leader lease has expired");
         }
     }
 
-    /** A command was committed and applied. */
-    void applied(long id, ConfigurationState.ChangeResult verdict) {
-        boolean isTaken = verdict.status() == ConfigurationState.ACCEPTED;
-        refused += isTaken ? 0 : 1;
+    /** Called when a command was committed and applied, whichever member proposed it. */
+    void applied(long id, ConfigurationState.ChangeResult result) {
+        boolean isAccepted = result.status() == ConfigurationState.ACCEPTED;
+        rejectedChanges += isAccepted ? 0 : 1;
         OperatorCall.Change call = pending.remove(id);
-        if (call != null && isTaken) {
-            String body = "{\"Version\":" + verdict.version() + "}";
-            answer(call, verdict.status(), body.getBytes(StandardCharsets.UTF_8));
+        if (call != null && isAccepted) {
+            String body = "{\"Version\":" + result.version() + "}";
+            answer(call, result.status(), body.getBytes(StandardCharsets.UTF_8));
         } else if (call != null) {
-            answerError(call, verdict.status(), verdict.message());
+            answerError(call, result.status(), result.message());
         }
     }
 
-    /** Nothing of the call was or will be done; another member may know better. */
-    private static void answerNothingRan(OperatorCall call, String why) {
+    /**
+     * Answers that the call had no effect and will have none, so that it may be retried, also on
+     * another member.
+     */
+    private static void answerNotExecuted(OperatorCall call, String reason) {
         call.reply()
                 .answer(
                         503,
                         List.of("Content-Type: application/json", "Retry-After: " + RETRY_AFTER_S),
-                        error(why));
+                        errorBody(reason));
     }
 
-    private static byte[] error(String why) {
-        return Json.write(Map.of("Error", why)).getBytes(StandardCharsets.UTF_8);
+    private static byte[] errorBody(String reason) {
+        return Json.write(Map.of("Error", reason)).getBytes(StandardCharsets.UTF_8);
     }
 
-    private static void answerError(OperatorCall call, int status, String why) {
-        answer(call, status, error(why));
+    private static void answerError(OperatorCall call, int status, String reason) {
+        answer(call, status, errorBody(reason));
     }
 
     private static void answer(OperatorCall call, int status, byte[] body) {
--- a/src/main/java/gingerspool/controlplane/PeerLinks.java
+++ b/src/main/java/gingerspool/controlplane/PeerLinks.java
@@ -15,34 +15,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Our own links to the other members of the core, by the address of their machines. Only we send on
- * them; what a peer says comes on the link that it opened itself.
+ * The links that this node opened to the other members of the cluster, by IP address. They carry
+ * messages in one direction only: a peer sends on the link that it opened itself. Runs on the event
+ * loop of its {@link ControlNode}.
  */
 final class PeerLinks implements Frames.Owner {
     private static final Logger LOG = LoggerFactory.getLogger(PeerLinks.class);
 
-    /** In heartbeat intervals: silence after which a link is given up. */
-    static final double SILENCE_HEARTBEATS = 1.5;
+    /** Silence after which a link is closed, in heartbeat intervals. */
+    static final double SILENCE_TIMEOUT_HEARTBEATS = 1.5;
 
-    /** In heartbeat intervals: how long connecting may take. */
-    private static final double CONNECT_HEARTBEATS = 0.25;
+    /** Timeout for connecting, in heartbeat intervals. */
+    private static final double CONNECT_TIMEOUT_HEARTBEATS = 0.25;
 
-    /** In heartbeat intervals: the pause between two attempts to connect. */
-    private static final double RETRY_HEARTBEATS = 0.125;
+    /** Interval between two attempts to connect, in heartbeat intervals. */
+    private static final double RETRY_DELAY_HEARTBEATS = 0.125;
 
-    /** In heartbeat intervals: how long a link is kept to one that is wanted no more. */
-    private static final double UNNEEDED_HEARTBEATS = 4;
+    /**
+     * How long a link to a peer that is no longer needed is kept after its last message, in
+     * heartbeat intervals.
+     */
+    private static final double UNNEEDED_TIMEOUT_HEARTBEATS = 4;
 
     private final EventLoop loop;
     private final NodeSettings settings;
     private final KryoCodec codec;
     private final Map<String, Peer> peers = new HashMap<>();
 
+    /** A peer and the link to it, which is null while none is open. Times are in milliseconds. */
     private static final class Peer {
         Frames link;
         boolean isUp;
-        double attemptedAt = Double.NEGATIVE_INFINITY;
-        double heardAt;
+        double connectAttemptedAt = Double.NEGATIVE_INFINITY;
+        double lastReceivedAt;
     }
 
     PeerLinks(EventLoop loop, NodeSettings settings, KryoCodec codec) {
@@ -51,25 +56,30 @@
         this.codec = codec;
     }
 
-    /** Opens links that lack, and closes those that are silent or not wanted. */
-    void maintain(Set<String> wanted) {
+    /**
+     * Opens missing links to the needed peers, and closes links that are silent or no longer
+     * needed.
+     */
+    void maintain(Set<String> neededIps) {
         double now = loop.now();
-        wanted.forEach(this::connect);
-        for (Map.Entry<String, Peer> e : List.copyOf(peers.entrySet())) {
-            Peer peer = e.getValue();
-            // Guards against links that a cut has left half dead: a new one works as soon as the
-            // cut ends.
+        neededIps.forEach(this::connect);
+        for (Map.Entry<String, Peer> entry : List.copyOf(peers.entrySet())) {
+            Peer peer = entry.getValue();
+            // Guards against links left half-open by a network partition: a new link works as soon
+            // as the partition ends.
             boolean isSilent =
                     peer.isUp
                             && now
-                                    > Math.max(peer.heardAt, peer.attemptedAt)
-                                            + SILENCE_HEARTBEATS * settings.heartbeatInterval;
-            boolean isUnwanted =
-                    !wanted.contains(e.getKey())
+                                    > Math.max(peer.lastReceivedAt, peer.connectAttemptedAt)
+                                            + SILENCE_TIMEOUT_HEARTBEATS
+                                                    * settings.heartbeatInterval;
+            boolean isUnneeded =
+                    !neededIps.contains(entry.getKey())
                             && now
-                                    > peer.heardAt
-                                            + UNNEEDED_HEARTBEATS * settings.heartbeatInterval;
-            if (peer.link != null && (isSilent || isUnwanted)) {
+                                    > peer.lastReceivedAt
+                                            + UNNEEDED_TIMEOUT_HEARTBEATS
+                                                    * settings.heartbeatInterval;
+            if (peer.link != null && (isSilent || isUnneeded)) {
                 peer.link.close();
             }
         }
@@ -77,16 +87,18 @@
 
     private void connect(String ip) {
         double now = loop.now();
-        Peer peer = peers.computeIfAbsent(ip, k -> new Peer());
+        Peer peer = peers.computeIfAbsent(ip, key -> new Peer());
         if (peer.link == null
-                && now >= peer.attemptedAt + RETRY_HEARTBEATS * settings.heartbeatInterval) {
-            peer.attemptedAt = now;
+                && now
+                        >= peer.connectAttemptedAt
+                                + RETRY_DELAY_HEARTBEATS * settings.heartbeatInterval) {
+            peer.connectAttemptedAt = now;
             try {
                 peer.link =
                         Frames.open(
                                 loop,
                                 new InetSocketAddress(ip, settings.internalPort),
-                                CONNECT_HEARTBEATS * settings.heartbeatInterval,
+                                CONNECT_TIMEOUT_HEARTBEATS * settings.heartbeatInterval,
                                 this);
             } catch (IOException e) {
                 LOG.warn("link.failed to={} why=\"{}\"", ip, e.getMessage());
@@ -94,25 +106,25 @@
         }
     }
 
-    /** A member's message came; an answer to it needs a link. */
-    void heardMember(String ip) {
-        peers.computeIfAbsent(ip, k -> new Peer()).heardAt = loop.now();
+    /** Records a message of this member's replica; an unknown member becomes a peer. */
+    void onMemberMessage(String ip) {
+        peers.computeIfAbsent(ip, key -> new Peer()).lastReceivedAt = loop.now();
     }
 
     void connectBack(String ip) {
         connect(ip);
     }
 
-    /** A heartbeat came; false where none of the peers sent it. */
-    boolean heardHeartbeat(String ip) {
+    /** Records a heartbeat; returns false if the sender is not a peer. */
+    boolean onHeartbeat(String ip) {
         Peer peer = peers.get(ip);
         if (peer != null) {
-            peer.heardAt = loop.now();
+            peer.lastReceivedAt = loop.now();
         }
         return peer != null;
     }
 
-    /** Sends, where there is a link. */
+    /** Sends a message if the link is up, and drops it otherwise. */
     void send(String ip, Object message) {
         Peer peer = peers.get(ip);
         if (peer != null && peer.isUp) {
@@ -134,7 +146,7 @@
 
     @Override
     public void came(Frames link, byte[] frame) {
-        // Announcements that are made to all who called: a member knows who leads by itself.
+        // Only leader announcements arrive here; a member learns the leader from its replica.
     }
 
     @Override
--- a/src/main/java/gingerspool/controlplane/PlatformClient.java
+++ b/src/main/java/gingerspool/controlplane/PlatformClient.java
@@ -18,11 +18,12 @@
 import java.util.function.Consumer;
 
 /**
- * Calls of the platform's interface: lists, starts and stops. Every call has one end; silence and
- * answers that can't be read are ends as well.
+ * Calls the platform's API over HTTP. Every call ends with exactly one callback; a timeout, and a
+ * response with status 200 whose body cannot be parsed, count as status 0. Created by {@link
+ * ClusterMember} for each term that it leads; runs on the event loop. Times are in milliseconds.
  */
 final class PlatformClient implements Platform {
-    private static final int CONNECTIONS_MOST = 32;
+    private static final int MAX_CONNECTIONS = 32;
     private static final double IDLE_TIMEOUT_MS = 5000;
 
     private final EventLoop loop;
@@ -34,60 +35,61 @@
         this.loop = loop;
         this.address = address;
         this.timeout = timeout;
-        pool = new ConnectionPool(loop, timeout, IDLE_TIMEOUT_MS, CONNECTIONS_MOST);
+        pool = new ConnectionPool(loop, timeout, IDLE_TIMEOUT_MS, MAX_CONNECTIONS);
     }
 
     @Override
-    public void instances(Consumer<List<Object>> then) {
-        page("/instances", new ArrayList<>(), then);
+    public void instances(Consumer<List<Object>> callback) {
+        readPage("/instances", new ArrayList<>(), callback);
     }
 
-    private void page(String target, List<Object> all, Consumer<List<Object>> then) {
+    private void readPage(String target, List<Object> entries, Consumer<List<Object>> callback) {
         get(
                 target,
-                answer -> {
-                    if (answer.status() != 200
-                            || !(JsonTree.at(answer.tree(), "Instances")
+                response -> {
+                    if (response.status() != 200
+                            || !(JsonTree.at(response.body(), "Instances")
                                     instanceof List<?> instances)) {
-                        then.accept(null);
+                        callback.accept(null);
                         return;
                     }
-                    all.addAll(instances);
-                    String next = JsonTree.text("", answer.tree(), "NextPageToken");
-                    if (next.isEmpty()) {
-                        then.accept(all);
+                    entries.addAll(instances);
+                    String nextPage = JsonTree.text("", response.body(), "NextPageToken");
+                    if (nextPage.isEmpty()) {
+                        callback.accept(entries);
                     } else {
-                        page("/instances?PageToken=" + next, all, then);
+                        readPage("/instances?PageToken=" + nextPage, entries, callback);
                     }
                 });
     }
 
     @Override
-    public void hosts(Consumer<Answer> then) {
-        get("/v1/workers", then);
+    public void hosts(Consumer<Response> callback) {
+        get("/v1/workers", callback);
     }
 
     @Override
     public void start(
-            String holder,
-            long fence,
+            String leaderName,
+            long fencingToken,
             String service,
             String host,
             String nonce,
-            Consumer<Answer> then) {
+            Consumer<Response> callback) {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("Service", service);
         body.put("Worker", host);
         body.put("Nonce", nonce);
-        post("/v1/begin", holder, fence, body, then);
+        post("/v1/begin", leaderName, fencingToken, body, callback);
     }
 
     @Override
-    public void stop(String holder, long fence, String instance, Consumer<Answer> then) {
-        post("/v1/stop", holder, fence, Map.of("Identifier", instance), then);
+    public void stop(
+            String leaderName, long fencingToken, String instance, Consumer<Response> callback) {
+        post("/v1/stop", leaderName, fencingToken, Map.of("Identifier", instance), callback);
     }
 
-    private void get(String target, Consumer<Answer> then) {
+    private void get(String target, Consumer<Response> callback) {
         call(
                 Inbound.joined(
                         "GET "
@@ -96,11 +98,15 @@
                                 + Address.text(address)
                                 + "\r\n\r\n",
                         new byte[0]),
-                then);
+                callback);
     }
 
     private void post(
-            String target, String holder, long fence, Object tree, Consumer<Answer> then) {
+            String target,
+            String leaderName,
+            long fencingToken,
+            Object tree,
+            Consumer<Response> callback) {
         byte[] body = Json.write(tree).getBytes(java.nio.charset.StandardCharsets.UTF_8);
         call(
                 Inbound.joined(
@@ -109,17 +115,17 @@
                                 + " HTTP/1.1\r\nHost: "
                                 + Address.text(address)
                                 + "\r\nDuty-Holder: "
-                                + holder
+                                + leaderName
                                 + "\r\nFence-Number: "
-                                + fence
+                                + fencingToken
                                 + "\r\nContent-Type: application/json\r\nContent-Length: "
                                 + body.length
                                 + "\r\n\r\n",
                         body),
-                then);
+                callback);
     }
 
-    private void call(byte[] request, Consumer<Answer> then) {
+    private void call(byte[] request, Consumer<Response> callback) {
         try {
             pool.take(0, address)
                     .ask(
@@ -128,26 +134,26 @@
                             new Outbound.Caller() {
                                 @Override
                                 public void answered(Message message) {
-                                    then.accept(read(message));
+                                    callback.accept(read(message));
                                 }
 
                                 @Override
                                 public void broke(boolean allWritten) {
-                                    then.accept(new Answer(0, null));
+                                    callback.accept(new Response(0, null));
                                 }
                             });
         } catch (IOException e) {
-            loop.execute(() -> then.accept(new Answer(0, null)));
+            loop.execute(() -> callback.accept(new Response(0, null)));
         }
     }
 
-    private static Answer read(Message message) {
+    private static Response read(Message message) {
         byte[] body = message.body();
         try {
-            return new Answer(
+            return new Response(
                     message.status(), body.length == 0 ? null : Json.read(body, 0, body.length));
         } catch (BadMessage e) {
-            return new Answer(message.status() == 200 ? 0 : message.status(), null);
+            return new Response(message.status() == 200 ? 0 : message.status(), null);
         }
     }
 }
--- a/src/main/java/gingerspool/controlplane/RepairExchange.java
+++ b/src/main/java/gingerspool/controlplane/RepairExchange.java
@@ -14,33 +14,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Compares the members' copies of the state and repairs what differs: the leader asks each for the
- * digests of its copy, then sends what most hold, or asks for it.
+ * Exchanges the messages with which the members compare and repair their copies of the state: the
+ * leader requests the digests of every copy, then sends the majority's content to members that
+ * differ, or requests it if its own copy differs. {@link ReplicaRepair} decides what to repair.
+ * Used by {@link ClusterMember} and {@link ControlNode} on the event loop.
  */
 final class RepairExchange {
     private static final Logger LOG = LoggerFactory.getLogger(RepairExchange.class);
 
-    /** How long the leader waits for the members' digests, in heartbeat intervals. */
+    /** Timeout for the members' digests, in heartbeat intervals. */
     private static final double DIGEST_TIMEOUT_HEARTBEATS = 0.5;
 
     private final EventLoop loop;
     private final double digestTimeout;
-    private final String ip;
+    private final String ownIp;
     private final ConfigurationState state;
     private final Replica replica;
     private final BiConsumer<String, Object> send;
-    private final Runnable whenRepaired;
+    private final Runnable onRepaired;
     private final ReplicaRepair repair =
             new ReplicaRepair(
                     new ReplicaRepair.Exchange() {
                         @Override
                         public void requestDigests(String member, long comparison) {
-                            send.accept(member, new Messages.DigestRequest(ip, comparison));
+                            send.accept(member, new Messages.DigestRequest(ownIp, comparison));
                         }
 
                         @Override
                         public void ask(String member, long index, int ranges) {
-                            send.accept(member, new Messages.RangeRequest(ip, index, ranges));
+                            send.accept(member, new Messages.RangeRequest(ownIp, index, ranges));
                         }
 
                         @Override
@@ -55,42 +57,43 @@
             ConfigurationState state,
             Replica replica,
             BiConsumer<String, Object> send,
-            Runnable whenRepaired) {
+            Runnable onRepaired) {
         this.loop = loop;
         digestTimeout = DIGEST_TIMEOUT_HEARTBEATS * settings.heartbeatInterval;
-        ip = settings.ip;
+        ownIp = settings.ip;
         this.state = state;
         this.replica = replica;
         this.send = send;
-        this.whenRepaired = whenRepaired;
+        this.onRepaired = onRepaired;
     }
 
-    int differing() {
+    int differingRanges() {
         return repair.differing();
     }
 
-    int undecided() {
+    int undecidedRanges() {
         return repair.undecided();
     }
 
     /**
-     * The leader begins a comparison of all copies; it ends with the last digest or the timeout.
+     * Begins a comparison of all copies if this member leads. It ends with the last digest or the
+     * timeout.
      */
     void compare() {
         if (!replica.isActiveLeader(loop.now())) {
             return;
         }
-        long comparison = repair.begin(ip, replica.members().stream().map(Member::ip).toList());
+        long comparison = repair.begin(ownIp, replica.members().stream().map(Member::ip).toList());
         loop.schedule(
                 digestTimeout,
                 () -> {
                     if (repair.isUnderWay(comparison)) {
-                        end();
+                        finishComparison();
                     }
                 });
     }
 
-    private void end() {
+    private void finishComparison() {
         if (replica.isActiveLeader(loop.now())) {
             repair.end(replica.appliedIndex(), RangeDigests.digests(state.items()));
         }
@@ -101,7 +104,7 @@
             send.accept(
                     message.ip(),
                     new Messages.ReplicaDigest(
-                            ip,
+                            ownIp,
                             message.comparison(),
                             replica.appliedIndex(),
                             RangeDigests.digests(state.items())));
@@ -117,13 +120,13 @@
         send.accept(
                 member,
                 new Messages.RangeRepair(
-                        ip, index, ranges, RangeDigests.items(state.items(), ranges)));
+                        ownIp, index, ranges, RangeDigests.items(state.items(), ranges)));
     }
 
     void received(Messages.ReplicaDigest message) {
         if (repair.received(
                 message.ip(), message.comparison(), message.index(), message.ranges())) {
-            end();
+            finishComparison();
         }
     }
 
@@ -133,7 +136,11 @@
         }
     }
 
-    /** A member says that it has these items where we have others: most hold them. */
+    /**
+     * Replaces ranges of our copy that differ from the majority's by the items that a member sent.
+     * Only answers to our own request and items of the leader are accepted, and only at the same
+     * log index.
+     */
     void received(Messages.RangeRepair message) {
         boolean isExpected = repair.takeAnswerOf(message.ip()) || isLeader(message.ip());
         if (message.index() != replica.appliedIndex() || !isExpected) {
@@ -147,7 +154,7 @@
                     message.ip(),
                     message.index(),
                     state.version());
-            whenRepaired.run();
+            onRepaired.run();
         } catch (InvalidConfigurationException e) {
             LOG.warn("state.repair_refused from={} why=\"{}\"", message.ip(), e.getMessage());
         }
--- a/src/main/java/gingerspool/controlplane/SchedulerRegistry.java
+++ b/src/main/java/gingerspool/controlplane/SchedulerRegistry.java
@@ -9,31 +9,35 @@
 import java.util.Map;
 
 /**
- * The schedulers that this leader has registered, each on one link: what they are told, the
- * configuration above all, and what they tell.
+ * The schedulers registered with this member while it leads, each on one link. Sends them the
+ * configuration and the messages of the leader's duties, and passes on what they send. Runs on the
+ * event loop of its {@link ControlNode}.
  */
 final class SchedulerRegistry {
-    /** What the registry needs of the leader's duties; none where this member doesn't lead. */
-    interface Slots {
-        void registered(String scheduler, Messages.Register message);
+    /**
+     * Receives the schedulers' events while this member leads; implemented by {@link LeaderDuties}.
+     */
+    interface SchedulerListener {
+        void onRegistered(String scheduler, Messages.Register message);
 
-        void received(String scheduler, Object message);
+        void onMessage(String scheduler, Object message);
 
-        void lost(String scheduler);
+        void onDisconnected(String scheduler);
     }
 
+    /** A registered scheduler. */
     private record Scheduler(
             String name,
             InternalEndpoint.Link link,
-            ConfigurationPublisher.Subscription configuration) {}
+            ConfigurationPublisher.Subscription subscription) {}
 
     private final ConfigurationState state;
     private final ConfigurationPublisher publisher;
     private final Map<InternalEndpoint.Link, Scheduler> byLink = new HashMap<>();
     private final Map<String, Scheduler> byName = new HashMap<>();
 
-    /** Null where this member doesn't lead. */
-    private Slots slots;
+    /** Null if this member does not lead. */
+    private SchedulerListener schedulerListener;
 
     SchedulerRegistry(EventLoop loop, NodeSettings settings, ConfigurationState state) {
         this.state = state;
@@ -42,12 +46,12 @@
                         loop, settings.heartbeatInterval, settings.configurationApplyTimeout);
     }
 
-    void lead(Slots duties) {
-        slots = duties;
+    void startLeading(SchedulerListener listener) {
+        schedulerListener = listener;
     }
 
-    void leadNoMore() {
-        slots = null;
+    void stopLeading() {
+        schedulerListener = null;
         byLink.clear();
         byName.clear();
         publisher.clear();
@@ -59,17 +63,23 @@
 
     List<String> status() {
         return byName.values().stream()
-                .map(s -> "scheduler " + s.name + " version " + s.configuration.inForce())
+                .map(
+                        scheduler ->
+                                "scheduler "
+                                        + scheduler.name
+                                        + " version "
+                                        + scheduler.subscription.acknowledgedVersion())
                 .toList();
     }
 
-    /** Only where this member leads. */
+    /** Registers a scheduler on this link. Must be called only while this member leads. */
     void register(InternalEndpoint.Link link, Messages.Register message, long term) {
-        Scheduler earlier = byName.remove(message.name());
-        if (earlier != null) {
-            // Guards the counts of slots: what still comes on an earlier link was told before this.
-            byLink.remove(earlier.link);
-            publisher.unsubscribe(earlier.configuration);
+        Scheduler previous = byName.remove(message.name());
+        if (previous != null) {
+            // Guards against wrong slot counts: messages that still arrive on the earlier link were
+            // sent before this registration.
+            byLink.remove(previous.link);
+            publisher.unsubscribe(previous.subscription);
         }
         link.send(new Messages.Registered(term));
         Scheduler scheduler =
@@ -79,22 +89,22 @@
                         publisher.subscribe(message.name(), link, message.version()));
         byLink.put(link, scheduler);
         byName.put(message.name(), scheduler);
-        slots.registered(message.name(), message);
-        tellCount();
+        schedulerListener.onRegistered(message.name(), message);
+        sendSchedulerCount();
     }
 
-    /** A message of a scheduler; one that isn't registered on this link is passed over. */
+    /** Handles a scheduler's message; ignored if no scheduler is registered on this link. */
     void received(InternalEndpoint.Link link, Object message) {
         Scheduler scheduler = byLink.get(link);
-        if (scheduler == null || slots == null) {
+        if (scheduler == null || schedulerListener == null) {
             return;
         }
         if (message instanceof Messages.ConfigurationAck ack) {
-            publisher.acknowledged(scheduler.configuration, ack);
+            publisher.onAcknowledgement(scheduler.subscription, ack);
         } else if (message instanceof Messages.ConfigurationRequest) {
-            publisher.copyRequested(scheduler.configuration);
+            publisher.onCopyRequest(scheduler.subscription);
         } else {
-            slots.received(scheduler.name, message);
+            schedulerListener.onMessage(scheduler.name, message);
         }
     }
 
@@ -103,30 +113,30 @@
         if (scheduler == null) {
             return;
         }
-        publisher.unsubscribe(scheduler.configuration);
-        if (byName.remove(scheduler.name, scheduler) && slots != null) {
-            slots.lost(scheduler.name);
-            tellCount();
+        publisher.unsubscribe(scheduler.subscription);
+        if (byName.remove(scheduler.name, scheduler) && schedulerListener != null) {
+            schedulerListener.onDisconnected(scheduler.name);
+            sendSchedulerCount();
         }
     }
 
-    void tell(String name, Object message) {
+    void send(String name, Object message) {
         Scheduler scheduler = byName.get(name);
         if (scheduler != null) {
             scheduler.link.send(message);
         }
     }
 
-    void tellAll(Object message) {
-        byName.values().forEach(s -> s.link.send(message));
+    void sendToAll(Object message) {
+        byName.values().forEach(scheduler -> scheduler.link.send(message));
     }
 
-    private void tellCount() {
-        tellAll(new Messages.SchedulerCount(byName.size()));
+    private void sendSchedulerCount() {
+        sendToAll(new Messages.SchedulerCount(byName.size()));
     }
 
-    /** The configuration has changed. */
-    void configured() {
-        publisher.configured(state.configuration());
+    /** Called after the configuration has changed. */
+    void onConfigurationChanged() {
+        publisher.onConfigurationChanged(state.configuration());
     }
 }
--- a/src/test/java/gingerspool/controlplane/CoreModel.java
+++ b/src/test/java/gingerspool/controlplane/ClusterModel.java
@@ -21,48 +21,49 @@
 import java.util.Set;
 
 /**
- * Three control nodes in memory, over the real replica, state and operators' calls: links that are
- * cut, processes that are killed and started, disks that keep what was synced.
+ * Three control nodes in memory, with the real replica, configuration state and operator calls.
+ * Links can be cut, processes killed and restarted; disks keep what was persisted.
  */
-final class CoreModel {
-    static final double LEASE = 500;
-    private static final double LINK_MS = 2;
-    private static final double DISK_MS = 3;
+final class ClusterModel {
+    static final double LEASE_MS = 500;
+    private static final double LINK_DELAY_MS = 2;
+    private static final double PERSIST_DELAY_MS = 3;
     private static final int CONTROL_PORT = 8248;
-    private static final int SNAPSHOT_FLOOR = 2_000;
+    private static final int MIN_SNAPSHOT_BYTES = 2_000;
 
-    /** What an operator was answered; 0 while there is no answer. */
+    /** The answer to an operator's call; the status is 0 until it arrives. */
     static final class Answer {
         int status;
         String body = "";
-        double at;
+        double answeredAt;
     }
 
     final ModelEventLoop loop = new ModelEventLoop();
     final List<Node> nodes = new ArrayList<>();
 
-    /** Links that carry nothing, as "from>to". */
-    final Set<String> cuts = new HashSet<>();
+    /** Links that drop all messages, as "from>to". */
+    final Set<String> cutLinks = new HashSet<>();
 
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
     private final List<String> seeds = List.of("10.0.0.1", "10.0.0.2", "10.0.0.3");
 
-    CoreModel(long seed) {
+    ClusterModel(long seed) {
         for (String ip : seeds) {
             nodes.add(new Node(ip, seed));
         }
         nodes.forEach(Node::start);
     }
 
+    /** A control node; a killed one loses everything but its disk. */
     final class Node implements ReplicaEnvironment {
         final String ip;
         ConfigurationState state;
         Replica replica;
         OperatorCalls calls;
-        int restored;
+        int restoredSnapshots;
         private final long seed;
         private PersistedState disk;
-        private int life;
+        private int incarnation;
 
         Node(String ip, long seed) {
             this.ip = ip;
@@ -70,7 +71,7 @@
         }
 
         void start() {
-            life++;
+            incarnation++;
             state = new ConfigurationState();
             List<Member> founders =
                     disk == null
@@ -83,10 +84,10 @@
                             founders,
                             new ReplicaSettings(
                                     1,
-                                    LEASE,
+                                    LEASE_MS,
                                     seeds,
                                     seed + ip.hashCode(),
-                                    SNAPSHOT_FLOOR,
+                                    MIN_SNAPSHOT_BYTES,
                                     1 << 16,
                                     Set.of()),
                             loop.now(),
@@ -94,11 +95,11 @@
             calls =
                     new OperatorCalls(
                             loop, CONTROL_PORT, codec, state, () -> replica, () -> "status");
-            tick(life);
+            tick(incarnation);
         }
 
         void kill() {
-            life++;
+            incarnation++;
             replica = null;
         }
 
@@ -106,21 +107,23 @@
             return replica != null;
         }
 
-        boolean leads() {
+        boolean isLeading() {
             return isUp() && replica.isActiveLeader(loop.now());
         }
 
-        private void tick(int of) {
-            if (of == life) {
+        private void tick(int startedIn) {
+            if (startedIn == incarnation) {
                 replica.tick(loop.now());
-                loop.schedule(5, () -> tick(of));
+                loop.schedule(5, () -> tick(startedIn));
             }
         }
 
-        Answer change(boolean whole, long on, String body) {
+        Answer change(boolean isComplete, long baseVersion, String body) {
             Answer answer = new Answer();
             byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-            calls.run(new OperatorCall.Change(replyTo(answer), "/v1/x", whole, on, bytes));
+            calls.run(
+                    new OperatorCall.Change(
+                            replyTo(answer), "/v1/x", isComplete, baseVersion, bytes));
             return answer;
         }
 
@@ -131,9 +134,9 @@
         }
 
         private OperatorCall.Reply replyTo(Answer answer) {
-            int of = life;
+            int startedIn = incarnation;
             return (status, fields, body) -> {
-                if (of != life) {
+                if (startedIn != incarnation) {
                     return;
                 }
                 if (answer.status != 0) {
@@ -141,7 +144,7 @@
                 }
                 answer.status = status;
                 answer.body = new String(body, StandardCharsets.UTF_8);
-                answer.at = loop.now();
+                answer.answeredAt = loop.now();
             };
         }
 
@@ -149,7 +152,7 @@
         public void send(Member to, ConsensusMessage message) {
             Member from = replica.self();
             loop.schedule(
-                    LINK_MS,
+                    LINK_DELAY_MS,
                     () -> {
                         for (Node node : nodes) {
                             if (node.ip.equals(to.ip())) {
@@ -159,21 +162,21 @@
                     });
         }
 
-        private void receive(String sender, Member from, Member to, ConsensusMessage message) {
-            boolean isFor = to.id().isEmpty() || isUp() && to.equals(replica.self());
-            if (isUp() && isFor && !cuts.contains(sender + ">" + ip)) {
+        private void receive(String senderIp, Member from, Member to, ConsensusMessage message) {
+            boolean isAddressee = to.id().isEmpty() || isUp() && to.equals(replica.self());
+            if (isUp() && isAddressee && !cutLinks.contains(senderIp + ">" + ip)) {
                 replica.receive(loop.now(), from, message);
             }
         }
 
         @Override
         public void persist(LogWrite write) {
-            int of = life;
+            int startedIn = incarnation;
             loop.schedule(
-                    DISK_MS,
+                    PERSIST_DELAY_MS,
                     () -> {
-                        if (of == life) {
-                            disk = merged(disk, write);
+                        if (startedIn == incarnation) {
+                            disk = applyWrite(disk, write);
                             replica.persisted(loop.now(), write.ticket());
                         }
                     });
@@ -182,8 +185,8 @@
         @Override
         public void apply(long index, byte[] command) {
             try {
-                Messages.ChangeCommand c = (Messages.ChangeCommand) codec.read(command);
-                calls.applied(c.id(), state.apply(c.whole(), c.on(), c.body()));
+                Messages.ChangeCommand change = (Messages.ChangeCommand) codec.read(command);
+                calls.applied(change.id(), state.apply(change.whole(), change.on(), change.body()));
             } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
@@ -191,7 +194,7 @@
 
         @Override
         public void restore(long index, byte[] bytes) {
-            restored++;
+            restoredSnapshots++;
             state.restore(bytes);
         }
 
@@ -201,32 +204,33 @@
         }
     }
 
-    private static PersistedState merged(PersistedState disk, LogWrite w) {
+    private static PersistedState applyWrite(PersistedState disk, LogWrite write) {
         List<LogEntry> entries = new ArrayList<>();
-        if (w.snapshot() == null) {
-            long kept = w.from() - disk.snapshot().index() - 1;
-            entries.addAll(disk.entries().subList(0, (int) Math.min(kept, disk.entries().size())));
+        if (write.snapshot() == null) {
+            long keptEntries = write.from() - disk.snapshot().index() - 1;
+            entries.addAll(
+                    disk.entries().subList(0, (int) Math.min(keptEntries, disk.entries().size())));
         }
-        entries.addAll(w.entries());
+        entries.addAll(write.entries());
         return new PersistedState(
-                w.self(),
-                w.term(),
-                w.votedFor(),
-                w.snapshot() == null ? disk.snapshot() : w.snapshot(),
+                write.self(),
+                write.term(),
+                write.votedFor(),
+                write.snapshot() == null ? disk.snapshot() : write.snapshot(),
                 entries);
     }
 
-    /** The leader, once there is one among these. */
-    Node awaitLeader(List<Node> among) {
+    /** Runs the model until one of these nodes leads. */
+    Node awaitLeader(List<Node> candidates) {
         for (int i = 0; i < 2_000; i++) {
-            for (Node node : among) {
-                if (node.leads()) {
+            for (Node node : candidates) {
+                if (node.isLeading()) {
                     return node;
                 }
             }
             loop.run(5);
         }
-        throw new IllegalStateException("nobody leads");
+        throw new IllegalStateException("no leader within 10 s");
     }
 
     Node awaitLeader() {
@@ -237,26 +241,26 @@
         return nodes.stream().filter(n -> n != node).toList();
     }
 
-    void cut(Node node) {
+    void isolate(Node node) {
         for (Node other : others(node)) {
-            cuts.add(node.ip + ">" + other.ip);
-            cuts.add(other.ip + ">" + node.ip);
+            cutLinks.add(node.ip + ">" + other.ip);
+            cutLinks.add(other.ip + ">" + node.ip);
         }
     }
 
-    /** Sends it to whoever leads until the answer is clear. */
-    Answer until(boolean whole, long on, String body) {
+    /** Sends a change to the current leader until the answer says whether it was accepted. */
+    Answer changeUntilDecided(boolean isComplete, long baseVersion, String body) {
         for (int i = 0; i < 20; i++) {
-            Answer answer = awaitLeader().change(whole, on, body);
+            Answer answer = awaitLeader().change(isComplete, baseVersion, body);
             loop.run(900);
             if (answer.status != 503 && answer.status != 307) {
                 return answer;
             }
         }
-        throw new IllegalStateException("no clear answer");
+        throw new IllegalStateException("the change was neither accepted nor rejected");
     }
 
-    static String whole(long version, String note) {
+    static String completeConfiguration(long version, String note) {
         return "{\"Version\":%d,\"Routes\":[],\"Note\":\"%s\"}".formatted(version, note);
     }
 }
--- a/src/test/java/gingerspool/controlplane/ConfigurationPublishingTest.java
+++ b/src/test/java/gingerspool/controlplane/ConfigurationPublishingTest.java
@@ -19,31 +19,31 @@
 import org.testng.annotations.Test;
 
 /**
- * Two members that lead by turns, schedulers on slow links, and operators in a hurry, by seed:
- * every scheduler comes to the newest version in time, never back, and no link holds more than one
- * push.
+ * Pushes to schedulers on slow links while the configuration changes often and two members take
+ * turns leading, with random steps by seed: every scheduler reaches the newest version in time,
+ * never goes back to an older one, and no link holds more than one push.
  */
 public class ConfigurationPublishingTest {
-    private static final double HEARTBEAT = 1_000;
-    private static final double APPLY_WITHIN = 3_000;
-    private static final double LINK_MS = 12;
-    private static final int FUNCTIONS = 100;
+    private static final double HEARTBEAT_MS = 1_000;
+    private static final double APPLY_TIMEOUT_MS = 3_000;
+    private static final double LINK_DELAY_MS = 12;
+    private static final int FUNCTION_COUNT = 100;
 
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
 
-    /** Two publishers, as two members of the core have them; one of them leads. */
-    private final class Core {
+    /** The publishers of two cluster members, of which one leads. */
+    private final class PublisherPair {
         final ModelEventLoop loop = new ModelEventLoop();
         final List<ConfigurationPublisher> members =
                 List.of(
-                        new ConfigurationPublisher(loop, HEARTBEAT, APPLY_WITHIN),
-                        new ConfigurationPublisher(loop, HEARTBEAT, APPLY_WITHIN));
+                        new ConfigurationPublisher(loop, HEARTBEAT_MS, APPLY_TIMEOUT_MS),
+                        new ConfigurationPublisher(loop, HEARTBEAT_MS, APPLY_TIMEOUT_MS));
         int leader;
-        Configuration newest = first();
+        Configuration newest = initialConfiguration();
 
         void commit(Configuration configuration) {
             newest = configuration;
-            members.forEach(member -> member.configured(configuration));
+            members.forEach(member -> member.onConfigurationChanged(configuration));
         }
 
         ConfigurationPublisher leader() {
@@ -51,12 +51,12 @@
         }
     }
 
-    private static Configuration first() {
-        Configuration.Builder all = Configuration.newBuilder().setVersion(1);
-        for (int i = 0; i < FUNCTIONS; i++) {
-            all.addRoutes(route(i, 1_000)).addServices(Service.newBuilder().setName("s" + i));
+    private static Configuration initialConfiguration() {
+        Configuration.Builder builder = Configuration.newBuilder().setVersion(1);
+        for (int i = 0; i < FUNCTION_COUNT; i++) {
+            builder.addRoutes(route(i, 1_000)).addServices(Service.newBuilder().setName("s" + i));
         }
-        return all.build();
+        return builder.build();
     }
 
     private static Route route(int i, int timeout) {
@@ -69,46 +69,46 @@
                 .build();
     }
 
-    private static Configuration changed(Configuration base, Random chance) {
-        int at = chance.nextInt(base.getRoutesCount());
+    private static Configuration withRandomChange(Configuration base, Random random) {
+        int index = random.nextInt(base.getRoutesCount());
         return base.toBuilder()
-                .setVersion(base.getVersion() + 1 + chance.nextInt(5))
-                .setRoutes(at, route(at, 1 + chance.nextInt(9_000)))
+                .setVersion(base.getVersion() + 1 + random.nextInt(5))
+                .setRoutes(index, route(index, 1 + random.nextInt(9_000)))
                 .build();
     }
 
-    /** A scheduler and its link, which carries so many bytes a millisecond, in order. */
+    /** A scheduler and its link, which carries messages in order at a limited rate. */
     private final class Scheduler
             implements InternalEndpoint.Link, ConfigurationSubscriber.Listener {
-        final Core core;
+        final PublisherPair publishers;
         final double bytesPerMs;
         final ConfigurationSubscriber subscriber = new ConfigurationSubscriber(this);
         ConfigurationPublisher.Subscription subscription;
-        int connection;
+        int connectionNumber;
         double linkFreeAt;
-        int waiting;
-        int mostWaiting;
-        long bytes;
-        int pushes;
+        int pendingPushes;
+        int maxPendingPushes;
+        long bytesSent;
+        int pushCount;
         long version;
-        double since;
+        double appliedAt;
 
-        Scheduler(Core core, double bytesPerMs) {
-            this.core = core;
+        Scheduler(PublisherPair publishers, double bytesPerMs) {
+            this.publishers = publishers;
             this.bytesPerMs = bytesPerMs;
         }
 
         void connect() {
             disconnect();
-            subscription = core.leader().subscribe("s", this, version);
+            subscription = publishers.leader().subscribe("s", this, version);
         }
 
         void disconnect() {
-            connection++;
-            waiting = 0;
+            connectionNumber++;
+            pendingPushes = 0;
             linkFreeAt = 0;
             if (subscription != null) {
-                core.members.forEach(member -> member.unsubscribe(subscription));
+                publishers.members.forEach(member -> member.unsubscribe(subscription));
                 subscription = null;
             }
         }
@@ -116,17 +116,17 @@
         @Override
         public void send(Object message) {
             byte[] frame = codec.write(message);
-            waiting++;
-            mostWaiting = Math.max(mostWaiting, waiting);
-            bytes += frame.length;
-            pushes++;
-            linkFreeAt = Math.max(linkFreeAt, core.loop.now()) + frame.length / bytesPerMs;
-            int on = connection;
-            core.loop.schedule(
-                    linkFreeAt - core.loop.now() + LINK_MS,
+            pendingPushes++;
+            maxPendingPushes = Math.max(maxPendingPushes, pendingPushes);
+            bytesSent += frame.length;
+            pushCount++;
+            linkFreeAt = Math.max(linkFreeAt, publishers.loop.now()) + frame.length / bytesPerMs;
+            int sentOn = connectionNumber;
+            publishers.loop.schedule(
+                    linkFreeAt - publishers.loop.now() + LINK_DELAY_MS,
                     () -> {
-                        if (on == connection) {
-                            waiting--;
+                        if (sentOn == connectionNumber) {
+                            pendingPushes--;
                             receive(frame);
                         }
                     });
@@ -147,169 +147,194 @@
 
         @Override
         public void onConfiguration(Configuration configuration) {
-            assertTrue(configuration.getVersion() >= version, "it went back");
+            assertTrue(configuration.getVersion() >= version, "the version went back");
             version = configuration.getVersion();
-            since = core.loop.now();
+            appliedAt = publishers.loop.now();
         }
 
         @Override
         public void sendToLeader(Object message) {
-            int on = connection;
-            core.loop.schedule(
-                    LINK_MS,
+            int sentOn = connectionNumber;
+            publishers.loop.schedule(
+                    LINK_DELAY_MS,
                     () -> {
-                        if (on == connection && message instanceof Messages.ConfigurationAck ack) {
-                            core.leader().acknowledged(subscription, ack);
-                        } else if (on == connection) {
-                            core.leader().copyRequested(subscription);
+                        if (sentOn == connectionNumber
+                                && message instanceof Messages.ConfigurationAck ack) {
+                            publishers.leader().onAcknowledgement(subscription, ack);
+                        } else if (sentOn == connectionNumber) {
+                            publishers.leader().onCopyRequest(subscription);
                         }
                     });
         }
     }
 
-    private List<Scheduler> schedulers(Core core, int count, double bytesPerMs) {
+    private List<Scheduler> connectSchedulers(
+            PublisherPair publishers, int count, double bytesPerMs) {
         List<Scheduler> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(new Scheduler(core, bytesPerMs));
+            all.add(new Scheduler(publishers, bytesPerMs));
         }
-        core.commit(core.newest);
+        publishers.commit(publishers.newest);
         all.forEach(Scheduler::connect);
-        core.loop.run(APPLY_WITHIN);
-        all.forEach(s -> assertEquals(s.version, core.newest.getVersion()));
+        publishers.loop.run(APPLY_TIMEOUT_MS);
+        all.forEach(scheduler -> assertEquals(scheduler.version, publishers.newest.getVersion()));
         return all;
     }
 
-    private static void assertInForce(Core core, List<Scheduler> schedulers, String what) {
-        for (Scheduler s : schedulers) {
-            assertEquals(s.version, core.newest.getVersion(), what);
+    private static void assertAllApplied(
+            PublisherPair publishers, List<Scheduler> schedulers, String context) {
+        for (Scheduler scheduler : schedulers) {
+            assertEquals(scheduler.version, publishers.newest.getVersion(), context);
             assertEquals(
-                    ConfigurationChecksum.of(s.subscriber.configuration()),
-                    ConfigurationChecksum.of(core.newest),
-                    what);
+                    ConfigurationChecksum.of(scheduler.subscriber.configuration()),
+                    ConfigurationChecksum.of(publishers.newest),
+                    context);
         }
     }
 
-    /** Twenty-five changes in two seconds, over links that carry one complete copy in a third. */
+    /** 25 changes in 2 s, over links that take a third of a second for one complete copy. */
     @Test
-    public void aStormIsToldByFewSmallPushes() {
-        Core core = new Core();
-        double slow = core.newest.toByteArray().length / 333.0;
-        List<Scheduler> all = schedulers(core, 5, slow);
-        long copy = all.get(0).bytes;
-        Random chance = new Random(1);
+    public void burstOfChangesNeedsFewSmallPushes() {
+        PublisherPair publishers = new PublisherPair();
+        double bytesPerMs = publishers.newest.toByteArray().length / 333.0;
+        List<Scheduler> all = connectSchedulers(publishers, 5, bytesPerMs);
+        long copyBytes = all.get(0).bytesSent;
+        Random random = new Random(1);
         for (int i = 0; i < 25; i++) {
-            core.commit(changed(core.newest, chance));
-            core.loop.run(80);
+            publishers.commit(withRandomChange(publishers.newest, random));
+            publishers.loop.run(80);
         }
-        double last = core.loop.now();
-        core.loop.run(APPLY_WITHIN);
-        assertInForce(core, all, "after the storm");
-        for (Scheduler s : all) {
-            assertTrue(s.since - last < APPLY_WITHIN / 4, "in force after " + (s.since - last));
-            assertTrue(s.bytes - copy < copy, "a storm cost " + (s.bytes - copy) + " bytes");
-            assertTrue(s.pushes <= 13, s.pushes + " pushes");
+        double lastCommitAt = publishers.loop.now();
+        publishers.loop.run(APPLY_TIMEOUT_MS);
+        assertAllApplied(publishers, all, "after the burst");
+        for (Scheduler scheduler : all) {
+            assertTrue(
+                    scheduler.appliedAt - lastCommitAt < APPLY_TIMEOUT_MS / 4,
+                    "in force after " + (scheduler.appliedAt - lastCommitAt));
+            assertTrue(
+                    scheduler.bytesSent - copyBytes < copyBytes,
+                    "the burst took " + (scheduler.bytesSent - copyBytes) + " bytes");
+            assertTrue(scheduler.pushCount <= 13, scheduler.pushCount + " pushes");
         }
     }
 
-    /** A single change is told at once. */
+    /** A change that follows no other is pushed without the batch delay. */
     @Test
-    public void aSingleChangeDoesNotWait() {
-        Core core = new Core();
-        List<Scheduler> all = schedulers(core, 2, 1_000);
-        double at = core.loop.now();
-        core.commit(changed(core.newest, new Random(4)));
-        core.loop.run(HEARTBEAT);
-        assertInForce(core, all, "after one change");
-        assertTrue(all.get(0).since - at < 2 * LINK_MS, "told after " + (all.get(0).since - at));
+    public void singleChangeIsPushedAtOnce() {
+        PublisherPair publishers = new PublisherPair();
+        List<Scheduler> all = connectSchedulers(publishers, 2, 1_000);
+        double committedAt = publishers.loop.now();
+        publishers.commit(withRandomChange(publishers.newest, new Random(4)));
+        publishers.loop.run(HEARTBEAT_MS);
+        assertAllApplied(publishers, all, "after one change");
+        assertTrue(
+                all.get(0).appliedAt - committedAt < 2 * LINK_DELAY_MS,
+                "in force after " + (all.get(0).appliedAt - committedAt));
     }
 
-    /** A link that hardly carries anything holds one push, and holds up nobody else. */
+    /**
+     * A very slow link holds at most one push and does not delay the pushes to other schedulers.
+     */
     @Test
-    public void aSlowSchedulerHoldsUpNobody() {
-        Core core = new Core();
-        List<Scheduler> all = schedulers(core, 3, 1_000);
-        Scheduler slow = new Scheduler(core, 0.01);
+    public void slowSchedulerDoesNotDelayOthers() {
+        PublisherPair publishers = new PublisherPair();
+        List<Scheduler> all = connectSchedulers(publishers, 3, 1_000);
+        Scheduler slow = new Scheduler(publishers, 0.01);
         slow.connect();
-        Random chance = new Random(2);
+        Random random = new Random(2);
         for (int i = 0; i < 1_000; i++) {
-            core.commit(changed(core.newest, chance));
-            core.loop.run(10);
+            publishers.commit(withRandomChange(publishers.newest, random));
+            publishers.loop.run(10);
         }
-        core.loop.run(APPLY_WITHIN);
-        assertInForce(core, all, "beside a slow one");
-        assertEquals(slow.mostWaiting, 1, "pushes that wait in its link");
+        publishers.loop.run(APPLY_TIMEOUT_MS);
+        assertAllApplied(publishers, all, "with a slow scheduler");
+        assertEquals(slow.maxPendingPushes, 1, "pushes queued on its link");
     }
 
-    /** One that was away for a hundred versions goes on by a delta, for more by a copy. */
+    /**
+     * A scheduler that missed up to 100 versions gets a delta; one that missed more gets a complete
+     * copy.
+     */
     @Test
-    public void whoMissedVersionsIsBroughtUp() {
-        for (int missed : new int[] {1, 100, 500}) {
-            Core core = new Core();
-            List<Scheduler> all = schedulers(core, 1, 100);
-            Scheduler away = all.get(0);
-            away.disconnect();
-            Random chance = new Random(missed);
-            for (int i = 0; i < missed; i++) {
-                core.commit(changed(core.newest, chance));
+    public void reconnectedSchedulerCatchesUp() {
+        for (int missedVersions : new int[] {1, 100, 500}) {
+            PublisherPair publishers = new PublisherPair();
+            List<Scheduler> all = connectSchedulers(publishers, 1, 100);
+            Scheduler disconnected = all.get(0);
+            disconnected.disconnect();
+            Random random = new Random(missedVersions);
+            for (int i = 0; i < missedVersions; i++) {
+                publishers.commit(withRandomChange(publishers.newest, random));
             }
-            long before = away.bytes;
-            away.connect();
-            core.loop.run(APPLY_WITHIN);
-            assertInForce(core, all, "away for " + missed);
-            long copy = core.newest.toByteArray().length;
-            assertTrue(away.bytes - before <= copy + 50, "brought up by one push at the most");
+            long bytesBefore = disconnected.bytesSent;
+            disconnected.connect();
+            publishers.loop.run(APPLY_TIMEOUT_MS);
+            assertAllApplied(publishers, all, "missed versions: " + missedVersions);
+            long copyBytes = publishers.newest.toByteArray().length;
+            assertTrue(
+                    disconnected.bytesSent - bytesBefore <= copyBytes + 50,
+                    "caught up by at most one push");
         }
     }
 
-    /** A copy that was damaged in memory is found by its report, or by the next delta. */
+    /**
+     * A copy that was damaged in memory is detected by the checksum that its scheduler reports, or
+     * when the next delta cannot be applied.
+     */
     @Test
-    public void aCopyThatDiffersIsSentAgain() {
-        Core core = new Core();
-        List<Scheduler> all = schedulers(core, 1, 100);
+    public void divergedCopyIsSentAgain() {
+        PublisherPair publishers = new PublisherPair();
+        List<Scheduler> all = connectSchedulers(publishers, 1, 100);
         Scheduler scheduler = all.get(0);
-        core.loop.run(2 * HEARTBEAT);
-        core.leader()
-                .acknowledged(
+        publishers.loop.run(2 * HEARTBEAT_MS);
+        publishers
+                .leader()
+                .onAcknowledgement(
                         scheduler.subscription,
                         new Messages.ConfigurationAck(scheduler.version, 7));
-        assertEquals(scheduler.pushes, 2);
-        core.loop.run(HEARTBEAT);
-        core.leader().copyRequested(scheduler.subscription);
-        assertEquals(scheduler.pushes, 3);
-        core.loop.run(APPLY_WITHIN);
-        assertInForce(core, all, "sent again");
+        assertEquals(scheduler.pushCount, 2);
+        publishers.loop.run(HEARTBEAT_MS);
+        publishers.leader().onCopyRequest(scheduler.subscription);
+        assertEquals(scheduler.pushCount, 3);
+        publishers.loop.run(APPLY_TIMEOUT_MS);
+        assertAllApplied(publishers, all, "sent again");
     }
 
-    /** Changes, lost links and new leaders in any order. */
+    /** Changes, lost links and leader changes in random order. */
     @Test
-    public void whateverIsLostAllComeToTheNewestVersion() {
+    public void allConvergeDespiteLostLinksAndLeaderChanges() {
         for (int seed = 0; seed < 200; seed++) {
-            Random chance = new Random(seed);
-            Core core = new Core();
-            List<Scheduler> all = schedulers(core, 4, 5 + chance.nextInt(200));
+            Random random = new Random(seed);
+            PublisherPair publishers = new PublisherPair();
+            List<Scheduler> all = connectSchedulers(publishers, 4, 5 + random.nextInt(200));
             for (int step = 0; step < 60; step++) {
-                Scheduler one = all.get(chance.nextInt(all.size()));
-                switch (chance.nextInt(8)) {
-                    case 0 -> one.disconnect();
-                    case 1 -> one.connect();
-                    case 2 -> changeLeader(core, all);
-                    default -> core.commit(changed(core.newest, chance));
+                Scheduler scheduler = all.get(random.nextInt(all.size()));
+                switch (random.nextInt(8)) {
+                    case 0 -> scheduler.disconnect();
+                    case 1 -> scheduler.connect();
+                    case 2 -> changeLeader(publishers, all);
+                    default -> publishers.commit(withRandomChange(publishers.newest, random));
                 }
-                core.loop.run(chance.nextInt(200));
+                publishers.loop.run(random.nextInt(200));
             }
-            all.stream().filter(s -> s.subscription == null).forEach(Scheduler::connect);
-            core.loop.run(APPLY_WITHIN);
-            assertInForce(core, all, "seed " + seed);
-            for (Scheduler s : all) {
-                assertEquals(s.mostWaiting, 1, "seed " + seed + ": pushes that wait in a link");
+            all.stream()
+                    .filter(scheduler -> scheduler.subscription == null)
+                    .forEach(Scheduler::connect);
+            publishers.loop.run(APPLY_TIMEOUT_MS);
+            assertAllApplied(publishers, all, "seed " + seed);
+            for (Scheduler scheduler : all) {
+                assertEquals(
+                        scheduler.maxPendingPushes,
+                        1,
+                        "seed " + seed + ": pushes queued on a link");
             }
         }
     }
 
-    private static void changeLeader(Core core, List<Scheduler> all) {
+    private static void changeLeader(PublisherPair publishers, List<Scheduler> all) {
         all.forEach(Scheduler::disconnect);
-        core.leader().clear();
-        core.leader = 1 - core.leader;
+        publishers.leader().clear();
+        publishers.leader = 1 - publishers.leader;
         all.forEach(Scheduler::connect);
     }
 }
--- a/src/test/java/gingerspool/controlplane/PlatformCallsTest.java
+++ b/src/test/java/gingerspool/controlplane/PlatformCallsTest.java
@@ -23,32 +23,34 @@
 import org.testng.annotations.Test;
 
 /**
- * A platform that answers rubbish, half, late or never: each call has one end, and the next call
- * works.
+ * Calls to a platform whose responses are malformed, truncated, late or missing: each call ends
+ * exactly once, and the next call succeeds.
  */
 public class PlatformCallsTest {
-    private static final double PATIENCE = 200;
-    private static final String GOOD = page("{\"Identifier\":\"i-1234\"}");
+    private static final double TIMEOUT_MS = 200;
+    private static final String STARTED_RESPONSE = okResponse("{\"Identifier\":\"i-1234\"}");
     private SingleThreadEventLoop loop;
     private ServerSocket server;
     private PlatformClient platform;
 
-    /** What each connection's first request is answered; nothing: it stays silent. */
-    private final LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
+    /**
+     * The response to the first request of each connection; if empty, the server does not respond.
+     */
+    private final LinkedBlockingQueue<String> responses = new LinkedBlockingQueue<>();
 
     @BeforeMethod
     public void open() throws IOException {
         loop = new SingleThreadEventLoop();
-        answers.clear();
+        responses.clear();
         server = new ServerSocket(0, 20, InetAddress.getLoopbackAddress());
         platform =
                 new PlatformClient(
                         loop,
                         new InetSocketAddress(server.getInetAddress(), server.getLocalPort()),
-                        PATIENCE);
-        Thread serving = new Thread(this::serve);
-        serving.setDaemon(true);
-        serving.start();
+                        TIMEOUT_MS);
+        Thread serverThread = new Thread(this::serve);
+        serverThread.setDaemon(true);
+        serverThread.start();
     }
 
     @AfterMethod
@@ -60,37 +62,37 @@
     private void serve() {
         try {
             while (true) {
-                Socket s = server.accept();
-                s.getInputStream().read(new byte[4096]);
-                String answer = answers.take();
-                if (!answer.isEmpty()) {
-                    s.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
-                    s.close();
+                Socket socket = server.accept();
+                socket.getInputStream().read(new byte[4096]);
+                String response = responses.take();
+                if (!response.isEmpty()) {
+                    socket.getOutputStream().write(response.getBytes(StandardCharsets.ISO_8859_1));
+                    socket.close();
                 }
             }
         } catch (IOException | InterruptedException e) {
-            // The test has ended.
+            // The server socket was closed at the end of the test.
         }
     }
 
-    private <T> T call(Consumer<Consumer<T>> what) throws Exception {
-        CompletableFuture<T> end = new CompletableFuture<>();
+    private <T> T call(Consumer<Consumer<T>> operation) throws Exception {
+        CompletableFuture<T> completion = new CompletableFuture<>();
         loop.submit(
                 () ->
-                        what.accept(
-                                a -> {
-                                    assertTrue(!end.isDone(), "one end only");
-                                    end.complete(a);
+                        operation.accept(
+                                result -> {
+                                    assertTrue(!completion.isDone(), "the call ended twice");
+                                    completion.complete(result);
                                 }));
-        return end.get(5, TimeUnit.SECONDS);
+        return completion.get(5, TimeUnit.SECONDS);
     }
 
-    private Platform.Answer start() throws Exception {
-        return call(then -> platform.start("core-1", 3, "f", "h1", "n1", then));
+    private Platform.Response start() throws Exception {
+        return call(callback -> platform.start("core-1", 3, "f", "h1", "n1", callback));
     }
 
     @DataProvider
-    Object[][] troubles() {
+    Object[][] badResponses() {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: 24\r\n\r\n";
         return new Object[][] {
             {"", 0},
@@ -104,36 +106,37 @@
         };
     }
 
-    @Test(dataProvider = "troubles")
-    public void eachCallHasOneEndAndTheNextOneWorks(String answer, int status) throws Exception {
-        answers.add(answer);
+    @Test(dataProvider = "badResponses")
+    public void everyCallCompletesOnceAndNextSucceeds(String response, int status)
+            throws Exception {
+        responses.add(response);
         assertEquals(start().status(), status);
-        answers.add(GOOD);
-        Platform.Answer next = start();
+        responses.add(STARTED_RESPONSE);
+        Platform.Response next = start();
         assertEquals(next.status(), 200);
-        assertEquals(JsonTree.text("", next.tree(), "Identifier"), "i-1234");
+        assertEquals(JsonTree.text("", next.body(), "Identifier"), "i-1234");
     }
 
     /**
-     * A list counts only whole: where one page can't be had there is none, so that nothing seems
+     * A list with a missing page is discarded as a whole, so that no instance wrongly seems to be
      * gone.
      */
     @Test
-    public void aListOfWhichAPageIsMissingIsNoList() throws Exception {
-        String first = "{\"Instances\":[{\"Identifier\":\"i-1\"}],\"NextPageToken\":\"p-1\"}";
-        String last = "{\"Instances\":[{\"Identifier\":\"i-2\"}],\"NextPageToken\":null}";
-        answers.add(page(first));
-        answers.add("HTTP/1.1 429 Too Many\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-        assertNull(this.<List<Object>>call(then -> platform.instances(then)));
-        answers.add(page(first));
-        answers.add(page("{\"Instances\":\"none\"}"));
-        assertNull(this.<List<Object>>call(then -> platform.instances(then)));
-        answers.add(page(first));
-        answers.add(page(last));
-        assertEquals(this.<List<Object>>call(then -> platform.instances(then)).size(), 2);
+    public void discardsListWithMissingPage() throws Exception {
+        String firstPage = "{\"Instances\":[{\"Identifier\":\"i-1\"}],\"NextPageToken\":\"p-1\"}";
+        String lastPage = "{\"Instances\":[{\"Identifier\":\"i-2\"}],\"NextPageToken\":null}";
+        responses.add(okResponse(firstPage));
+        responses.add("HTTP/1.1 429 Too Many\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+        assertNull(this.<List<Object>>call(callback -> platform.instances(callback)));
+        responses.add(okResponse(firstPage));
+        responses.add(okResponse("{\"Instances\":\"none\"}"));
+        assertNull(this.<List<Object>>call(callback -> platform.instances(callback)));
+        responses.add(okResponse(firstPage));
+        responses.add(okResponse(lastPage));
+        assertEquals(this.<List<Object>>call(callback -> platform.instances(callback)).size(), 2);
     }
 
-    private static String page(String body) {
+    private static String okResponse(String body) {
         return "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: "
                 + body.length()
                 + "\r\n\r\n"
--- a/src/test/java/gingerspool/controlplane/ReadsUnderFaultsTest.java
+++ b/src/test/java/gingerspool/controlplane/ReadsUnderFaultsTest.java
@@ -1,11 +1,11 @@
 package gingerspool.controlplane;
 
-import static gingerspool.controlplane.CoreModel.whole;
+import static gingerspool.controlplane.ClusterModel.completeConfiguration;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.controlplane.CoreModel.Answer;
-import gingerspool.controlplane.CoreModel.Node;
+import gingerspool.controlplane.ClusterModel.Answer;
+import gingerspool.controlplane.ClusterModel.Node;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -15,16 +15,16 @@
 import org.testng.annotations.Test;
 
 /**
- * Reads of the configuration on every member, in touch or not, while the core is cut into halves
- * and members are killed, also more at once than it tolerates: no answer is older than what was
- * acknowledged before the read was sent, and nothing acknowledged is lost.
+ * Reads of the configuration on every member during network partitions and crashes, including more
+ * crashes at once than the cluster tolerates: no answer is older than the newest version
+ * acknowledged before the read was sent, and no acknowledged version is lost.
  */
 public class ReadsUnderFaultsTest {
-    private static final int STEPS = 400;
+    private static final int FAULT_STEPS = 400;
     private static final double STEP_MS = 50;
 
-    /** From here on nothing fails any more. */
-    private static final int CALM_STEPS = 100;
+    /** Steps without faults at the end of a run. */
+    private static final int RECOVERY_STEPS = 100;
 
     private static final Pattern VERSION = Pattern.compile("\"Version\" ?: ?([0-9]+)");
 
@@ -38,27 +38,27 @@
     }
 
     /** A read, and the newest version that was acknowledged when it was sent. */
-    private record Read(Answer answer, long acknowledged) {}
+    private record Read(Answer answer, long newestAcknowledged) {}
 
     /** A change, and the version that it makes. */
     private record Change(Answer answer, long version) {}
 
-    private static final class Play {
-        private final SplittableRandom chance;
-        private final CoreModel core;
+    private static final class FaultRun {
+        private final SplittableRandom random;
+        private final ClusterModel cluster;
         private final List<Read> reads = new ArrayList<>();
         private final List<Change> changes = new ArrayList<>();
-        private long proposed;
-        private int served;
-        private int downAtOnce;
-
-        Play(long seed) {
-            chance = new SplittableRandom(seed);
-            core = new CoreModel(seed);
-            core.awaitLeader();
+        private long lastProposedVersion;
+        private int answeredReads;
+        private int maxNodesDown;
+
+        FaultRun(long seed) {
+            random = new SplittableRandom(seed);
+            cluster = new ClusterModel(seed);
+            cluster.awaitLeader();
         }
 
-        private long acknowledged() {
+        private long newestAcknowledged() {
             return changes.stream()
                     .filter(change -> change.answer.status == 200)
                     .mapToLong(Change::version)
@@ -67,39 +67,44 @@
         }
 
         void run() {
-            for (int step = 0; step < STEPS; step++) {
+            for (int step = 0; step < FAULT_STEPS; step++) {
                 if (step % 10 == 0) {
-                    disturb();
+                    injectFault();
                 }
                 step();
             }
-            core.cuts.clear();
-            core.nodes.stream().filter(node -> !node.isUp()).forEach(Node::start);
-            for (int step = 0; step < CALM_STEPS; step++) {
+            cluster.cutLinks.clear();
+            cluster.nodes.stream().filter(node -> !node.isUp()).forEach(Node::start);
+            for (int step = 0; step < RECOVERY_STEPS; step++) {
                 step();
             }
         }
 
         private void step() {
-            for (Node node : core.nodes) {
+            for (Node node : cluster.nodes) {
                 if (node.isUp()) {
-                    reads.add(new Read(node.read(), acknowledged()));
+                    reads.add(new Read(node.read(), newestAcknowledged()));
                     changeAt(node);
                 }
             }
-            core.loop.run(STEP_MS);
-            reads.forEach(Play::check);
-            served += (int) reads.stream().filter(read -> read.answer.status == 200).count();
+            cluster.loop.run(STEP_MS);
+            reads.forEach(FaultRun::check);
+            answeredReads += (int) reads.stream().filter(read -> read.answer.status == 200).count();
             reads.removeIf(read -> read.answer.status != 0);
         }
 
-        /** Versions are never proposed twice, so that an answer tells which change it has seen. */
+        /** No version is proposed twice, so that the version in an answer identifies the change. */
         private void changeAt(Node node) {
-            if (node.leads() && chance.nextInt(3) == 0) {
-                proposed++;
-                long base = node.state.version();
-                Answer answer = node.change(true, base, whole(proposed, "n" + proposed));
-                changes.add(new Change(answer, proposed));
+            if (node.isLeading() && random.nextInt(3) == 0) {
+                lastProposedVersion++;
+                long baseVersion = node.state.version();
+                Answer answer =
+                        node.change(
+                                true,
+                                baseVersion,
+                                completeConfiguration(
+                                        lastProposedVersion, "n" + lastProposedVersion));
+                changes.add(new Change(answer, lastProposedVersion));
             }
         }
 
@@ -108,14 +113,17 @@
             if (status == 200 || status == 404) {
                 long version = versionOf(read.answer);
                 assertTrue(
-                        version >= read.acknowledged,
-                        version + " was read, " + read.acknowledged + " acknowledged before");
+                        version >= read.newestAcknowledged,
+                        version
+                                + " was read after "
+                                + read.newestAcknowledged
+                                + " was acknowledged");
             } else {
                 assertTrue(status == 0 || status == 503 || status == 307, "" + status);
             }
         }
 
-        /** Without any configuration a read is answered 404. */
+        /** A read gets status 404 if there is no configuration yet. */
         private static long versionOf(Answer answer) {
             if (answer.status == 404) {
                 return 0;
@@ -125,46 +133,50 @@
             return Long.parseLong(version.group(1));
         }
 
-        /** Cuts the core into two sides or joins it, kills or starts a member; disks are kept. */
-        private void disturb() {
-            Node node = core.nodes.get(chance.nextInt(core.nodes.size()));
-            switch (chance.nextInt(4)) {
-                case 0 -> core.cut(node);
-                case 1 -> core.cuts.clear();
+        /**
+         * Isolates a member, restores all links, kills a member, or restarts the killed ones; disks
+         * keep their content.
+         */
+        private void injectFault() {
+            Node node = cluster.nodes.get(random.nextInt(cluster.nodes.size()));
+            switch (random.nextInt(4)) {
+                case 0 -> cluster.isolate(node);
+                case 1 -> cluster.cutLinks.clear();
                 case 2 -> {
                     if (node.isUp()) {
                         node.kill();
                     }
                 }
-                default -> core.nodes.stream().filter(n -> !n.isUp()).forEach(Node::start);
+                default -> cluster.nodes.stream().filter(n -> !n.isUp()).forEach(Node::start);
             }
-            int down = (int) core.nodes.stream().filter(n -> !n.isUp()).count();
-            downAtOnce = Math.max(downAtOnce, down);
+            int nodesDown = (int) cluster.nodes.stream().filter(n -> !n.isUp()).count();
+            maxNodesDown = Math.max(maxNodesDown, nodesDown);
         }
     }
 
     @Test(dataProvider = "seeds")
-    public void noReadIsOlderThanWhatWasAcknowledged(long seed) {
-        Play play = new Play(seed);
-        play.run();
-        assertTrue(play.served > 0, "nothing was served");
-        assertTrue(play.acknowledged() > 0, "nothing was acknowledged");
-        long version = play.core.awaitLeader().state.version();
-        assertTrue(version >= play.acknowledged(), version + " of " + play.acknowledged());
-        for (Node node : play.core.nodes) {
+    public void readsAreNeverStale(long seed) {
+        FaultRun run = new FaultRun(seed);
+        run.run();
+        assertTrue(run.answeredReads > 0, "no read was answered");
+        assertTrue(run.newestAcknowledged() > 0, "no change was acknowledged");
+        long version = run.cluster.awaitLeader().state.version();
+        assertTrue(
+                version >= run.newestAcknowledged(), version + " of " + run.newestAcknowledged());
+        for (Node node : run.cluster.nodes) {
             assertEquals(node.state.version(), version);
         }
     }
 
-    /** The plays above do go beyond the one loss that three members tolerate. */
+    /** The runs above do exceed the one crash that three members tolerate. */
     @Test
-    public void lossesOverlapInTheseSeeds() {
-        int beyond = 0;
+    public void faultsExceedToleranceInSomeSeeds() {
+        int runsBeyondTolerance = 0;
         for (Object[] seed : seeds()) {
-            Play play = new Play((long) seed[0]);
-            play.run();
-            beyond += play.downAtOnce >= 2 ? 1 : 0;
+            FaultRun run = new FaultRun((long) seed[0]);
+            run.run();
+            runsBeyondTolerance += run.maxNodesDown >= 2 ? 1 : 0;
         }
-        assertTrue(beyond >= 5, beyond + " seeds");
+        assertTrue(runsBeyondTolerance >= 5, runsBeyondTolerance + " seeds");
     }
 }
