--- a/src/main/java/gingerspool/consensus/ConsensusSafeguard.java
+++ b/src/main/java/gingerspool/consensus/ConsensusSafeguard.java
@@ -69,7 +69,7 @@
     JOINT_QUORUM,
 
     /** A leaving member stays a voter and keeps running until its replacement is committed. */
-    LEAVER_STAYS_UNTIL_SWAPPED,
+    LEAVER_STAYS_UNTIL_REPLACED,
 
     /** A snapshot is installed only if it is ahead of the last applied entry. */
     SNAPSHOT_ONLY_FORWARD,
--- a/src/main/java/gingerspool/consensus/Departure.java
+++ b/src/main/java/gingerspool/consensus/Departure.java
@@ -86,7 +86,7 @@
 
     /** Whether the process of this member may end now without loss. */
     boolean mayStop() {
-        if (!context.hasSafeguard(ConsensusSafeguard.LEAVER_STAYS_UNTIL_SWAPPED)
+        if (!context.hasSafeguard(ConsensusSafeguard.LEAVER_STAYS_UNTIL_REPLACED)
                 || !context.isVoter()) {
             return true;
         }
--- a/src/main/java/gingerspool/consensus/LogWrite.java
+++ b/src/main/java/gingerspool/consensus/LogWrite.java
@@ -18,6 +18,6 @@
         Member self,
         long term,
         Member votedFor,
-        long from,
+        long fromIndex,
         List<LogEntry> entries,
         Snapshot snapshot) {}
--- a/src/main/java/gingerspool/consensus/Member.java
+++ b/src/main/java/gingerspool/consensus/Member.java
@@ -7,7 +7,7 @@
  */
 public record Member(String ip, String id) {
     /** The id of the founders, which bootstrap the cluster. */
-    public static final String FOUNDER = "0";
+    public static final String FOUNDER_ID = "0";
 
     @Override
     public String toString() {
--- a/src/main/java/gingerspool/controlplane/ClusterMember.java
+++ b/src/main/java/gingerspool/controlplane/ClusterMember.java
@@ -104,10 +104,10 @@
         boolean isFirstStart = recovered.isEmpty() && settings.firstStart;
         List<Member> founders =
                 isFirstStart
-                        ? seeds.stream().map(seed -> new Member(seed, Member.FOUNDER)).toList()
+                        ? seeds.stream().map(seed -> new Member(seed, Member.FOUNDER_ID)).toList()
                         : List.of();
         // A random id, so that a member that lost its log never reuses an earlier identity.
-        String id = isFirstStart ? Member.FOUNDER : UUID.randomUUID().toString();
+        String id = isFirstStart ? Member.FOUNDER_ID : UUID.randomUUID().toString();
         return new Replica(
                 new Member(settings.ip, id),
                 recovered.state(),
--- a/src/main/java/gingerspool/storage/DurableLog.java
+++ b/src/main/java/gingerspool/storage/DurableLog.java
@@ -267,11 +267,11 @@
             entries.clear();
         }
         Long lastIndex = entries.lastKey();
-        for (long index = write.from(); lastIndex != null && index <= lastIndex; index++) {
+        for (long index = write.fromIndex(); lastIndex != null && index <= lastIndex; index++) {
             entries.remove(index);
         }
         for (int i = 0; i < write.entries().size(); i++) {
-            entries.put(write.from() + i, codec.write(write.entries().get(i)));
+            entries.put(write.fromIndex() + i, codec.write(write.entries().get(i)));
         }
     }
 
--- a/src/test/java/gingerspool/consensus/LogRepairTest.java
+++ b/src/test/java/gingerspool/consensus/LogRepairTest.java
@@ -14,9 +14,9 @@
 public class LogRepairTest {
     private static final List<Member> VOTERS =
             List.of(
-                    new Member("n0", Member.FOUNDER),
-                    new Member("n1", Member.FOUNDER),
-                    new Member("n2", Member.FOUNDER));
+                    new Member("n0", Member.FOUNDER_ID),
+                    new Member("n1", Member.FOUNDER_ID),
+                    new Member("n2", Member.FOUNDER_ID));
 
     /** A log with a number of entries of each term, given as term, count, term, count, ... */
     private static List<LogEntry> logOf(int... termsAndCounts) {
--- a/src/test/java/gingerspool/consensus/TestCluster.java
+++ b/src/test/java/gingerspool/consensus/TestCluster.java
@@ -177,7 +177,7 @@
         random = new SplittableRandom(seed);
         List<Member> founderMembers = new ArrayList<>();
         for (int i = 0; i < founders; i++) {
-            founderMembers.add(new Member("n" + i, Member.FOUNDER));
+            founderMembers.add(new Member("n" + i, Member.FOUNDER_ID));
         }
         founderMembers.forEach(m -> add(m).start(founderMembers));
     }
@@ -197,7 +197,7 @@
         Snapshot base = write.snapshot() != null ? write.snapshot() : disk.snapshot();
         List<LogEntry> entries = new ArrayList<>();
         if (write.snapshot() == null) {
-            int kept = (int) Math.min(disk.entries().size(), write.from() - base.index() - 1);
+            int kept = (int) Math.min(disk.entries().size(), write.fromIndex() - base.index() - 1);
             entries.addAll(disk.entries().subList(0, kept));
         }
         entries.addAll(write.entries());
--- a/src/test/java/gingerspool/controlplane/ClusterModel.java
+++ b/src/test/java/gingerspool/controlplane/ClusterModel.java
@@ -75,11 +75,11 @@
             state = new ConfigurationState();
             List<Member> founders =
                     disk == null
-                            ? seeds.stream().map(s -> new Member(s, Member.FOUNDER)).toList()
+                            ? seeds.stream().map(s -> new Member(s, Member.FOUNDER_ID)).toList()
                             : List.of();
             replica =
                     new Replica(
-                            new Member(ip, Member.FOUNDER),
+                            new Member(ip, Member.FOUNDER_ID),
                             disk,
                             founders,
                             new ReplicaSettings(
@@ -207,7 +207,7 @@
     private static PersistedState applyWrite(PersistedState disk, LogWrite write) {
         List<LogEntry> entries = new ArrayList<>();
         if (write.snapshot() == null) {
-            long keptEntries = write.from() - disk.snapshot().index() - 1;
+            long keptEntries = write.fromIndex() - disk.snapshot().index() - 1;
             entries.addAll(
                     disk.entries().subList(0, (int) Math.min(keptEntries, disk.entries().size())));
         }
--- a/src/test/java/gingerspool/simulation/ConsensusSimulation.java
+++ b/src/test/java/gingerspool/simulation/ConsensusSimulation.java
@@ -98,14 +98,14 @@
             boolean founds = disk == null && firstStart;
             List<Member> founders =
                     founds
-                            ? seeds.stream().map(s -> new Member(s, Member.FOUNDER)).toList()
+                            ? seeds.stream().map(s -> new Member(s, Member.FOUNDER_ID)).toList()
                             : List.of();
             boolean old =
                     !setup.guarded(ConsensusSafeguard.NEW_ID_AFTER_WIPE) && seeds.contains(ip);
             String mark =
-                    founds || old ? Member.FOUNDER : ip + "-" + ++marks + "-" + chance.nextInt();
+                    founds || old ? Member.FOUNDER_ID : ip + "-" + ++marks + "-" + chance.nextInt();
             if (old && !founds) {
-                founders = seeds.stream().map(s -> new Member(s, Member.FOUNDER)).toList();
+                founders = seeds.stream().map(s -> new Member(s, Member.FOUNDER_ID)).toList();
             }
             replica =
                     new Replica(
@@ -331,7 +331,7 @@
         }
         Snapshot base = disk.snapshot();
         List<LogEntry> entries = new ArrayList<>(disk.entries());
-        int keep = (int) (c.from() - base.index() - 1);
+        int keep = (int) (c.fromIndex() - base.index() - 1);
         while (entries.size() > keep) {
             entries.remove(entries.size() - 1);
         }
--- a/src/test/java/gingerspool/simulation/SafeguardTableTest.java
+++ b/src/test/java/gingerspool/simulation/SafeguardTableTest.java
@@ -113,7 +113,7 @@
     /** Another voter is lost as soon as the one that left has stopped: two of three go on. */
     @Test
     public void leaverStaysUntilSwapped() {
-        ConsensusSafeguard safeguard = ConsensusSafeguard.LEAVER_STAYS_UNTIL_SWAPPED;
+        ConsensusSafeguard safeguard = ConsensusSafeguard.LEAVER_STAYS_UNTIL_REPLACED;
         assertNull(lossAfterLeaver(Set.of()).wrong());
         SmallModelSearch.Result without = lossAfterLeaver(Set.of(safeguard));
         table.add(String.format("| %s | search 3/1 | %s |", safeguard, without.wrong()));
@@ -138,7 +138,7 @@
         for (Object[] finder : finders()) {
             named.add((ConsensusSafeguard) finder[0]);
         }
-        named.add(ConsensusSafeguard.LEAVER_STAYS_UNTIL_SWAPPED);
+        named.add(ConsensusSafeguard.LEAVER_STAYS_UNTIL_REPLACED);
         assertEquals(named, EnumSet.allOf(ConsensusSafeguard.class));
     }
 
--- a/src/test/java/gingerspool/simulation/SmallCluster.java
+++ b/src/test/java/gingerspool/simulation/SmallCluster.java
@@ -111,7 +111,7 @@
             lagging = false;
             boolean reused = !disabled.contains(ConsensusSafeguard.NEW_ID_AFTER_WIPE);
             boolean founds = first || disk == null && !reused && number < founders.size();
-            String id = founds ? Member.FOUNDER : ip + "-" + wipes;
+            String id = founds ? Member.FOUNDER_ID : ip + "-" + wipes;
             replica =
                     new Replica(
                             new Member(ip, id),
@@ -207,7 +207,7 @@
         wipesLeft = tolerated;
         for (int i = 0; i < bound.machines(); i++) {
             nodes.add(new Node(i));
-            founders.add(new Member(nodes.get(i).ip, Member.FOUNDER));
+            founders.add(new Member(nodes.get(i).ip, Member.FOUNDER_ID));
         }
         nodes.forEach(n -> n.start(true));
     }
--- a/src/test/java/gingerspool/storage/StoredCore.java
+++ b/src/test/java/gingerspool/storage/StoredCore.java
@@ -48,11 +48,13 @@
             List<String> seeds = List.of("10.0.0.0", "10.0.0.1", "10.0.0.2").subList(0, SEEDS);
             List<Member> founders =
                     firstStart
-                            ? seeds.stream().map(seed -> new Member(seed, Member.FOUNDER)).toList()
+                            ? seeds.stream()
+                                    .map(seed -> new Member(seed, Member.FOUNDER_ID))
+                                    .toList()
                             : List.of();
             replica =
                     new Replica(
-                            new Member(ip, firstStart ? Member.FOUNDER : "life-" + number),
+                            new Member(ip, firstStart ? Member.FOUNDER_ID : "life-" + number),
                             recovered.state(),
                             founders,
                             new ReplicaSettings(
