--- a/src/main/java/gingerspool/antientropy/RangeDigests.java
+++ b/src/main/java/gingerspool/antientropy/RangeDigests.java
@@ -58,7 +58,7 @@
     /**
      * All items, with those in these ranges replaced; replacements outside the ranges are ignored.
      */
-    public static Map<String, String> replaced(
+    public static Map<String, String> withRangesReplaced(
             Map<String, String> all, int ranges, Map<String, String> replacements) {
         Map<String, String> result = new TreeMap<>(all);
         result.keySet().removeIf(key -> (ranges & 1 << rangeOf(key)) != 0);
--- a/src/main/java/gingerspool/antientropy/ReplicaRepair.java
+++ b/src/main/java/gingerspool/antientropy/ReplicaRepair.java
@@ -27,10 +27,10 @@
         void requestDigests(String member, long comparison);
 
         /** Requests the member's items in these ranges, as of this index. */
-        void ask(String member, long index, int ranges);
+        void requestItems(String member, long index, int ranges);
 
         /** Sends this process's items in these ranges, as of this index, to the member. */
-        void send(String member, long index, int ranges);
+        void sendItems(String member, long index, int ranges);
     }
 
     /** The digests of a member's copy at an index of the log, one per range. */
@@ -61,11 +61,11 @@
         this.exchange = exchange;
     }
 
-    public int differing() {
+    public int differingRanges() {
         return differingRanges;
     }
 
-    public int undecided() {
+    public int undecidedRanges() {
         return undecidedRanges;
     }
 
@@ -95,7 +95,7 @@
      *
      * @return whether the digests of all other members have arrived, so that the comparison may end
      */
-    public boolean received(String member, long comparison, long index, List<Long> digests) {
+    public boolean recordDigests(String member, long comparison, long index, List<Long> digests) {
         boolean isExpected =
                 isUnderWay && comparison == this.comparison && members.contains(member);
         if (!isExpected || member.equals(self) || digests.size() != RangeDigests.RANGE_COUNT) {
@@ -141,7 +141,7 @@
             }
         }
         if (rangesToRequest.isEmpty()) {
-            rangesToSend.forEach((member, ranges) -> exchange.send(member, index, ranges));
+            rangesToSend.forEach((member, ranges) -> exchange.sendItems(member, index, ranges));
         } else {
             // Requests from the one member that is correct in most of these ranges, since ranges of
             // different copies may be inconsistent with each other.
@@ -151,12 +151,12 @@
                             Comparator.comparingInt(
                                     member -> Integer.bitCount(rangesToRequest.get(member))));
             requestedMember = source;
-            exchange.ask(source, index, rangesToRequest.get(source));
+            exchange.requestItems(source, index, rangesToRequest.get(source));
         }
     }
 
     /** Whether items were requested from this member; each request is consumed only once. */
-    public boolean takeAnswerOf(String member) {
+    public boolean consumeItemRequest(String member) {
         boolean wasRequested = member.equals(requestedMember);
         requestedMember = "";
         return wasRequested;
--- a/src/main/java/gingerspool/controlplane/ControlNode.java
+++ b/src/main/java/gingerspool/controlplane/ControlNode.java
@@ -286,7 +286,7 @@
             loop.schedule(
                     settings.heartbeatInterval / MAINTENANCE_PER_HEARTBEAT,
                     () -> {
-                        logWriter.end();
+                        logWriter.stop();
                         onStopped.run();
                     });
         }
@@ -296,7 +296,7 @@
      * Stops the log's thread and the event loop, for a process that continues without this node.
      */
     public void close() {
-        logWriter.end();
+        logWriter.stop();
         loop.stop();
     }
 
--- a/src/main/java/gingerspool/controlplane/RepairExchange.java
+++ b/src/main/java/gingerspool/controlplane/RepairExchange.java
@@ -41,12 +41,12 @@
                         }
 
                         @Override
-                        public void ask(String member, long index, int ranges) {
+                        public void requestItems(String member, long index, int ranges) {
                             send.accept(member, new Messages.RangeRequest(ownIp, index, ranges));
                         }
 
                         @Override
-                        public void send(String member, long index, int ranges) {
+                        public void sendItems(String member, long index, int ranges) {
                             sendRanges(member, index, ranges);
                         }
                     });
@@ -68,11 +68,11 @@
     }
 
     int differingRanges() {
-        return repair.differing();
+        return repair.differingRanges();
     }
 
     int undecidedRanges() {
-        return repair.undecided();
+        return repair.undecidedRanges();
     }
 
     /**
@@ -124,7 +124,7 @@
     }
 
     void received(Messages.ReplicaDigest message) {
-        if (repair.received(
+        if (repair.recordDigests(
                 message.ip(), message.comparison(), message.index(), message.ranges())) {
             finishComparison();
         }
@@ -142,12 +142,14 @@
      * log index.
      */
     void received(Messages.RangeRepair message) {
-        boolean isExpected = repair.takeAnswerOf(message.ip()) || isLeader(message.ip());
+        boolean isExpected = repair.consumeItemRequest(message.ip()) || isLeader(message.ip());
         if (message.index() != replica.appliedIndex() || !isExpected) {
             return;
         }
         try {
-            state.repair(RangeDigests.replaced(state.items(), message.ranges(), message.items()));
+            state.repair(
+                    RangeDigests.withRangesReplaced(
+                            state.items(), message.ranges(), message.items()));
             replica.compact(loop.now());
             LOG.warn(
                     "state.repaired from={} index={} version={}",
--- a/src/main/java/gingerspool/storage/LogWriter.java
+++ b/src/main/java/gingerspool/storage/LogWriter.java
@@ -87,7 +87,7 @@
         return isFailing;
     }
 
-    public void end() {
+    public void stop() {
         isStopped = true;
         LockSupport.unpark(thread);
     }
--- a/src/test/java/gingerspool/antientropy/ReplicaRepairTest.java
+++ b/src/test/java/gingerspool/antientropy/ReplicaRepairTest.java
@@ -30,12 +30,12 @@
                         }
 
                         @Override
-                        public void ask(String member, long index, int ranges) {
+                        public void requestItems(String member, long index, int ranges) {
                             replaceRanges("m0", ranges, copies.get(member));
                         }
 
                         @Override
-                        public void send(String member, long index, int ranges) {
+                        public void sendItems(String member, long index, int ranges) {
                             replaceRanges(member, ranges, copies.get("m0"));
                         }
                     });
@@ -43,7 +43,7 @@
     private void replaceRanges(String member, int ranges, Map<String, String> from) {
         copies.put(
                 member,
-                RangeDigests.replaced(
+                RangeDigests.withRangesReplaced(
                         copies.get(member), ranges, RangeDigests.items(from, ranges)));
     }
 
@@ -76,7 +76,7 @@
     }
 
     private boolean answer(String member, long index, List<Long> digests) {
-        return repair.received(member, comparisonByMember.get(member), index, digests);
+        return repair.recordDigests(member, comparisonByMember.get(member), index, digests);
     }
 
     private List<Long> digests(String member) {
@@ -129,7 +129,7 @@
         Map<String, Map<String, String>> before = Map.copyOf(copies);
         compareTwice();
         assertEquals(copies, before);
-        assertTrue(repair.undecided() > 0);
+        assertTrue(repair.undecidedRanges() > 0);
     }
 
     @Test
@@ -142,7 +142,7 @@
         answer("m2", INDEX + 1, digests("m2"));
         end();
         assertEquals(copies.get("m0"), state());
-        assertEquals(repair.differing(), 0);
+        assertEquals(repair.differingRanges(), 0);
     }
 
     /** Digests of a removed member are not counted: two of four are no majority of three. */
@@ -154,7 +154,7 @@
         repair.begin("m0", List.of("m0", "m1", "m2", "m3"));
         repair.begin("m0", List.of("m0", "m1", "m2"));
         for (String member : List.of("m1", "m2", "m3")) {
-            repair.received(member, comparisonByMember.get("m1"), INDEX, digests(member));
+            repair.recordDigests(member, comparisonByMember.get("m1"), INDEX, digests(member));
         }
         end();
         assertEquals(copies.get("m2"), state());
@@ -178,9 +178,9 @@
         long earlierComparison = comparisonByMember.get("m1");
 
         copies.get("m0").put("L/Routes/1", "other");
-        repair.received("m1", earlierComparison, INDEX, damaged);
+        repair.recordDigests("m1", earlierComparison, INDEX, damaged);
         repair.begin("m0", List.copyOf(copies.keySet()));
-        repair.received("m1", earlierComparison, INDEX, damaged);
+        repair.recordDigests("m1", earlierComparison, INDEX, damaged);
         answer("m2");
         end();
         assertEquals(copies.get("m2"), state());
@@ -259,45 +259,45 @@
             repair.end(INDEX, RangeDigests.digests(copies.get("m0")));
         }
 
-        private void send(String from, String to, Runnable message) {
+        private void sendItems(String from, String to, Runnable message) {
             links.computeIfAbsent(from + ">" + to, key -> new ArrayDeque<>()).add(message);
         }
 
         @Override
         public void requestDigests(String member, long comparison) {
-            send("m0", member, () -> answer(member, comparison));
+            sendItems("m0", member, () -> answer(member, comparison));
         }
 
         private void answer(String member, long comparison) {
             List<Long> digests = RangeDigests.digests(copies.get(member));
-            send(
+            sendItems(
                     member,
                     "m0",
                     () -> {
-                        if (repair.received(member, comparison, INDEX, digests)) {
+                        if (repair.recordDigests(member, comparison, INDEX, digests)) {
                             end();
                         }
                     });
         }
 
         @Override
-        public void ask(String member, long index, int ranges) {
-            send("m0", member, () -> answerItemRequest(member, ranges));
+        public void requestItems(String member, long index, int ranges) {
+            sendItems("m0", member, () -> answerItemRequest(member, ranges));
         }
 
         @Override
-        public void send(String member, long index, int ranges) {
+        public void sendItems(String member, long index, int ranges) {
             Map<String, String> items = RangeDigests.items(copies.get("m0"), ranges);
-            send("m0", member, () -> replace(member, ranges, items));
+            sendItems("m0", member, () -> replace(member, ranges, items));
         }
 
         private void answerItemRequest(String member, int ranges) {
             Map<String, String> items = RangeDigests.items(copies.get(member), ranges);
-            send(
+            sendItems(
                     member,
                     "m0",
                     () -> {
-                        if (repair.takeAnswerOf(member)) {
+                        if (repair.consumeItemRequest(member)) {
                             replace("m0", ranges, items);
                         }
                     });
@@ -305,7 +305,7 @@
 
         private void replace(String member, int ranges, Map<String, String> items) {
             boolean wasCorrect = copies.get(member).equals(state());
-            copies.put(member, RangeDigests.replaced(copies.get(member), ranges, items));
+            copies.put(member, RangeDigests.withRangesReplaced(copies.get(member), ranges, items));
             boolean isCorrect = copies.get(member).equals(state());
             assertTrue(isCorrect || !wasCorrect, member + " was correct");
             repairs += isCorrect && !wasCorrect ? 1 : 0;
--- a/src/test/java/gingerspool/storage/LogWriterTest.java
+++ b/src/test/java/gingerspool/storage/LogWriterTest.java
@@ -62,7 +62,7 @@
 
     @AfterMethod
     public void end() {
-        writer.end();
+        writer.stop();
         loop.shutdown();
     }
 
