--- a/src/main/java/gingerspool/cli/NodeProgram.java
+++ b/src/main/java/gingerspool/cli/NodeProgram.java
@@ -34,11 +34,11 @@
             if (program.equals("control")) {
                 ControlNode control = new ControlNode(settings);
                 Signal.handle(new Signal("TERM"), s -> control.stop(ended::countDown));
-                Runnable reload = () -> reload(environment, control::reload, log);
+                Runnable reload = () -> reload(environment, control::applySettings, log);
                 Signal.handle(new Signal("HUP"), s -> reload.run());
                 // Not on the node's loop, which must not wait for a file.
-                control.whenLost(() -> CompletableFuture.runAsync(reload));
-                control.begin(
+                control.onLeaderUnknown(() -> CompletableFuture.runAsync(reload));
+                control.start(
                         why -> {
                             log.error("start.failed why=\"{}\"", why.getMessage());
                             code.set(CAN_NOT_RUN);
--- a/src/main/java/gingerspool/cli/Platforms.java
+++ b/src/main/java/gingerspool/cli/Platforms.java
@@ -185,7 +185,7 @@
             }
             core.forEach(
                     node ->
-                            node.begin(
+                            node.start(
                                     why -> {
                                         throw new IllegalStateException(why);
                                     }));
--- a/src/main/java/gingerspool/controlplane/ControlNode.java
+++ b/src/main/java/gingerspool/controlplane/ControlNode.java
@@ -99,7 +99,7 @@
      * the node joins the cluster. The consumer is called on the event loop if this version of the
      * software cannot use the log.
      */
-    public void begin(Consumer<StorageException> onUnusable) {
+    public void start(Consumer<StorageException> onUnusable) {
         this.onStorageUnusable = onUnusable;
         logWriter.start();
         loop.submit(
@@ -212,7 +212,7 @@
      * intervals; it should read the settings file and call applySettings(). Must be called before
      * start().
      */
-    public void whenLost(Runnable reload) {
+    public void onLeaderUnknown(Runnable reload) {
         reloadSettings = reload;
     }
 
@@ -220,7 +220,7 @@
      * Applies the seed addresses of reloaded settings; all other settings stay as they were. May be
      * called from any thread.
      */
-    public void reload(NodeSettings reloaded) {
+    public void applySettings(NodeSettings reloaded) {
         loop.submit(
                 () -> {
                     if (!seeds.equals(seedsOf(reloaded))) {
--- a/src/test/java/gingerspool/controlplane/StartWithoutDiskTest.java
+++ b/src/test/java/gingerspool/controlplane/StartWithoutDiskTest.java
@@ -64,7 +64,7 @@
         ControlNode node = node(folder, blockingFile.resolve("data"), port);
         try {
             CompletableFuture<Void> listening = new CompletableFuture<>();
-            node.begin(listening::completeExceptionally);
+            node.start(listening::completeExceptionally);
             node.loop.submit(() -> listening.complete(null));
             listening.get(10, TimeUnit.SECONDS);
             assertEquals(read(port), 503);
@@ -94,7 +94,7 @@
         ControlNode node = node(folder, data, Ports.free(IP));
         try {
             CompletableFuture<Boolean> isLearner = new CompletableFuture<>();
-            node.begin(isLearner::completeExceptionally);
+            node.start(isLearner::completeExceptionally);
             node.loop.submit(() -> awaitMember(node, isLearner));
             assertTrue(isLearner.get(10, TimeUnit.SECONDS), "the node founded a new cluster");
         } finally {
