--- a/src/test/java/gingerspool/daemon/FileProcessTest.java
+++ b/src/test/java/gingerspool/daemon/FileProcessTest.java
@@ -16,7 +16,8 @@
 
 /** `serve --file` beside the platform's configuration, as a process with signals. */
 public class FileProcessTest {
-    private static final String FILE = "[profile.p]\neffect = \"idempotent\"\nexpiry = \"5s\"\n";
+    private static final String FILE_CONTENT =
+            "[profile.p]\neffect = \"idempotent\"\nexpiry = \"5s\"\n";
 
     private Path folder;
     private Path file;
@@ -60,41 +61,41 @@
         return line;
     }
 
-    private void hangUp() throws Exception {
+    private void sendSighup() throws Exception {
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
     }
 
     @Test
-    public void hangupAppliesAGoodFileAndABadOneChangesNothing() throws Exception {
-        BufferedReader log = start(FILE);
+    public void sighupAppliesAValidFileAndRefusesAnInvalidOne() throws Exception {
+        BufferedReader log = start(FILE_CONTENT);
         skipTo(log, " serving");
-        Files.writeString(file, FILE + "[[route]]\nname = \"r\"\nassignments = 9\n");
-        hangUp();
+        Files.writeString(file, FILE_CONTENT + "[[route]]\nname = \"r\"\nassignments = 9\n");
+        sendSighup();
         assertTrue(skipTo(log, " file.fault").contains("line=6 "), "the line is named");
         skipTo(log, " file.refused");
-        Files.writeString(file, FILE + "[[route]]\nname = \"r\"\nassignments = 2\n");
-        hangUp();
+        Files.writeString(file, FILE_CONTENT + "[[route]]\nname = \"r\"\nassignments = 2\n");
+        sendSighup();
         assertTrue(skipTo(log, " file.applied").contains("routes=1 "));
         // Beside the platform its profiles are those that run: a file that was checked against
         // others is
         // refused.
-        Files.writeString(file, FILE.replace("idempotent", "side-effecting"));
-        hangUp();
+        Files.writeString(file, FILE_CONTENT.replace("idempotent", "side-effecting"));
+        sendSighup();
         assertTrue(skipTo(log, " file.refused").contains("profile.p.effect differs"));
         assertTrue(process.isAlive());
     }
 
     @Test
-    public void aFileThatContradictsThePlatformIsNotStartedWith() throws Exception {
-        BufferedReader log = start(FILE.replace("5s", "6s"));
+    public void fileContradictingThePlatformIsRefusedAtStart() throws Exception {
+        BufferedReader log = start(FILE_CONTENT.replace("5s", "6s"));
         skipTo(log, "profile.p.expiry is beyond the platform's");
         assertTrue(process.waitFor(10, TimeUnit.SECONDS));
         assertEquals(process.exitValue(), 2);
     }
 
     @Test
-    public void theLogIsJsonWhereTheFileSaysSo() throws Exception {
-        String line = skipTo(start("log.form = \"json\"\n" + FILE), "\"serving\"");
+    public void logIsJsonIfTheFileSaysSo() throws Exception {
+        String line = skipTo(start("log.form = \"json\"\n" + FILE_CONTENT), "\"serving\"");
         assertTrue(
                 line.startsWith("{")
                         && line.contains("\"message\":\"serving\"")
--- a/src/test/java/gingerspool/daemon/HandoverTest.java
+++ b/src/test/java/gingerspool/daemon/HandoverTest.java
@@ -19,13 +19,13 @@
 import org.testng.annotations.Test;
 
 /** Two daemons of one scheduler beside each other, on one address and one folder. */
-public class HandoverTest extends HandoverRig {
+public class HandoverTest extends HandoverTestBase {
     /** One figure of the first profile or worker, as the process would tell it. */
-    private static double learned(Daemon d, String name) throws Exception {
-        return ((double[]) on(d, () -> d.scheduler.estimates().get(name)))[0];
+    private static double firstEstimate(Daemon d, String name) throws Exception {
+        return ((double[]) onLoop(d, () -> d.scheduler.estimates().get(name)))[0];
     }
 
-    private static String done(String id) {
+    private static String doneCallback(String id) {
         String body =
                 "{\"id\":\""
                         + id
@@ -36,44 +36,44 @@
     }
 
     @Test
-    public void theSecondTakesTheClientsAndCallBacksReachWhoeverHasTheTask() throws Exception {
+    public void successorServesClientsAndCallbacksReachTheOwnerOfTheTask() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
-        Socket kept = connect(first.clients.address(), task("i1"));
-        atWorker("i1");
+        awaitReady(first);
+        int port = clientPort(first);
+        Socket kept = connect(first.clients.address(), taskRequest("i1"));
+        acceptAtWorker("i1");
         Socket calls =
                 connect(
                         first.clients.address(),
                         "POST /callback HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}");
         Bench.read(calls);
         Daemon second = start(port, false);
-        ready(second);
+        awaitReady(second);
         assertEquals(call(first, "GET", "/v1/readyz"), 503);
-        untilItListensNoMore(first);
-        Socket fresh = connect(second.clients.address(), task("i2"));
-        atWorker("i2");
+        awaitListenerClosed(first);
+        Socket fresh = connect(second.clients.address(), taskRequest("i2"));
+        acceptAtWorker("i2");
         // New connections all come to the second now, and the task of the first is told there.
-        Socket told = connect(second.clients.address(), done("i1"));
+        Socket told = connect(second.clients.address(), doneCallback("i1"));
         assertTrue(Bench.read(told).startsWith("HTTP/1.1 200 "));
         String answer = Bench.read(kept);
         assertTrue(answer.endsWith("made i1") && answer.contains("Connection: close\r\n"), answer);
-        Bench.write(calls, done("i2"));
+        Bench.write(calls, doneCallback("i2"));
         answer = Bench.read(calls);
         assertTrue(
                 answer.startsWith("HTTP/1.1 200 ") || answer.startsWith("HTTP/1.1 400 "), answer);
         answer = Bench.read(fresh);
         assertTrue(answer.endsWith("made i2") && !answer.contains("close"), answer);
-        assertEquals(healthz(port), "200");
+        assertEquals(healthStatus(port), "200");
         first.loop.submit(() -> first.beginShutdown(first.loop.now()));
         first.exitLatch.await();
-        assertEquals(healthz(port), "200");
+        assertEquals(healthStatus(port), "200");
     }
 
-    private Daemon after(Daemon before, int port) throws Exception {
+    private Daemon startSuccessor(Daemon before, int port) throws Exception {
         Daemon next = start(port, false, "'dueTimeMs':100", 5000);
-        ready(next);
-        untilItListensNoMore(before);
+        awaitReady(next);
+        awaitListenerClosed(before);
         return next;
     }
 
@@ -83,31 +83,31 @@
     @Test
     public void inAChainOfThreeWordsAndCallBacksGoAllTheWay() throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 5000);
-        ready(first);
-        int port = port(first);
-        Socket one = connect(first.clients.address(), task("i1"));
-        atWorker("i1");
-        Daemon second = after(first, port);
-        Socket two = connect(second.clients.address(), task("i2"));
-        atWorker("i2");
-        Daemon third = after(second, port);
+        awaitReady(first);
+        int port = clientPort(first);
+        Socket one = connect(first.clients.address(), taskRequest("i1"));
+        acceptAtWorker("i1");
+        Daemon second = startSuccessor(first, port);
+        Socket two = connect(second.clients.address(), taskRequest("i2"));
+        acceptAtWorker("i2");
+        Daemon third = startSuccessor(second, port);
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
         assertTrue(third.scheduler.suspended().contains("s-1"));
         assertEquals(call(third, "POST", "/v1/workers/s-1/resume"), 200);
         assertTrue(first.scheduler.suspended().isEmpty() && second.scheduler.suspended().isEmpty());
         assertTrue(
-                Bench.read(connect(third.clients.address(), done("i2")))
+                Bench.read(connect(third.clients.address(), doneCallback("i2")))
                         .startsWith("HTTP/1.1 200 "));
         assertTrue(Bench.read(two).endsWith("made i2"));
         two.close();
         long since = System.nanoTime();
-        while (on(second, second.clients::ofClients) > 0) {
+        while (onLoop(second, second.clients::ofClients) > 0) {
             assertTrue(
                     System.nanoTime() - since < 10_000_000_000L,
                     "the client's end is not seen in 10 s");
         }
         long still =
-                on(
+                onLoop(
                         second,
                         () -> {
                             second.beginShutdown(second.loop.now());
@@ -118,17 +118,17 @@
                 1,
                 "nothing is left in the middle process, but the first one's call-backs are");
         assertTrue(
-                Bench.read(connect(third.clients.address(), done("i1")))
+                Bench.read(connect(third.clients.address(), doneCallback("i1")))
                         .startsWith("HTTP/1.1 200 "));
         assertTrue(Bench.read(one).endsWith("made i1"));
         one.close();
         first.loop.submit(() -> first.beginShutdown(first.loop.now()));
         first.exitLatch.await();
         second.exitLatch.await();
-        Socket three = connect(third.clients.address(), task("i3"));
-        atWorker("i3");
+        Socket three = connect(third.clients.address(), taskRequest("i3"));
+        acceptAtWorker("i3");
         assertTrue(
-                Bench.read(connect(third.clients.address(), done("i3")))
+                Bench.read(connect(third.clients.address(), doneCallback("i3")))
                         .startsWith("HTTP/1.1 200 "));
         assertTrue(Bench.read(three).endsWith("made i3"));
     }
@@ -143,91 +143,91 @@
      * way.
      */
     @Test(dataProvider = "dueTimes")
-    public void whatWasLearnedOfTasksGoesToTheSameTasksOnly(String due, double hints)
+    public void taskEstimatesAreHandedOverOnlyForAnUnchangedProfile(String due, double hints)
             throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 5000);
-        ready(first);
-        Socket client = connect(first.clients.address(), task("i1"));
-        atWorker("i1");
-        Bench.read(connect(first.clients.address(), done("i1")));
+        awaitReady(first);
+        Socket client = connect(first.clients.address(), taskRequest("i1"));
+        acceptAtWorker("i1");
+        Bench.read(connect(first.clients.address(), doneCallback("i1")));
         assertTrue(Bench.read(client).endsWith("made i1"));
-        Daemon second = start(port(first), false, due, 5000);
-        ready(second);
-        assertEquals(learned(second, "hintsSeen"), hints);
-        assertEquals(learned(second, "answeredAt"), learned(first, "answeredAt"));
-        assertEquals(learned(second, "slots"), learned(first, "slots"));
-        untilItListensNoMore(first);
-        Socket next = connect(second.clients.address(), task("i2"));
-        atWorker("i2");
-        Bench.read(connect(second.clients.address(), done("i2")));
+        Daemon second = start(clientPort(first), false, due, 5000);
+        awaitReady(second);
+        assertEquals(firstEstimate(second, "hintsSeen"), hints);
+        assertEquals(firstEstimate(second, "answeredAt"), firstEstimate(first, "answeredAt"));
+        assertEquals(firstEstimate(second, "slots"), firstEstimate(first, "slots"));
+        awaitListenerClosed(first);
+        Socket next = connect(second.clients.address(), taskRequest("i2"));
+        acceptAtWorker("i2");
+        Bench.read(connect(second.clients.address(), doneCallback("i2")));
         assertTrue(Bench.read(next).endsWith("made i2"));
     }
 
     @Test
-    public void bansAndDrainsHoldOverAnUpgrade() throws Exception {
+    public void suspensionsAndDrainAreHandedOver() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
+        awaitReady(first);
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
         assertEquals(call(first, "POST", "/v1/scheduler/drain"), 200);
-        Daemon second = start(port(first), false);
-        ready(second);
-        assertEquals(healthz(port(second)), "503");
+        Daemon second = start(clientPort(first), false);
+        awaitReady(second);
+        assertEquals(healthStatus(clientPort(second)), "503");
         assertEquals(call(second, "POST", "/v1/workers/s-9/resume"), 404);
         assertEquals(call(second, "POST", "/v1/scheduler/activate"), 200);
-        assertEquals(healthz(port(second)), "200");
-        String early = task("i1").replace("4000", "300");
+        assertEquals(healthStatus(clientPort(second)), "200");
+        String early = taskRequest("i1").replace("4000", "300");
         assertTrue(
                 Bench.read(connect(second.clients.address(), early)).startsWith("HTTP/1.1 503 "));
         // A word at either process holds for both.
         assertEquals(call(first, "POST", "/v1/workers/s-1/resume"), 200);
-        connect(second.clients.address(), task("i2"));
-        atWorker("i2");
+        connect(second.clients.address(), taskRequest("i2"));
+        acceptAtWorker("i2");
         assertEquals(call(second, "POST", "/v1/workers/s-1/suspend"), 200);
         assertTrue(first.scheduler.suspended().contains("s-1"));
     }
 
     /** The next process finds nobody at the address, but the bans in the note hold all the same. */
     @Test
-    public void afterAKillTheBansOfTheNoteHold() throws Exception {
+    public void suspensionsInTheHandoverFileApplyAfterAKill() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
+        awaitReady(first);
+        int port = clientPort(first);
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
         first.loop.stop();
         Daemon second = start(port, true);
-        ready(second);
-        String early = task("i1").replace("4000", "300");
+        awaitReady(second);
+        String early = taskRequest("i1").replace("4000", "300");
         assertTrue(
                 Bench.read(connect(second.clients.address(), early)).startsWith("HTTP/1.1 503 "));
         assertEquals(call(second, "POST", "/v1/workers/s-1/resume"), 200);
-        connect(second.clients.address(), task("i2"));
-        atWorker("i2");
+        connect(second.clients.address(), taskRequest("i2"));
+        acceptAtWorker("i2");
     }
 
     @Test
-    public void theFirstTakesItsClientsBackIfTheSecondIsKilled() throws Exception {
+    public void predecessorServesAgainIfTheSuccessorIsKilled() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
+        awaitReady(first);
+        int port = clientPort(first);
         Daemon second = start(port, false);
-        ready(second);
+        awaitReady(second);
         CountDownLatch written = new CountDownLatch(1);
         first.fileExecutor.execute(() -> await(written));
         second.loop.stop();
-        serves(port);
+        awaitServing(port);
         // Until the note names the first again, a third would look for the second and find nobody.
         assertEquals(call(first, "GET", "/v1/readyz"), 503);
         written.countDown();
-        ready(first);
+        awaitReady(first);
         Daemon third = start(port, false);
-        ready(third);
+        awaitReady(third);
         long since = System.nanoTime();
         while (call(first, "GET", "/v1/readyz") != 503) {
             assertTrue(
                     System.nanoTime() - since < 10_000_000_000L,
                     "the first does not retire in 10 s");
         }
-        assertEquals(healthz(port), "200");
+        assertEquals(healthStatus(port), "200");
     }
 
     /**
@@ -235,14 +235,14 @@
      * alone.
      */
     @DataProvider
-    public Object[][] peers() {
+    public Object[][] unusablePredecessors() {
         return new Object[][] {
             {"closes"}, {"rubbish"}, {"another version"}, {"no list"}, {"hangs"}
         };
     }
 
-    @Test(dataProvider = "peers")
-    public void withoutAStateTheNewOneServesWithTheBansOfTheNote(String how) throws Exception {
+    @Test(dataProvider = "unusablePredecessors")
+    public void suspensionsInTheHandoverFileApplyWithoutAState(String how) throws Exception {
         try (ServerSocket peer = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             String at =
                     Address.text(new InetSocketAddress(peer.getInetAddress(), peer.getLocalPort()));
@@ -266,16 +266,16 @@
                         s,
                         "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             }
-            ready(second);
+            awaitReady(second);
             assertEquals(second.scheduler.suspended().toString(), "[s-1]");
             assertEquals(call(second, "POST", "/v1/workers/s-1/resume"), 200);
         }
     }
 
     @Test
-    public void strangersAreTurnedAwayFromTheLink() throws Exception {
+    public void handoverCallsWithoutTheTokenAreRejected() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
+        awaitReady(first);
         for (String path : List.of("join", "take", "hold", "word", "callback")) {
             Socket s =
                     connect(
@@ -292,10 +292,10 @@
 
     /** Guards the start beside a stale note that can't be read. */
     @Test
-    public void aTornNoteIsNoNote() throws Exception {
+    public void truncatedHandoverFileIsIgnored() throws Exception {
         Files.writeString(folder.resolve("gingerspool-n1.json"), "{\"v\":1,\"at\":\"127.");
         Daemon first = start(0, true);
-        ready(first);
+        awaitReady(first);
         assertFalse(first.scheduler.suspended().contains("s-1"));
     }
 
@@ -307,37 +307,37 @@
      * end: in seed 1501 the log said `left` with `listening=true` just before.
      */
     @Test
-    public void aProcessThatWasSucceededEndsOnlyOnceItsListenerHasClosed() throws Exception {
+    public void supersededProcessExitsOnlyAfterItsListenerIsClosed() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
-        takeFrom(first);
+        awaitReady(first);
+        int port = clientPort(first);
+        takeOverFrom(first);
         boolean endedTooSoon =
-                on(
+                onLoop(
                         first,
                         () -> {
                             first.beginShutdown(first.loop.now());
                             return first.exitLatch.getCount() == 0 && first.clients.listens();
                         });
         assertFalse(endedTooSoon);
-        assertEquals(healthz(port), "200");
+        assertEquals(healthStatus(port), "200");
     }
 
     /** Until its successor listens, clients go on coming to the process before it. */
     @Test
-    public void nobodyIsRefusedBeforeTheSuccessorListens() throws Exception {
+    public void predecessorAcceptsClientsUntilTheSuccessorListens() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
-        takeFrom(first);
+        awaitReady(first);
+        int port = clientPort(first);
+        takeOverFrom(first);
         long since = System.nanoTime();
         while (System.nanoTime() - since < 500_000_000L) {
-            assertEquals(healthz(port), "200");
+            assertEquals(healthStatus(port), "200");
         }
         assertTrue(
-                linkCall(first, secretOfNote(), "bound", "{\"all\":true}")
+                handoverCall(first, tokenInHandoverFile(), "bound", "{\"all\":true}")
                         .startsWith("HTTP/1.1 200 "));
-        untilItListensNoMore(first);
+        awaitListenerClosed(first);
     }
 
     /**
@@ -346,11 +346,11 @@
      * and was still there when both runs had ended. It is told who serves, and asks there.
      */
     @Test
-    public void aProcessThatComesTooLateAsksTheOneThatServes() throws Exception {
+    public void lateProcessIsReferredToTheServingOne() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
-        takeFrom(first);
+        awaitReady(first);
+        int port = clientPort(first);
+        takeOverFrom(first);
         Daemon late = start(port, true);
         discovery.setSoTimeout(5000);
         String asked = "";
@@ -361,21 +361,26 @@
             asked = Bench.read(s);
         }
         assertTrue(asked.contains("X-Token: of the successor\r\n"), asked);
-        assertFalse(on(late, late.clients::listens));
+        assertFalse(onLoop(late, late.clients::listens));
     }
 
     /** Whoever starts a process ends all that it started before, so the last one has to serve. */
     @Test
-    public void ofTwoTheOneThatStartedLaterServes() throws Exception {
+    public void joinOfAnOlderProcessIsRefused() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        String answer = linkCall(first, secretOfNote(), "join", JOIN + ",\"started\":1000}");
+        awaitReady(first);
+        String answer =
+                handoverCall(
+                        first,
+                        tokenInHandoverFile(),
+                        "join",
+                        JOIN_BODY_START + ",\"started\":1000}");
         assertTrue(answer.startsWith("HTTP/1.1 410 "), answer);
         assertEquals(call(first, "GET", "/v1/readyz"), 200);
     }
 
     @Test
-    public void aProcessThatALaterOneHasOvertakenEnds() throws Exception {
+    public void processOlderThanTheServingOneExits() throws Exception {
         try (ServerSocket peer = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             String at = "127.0.0.1:" + peer.getLocalPort();
             Files.writeString(
@@ -390,22 +395,22 @@
             Bench.write(s, "HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n");
             assertTrue(overtaken.exitLatch.await(10, TimeUnit.SECONDS));
             assertEquals(overtaken.exitCode, 1);
-            assertFalse(on(overtaken, overtaken.clients::listens));
+            assertFalse(onLoop(overtaken, overtaken.clients::listens));
         }
     }
 
     /** SIGTERM comes in the middle of taking over: the process must take nothing any more. */
     @Test
-    public void aProcessThatIsToEndBeforeItServesTakesNothingOver() throws Exception {
+    public void processShutDownBeforeItServesTakesNothingOver() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
+        awaitReady(first);
+        int port = clientPort(first);
         Daemon second = start(port, false);
         second.loop.submit(() -> second.beginShutdown(second.loop.now()));
         assertTrue(second.exitLatch.await(10, TimeUnit.SECONDS));
-        assertEquals(healthz(port), "200");
-        ready(first);
-        assertFalse(on(second, second.clients::listens));
+        assertEquals(healthStatus(port), "200");
+        awaitReady(first);
+        assertFalse(onLoop(second, second.clients::listens));
     }
 
     /**
@@ -414,17 +419,17 @@
      * ended. It asks again, and takes those who wait as soon as it may.
      */
     @Test
-    public void whatTheProcessBeforeGivesUpIsUsedAtOnce() throws Exception {
+    public void descriptorsFreedByThePredecessorAreUsedAtOnce() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
+        awaitReady(first);
+        int port = clientPort(first);
         List<Socket> held = new ArrayList<>();
         for (int i = 0; i < first.node.sockets; i++) {
             held.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
         Daemon second = start(port, false);
-        ready(second);
-        untilItListensNoMore(first);
+        awaitReady(second);
+        awaitListenerClosed(first);
         // One more than it may hold beside what the first holds, each busy with its request.
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
--- a/src/test/java/gingerspool/daemon/HandoverRig.java
+++ b/src/test/java/gingerspool/daemon/HandoverTestBase.java
@@ -25,7 +25,7 @@
  * Daemons of one scheduler beside each other, on one address and one folder, and another process
  * that the test plays itself.
  */
-abstract class HandoverRig extends SocketTestBase {
+abstract class HandoverTestBase extends SocketTestBase {
     final List<Daemon> daemons = new ArrayList<>();
     Path folder;
 
@@ -90,7 +90,7 @@
         return d;
     }
 
-    static int port(Daemon d) throws IOException {
+    static int clientPort(Daemon d) throws IOException {
         return ((InetSocketAddress) d.clients.address()).getPort();
     }
 
@@ -104,7 +104,7 @@
     }
 
     /** Asks until it says yes; the time-out is far beyond what is needed. */
-    void ready(Daemon d) throws IOException {
+    void awaitReady(Daemon d) throws IOException {
         long since = System.nanoTime();
         while (call(d, "GET", "/v1/readyz") != 200) {
             assertTrue(System.nanoTime() - since < 10_000_000_000L, "not ready in 10 s");
@@ -120,18 +120,18 @@
     }
 
     /** Guards tests against the moment between two listeners: asks until clients are served. */
-    void serves(int port) throws IOException {
+    void awaitServing(int port) throws IOException {
         long since = System.nanoTime();
         for (String status = ""; !status.equals("200"); ) {
             try {
-                status = healthz(port);
+                status = healthStatus(port);
             } catch (ConnectException e) {
                 assertTrue(System.nanoTime() - since < 10_000_000_000L, "nobody listens for 10 s");
             }
         }
     }
 
-    static String task(String id) {
+    static String taskRequest(String id) {
         return "POST /p HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: "
                 + id
                 + "\r\nX-Weight-Hint: 500000\r\n"
@@ -139,13 +139,13 @@
     }
 
     /** What this says in a turn of the process. */
-    static <T> T on(Daemon d, Supplier<T> what) throws Exception {
+    static <T> T onLoop(Daemon d, Supplier<T> what) throws Exception {
         CompletableFuture<T> told = new CompletableFuture<>();
         d.loop.submit(() -> told.complete(what.get()));
         return told.get();
     }
 
-    Socket atWorker(String id) throws IOException {
+    Socket acceptAtWorker(String id) throws IOException {
         Socket s = worker.accept();
         sockets.add(s);
         s.setSoTimeout(5000);
@@ -154,7 +154,7 @@
         return s;
     }
 
-    String healthz(int port) throws IOException {
+    String healthStatus(int port) throws IOException {
         try (Socket s =
                 connect(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
@@ -164,18 +164,18 @@
     }
 
     /** Guards tests against the reset that a client may meet at the very moment of closing. */
-    void untilItListensNoMore(Daemon d) throws IOException {
+    void awaitListenerClosed(Daemon d) throws IOException {
         while (d.clients.listens()) {
             call(d, "GET", "/v1/readyz");
         }
     }
 
     /** A call of the hand-over, as another process makes it; its answer, or what came of it. */
-    String linkCall(Daemon to, String secret, String path, String body) throws IOException {
-        return Bench.read(beginLinkCall(to, secret, path, body));
+    String handoverCall(Daemon to, String secret, String path, String body) throws IOException {
+        return Bench.read(sendHandoverCall(to, secret, path, body));
     }
 
-    Socket beginLinkCall(Daemon to, String secret, String path, String body) throws IOException {
+    Socket sendHandoverCall(Daemon to, String secret, String path, String body) throws IOException {
         return connect(
                 to.management.address(),
                 "POST /v1/link/"
@@ -190,17 +190,19 @@
                         + body);
     }
 
-    String secretOfNote() throws IOException {
+    String tokenInHandoverFile() throws IOException {
         return Files.readString(folder.resolve("gingerspool-n1.json"))
                 .replaceAll("(?s).*\"token\":\"([0-9a-f]+)\".*", "$1");
     }
 
-    static final String JOIN = "{\"v\":1,\"token\":\"of the successor\",\"ask\":1";
+    static final String JOIN_BODY_START = "{\"v\":1,\"token\":\"of the successor\",\"ask\":1";
 
     /** Another process, played by the test, has the clients of this one. */
-    void takeFrom(Daemon first) throws IOException {
-        String secret = secretOfNote();
-        assertTrue(linkCall(first, secret, "join", JOIN + "}").startsWith("HTTP/1.1 200 "));
-        assertTrue(linkCall(first, secret, "take", "{\"n\":0}").startsWith("HTTP/1.1 200 "));
+    void takeOverFrom(Daemon first) throws IOException {
+        String secret = tokenInHandoverFile();
+        assertTrue(
+                handoverCall(first, secret, "join", JOIN_BODY_START + "}")
+                        .startsWith("HTTP/1.1 200 "));
+        assertTrue(handoverCall(first, secret, "take", "{\"n\":0}").startsWith("HTTP/1.1 200 "));
     }
 }
--- a/src/test/java/gingerspool/daemon/OverlappingHandoverTest.java
+++ b/src/test/java/gingerspool/daemon/OverlappingHandoverTest.java
@@ -17,15 +17,15 @@
 import org.testng.annotations.Test;
 
 /** Replacements that are late, overlap the end of a process or each other, or stop half way. */
-public class OverlappingHandoverTest extends HandoverRig {
+public class OverlappingHandoverTest extends HandoverTestBase {
     /** Operators are owed an answer by then, in nanoseconds: 1 s. */
-    private static final long ANSWER_OWED = 1_000_000_000L;
+    private static final long MAX_ANSWER_NANOS = 1_000_000_000L;
 
-    private static final long FAR_BEYOND = 10_000_000_000L;
+    private static final long AWAIT_TIMEOUT_NANOS = 10_000_000_000L;
 
     /** Operators' calls, by their paths. */
     @DataProvider
-    public Object[][] calls() {
+    public Object[][] operatorCalls() {
         return new Object[][] {
             {"/v1/workers/s-1/suspend"}, {"/v1/scheduler/drain"}, {"/v1/scheduler/activate"}
         };
@@ -36,56 +36,56 @@
      * over, and every call was answered 503 from then on (`handover.joined`, then
      * `handover.notification_failed status=0` 375 to 506 times in 8 s).
      */
-    @Test(dataProvider = "calls")
-    public void aProcessThatEndsBeforeItTakesOverHoldsNoCallUp(String path) throws Exception {
+    @Test(dataProvider = "operatorCalls")
+    public void callsSucceedAfterTheJoinedProcessEnded(String path) throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        String join = JOIN + "}";
-        linkCall(first, secretOfNote(), "join", join);
+        awaitReady(first);
+        String join = JOIN_BODY_START + "}";
+        handoverCall(first, tokenInHandoverFile(), "join", join);
         discovery.close();
         assertEquals(call(first, "POST", path), 200);
         assertEquals(call(first, "POST", path), 200);
     }
 
     /** Guards operators: the same with a process that is stopped, so that nothing refuses. */
-    @Test(dataProvider = "calls")
-    public void aProcessThatIsStoppedBeforeItTakesOverHoldsNoCallUp(String path) throws Exception {
+    @Test(dataProvider = "operatorCalls")
+    public void callSucceedsThoughTheJoinedProcessIsStopped(String path) throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        linkCall(first, secretOfNote(), "join", JOIN + "}");
+        awaitReady(first);
+        handoverCall(first, tokenInHandoverFile(), "join", JOIN_BODY_START + "}");
         long since = System.nanoTime();
         assertEquals(call(first, "POST", path), 200);
-        assertTrue(System.nanoTime() - since < ANSWER_OWED, "the answer took over 1 s");
+        assertTrue(System.nanoTime() - since < MAX_ANSWER_NANOS, "the answer took over 1 s");
         // It goes on after all: it has missed a word, so it has to ask for the state again.
-        String taken = linkCall(first, secretOfNote(), "take", "{\"n\":0}");
+        String taken = handoverCall(first, tokenInHandoverFile(), "take", "{\"n\":0}");
         assertTrue(taken.startsWith("HTTP/1.1 409 "), taken);
-        takeFrom(first);
+        takeOverFrom(first);
     }
 
     /** Guards operators: one that has taken over and is stopped costs a no, and that in time. */
     @Test
-    public void anAnswerIsInTimeThoughTheSuccessorIsStopped() throws Exception {
+    public void callIsRefusedInTimeIfTheSuccessorIsStopped() throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 700);
-        ready(first);
-        takeFrom(first);
-        Socket held = beginLinkCall(first, secretOfNote(), "hold", "");
+        awaitReady(first);
+        takeOverFrom(first);
+        Socket held = sendHandoverCall(first, tokenInHandoverFile(), "hold", "");
         long since = System.nanoTime();
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 503);
-        assertTrue(System.nanoTime() - since < ANSWER_OWED, "the answer took over 1 s");
+        assertTrue(System.nanoTime() - since < MAX_ANSWER_NANOS, "the answer took over 1 s");
         held.close();
     }
 
     /** Guards operators: the call waits for a loop that is late, and its time runs meanwhile. */
     @Test
-    public void anAnswerIsInTimeThoughTheCallIsReadLate() throws Exception {
+    public void callReadLateIsRefusedInTimeIfTheSuccessorIsStopped() throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 700);
-        ready(first);
-        takeFrom(first);
-        Socket held = beginLinkCall(first, secretOfNote(), "hold", "");
+        awaitReady(first);
+        takeOverFrom(first);
+        Socket held = sendHandoverCall(first, tokenInHandoverFile(), "hold", "");
         blockLoop(first, 400);
         long since = System.nanoTime();
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 503);
-        assertTrue(System.nanoTime() - since < ANSWER_OWED, "the answer took over 1 s");
+        assertTrue(System.nanoTime() - since < MAX_ANSWER_NANOS, "the answer took over 1 s");
         held.close();
     }
 
@@ -95,21 +95,20 @@
      * seen gone.
      */
     @Test
-    public void aCallThatIsReadLateIsAYesInTimeThoughAProcessThatJoinedIsStopped()
-            throws Exception {
+    public void callReadLateSucceedsInTimeThoughTheJoinedProcessIsStopped() throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 700);
-        ready(first);
-        linkCall(first, secretOfNote(), "join", JOIN + "}");
+        awaitReady(first);
+        handoverCall(first, tokenInHandoverFile(), "join", JOIN_BODY_START + "}");
         blockLoop(first, 700);
         long since = System.nanoTime();
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
-        assertTrue(System.nanoTime() - since < ANSWER_OWED, "the answer took over 1 s");
+        assertTrue(System.nanoTime() - since < MAX_ANSWER_NANOS, "the answer took over 1 s");
     }
 
     /** A client that has come to this process and has not written its request yet. */
-    private Socket comes(Daemon to) throws Exception {
+    private Socket connectClient(Daemon to) throws Exception {
         Socket client = connect(to.clients.address(), "");
-        until(() -> on(to, to.clients::connections) > 0, "no client was accepted");
+        awaitCondition(() -> onLoop(to, to.clients::connections) > 0, "no client was accepted");
         return client;
     }
 
@@ -119,19 +118,19 @@
      * that time (`leaving.abandoned`, then the reset, 5 to 30 ms after the request).
      */
     @Test
-    public void aFirstRequestAtTheEndOfTheTimeToLeaveIsAnswered() throws Exception {
+    public void firstRequestAtTheEndOfTheShutdownPeriodIsAnswered() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        takeFrom(first);
-        Socket client = comes(first);
-        double within = on(first, () -> first.shutdownPeriod());
-        on(
+        awaitReady(first);
+        takeOverFrom(first);
+        Socket client = connectClient(first);
+        double within = onLoop(first, () -> first.shutdownPeriod());
+        onLoop(
                 first,
                 () -> {
                     first.beginShutdown(first.loop.now() - within);
                     return null;
                 });
-        Bench.write(client, task("i1"));
+        Bench.write(client, taskRequest("i1"));
         String answer = Bench.read(client);
         assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
         assertTrue(answer.contains("Connection: close\r\n"), answer);
@@ -144,30 +143,30 @@
      * says so once new connections come here. It takes clients all the while.
      */
     @Test
-    public void aProcessIsReadyOnceNewConnectionsComeToIt() throws Exception {
+    public void successorIsReadyOnceItGetsNewConnections() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
+        awaitReady(first);
+        int port = clientPort(first);
         Daemon second = start(port, false);
         CountDownLatch steered = new CountDownLatch(1);
         second.systemCallExecutor.execute(() -> await(steered));
-        until(() -> on(second, second.clients::listens), "it does not listen");
-        until(() -> "200".equals(healthz(port)), "nobody serves");
+        awaitCondition(() -> onLoop(second, second.clients::listens), "it does not listen");
+        awaitCondition(() -> "200".equals(healthStatus(port)), "nobody serves");
         assertEquals(call(second, "GET", "/v1/readyz"), 503);
         steered.countDown();
-        ready(second);
-        assertTrue(on(second, () -> second.steering.member()) >= 0);
+        awaitReady(second);
+        assertTrue(onLoop(second, () -> second.steering.member()) >= 0);
     }
 
     /** Guards operators: where connections can't be had, it is ready all the same. */
     @Test
-    public void aProcessIsReadyThoughItsClaimTakesForEver() throws Exception {
+    public void successorBecomesReadyThoughItsClaimNeverEnds() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        Daemon second = start(port(first), false);
+        awaitReady(first);
+        Daemon second = start(clientPort(first), false);
         CountDownLatch never = new CountDownLatch(1);
         second.systemCallExecutor.execute(() -> await(never));
-        ready(second);
+        awaitReady(second);
         never.countDown();
     }
 
@@ -177,40 +176,40 @@
      * stops once they all go to the third.
      */
     @Test
-    public void theFirstOfThreeStopsOnceTheThirdHasTheClients() throws Exception {
+    public void firstOfThreeStopsListeningOnceTheThirdServes() throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 5000);
-        ready(first);
-        int port = port(first);
+        awaitReady(first);
+        int port = clientPort(first);
         Daemon second = start(port, false, "'dueTimeMs':100", 5000);
         CountDownLatch steered = new CountDownLatch(1);
         second.systemCallExecutor.execute(() -> await(steered));
-        ready(second);
+        awaitReady(second);
         Daemon third = start(port, false, "'dueTimeMs':100", 5000);
-        ready(third);
-        untilItListensNoMore(first);
-        untilItListensNoMore(second);
+        awaitReady(third);
+        awaitListenerClosed(first);
+        awaitListenerClosed(second);
         steered.countDown();
-        assertEquals(healthz(port), "200");
+        assertEquals(healthStatus(port), "200");
     }
 
     /** Guards first requests: the third is killed, and the second claims anew beside the first. */
     @Test
-    public void theSecondOfThreeHasTheClientsWhenTheThirdIsKilled() throws Exception {
+    public void secondOfThreeServesAgainIfTheThirdIsKilled() throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 5000);
-        ready(first);
-        int port = port(first);
+        awaitReady(first);
+        int port = clientPort(first);
         // The first keeps a task, so it stays.
-        connect(first.clients.address(), task("i1"));
-        atWorker("i1");
+        connect(first.clients.address(), taskRequest("i1"));
+        acceptAtWorker("i1");
         Daemon second = start(port, false, "'dueTimeMs':100", 5000);
-        ready(second);
+        awaitReady(second);
         Daemon third = start(port, false, "'dueTimeMs':100", 5000);
-        ready(third);
+        awaitReady(third);
         third.loop.stop();
-        ready(second);
-        untilItListensNoMore(first);
-        assertEquals(healthz(port), "200");
-        assertTrue(on(second, second.clients::listens));
+        awaitReady(second);
+        awaitListenerClosed(first);
+        assertEquals(healthStatus(port), "200");
+        assertTrue(onLoop(second, second.clients::listens));
     }
 
     /**
@@ -218,20 +217,20 @@
      * of its successor, after which a third may have come. It must not name itself in the file.
      */
     @Test
-    public void aProcessThatIsToEndDoesNotNameItselfAgain() throws Exception {
+    public void processShuttingDownDoesNotRewriteTheHandoverFile() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
-        takeFrom(first);
-        String secret = secretOfNote();
-        Socket held = beginLinkCall(first, secret, "hold", "");
+        awaitReady(first);
+        int port = clientPort(first);
+        takeOverFrom(first);
+        String secret = tokenInHandoverFile();
+        Socket held = sendHandoverCall(first, secret, "hold", "");
         Path note = folder.resolve("gingerspool-n1.json");
         String ofThird = Files.readString(note).replace(secret, "00ff");
         Files.writeString(note, ofThird);
-        Socket client = comes(first);
+        Socket client = connectClient(first);
         first.loop.submit(() -> first.beginShutdown(first.loop.now()));
         held.close();
-        until(() -> "503".equals(healthz(port)), "it is not alone");
+        awaitCondition(() -> "503".equals(healthStatus(port)), "it is not alone");
         first.fileExecutor.submit(() -> {}).get();
         assertEquals(Files.readString(note), ofThird);
         client.close();
@@ -243,38 +242,38 @@
      * served beside each other without each other's bans (soak, seed 18).
      */
     @Test(invocationCount = 5)
-    public void ofTwoThatStartAtOnceWithoutTheOneBeforeOneAsksTheOther() throws Exception {
+    public void oneOfTwoProcessesStartedAtOnceAfterAKillJoinsTheOther() throws Exception {
         Daemon gone = start(0, true);
-        ready(gone);
-        int port = port(gone);
+        awaitReady(gone);
+        int port = clientPort(gone);
         gone.loop.stop();
-        thereIsOneSchedulerOf(List.of(start(port, true), start(port, true)));
+        assertActAsOneScheduler(List.of(start(port, true), start(port, true)));
     }
 
     /** Guards against the same where no process was before them: no file names one. */
     @Test(invocationCount = 5)
-    public void ofTwoThatStartAtOnceInAnEmptyFolderOneAsksTheOther() throws Exception {
+    public void oneOfTwoProcessesStartedAtOnceInAnEmptyFolderJoinsTheOther() throws Exception {
         int port = Ports.free("127.0.0.1");
-        thereIsOneSchedulerOf(List.of(start(port, true), start(port, true)));
+        assertActAsOneScheduler(List.of(start(port, true), start(port, true)));
     }
 
     /** Both listen, one is ready, and each tells the other what operators say. */
-    private void thereIsOneSchedulerOf(List<Daemon> both) throws Exception {
+    private void assertActAsOneScheduler(List<Daemon> both) throws Exception {
         for (Daemon each : both) {
-            until(() -> on(each, each.clients::listens), "it does not listen");
+            awaitCondition(() -> onLoop(each, each.clients::listens), "it does not listen");
         }
-        until(() -> serving(both) == 1, "not just one of them is ready");
+        awaitCondition(() -> countReady(both) == 1, "not just one of them is ready");
         for (Daemon each : both) {
             int wanted = call(each, "GET", "/v1/readyz");
             assertEquals(call(each, "POST", "/v1/workers/s-1/suspend"), 200, "ready: " + wanted);
             for (Daemon other : both) {
-                assertTrue(on(other, () -> other.scheduler.suspended().contains("s-1")));
+                assertTrue(onLoop(other, () -> other.scheduler.suspended().contains("s-1")));
             }
             assertEquals(call(each, "POST", "/v1/workers/s-1/resume"), 200);
         }
     }
 
-    private int serving(List<Daemon> all) throws IOException {
+    private int countReady(List<Daemon> all) throws IOException {
         int serving = 0;
         for (Daemon each : all) {
             serving += call(each, "GET", "/v1/readyz") == 200 ? 1 : 0;
@@ -284,11 +283,11 @@
 
     /** Guards operators: the successor is killed while a call is told to it, and it is not owed. */
     @Test
-    public void aCallThatCrossesTheEndOfTheSuccessorIsAYes() throws Exception {
+    public void callSucceedsIfTheSuccessorEndsMeanwhile() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        takeFrom(first);
-        Socket held = beginLinkCall(first, secretOfNote(), "hold", "");
+        awaitReady(first);
+        takeOverFrom(first);
+        Socket held = sendHandoverCall(first, tokenInHandoverFile(), "hold", "");
         discovery.close();
         first.loop.submit(() -> first.loop.schedule(20, () -> close(held)));
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
@@ -299,11 +298,11 @@
      * Each call was answered 503 for the 2 s until the first saw it (26 times in a play of
      * dayToDayKeepsAllRules, found by the rule OPERATORS).
      */
-    @Test(dataProvider = "calls")
-    public void aProcessThatEndsRightAfterItTookOverHoldsNoCallUp(String path) throws Exception {
+    @Test(dataProvider = "operatorCalls")
+    public void callSucceedsIfTheSuccessorEndedBeforeItsHoldCall(String path) throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        takeFrom(first);
+        awaitReady(first);
+        takeOverFrom(first);
         discovery.close();
         assertEquals(call(first, "POST", path), 200);
         assertEquals(call(first, "GET", "/v1/readyz"), 200);
@@ -313,15 +312,15 @@
      * Guards operators: a disk that takes its time holds no call up. A new process answered `drain`
      * 503 after 960 ms, with no word that failed (soak, seed 91022 at a load of 30).
      */
-    @Test(dataProvider = "calls")
-    public void anAnswerIsInTimeThoughTheFileIsNotWritten(String path) throws Exception {
+    @Test(dataProvider = "operatorCalls")
+    public void callIsAnsweredInTimeThoughTheFileIsNotWritten(String path) throws Exception {
         Daemon first = start(0, true);
-        ready(first);
+        awaitReady(first);
         CountDownLatch written = new CountDownLatch(1);
         first.fileExecutor.execute(() -> await(written));
         long since = System.nanoTime();
         assertEquals(call(first, "POST", path), 200);
-        assertTrue(System.nanoTime() - since < ANSWER_OWED, "the answer took over 1 s");
+        assertTrue(System.nanoTime() - since < MAX_ANSWER_NANOS, "the answer took over 1 s");
         written.countDown();
     }
 
@@ -337,10 +336,10 @@
         boolean holds() throws Exception;
     }
 
-    private static void until(Condition condition, String otherwise) throws Exception {
+    private static void awaitCondition(Condition condition, String otherwise) throws Exception {
         long since = System.nanoTime();
         while (!condition.holds()) {
-            assertTrue(System.nanoTime() - since < FAR_BEYOND, otherwise + " in 10 s");
+            assertTrue(System.nanoTime() - since < AWAIT_TIMEOUT_NANOS, otherwise + " in 10 s");
         }
     }
 }
--- a/src/test/java/gingerspool/daemon/ServeTest.java
+++ b/src/test/java/gingerspool/daemon/ServeTest.java
@@ -26,11 +26,11 @@
  * A whole daemon on loopback sockets; the test itself stands in for client, worker and discovery.
  */
 public class ServeTest {
-    private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
-    private static final String NEVER_RAN =
+    private static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+    private static final String UNPROCESSED =
             "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n" + "Content-Length: 0\r\n\r\n";
 
-    private final List<Socket> clients = new ArrayList<>();
+    private final List<Socket> sockets = new ArrayList<>();
     private ServerSocket worker;
     private ServerSocket discovery;
     private Daemon daemon;
@@ -71,29 +71,29 @@
             daemon.loop.stop();
             daemon = null;
         }
-        for (Socket s : clients) {
+        for (Socket s : sockets) {
             s.close();
         }
-        clients.clear();
+        sockets.clear();
         worker.close();
         discovery.close();
     }
 
-    private Socket client() throws IOException {
+    private Socket connectClient() throws IOException {
         Socket s = new Socket();
-        clients.add(s);
+        sockets.add(s);
         s.connect((InetSocketAddress) daemon.clients.address());
         s.setSoTimeout(5000);
         return s;
     }
 
-    private Socket say(String text) throws IOException {
-        Socket s = client();
+    private Socket sendRequest(String text) throws IOException {
+        Socket s = connectClient();
         Bench.write(s, text);
         return s;
     }
 
-    private static String task(String id, int timeLeft) {
+    private static String taskRequest(String id, int timeLeft) {
         return "POST /p HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: "
                 + id
                 + "\r\nX-Service-Class: p\r\n"
@@ -102,7 +102,7 @@
                 + "\r\nContent-Length: 2\r\n\r\nhi";
     }
 
-    private String callBack(String id, String from, String state) throws IOException {
+    private String sendCallback(String id, String from, String state) throws IOException {
         String body =
                 "{\"id\":\""
                         + id
@@ -112,7 +112,7 @@
                         + state
                         + "\",\"result\":\"made \\u00e9\"}";
         return Bench.read(
-                say(
+                sendRequest(
                         "POST /callback HTTP/1.1\r\nContent-Length: "
                                 + body.length()
                                 + "\r\n\r\n"
@@ -120,9 +120,9 @@
     }
 
     /** Takes the next connection at the worker, reads a request there and answers it. */
-    private Socket work(String answer) throws IOException {
+    private Socket acceptAtWorker(String answer) throws IOException {
         Socket s = worker.accept();
-        clients.add(s);
+        sockets.add(s);
         s.setSoTimeout(5000);
         assertTrue(Bench.read(s).startsWith("POST /p HTTP/1.1\r\n"));
         Bench.write(s, answer);
@@ -130,26 +130,26 @@
     }
 
     @Test
-    public void aTaskIsFinishedWithTheResultThatItsWorkerMade() throws Exception {
+    public void taskIsAnsweredWithTheResultOfItsWorker() throws Exception {
         start();
-        Socket client = say(task("i1", 3000));
-        work(TAKEN);
-        assertTrue(callBack("i1", "s-1", "done").startsWith("HTTP/1.1 200 "));
+        Socket client = sendRequest(taskRequest("i1", 3000));
+        acceptAtWorker(ACCEPTED);
+        assertTrue(sendCallback("i1", "s-1", "done").startsWith("HTTP/1.1 200 "));
         String answer = Bench.read(client);
         assertTrue(answer.startsWith("HTTP/1.1 200 ") && answer.endsWith("made \u00e9"), answer);
         assertTrue(
-                callBack("i1", "s-1", "done").startsWith("HTTP/1.1 200 "),
+                sendCallback("i1", "s-1", "done").startsWith("HTTP/1.1 200 "),
                 "a repeat is wanted no more");
     }
 
     @Test
-    public void aWorkersConnectionIsUsedAgain() throws Exception {
+    public void workerConnectionIsReused() throws Exception {
         start();
-        Socket client = say(task("i1", 3000));
-        Socket atWorker = work(TAKEN);
-        callBack("i1", "s-1", "done");
+        Socket client = sendRequest(taskRequest("i1", 3000));
+        Socket atWorker = acceptAtWorker(ACCEPTED);
+        sendCallback("i1", "s-1", "done");
         Bench.read(client);
-        Bench.write(client, task("i2", 3000));
+        Bench.write(client, taskRequest("i2", 3000));
         assertTrue(Bench.read(atWorker).contains("X-Correlation-Id: i2\r\n"));
     }
 
@@ -157,120 +157,122 @@
      * Found on service days: connections at rest were dropped without a word, and each cost a task.
      */
     @Test
-    public void afterOneThatBreaksLongerRestedConnectionsAreNotUsed() throws Exception {
+    public void connectionsIdleLongerThanABrokenOneAreNotReused() throws Exception {
         start();
-        Socket first = say(task("i1", 3000));
-        Socket older = work("");
-        say(task("i2", 3000));
-        Socket newer = work("");
-        Bench.write(older, TAKEN);
-        callBack("i1", "s-1", "done");
+        Socket first = sendRequest(taskRequest("i1", 3000));
+        Socket older = acceptAtWorker("");
+        sendRequest(taskRequest("i2", 3000));
+        Socket newer = acceptAtWorker("");
+        Bench.write(older, ACCEPTED);
+        sendCallback("i1", "s-1", "done");
         Bench.read(first);
-        Bench.write(newer, TAKEN);
-        callBack("i2", "s-1", "done");
+        Bench.write(newer, ACCEPTED);
+        sendCallback("i2", "s-1", "done");
         // One that breaks having rested under 6 ms shortens the rest to its least, which the other
         // may be
         // under.
         long since = System.nanoTime();
         // On one connection: new ones would make the idle ones make way, the first of all.
-        Socket other = client();
+        Socket other = connectClient();
         while (System.nanoTime() - since < 20_000_000) {
             Bench.write(other, "GET /healthz HTTP/1.1\r\n\r\n");
             Bench.read(other);
         }
-        Bench.write(first, task("i3", 3000));
+        Bench.write(first, taskRequest("i3", 3000));
         assertTrue(Bench.read(newer).contains("X-Correlation-Id: i3\r\n"));
         newer.close();
         assertTrue(Bench.read(first).startsWith("HTTP/1.1 500 "));
-        Bench.write(first, task("i4", 3000));
-        work(TAKEN);
+        Bench.write(first, taskRequest("i4", 3000));
+        acceptAtWorker(ACCEPTED);
         assertEquals(older.getInputStream().read(), -1);
     }
 
     @Test
-    public void aCallBackOfAnotherWorkerCountsForNothing() throws Exception {
+    public void callbackOfAnotherWorkerIsIgnored() throws Exception {
         start();
-        Socket client = say(task("i1", 3000));
-        work(TAKEN);
-        callBack("i1", "s-2", "failed");
-        callBack("i1", "s-1", "done");
+        Socket client = sendRequest(taskRequest("i1", 3000));
+        acceptAtWorker(ACCEPTED);
+        sendCallback("i1", "s-2", "failed");
+        sendCallback("i1", "s-1", "done");
         assertTrue(Bench.read(client).startsWith("HTTP/1.1 200 "));
     }
 
     @Test
-    public void twoRequestsInOneSegmentAreAnsweredInTurn() throws Exception {
+    public void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         start();
-        Socket client = say(task("i1", 3000) + "GET /healthz HTTP/1.1\r\n\r\n");
-        work(TAKEN);
-        callBack("i1", "s-1", "done");
+        Socket client = sendRequest(taskRequest("i1", 3000) + "GET /healthz HTTP/1.1\r\n\r\n");
+        acceptAtWorker(ACCEPTED);
+        sendCallback("i1", "s-1", "done");
         assertTrue(Bench.read(client).endsWith("made \u00e9"));
         assertTrue(Bench.read(client).endsWith("ready\n"));
     }
 
     /** Guards rule two: a worker that ends before its answer may have run the task. */
     @Test
-    public void aConnectionThatEndsBeforeItsAnswerAbandonsASideEffectingTask() throws Exception {
+    public void connectionClosedBeforeTheResponseAbandonsASideEffectingTask() throws Exception {
         start();
-        Socket client = say(task("i1", 3000));
-        work("").close();
+        Socket client = sendRequest(taskRequest("i1", 3000));
+        acceptAtWorker("").close();
         assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
     }
 
     @Test
-    public void aWorkerThatCannotBeReachedBounces() throws Exception {
+    public void taskForAnUnreachableWorkerIsBounced() throws Exception {
         start();
         worker.close();
-        assertTrue(Bench.read(say(task("i1", 3000))).startsWith("HTTP/1.1 503 "));
+        assertTrue(Bench.read(sendRequest(taskRequest("i1", 3000))).startsWith("HTTP/1.1 503 "));
     }
 
     @Test
-    public void aWorkerThatTurnsAwayBounces() throws Exception {
+    public void taskThatItsWorkerRefusesIsBounced() throws Exception {
         start();
-        Socket client = say(task("i1", 3000));
-        work(NEVER_RAN);
+        Socket client = sendRequest(taskRequest("i1", 3000));
+        acceptAtWorker(UNPROCESSED);
         assertTrue(Bench.read(client).startsWith("HTTP/1.1 503 "));
     }
 
     @Test
-    public void aTaskIsGivenUpOnTheWireBeforeItsExpiry() throws Exception {
+    public void acceptedTaskIsCancelledByADeleteRequestBeforeItsExpiry() throws Exception {
         start();
-        Socket client = say(task("i1", 800));
-        Socket atWorker = work(TAKEN);
+        Socket client = sendRequest(taskRequest("i1", 800));
+        Socket atWorker = acceptAtWorker(ACCEPTED);
         assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
         assertTrue(Bench.read(atWorker).startsWith("DELETE /jobs/i1 HTTP/1.1\r\n"));
     }
 
     @Test
-    public void aTaskWithoutAnAnswerFromItsWorkerIsGivenUpByClosing() throws Exception {
+    public void taskWithoutAResponseIsCancelledByClosingItsConnection() throws Exception {
         start();
-        Socket client = say(task("i1", 800));
-        Socket atWorker = work("");
+        Socket client = sendRequest(taskRequest("i1", 800));
+        Socket atWorker = acceptAtWorker("");
         assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
         assertEquals(atWorker.getInputStream().read(), -1);
     }
 
     @Test
-    public void aClientThatLeavesIsForgotten() throws Exception {
+    public void serverKeepsServingAfterAClientDisconnects() throws Exception {
         start();
-        Socket client = say(task("i1", 3000));
-        work(TAKEN);
+        Socket client = sendRequest(taskRequest("i1", 3000));
+        acceptAtWorker(ACCEPTED);
         client.close();
-        assertTrue(callBack("i1", "s-1", "done").startsWith("HTTP/1.1 200 "));
-        assertTrue(Bench.read(say("GET /healthz HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 200 "));
+        assertTrue(sendCallback("i1", "s-1", "done").startsWith("HTTP/1.1 200 "));
+        assertTrue(
+                Bench.read(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
+                        .startsWith("HTTP/1.1 200 "));
     }
 
     /** Found on days when clients go away: workers spent a seventh of their time in vain. */
     @Test
-    public void aTaskWhoseClientLeavesIsGivenUpOnTheWire() throws Exception {
+    public void taskOfADisconnectedClientIsCancelled() throws Exception {
         start("'maxOpen':9", "'maxOpen':9,'cancelling':true");
-        Socket client = say(task("i1", 3000));
-        Socket atWorker = work(TAKEN);
+        Socket client = sendRequest(taskRequest("i1", 3000));
+        Socket atWorker = acceptAtWorker(ACCEPTED);
         client.close();
         assertTrue(Bench.read(atWorker).startsWith("DELETE /jobs/i1 HTTP/1.1\r\n"));
     }
 
     @DataProvider
-    public Object[][] bad() {
+    public Object[][] badRequests() {
         String post = "POST /p HTTP/1.1\r\n";
         return new Object[][] {
             {"nonsense\r\n\r\n", 400},
@@ -297,20 +299,24 @@
         };
     }
 
-    @Test(dataProvider = "bad")
-    public void badInputIsAnsweredAndTheNextIsServed(String text, int status) throws Exception {
+    @Test(dataProvider = "badRequests")
+    public void badRequestIsAnsweredAndTheNextOneIsServed(String text, int status)
+            throws Exception {
         start();
-        String answer = Bench.read(say(text));
+        String answer = Bench.read(sendRequest(text));
         assertTrue(answer.startsWith("HTTP/1.1 " + status + " "), answer);
         assertEquals(answer.contains("\r\nAllow: "), status == 405, answer);
-        assertTrue(Bench.read(say("GET /healthz HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 200 "));
+        assertTrue(
+                Bench.read(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
+                        .startsWith("HTTP/1.1 200 "));
     }
 
     @Test
-    public void aClientThatAsksFirstIsToldToGoOn() throws Exception {
+    public void expectContinueIsAnswered() throws Exception {
         start();
         Socket client =
-                say("POST /callback HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
+                sendRequest(
+                        "POST /callback HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
         assertTrue(Bench.read(client).startsWith("HTTP/1.1 100 "));
         Bench.write(client, "{}");
         assertTrue(Bench.read(client).startsWith("HTTP/1.1 400 "));
@@ -320,30 +326,31 @@
      * Guards rule two: the second word that a task was handed back may be the first one's repeat.
      */
     @Test
-    public void aTaskHandedBackTwiceByOneWorkerIsAbandoned() throws Exception {
+    public void taskReturnedTwiceByOneWorkerIsAbandoned() throws Exception {
         start("'dueTimeMs':100", "'dueTimeMs':600");
-        Socket client = say(task("i1", 3000).replace("X-Weight-Hint: 10000\r\n", ""));
-        Socket atWorker = work(TAKEN);
-        callBack("i1", "s-1", "returned");
+        Socket client =
+                sendRequest(taskRequest("i1", 3000).replace("X-Weight-Hint: 10000\r\n", ""));
+        Socket atWorker = acceptAtWorker(ACCEPTED);
+        sendCallback("i1", "s-1", "returned");
         assertTrue(Bench.read(atWorker).contains("X-Correlation-Id: i1\r\n"));
-        callBack("i1", "s-1", "returned");
+        sendCallback("i1", "s-1", "returned");
         assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
     }
 
     @Test
-    public void anIdInHandIsTurnedDown() throws Exception {
+    public void idOfATaskInProgressIsRejected() throws Exception {
         start();
-        say(task("i1", 3000));
-        work(TAKEN);
-        assertTrue(Bench.read(say(task("i1", 3000))).startsWith("HTTP/1.1 400 "));
+        sendRequest(taskRequest("i1", 3000));
+        acceptAtWorker(ACCEPTED);
+        assertTrue(Bench.read(sendRequest(taskRequest("i1", 3000))).startsWith("HTTP/1.1 400 "));
     }
 
     @Test
-    public void beyondTheMostTasksTheDoorRefuses() throws Exception {
+    public void tasksBeyondTheOpenLimitAreRefused() throws Exception {
         start("'maxOpen':9", "'maxOpen':1");
-        say(task("i1", 3000));
-        work(TAKEN);
-        assertTrue(Bench.read(say(task("i2", 3000))).startsWith("HTTP/1.1 503 "));
+        sendRequest(taskRequest("i1", 3000));
+        acceptAtWorker(ACCEPTED);
+        assertTrue(Bench.read(sendRequest(taskRequest("i2", 3000))).startsWith("HTTP/1.1 503 "));
     }
 
     /**
@@ -351,10 +358,10 @@
      * in.
      */
     @Test
-    public void idleConnectionsMakeWay() throws Exception {
+    public void idleConnectionsAreClosedForNewOnes() throws Exception {
         start("'sockets':128", "'sockets':64");
         for (int i = 0; i < 20; i++) {
-            String answer = Bench.read(say("GET /healthz HTTP/1.1\r\n\r\n"));
+            String answer = Bench.read(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"));
             assertTrue(answer.startsWith("HTTP/1.1 200 "), "connection " + i);
         }
         assertTrue(daemon.clients.connections() <= 12);
@@ -364,13 +371,15 @@
      * Found with a limit lower than the one told: the door held what it had and answered nobody.
      */
     @Test
-    public void outOfDescriptorsIdleConnectionsMakeWay() throws Exception {
+    public void idleConnectionsAreClosedWhenOutOfDescriptors() throws Exception {
         start();
         for (int i = 0; i < 16; i++) {
-            Bench.read(say("GET /healthz HTTP/1.1\r\n\r\n"));
+            Bench.read(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"));
         }
         daemon.loop.submit(daemon.clients::outOfDescriptors);
-        assertTrue(Bench.read(say("GET /healthz HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 200 "));
+        assertTrue(
+                Bench.read(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
+                        .startsWith("HTTP/1.1 200 "));
         assertTrue(
                 daemon.clients.connections() <= 14, daemon.clients.connections() + " connections");
     }
@@ -380,10 +389,10 @@
      * missed.
      */
     @Test
-    public void theListIsFollowedFromTheVersionKnown() throws Exception {
+    public void listIsFollowedFromTheKnownVersion() throws Exception {
         start();
         Socket watch = discovery.accept();
-        clients.add(watch);
+        sockets.add(watch);
         assertTrue(Bench.read(watch).startsWith("GET /v1/servers?follow=1&since=7 HTTP/1.1\r\n"));
         String line = "{\"seq\":8,\"whole\":true,\"hosts\":[]}\n";
         Bench.write(
@@ -395,14 +404,14 @@
         Bench.write(watch, line.substring(9) + "\r\n");
         watch.close();
         assertTrue(Bench.read(discovery.accept()).contains("since=8 "));
-        String answer = Bench.read(say(task("i1", 3000)));
+        String answer = Bench.read(sendRequest(taskRequest("i1", 3000)));
         assertTrue(answer.startsWith("HTTP/1.1 503 "), "a worker that is gone got a task");
     }
 
     /** Takes the next call for the list that comes here. */
-    private String listCall(ServerSocket from) throws IOException {
+    private String readListRequest(ServerSocket from) throws IOException {
         Socket s = from.accept();
-        clients.add(s);
+        sockets.add(s);
         s.setSoTimeout(5000);
         return Bench.read(s);
     }
@@ -412,15 +421,17 @@
         Path file = Files.createTempFile("configuration", ".json");
         Files.writeString(file, text.replace('\'', '"'));
         daemon.reload(Map.of("GW_CONFIG", file.toString()));
-        assertTrue(Bench.read(say("GET /healthz HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 200 "));
+        assertTrue(
+                Bench.read(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
+                        .startsWith("HTTP/1.1 200 "));
         Files.delete(file);
     }
 
     /** A version of another discovery says nothing of what this one has told. */
     @Test
-    public void aNewDiscoveryIsFollowedAtOnceAndTheOldWatchEnds() throws Exception {
+    public void newDiscoveryIsFollowedAtOnceAndTheOldStreamCloses() throws Exception {
         start();
-        assertTrue(listCall(discovery).contains("since=7 "));
+        assertTrue(readListRequest(discovery).contains("since=7 "));
         try (ServerSocket other = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             other.setSoTimeout(5000);
             String moved =
@@ -428,33 +439,33 @@
                             ":" + discovery.getLocalPort() + "'", ":" + other.getLocalPort() + "'");
             reload(moved);
             reload(moved);
-            assertTrue(listCall(other).contains("since=0 "));
-            assertEquals(clients.get(0).getInputStream().read(), -1);
+            assertTrue(readListRequest(other).contains("since=0 "));
+            assertEquals(sockets.get(0).getInputStream().read(), -1);
             daemon.loop.submit(daemon.scheduler::watchList);
-            clients.get(clients.size() - 1).close();
+            sockets.get(sockets.size() - 1).close();
             assertTrue(
-                    listCall(other).contains("since=0 "),
+                    readListRequest(other).contains("since=0 "),
                     "only a watch that ended is opened again");
         }
     }
 
     @Test
-    public void aConfigurationThatCannotBeReadAgainChangesNothing() throws Exception {
+    public void invalidConfigurationOnReloadChangesNothing() throws Exception {
         start();
         Socket watch = discovery.accept();
-        clients.add(watch);
+        sockets.add(watch);
         Bench.read(watch);
         reload("{'discovery':");
         reload(node.replace("'seed'", "'sead'"));
         reload(node);
         Bench.write(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
         watch.close();
-        assertTrue(listCall(discovery).contains("since=7 "));
+        assertTrue(readListRequest(discovery).contains("since=7 "));
     }
 
     /** Found in service: a signal came that Java programs end on. */
     @Test
-    public void hangupDoesNotEndTheProgram() throws Exception {
+    public void sighupDoesNotEndTheProcess() throws Exception {
         Path file = Files.createTempFile("configuration", ".json");
         Files.writeString(
                 file,
@@ -491,14 +502,13 @@
     }
 
     @Test
-    public void aWorkerThatDrainsLosesItsRestingConnectionsWhateverElseTheListSays()
-            throws Exception {
+    public void drainingWorkerLosesItsIdleConnectionsDespiteInvalidListEntries() throws Exception {
         start();
         Socket watch = discovery.accept();
-        clients.add(watch);
-        Socket client = say(task("i1", 3000));
-        Socket atWorker = work(TAKEN);
-        callBack("i1", "s-1", "done");
+        sockets.add(watch);
+        Socket client = sendRequest(taskRequest("i1", 3000));
+        Socket atWorker = acceptAtWorker(ACCEPTED);
+        sendCallback("i1", "s-1", "done");
         Bench.read(client);
         String line =
                 "{\"seq\":8,\"whole\":false,\"hosts\":[{},7,{\"host\":\"s-2\",\"dial\":\"nowhere\"},"
@@ -514,13 +524,15 @@
     }
 
     @Test
-    public void whoIsToLeaveAnswersWhatItHasAndEnds() throws Exception {
+    public void shuttingDownProcessAnswersItsTasksAndExits() throws Exception {
         start();
-        Socket client = say(task("i1", 3000));
-        work(TAKEN);
+        Socket client = sendRequest(taskRequest("i1", 3000));
+        acceptAtWorker(ACCEPTED);
         daemon.loop.submit(() -> daemon.beginShutdown(daemon.loop.now() - 2600));
-        assertTrue(Bench.read(say("GET /healthz HTTP/1.1\r\n\r\n")).startsWith("HTTP/1.1 503 "));
-        callBack("i1", "s-1", "done");
+        assertTrue(
+                Bench.read(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
+                        .startsWith("HTTP/1.1 503 "));
+        sendCallback("i1", "s-1", "done");
         String answer = Bench.read(client);
         assertTrue(
                 answer.startsWith("HTTP/1.1 200 ") && answer.contains("Connection: close\r\n"),
@@ -534,33 +546,33 @@
      * any.
      */
     @Test
-    public void whoIsToLeaveServesOnTheConnectionsThatItsClientsKeep() throws Exception {
+    public void shuttingDownProcessServesOnKeptConnections() throws Exception {
         start();
-        Socket client = say(task("i1", 3000));
-        Socket atWorker = work(TAKEN);
-        callBack("i1", "s-1", "done");
+        Socket client = sendRequest(taskRequest("i1", 3000));
+        Socket atWorker = acceptAtWorker(ACCEPTED);
+        sendCallback("i1", "s-1", "done");
         Bench.read(client);
         daemon.loop.submit(() -> daemon.beginShutdown(daemon.loop.now() - 1500));
-        Bench.write(client, task("i2", 3000));
+        Bench.write(client, taskRequest("i2", 3000));
         assertTrue(Bench.read(atWorker).contains("X-Correlation-Id: i2\r\n"));
-        Bench.write(atWorker, TAKEN);
-        callBack("i2", "s-1", "done");
+        Bench.write(atWorker, ACCEPTED);
+        sendCallback("i2", "s-1", "done");
         String answer = Bench.read(client);
         assertTrue(answer.startsWith("HTTP/1.1 200 ") && !answer.contains("close"), answer);
     }
 
     @Test
-    public void whatIsStillInHandAtTheEndIsAbandoned() throws Exception {
+    public void unfinishedTasksAreAbandonedAtTheEnd() throws Exception {
         start();
-        Socket client = say(task("i1", 3000));
-        work(TAKEN);
+        Socket client = sendRequest(taskRequest("i1", 3000));
+        acceptAtWorker(ACCEPTED);
         daemon.loop.submit(daemon.scheduler::abandonAll);
         assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
-        assertTrue(callBack("i1", "s-1", "done").startsWith("HTTP/1.1 200 "));
+        assertTrue(sendCallback("i1", "s-1", "done").startsWith("HTTP/1.1 200 "));
     }
 
     @Test
-    public void aListThatCannotBeReadEndsWithTwo() throws Exception {
+    public void unreadableListExitsWithStatusTwo() throws Exception {
         start("'hosts'", "'hasts'");
         daemon.exitLatch.await();
         assertEquals(daemon.exitCode, 2);
--- a/src/test/java/gingerspool/daemon/SignalledProcessTest.java
+++ b/src/test/java/gingerspool/daemon/SignalledProcessTest.java
@@ -30,46 +30,46 @@
     private static final long NANOS_PER_MS = 1_000_000;
 
     /** The longest expiry counts for so much, in milliseconds. */
-    private static final long LONGEST_DEADLINE = 3000;
+    private static final long MAX_EXPIRY_MS = 3000;
 
     /** SIGKILL may come so long after SIGTERM, in milliseconds. */
-    private static final long KILL_AFTER = LONGEST_DEADLINE + 700;
+    private static final long KILL_DELAY_MS = MAX_EXPIRY_MS + 700;
 
     /** The process stands still for so long with SIGTERM waiting for it, in milliseconds. */
-    private static final long STOPPED = 600;
+    private static final long STOPPED_MS = 600;
 
     /** It goes on for so long between two stops, in milliseconds. */
-    private static final long GAP = 200;
+    private static final long RESUMED_MS = 200;
 
     /** More lines than any pipe holds: 64 KiB and 100 bytes each. */
-    private static final int CALLS = 1500;
+    private static final int LOGGED_CALLS = 1500;
 
     /** A successor is taken for gone where it holds no call by then, in milliseconds. */
-    private static final long HELD_WITHIN = 2000;
+    private static final long HOLD_CALL_TIMEOUT_MS = 2000;
 
     /** Operators are owed an answer by then, in milliseconds. */
-    private static final long ANSWER_OWED = 1000;
+    private static final long MAX_ANSWER_MS = 1000;
 
     /** A call that has no answer by then is kept open, in milliseconds. */
-    private static final int KEPT_OPEN = 500;
+    private static final int OBSERVED_MS = 500;
 
     /** So much of an answer tells its status. */
-    private static final int ANSWER_START = 12;
+    private static final int STATUS_END = 12;
 
     private ServerSocket successor;
     private Path folder;
     private Process process;
-    private InetSocketAddress clients;
-    private InetSocketAddress operators;
+    private InetSocketAddress clientAddress;
+    private InetSocketAddress managementAddress;
 
     @BeforeMethod
     public void start() throws Exception {
         listen();
         successor = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         folder = Files.createTempDirectory("signalled");
-        clients = new InetSocketAddress("127.0.0.1", Ports.free("127.0.0.1"));
-        operators = new InetSocketAddress("127.0.0.1", Ports.free("127.0.0.1"));
-        Files.writeString(folder.resolve("node.json"), node());
+        clientAddress = new InetSocketAddress("127.0.0.1", Ports.free("127.0.0.1"));
+        managementAddress = new InetSocketAddress("127.0.0.1", Ports.free("127.0.0.1"));
+        Files.writeString(folder.resolve("node.json"), configuration());
         ProcessBuilder builder =
                 new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -86,20 +86,20 @@
         }
     }
 
-    private String node() {
+    private String configuration() {
         String known =
                 "'known':{'seq':7,'whole':true,'hosts':[{'host':'s-1','dial':'127.0.0.1:"
                         + worker.getLocalPort()
                         + "','site':'a','class':'m','block':0,'health':'SERVING','share':4,"
                         + "'born_ms':0}]},'settings'";
         return ConfigurationTest.NODE
-                .replace("127.0.0.1:0'", "127.0.0.1:" + clients.getPort() + "'")
+                .replace("127.0.0.1:0'", "127.0.0.1:" + clientAddress.getPort() + "'")
                 .replace(
                         "127.0.0.1:1'",
                         "127.0.0.1:"
                                 + discovery.getLocalPort()
                                 + "','management':'127.0.0.1:"
-                                + operators.getPort()
+                                + managementAddress.getPort()
                                 + "'")
                 .replace("'settings'", known)
                 .replace("'safe'", "'unsafe'")
@@ -123,7 +123,7 @@
     }
 
     private int call(String method, String path) throws IOException {
-        try (Socket s = connect(operators, method + " " + path + " HTTP/1.1\r\n\r\n")) {
+        try (Socket s = connect(managementAddress, method + " " + path + " HTTP/1.1\r\n\r\n")) {
             sockets.remove(s);
             return Integer.parseInt(Bench.read(s).substring(9, 12));
         }
@@ -143,9 +143,11 @@
      * that it leaves runs from when it was sent. What is out has its answer before SIGKILL.
      */
     @Test
-    public void whatIsOutIsAnsweredBeforeTheKillThoughSigtermCameWhileItStoodStill()
-            throws Exception {
-        Socket client = connect(clients, HandoverRig.task("i1").replace("Ms: 4000", "Ms: 5000"));
+    public void taskInFlightIsAnsweredBeforeSigkillIfStoppedAtSigterm() throws Exception {
+        Socket client =
+                connect(
+                        clientAddress,
+                        HandoverTestBase.taskRequest("i1").replace("Ms: 4000", "Ms: 5000"));
         Socket taken = worker.accept();
         sockets.add(taken);
         assertTrue(Bench.read(taken).contains("X-Correlation-Id: i1\r\n"));
@@ -153,13 +155,16 @@
         signal("STOP");
         signal("TERM");
         long terminated = System.nanoTime();
-        assertFalse(process.waitFor(STOPPED, TimeUnit.MILLISECONDS));
+        assertFalse(process.waitFor(STOPPED_MS, TimeUnit.MILLISECONDS));
         signal("CONT");
         Bench.read(client);
         long answeredAfter = msSince(terminated);
         assertTrue(
-                answeredAfter < KILL_AFTER,
-                "SIGKILL may come after " + KILL_AFTER + " ms, the answer after " + answeredAfter);
+                answeredAfter < KILL_DELAY_MS,
+                "SIGKILL may come after "
+                        + KILL_DELAY_MS
+                        + " ms, the answer after "
+                        + answeredAfter);
     }
 
     /**
@@ -169,15 +174,17 @@
      */
     @Test
     public void aRequestThatIsOverIsAnsweredBetweenTwoStops() throws Exception {
-        Socket client = connect(clients, "GET /healthz HTTP/1.1\r\n\r\n");
+        Socket client = connect(clientAddress, "GET /healthz HTTP/1.1\r\n\r\n");
         Bench.read(client);
         signal("STOP");
         Bench.write(
                 client,
-                HandoverRig.task("i1").replace("Ms: 4000", "Ms: 500").replace("500000", "10000"));
-        assertFalse(process.waitFor(STOPPED, TimeUnit.MILLISECONDS));
+                HandoverTestBase.taskRequest("i1")
+                        .replace("Ms: 4000", "Ms: 500")
+                        .replace("500000", "10000"));
+        assertFalse(process.waitFor(STOPPED_MS, TimeUnit.MILLISECONDS));
         signal("CONT");
-        assertFalse(process.waitFor(GAP, TimeUnit.MILLISECONDS));
+        assertFalse(process.waitFor(RESUMED_MS, TimeUnit.MILLISECONDS));
         signal("STOP");
         client.setSoTimeout(1);
         try {
@@ -187,12 +194,12 @@
         }
     }
 
-    private Socket link(String name, String body) throws IOException {
+    private Socket sendHandoverCall(String name, String body) throws IOException {
         String secret =
                 Files.readString(folder.resolve("gingerspool-n1.json"))
                         .replaceAll("(?s).*\"token\":\"([0-9a-f]+)\".*", "$1");
         return connect(
-                operators,
+                managementAddress,
                 "POST /v1/link/"
                         + name
                         + " HTTP/1.1\r\nX-Token: "
@@ -207,9 +214,9 @@
 
     /** The test is the successor, and has the clients. */
     private void takeOver() throws IOException {
-        String taken = Bench.read(link("join", HandoverRig.JOIN + "}"));
+        String taken = Bench.read(sendHandoverCall("join", HandoverTestBase.JOIN_BODY_START + "}"));
         assertTrue(taken.startsWith("HTTP/1.1 200 "), taken);
-        assertTrue(Bench.read(link("take", "{\"n\":0}")).startsWith("HTTP/1.1 200 "));
+        assertTrue(Bench.read(sendHandoverCall("take", "{\"n\":0}")).startsWith("HTTP/1.1 200 "));
     }
 
     /**
@@ -217,20 +224,20 @@
      * to hold its call open; it goes on and must not take the successor for gone.
      */
     @Test
-    public void aSuccessorWhoseCallIsReadLateIsNotTakenForGone() throws Exception {
+    public void successorWhoseHoldCallIsReadLateIsNotDropped() throws Exception {
         takeOver();
         signal("STOP");
-        Socket held = link("hold", "");
-        assertFalse(process.waitFor(HELD_WITHIN + 100, TimeUnit.MILLISECONDS));
+        Socket held = sendHandoverCall("hold", "");
+        assertFalse(process.waitFor(HOLD_CALL_TIMEOUT_MS + 100, TimeUnit.MILLISECONDS));
         signal("CONT");
-        held.setSoTimeout(KEPT_OPEN);
+        held.setSoTimeout(OBSERVED_MS);
         String answer;
         try {
             answer = Bench.read(held);
         } catch (SocketTimeoutException e) {
             return;
         }
-        fail("its call is not kept open: " + answer.substring(0, ANSWER_START));
+        fail("its call is not kept open: " + answer.substring(0, STATUS_END));
     }
 
     /**
@@ -238,25 +245,25 @@
      * still, goes on in time to say so.
      */
     @Test
-    public void anAcknowledgementThatIsReadLateCounts() throws Exception {
+    public void acknowledgementReadLateCounts() throws Exception {
         takeOver();
-        link("hold", "");
-        Socket caller = connect(operators, "POST /v1/workers/s-1/suspend HTTP/1.1\r\n\r\n");
+        sendHandoverCall("hold", "");
+        Socket caller = connect(managementAddress, "POST /v1/workers/s-1/suspend HTTP/1.1\r\n\r\n");
         long since = System.nanoTime();
         Socket told = successor.accept();
         sockets.add(told);
         assertTrue(Bench.read(told).startsWith("POST /v1/link/word "));
         signal("STOP");
         Bench.write(told, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        assertFalse(process.waitFor(ANSWER_OWED - 150 - msSince(since), TimeUnit.MILLISECONDS));
+        assertFalse(process.waitFor(MAX_ANSWER_MS - 150 - msSince(since), TimeUnit.MILLISECONDS));
         signal("CONT");
         assertEquals(Bench.read(caller).substring(9, 12), "200");
     }
 
     /** Guards operators and clients: a log that nobody reads holds no call up. */
     @Test
-    public void callsAreAnsweredThoughNobodyReadsTheLog() throws Exception {
-        for (int i = 0; i < CALLS; i++) {
+    public void callsAreAnsweredThoughTheLogIsNotRead() throws Exception {
+        for (int i = 0; i < LOGGED_CALLS; i++) {
             try {
                 assertEquals(call("POST", "/v1/workers/s-1/suspend"), 200);
             } catch (SocketTimeoutException e) {
@@ -267,15 +274,15 @@
 
     /** Guards whoever ends it: a log that nobody reads does not keep the process. */
     @Test
-    public void itEndsThoughNobodyReadsTheLog() throws Exception {
+    public void processExitsThoughTheLogIsNotRead() throws Exception {
         try {
-            for (int i = 0; i < CALLS; i++) {
+            for (int i = 0; i < LOGGED_CALLS; i++) {
                 call("POST", "/v1/workers/s-1/suspend");
             }
         } catch (SocketTimeoutException e) {
             // What the test above is about.
         }
         signal("TERM");
-        assertTrue(process.waitFor(KILL_AFTER, TimeUnit.MILLISECONDS), "alive after SIGTERM");
+        assertTrue(process.waitFor(KILL_DELAY_MS, TimeUnit.MILLISECONDS), "alive after SIGTERM");
     }
 }
--- a/src/test/java/gingerspool/daemon/StalledPipeTest.java
+++ b/src/test/java/gingerspool/daemon/StalledPipeTest.java
@@ -28,10 +28,10 @@
 /** A scheduler process whose standard error, or configuration file, is a pipe that stands still. */
 public class StalledPipeTest {
     /** What operators and the front are owed an answer in. */
-    private static final Duration ANSWER_WITHIN = Duration.ofSeconds(1);
+    private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(1);
 
     /** From SIGTERM to SIGKILL: the longest expiry, 3 s at most, and 0.7 s. */
-    private static final long TIME_TO_LEAVE_MS = 3_700;
+    private static final long KILL_DELAY_MS = 3_700;
 
     private static final int RELOAD_TIMEOUT_MS = 20_000;
     private static final int SIGTERM_EXIT = 143;
@@ -42,8 +42,8 @@
     private final HttpClient http = HttpClient.newHttpClient();
     private Path folder;
     private Path pipe;
-    private int clients;
-    private int operators;
+    private int clientPort;
+    private int managementPort;
     private Process process;
     private BufferedReader log;
 
@@ -53,12 +53,12 @@
         folder = Files.createTempDirectory("gingerspool");
         pipe = folder.resolve("stderr");
         assertEquals(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor(), 0);
-        clients = Ports.free(HOST);
-        operators = Ports.free(HOST);
+        clientPort = Ports.free(HOST);
+        managementPort = Ports.free(HOST);
         Files.writeString(
                 folder.resolve("node.json"),
                 ConfigurationTest.NODE
-                        .replace("127.0.0.1:0", HOST + ":" + clients)
+                        .replace("127.0.0.1:0", HOST + ":" + clientPort)
                         .replace('\'', '"'));
         // A pipe is opened for writing without waiting only while somebody has it open to read.
         RandomAccessFile both = new RandomAccessFile(pipe.toFile(), "rw");
@@ -90,7 +90,7 @@
                         "gingerspool.Main",
                         "serve");
         made.environment().put("GW_CONFIG", folder.resolve("node.json").toString());
-        made.environment().put("GW_MANAGEMENT", HOST + ":" + operators);
+        made.environment().put("GW_MANAGEMENT", HOST + ":" + managementPort);
         made.environment().remove("TMPDIR");
         return made.redirectError(pipe.toFile()).start();
     }
@@ -125,36 +125,36 @@
     private int status(int port, String method, String path) throws Exception {
         HttpRequest request =
                 HttpRequest.newBuilder(URI.create("http://" + HOST + ":" + port + path))
-                        .timeout(ANSWER_WITHIN)
+                        .timeout(ANSWER_TIMEOUT)
                         .method(method, HttpRequest.BodyPublishers.noBody())
                         .build();
         return http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
     }
 
     /** An operators' call that is logged before it is answered. */
-    private void callThatIsLogged() throws Exception {
-        assertEquals(status(operators, "POST", "/v1/scheduler/activate"), 200);
+    private void makeLoggedCall() throws Exception {
+        assertEquals(status(managementPort, "POST", "/v1/scheduler/activate"), 200);
     }
 
     @Test
-    public void requestsAreAnswered() throws Exception {
+    public void requestsAreAnsweredThoughTheLogIsNotRead() throws Exception {
         fillPipe();
-        callThatIsLogged();
-        assertEquals(status(clients, "GET", "/healthz"), 200);
+        makeLoggedCall();
+        assertEquals(status(clientPort, "GET", "/healthz"), 200);
     }
 
     @Test
     public void sigtermEndsTheProcessInTime() throws Exception {
         fillPipe();
         process.destroy();
-        assertTrue(process.waitFor(TIME_TO_LEAVE_MS, TimeUnit.MILLISECONDS), "it is still there");
+        assertTrue(process.waitFor(KILL_DELAY_MS, TimeUnit.MILLISECONDS), "it is still there");
         assertEquals(process.exitValue(), SIGTERM_EXIT);
     }
 
     @Test
-    public void whatWasLoggedMeanwhileIsWrittenOnceTheReaderGoesOn() throws Exception {
+    public void linesLoggedMeanwhileAreWrittenOnceTheReaderResumes() throws Exception {
         fillPipe();
-        callThatIsLogged();
+        makeLoggedCall();
         skipTo(" operators.call");
     }
 
@@ -168,7 +168,7 @@
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
         // It is opened for writing once the process has opened it to read.
         try (FileOutputStream writer = new FileOutputStream(file.toFile())) {
-            assertEquals(status(clients, "GET", "/healthz"), 200);
+            assertEquals(status(clientPort, "GET", "/healthz"), 200);
             writer.write(content);
         }
         skipTo(" config.reloaded");
@@ -179,6 +179,6 @@
     public void theLastLineIsWrittenBeforeTheProcessEnds() throws Exception {
         process.destroy();
         skipTo(" left");
-        assertTrue(process.waitFor(TIME_TO_LEAVE_MS, TimeUnit.MILLISECONDS), "it is still there");
+        assertTrue(process.waitFor(KILL_DELAY_MS, TimeUnit.MILLISECONDS), "it is still there");
     }
 }
--- a/src/test/java/gingerspool/daemon/StoppedWhileLeavingTest.java
+++ b/src/test/java/gingerspool/daemon/StoppedDuringShutdownTest.java
@@ -22,19 +22,19 @@
  * have read and accepted what came meanwhile: it must not close that unread. Sockets and time are
  * modelled; times are milliseconds.
  */
-public class StoppedWhileLeavingTest {
+public class StoppedDuringShutdownTest {
     /** The longest expiry, after which SIGKILL comes no sooner than `KILL_AFTER`. */
-    private static final double LONGEST_EXPIRY = 2000;
+    private static final double MAX_EXPIRY_MS = 2000;
 
-    private static final double KILL_AFTER = LONGEST_EXPIRY + 700;
+    private static final double KILL_DELAY_MS = MAX_EXPIRY_MS + 700;
 
     /** As the daemon has it: 300 are spared before the kill. */
-    private static final double TIME_TO_LEAVE = KILL_AFTER - 300;
+    private static final double SHUTDOWN_PERIOD_MS = KILL_DELAY_MS - 300;
 
-    private static final double LOOK_EVERY = ConnectionDraining.APPLY_INTERVAL_MS;
+    private static final double APPLY_INTERVAL_MS = ConnectionDraining.APPLY_INTERVAL_MS;
 
     /** The runtime's threads read and accept so long after the loop has gone on. */
-    private static final double READ_AFTER = 5;
+    private static final double READ_DELAY_MS = 5;
 
     private static final String REQUEST =
             "POST /p HTTP/1.1\r\nX-Correlation-Id: i1\r\nContent-Length: 0\r\n\r\n";
@@ -48,11 +48,11 @@
     /** A connection that has had an answer before the process was replaced. */
     private ModelSocketChannel kept;
 
-    private double leavingAt;
-    private boolean isEmptied;
+    private double shutdownAt;
+    private boolean mayExit;
 
     /** Refuses every task at once: what is tested is whether it is read at all. */
-    private static final class NoWorkers extends RequestHandlerStub
+    private static final class RefusedTasks extends RequestHandlerStub
             implements ConnectionDraining.Tasks {
         @Override
         public void arrived(TaskRequest request) {
@@ -69,68 +69,68 @@
     }
 
     @BeforeMethod
-    public void leave() throws IOException {
+    public void startShutdown() throws IOException {
         loop = new ModelChannelLoop();
         lifecycle = new ProcessLifecycle();
-        NoWorkers tasks = new NoWorkers();
+        RefusedTasks tasks = new RefusedTasks();
         clients = new ClientEndpoint(loop, new InetSocketAddress("127.0.0.1", 1), true, 100, tasks);
         clients.listen();
         clients.open();
         channel = loop.listening;
         draining = new ConnectionDraining(lifecycle, clients, tasks);
-        isEmptied = false;
+        mayExit = false;
         lifecycle.started();
-        look();
+        applyPeriodically();
         kept = channel.arrive(1);
         loop.run(1);
         kept.say("GET /healthz HTTP/1.1\r\n\r\n");
-        loop.run(LOOK_EVERY / 2);
+        loop.run(APPLY_INTERVAL_MS / 2);
         kept.answered.setLength(0);
         lifecycle.superseded(loop.now());
-        leavingAt = loop.now();
-        lifecycle.shutDown(leavingAt, TIME_TO_LEAVE);
+        shutdownAt = loop.now();
+        lifecycle.shutDown(shutdownAt, SHUTDOWN_PERIOD_MS);
     }
 
-    private void look() {
+    private void applyPeriodically() {
         draining.apply(loop.now());
-        isEmptied = lifecycle.mayExit(loop.now(), false) && draining.finishIfEmpty(loop.now());
-        if (!isEmptied) {
-            loop.schedule(LOOK_EVERY, this::look);
+        mayExit = lifecycle.mayExit(loop.now(), false) && draining.finishIfEmpty(loop.now());
+        if (!mayExit) {
+            loop.schedule(APPLY_INTERVAL_MS, this::applyPeriodically);
         }
     }
 
     /** When the process stops and goes on, counted from SIGTERM. */
     @DataProvider
     public Object[][] stops() {
-        double isOver = TIME_TO_LEAVE;
-        double isPast = TIME_TO_LEAVE + ProcessLifecycle.REFUSAL_PERIOD_MS;
+        double isOver = SHUTDOWN_PERIOD_MS;
+        double isPast = SHUTDOWN_PERIOD_MS + ProcessLifecycle.REFUSAL_PERIOD_MS;
         return new Object[][] {
             {1100, 1100 + 600},
             {isOver - 500, isOver + 50},
             {isOver - 500, isPast + 10},
             {isOver + 50, isPast + 10},
-            {isOver + 50, KILL_AFTER - 50}
+            {isOver + 50, KILL_DELAY_MS - 50}
         };
     }
 
     /** Guards first requests that came on an accepted connection while the process stood still. */
     @Test(dataProvider = "stops")
-    public void aFirstRequestIsRead(double stopped, double goesOn) {
+    public void firstRequestIsRead(double stopped, double goesOn) {
         runUntil(stopped);
         ModelSocketChannel client = channel.arrive(2);
         loop.run(1);
         client.starve(true);
         client.say(REQUEST);
-        standStillUntil(goesOn);
-        loop.run(READ_AFTER);
+        stallUntil(goesOn);
+        loop.run(READ_DELAY_MS);
         client.starve(false);
-        loop.run(LOOK_EVERY);
+        loop.run(APPLY_INTERVAL_MS);
         assertAnswered(client);
     }
 
     /** When the process stops and goes on, around the moment when it begins to close. */
     @DataProvider
-    public Object[][] stopsAtClosing() {
+    public Object[][] stopsAroundIdleClosing() {
         return new Object[][] {{900, 1000}, {700, 1000}, {700, 1700}};
     }
 
@@ -138,21 +138,21 @@
      * Guards clients that go on with a connection which they have had since before the hand-over.
      * One that is closed unread costs the client a new connection and time that it may not have.
      */
-    @Test(dataProvider = "stopsAtClosing")
-    public void aRequestOnAKeptConnectionIsRead(double stopped, double goesOn) {
+    @Test(dataProvider = "stopsAroundIdleClosing")
+    public void requestOnAKeptConnectionIsRead(double stopped, double goesOn) {
         runUntil(stopped);
         kept.starve(true);
         kept.say(REQUEST);
-        standStillUntil(goesOn);
-        loop.run(READ_AFTER);
+        stallUntil(goesOn);
+        loop.run(READ_DELAY_MS);
         kept.starve(false);
-        loop.run(LOOK_EVERY);
+        loop.run(APPLY_INTERVAL_MS);
         assertAnswered(kept);
     }
 
     /** Guards clients whose connections came while the process stood still. */
     @Test(dataProvider = "stops")
-    public void clientsInTheQueueAreTaken(double stopped, double goesOn) {
+    public void queuedClientsAreAccepted(double stopped, double goesOn) {
         runUntil(stopped);
         assertTrue(clients.listens());
         channel.starve(true);
@@ -160,10 +160,10 @@
         ModelSocketChannel second = channel.arrive(3);
         first.say(REQUEST);
         second.say(REQUEST);
-        standStillUntil(goesOn);
-        loop.run(READ_AFTER);
+        stallUntil(goesOn);
+        loop.run(READ_DELAY_MS);
         channel.starve(false);
-        loop.run(LOOK_EVERY);
+        loop.run(APPLY_INTERVAL_MS);
         assertEquals(channel.reset.size(), 0, "connections that were reset unread");
         assertAnswered(first);
         assertAnswered(second);
@@ -171,20 +171,20 @@
 
     /** Guards whoever ends the process: it ends by itself once it has gone on and nobody comes. */
     @Test(dataProvider = "stops")
-    public void itEndsSoonAfterItHasGoneOn(double stopped, double goesOn) {
+    public void processExitsSoonAfterItResumes(double stopped, double goesOn) {
         runUntil(stopped);
         channel.arrive(2);
-        standStillUntil(goesOn);
-        loop.run(KILL_AFTER + 500 - (loop.now() - leavingAt));
-        assertTrue(isEmptied);
+        stallUntil(goesOn);
+        loop.run(KILL_DELAY_MS + 500 - (loop.now() - shutdownAt));
+        assertTrue(mayExit);
     }
 
     private void runUntil(double afterSigterm) {
-        loop.run(leavingAt + afterSigterm - loop.now());
+        loop.run(shutdownAt + afterSigterm - loop.now());
     }
 
-    private void standStillUntil(double afterSigterm) {
-        loop.stall(leavingAt + afterSigterm - loop.now());
+    private void stallUntil(double afterSigterm) {
+        loop.stall(shutdownAt + afterSigterm - loop.now());
     }
 
     private void assertAnswered(ModelSocketChannel client) {
