--- a/src/test/java/gingerspool/daemon/HandoverTest.java
+++ b/src/test/java/gingerspool/daemon/HandoverTest.java
@@ -18,13 +18,17 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Two daemons of one scheduler beside each other, on one address and one folder. */
+/**
+ * A hand-over between daemons of one scheduler, from the start of the successor to the exit of the
+ * predecessor. The daemons use loopback sockets and share an address and a hand-over folder.
+ */
 public class HandoverTest extends HandoverTestBase {
-    /** One figure of the first profile or worker, as the process would tell it. */
+    /** One estimate of the first profile or worker, as the process would hand it over. */
     private static double firstEstimate(Daemon d, String name) throws Exception {
         return ((double[]) onLoop(d, () -> d.scheduler.estimates().get(name)))[0];
     }
 
+    /** The worker's callback of a finished task. */
     private static String doneCallback(String id) {
         String body =
                 "{\"id\":\""
@@ -40,29 +44,29 @@
         Daemon first = start(0, true);
         awaitReady(first);
         int port = clientPort(first);
-        Socket kept = connect(first.clients.address(), taskRequest("i1"));
+        Socket firstClient = connect(first.clients.address(), taskRequest("i1"));
         acceptAtWorker("i1");
-        Socket calls =
+        Socket callbacks =
                 connect(
                         first.clients.address(),
                         "POST /callback HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}");
-        Bench.read(calls);
+        Bench.read(callbacks);
         Daemon second = start(port, false);
         awaitReady(second);
         assertEquals(call(first, "GET", "/v1/readyz"), 503);
         awaitListenerClosed(first);
-        Socket fresh = connect(second.clients.address(), taskRequest("i2"));
+        Socket secondClient = connect(second.clients.address(), taskRequest("i2"));
         acceptAtWorker("i2");
-        // New connections all come to the second now, and the task of the first is told there.
-        Socket told = connect(second.clients.address(), doneCallback("i1"));
-        assertTrue(Bench.read(told).startsWith("HTTP/1.1 200 "));
-        String answer = Bench.read(kept);
+        // All new connections go to the second, also the callback for the first one's task.
+        Socket lateCallback = connect(second.clients.address(), doneCallback("i1"));
+        assertTrue(Bench.read(lateCallback).startsWith("HTTP/1.1 200 "));
+        String answer = Bench.read(firstClient);
         assertTrue(answer.endsWith("made i1") && answer.contains("Connection: close\r\n"), answer);
-        Bench.write(calls, doneCallback("i2"));
-        answer = Bench.read(calls);
+        Bench.write(callbacks, doneCallback("i2"));
+        answer = Bench.read(callbacks);
         assertTrue(
                 answer.startsWith("HTTP/1.1 200 ") || answer.startsWith("HTTP/1.1 400 "), answer);
-        answer = Bench.read(fresh);
+        answer = Bench.read(secondClient);
         assertTrue(answer.endsWith("made i2") && !answer.contains("close"), answer);
         assertEquals(healthStatus(port), "200");
         first.loop.submit(() -> first.beginShutdown(first.loop.now()));
@@ -70,25 +74,27 @@
         assertEquals(healthStatus(port), "200");
     }
 
-    private Daemon startSuccessor(Daemon before, int port) throws Exception {
-        Daemon next = start(port, false, "'dueTimeMs':100", 5000);
-        awaitReady(next);
-        awaitListenerClosed(before);
-        return next;
+    /** Starts a daemon and waits until it has taken over from this one. */
+    private Daemon startSuccessor(Daemon predecessor, int port) throws Exception {
+        Daemon successor = start(port, false, "'dueTimeMs':100", 5000);
+        awaitReady(successor);
+        awaitListenerClosed(predecessor);
+        return successor;
     }
 
     /**
-     * Two upgrades within the time of a task: words and call-backs pass through the middle process.
+     * Two upgrades during one task: operators' commands and callbacks pass through the process in
+     * the middle.
      */
     @Test
     public void inAChainOfThreeWordsAndCallBacksGoAllTheWay() throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 5000);
         awaitReady(first);
         int port = clientPort(first);
-        Socket one = connect(first.clients.address(), taskRequest("i1"));
+        Socket firstClient = connect(first.clients.address(), taskRequest("i1"));
         acceptAtWorker("i1");
         Daemon second = startSuccessor(first, port);
-        Socket two = connect(second.clients.address(), taskRequest("i2"));
+        Socket secondClient = connect(second.clients.address(), taskRequest("i2"));
         acceptAtWorker("i2");
         Daemon third = startSuccessor(second, port);
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
@@ -98,15 +104,15 @@
         assertTrue(
                 Bench.read(connect(third.clients.address(), doneCallback("i2")))
                         .startsWith("HTTP/1.1 200 "));
-        assertTrue(Bench.read(two).endsWith("made i2"));
-        two.close();
+        assertTrue(Bench.read(secondClient).endsWith("made i2"));
+        secondClient.close();
         long since = System.nanoTime();
         while (onLoop(second, second.clients::ofClients) > 0) {
             assertTrue(
                     System.nanoTime() - since < 10_000_000_000L,
-                    "the client's end is not seen in 10 s");
+                    "the client's disconnection is not noticed within 10 s");
         }
-        long still =
+        long exitLatchCount =
                 onLoop(
                         second,
                         () -> {
@@ -114,23 +120,23 @@
                             return second.exitLatch.getCount();
                         });
         assertEquals(
-                still,
+                exitLatchCount,
                 1,
-                "nothing is left in the middle process, but the first one's call-backs are");
+                "the process in the middle must stay for the first one's callbacks");
         assertTrue(
                 Bench.read(connect(third.clients.address(), doneCallback("i1")))
                         .startsWith("HTTP/1.1 200 "));
-        assertTrue(Bench.read(one).endsWith("made i1"));
-        one.close();
+        assertTrue(Bench.read(firstClient).endsWith("made i1"));
+        firstClient.close();
         first.loop.submit(() -> first.beginShutdown(first.loop.now()));
         first.exitLatch.await();
         second.exitLatch.await();
-        Socket three = connect(third.clients.address(), taskRequest("i3"));
+        Socket thirdClient = connect(third.clients.address(), taskRequest("i3"));
         acceptAtWorker("i3");
         assertTrue(
                 Bench.read(connect(third.clients.address(), doneCallback("i3")))
                         .startsWith("HTTP/1.1 200 "));
-        assertTrue(Bench.read(three).endsWith("made i3"));
+        assertTrue(Bench.read(thirdClient).endsWith("made i3"));
     }
 
     @DataProvider
@@ -139,28 +145,28 @@
     }
 
     /**
-     * A move: the next process has the same tasks, or others. What is of machines goes along either
-     * way.
+     * The successor has the same profile, or one with another due time. The estimates about workers
+     * are handed over in both cases.
      */
     @Test(dataProvider = "dueTimes")
-    public void taskEstimatesAreHandedOverOnlyForAnUnchangedProfile(String due, double hints)
-            throws Exception {
+    public void taskEstimatesAreHandedOverOnlyForAnUnchangedProfile(
+            String dueTimeSetting, double expectedHintsSeen) throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 5000);
         awaitReady(first);
-        Socket client = connect(first.clients.address(), taskRequest("i1"));
+        Socket firstClient = connect(first.clients.address(), taskRequest("i1"));
         acceptAtWorker("i1");
         Bench.read(connect(first.clients.address(), doneCallback("i1")));
-        assertTrue(Bench.read(client).endsWith("made i1"));
-        Daemon second = start(clientPort(first), false, due, 5000);
+        assertTrue(Bench.read(firstClient).endsWith("made i1"));
+        Daemon second = start(clientPort(first), false, dueTimeSetting, 5000);
         awaitReady(second);
-        assertEquals(firstEstimate(second, "hintsSeen"), hints);
+        assertEquals(firstEstimate(second, "hintsSeen"), expectedHintsSeen);
         assertEquals(firstEstimate(second, "answeredAt"), firstEstimate(first, "answeredAt"));
         assertEquals(firstEstimate(second, "slots"), firstEstimate(first, "slots"));
         awaitListenerClosed(first);
-        Socket next = connect(second.clients.address(), taskRequest("i2"));
+        Socket secondClient = connect(second.clients.address(), taskRequest("i2"));
         acceptAtWorker("i2");
         Bench.read(connect(second.clients.address(), doneCallback("i2")));
-        assertTrue(Bench.read(next).endsWith("made i2"));
+        assertTrue(Bench.read(secondClient).endsWith("made i2"));
     }
 
     @Test
@@ -175,10 +181,11 @@
         assertEquals(call(second, "POST", "/v1/workers/s-9/resume"), 404);
         assertEquals(call(second, "POST", "/v1/scheduler/activate"), 200);
         assertEquals(healthStatus(clientPort(second)), "200");
-        String early = taskRequest("i1").replace("4000", "300");
+        String shortTask = taskRequest("i1").replace("4000", "300");
         assertTrue(
-                Bench.read(connect(second.clients.address(), early)).startsWith("HTTP/1.1 503 "));
-        // A word at either process holds for both.
+                Bench.read(connect(second.clients.address(), shortTask))
+                        .startsWith("HTTP/1.1 503 "));
+        // A command to either process applies to both.
         assertEquals(call(first, "POST", "/v1/workers/s-1/resume"), 200);
         connect(second.clients.address(), taskRequest("i2"));
         acceptAtWorker("i2");
@@ -186,7 +193,10 @@
         assertTrue(first.scheduler.suspended().contains("s-1"));
     }
 
-    /** The next process finds nobody at the address, but the bans in the note hold all the same. */
+    /**
+     * The next process gets no answer at the address in the hand-over file, but applies the
+     * suspensions that the file lists.
+     */
     @Test
     public void suspensionsInTheHandoverFileApplyAfterAKill() throws Exception {
         Daemon first = start(0, true);
@@ -196,9 +206,10 @@
         first.loop.stop();
         Daemon second = start(port, true);
         awaitReady(second);
-        String early = taskRequest("i1").replace("4000", "300");
+        String shortTask = taskRequest("i1").replace("4000", "300");
         assertTrue(
-                Bench.read(connect(second.clients.address(), early)).startsWith("HTTP/1.1 503 "));
+                Bench.read(connect(second.clients.address(), shortTask))
+                        .startsWith("HTTP/1.1 503 "));
         assertEquals(call(second, "POST", "/v1/workers/s-1/resume"), 200);
         connect(second.clients.address(), taskRequest("i2"));
         acceptAtWorker("i2");
@@ -211,13 +222,14 @@
         int port = clientPort(first);
         Daemon second = start(port, false);
         awaitReady(second);
-        CountDownLatch written = new CountDownLatch(1);
-        first.fileExecutor.execute(() -> await(written));
+        CountDownLatch fileReleased = new CountDownLatch(1);
+        first.fileExecutor.execute(() -> await(fileReleased));
         second.loop.stop();
         awaitServing(port);
-        // Until the note names the first again, a third would look for the second and find nobody.
+        // Until the hand-over file names the first again, a third process would search for the
+        // second and get no answer, so the first must not be ready.
         assertEquals(call(first, "GET", "/v1/readyz"), 503);
-        written.countDown();
+        fileReleased.countDown();
         awaitReady(first);
         Daemon third = start(port, false);
         awaitReady(third);
@@ -225,14 +237,14 @@
         while (call(first, "GET", "/v1/readyz") != 503) {
             assertTrue(
                     System.nanoTime() - since < 10_000_000_000L,
-                    "the first does not retire in 10 s");
+                    "the first process does not retire within 10 s");
         }
         assertEquals(healthStatus(port), "200");
     }
 
     /**
-     * Whoever is named in the note does not answer, answers rubbish, or ends: the new one serves
-     * alone.
+     * What the process that the hand-over file names does with the `join` call: it closes the
+     * connection, does not answer, or sends a body that can't be used.
      */
     @DataProvider
     public Object[][] unusablePredecessors() {
@@ -241,34 +253,35 @@
         };
     }
 
+    /** Without a state the new process serves alone, with the suspensions in the file. */
     @Test(dataProvider = "unusablePredecessors")
-    public void suspensionsInTheHandoverFileApplyWithoutAState(String how) throws Exception {
+    public void suspensionsInTheHandoverFileApplyWithoutAState(String behaviour) throws Exception {
         try (ServerSocket peer = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            String at =
+            String address =
                     Address.text(new InetSocketAddress(peer.getInetAddress(), peer.getLocalPort()));
             Files.writeString(
                     folder.resolve("gingerspool-n1.json"),
                     "{\"v\":1,\"at\":\""
-                            + at
+                            + address
                             + "\",\"token\":\"t\",\"suspended\":[\"s-1\"],\"drained\":false}");
-            Daemon second = start(0, true);
+            Daemon successor = start(0, true);
             Socket s = peer.accept();
             sockets.add(s);
             assertTrue(Bench.read(s).startsWith("POST /v1/link/join "));
             String body =
-                    how.equals("another version")
+                    behaviour.equals("another version")
                             ? "{\"v\":9}"
-                            : how.equals("no list") ? "{\"v\":1}" : "?";
-            if (how.equals("closes")) {
+                            : behaviour.equals("no list") ? "{\"v\":1}" : "?";
+            if (behaviour.equals("closes")) {
                 s.close();
-            } else if (!how.equals("hangs")) {
+            } else if (!behaviour.equals("hangs")) {
                 Bench.write(
                         s,
                         "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             }
-            awaitReady(second);
-            assertEquals(second.scheduler.suspended().toString(), "[s-1]");
-            assertEquals(call(second, "POST", "/v1/workers/s-1/resume"), 200);
+            awaitReady(successor);
+            assertEquals(successor.scheduler.suspended().toString(), "[s-1]");
+            assertEquals(call(successor, "POST", "/v1/workers/s-1/resume"), 200);
         }
     }
 
@@ -290,7 +303,7 @@
         assertEquals(call(first, "GET", "/v1/readyz"), 200);
     }
 
-    /** Guards the start beside a stale note that can't be read. */
+    /** Guards the start with a hand-over file that can't be parsed. */
     @Test
     public void truncatedHandoverFileIsIgnored() throws Exception {
         Files.writeString(folder.resolve("gingerspool-n1.json"), "{\"v\":1,\"at\":\"127.");
@@ -299,12 +312,12 @@
         assertFalse(first.scheduler.suspended().contains("s-1"));
     }
 
-    // ---- Several processes at once ----
+    // ---- Concurrent processes ----
 
     /**
-     * A client of a replaced process lost its first request. The process had nothing left and
-     * ended, but its listener was still open, so the kernel let the client in and reset it with the
-     * end: in seed 1501 the log said `left` with `listening=true` just before.
+     * Guards a client's first request to a superseded process. The process had no tasks left and
+     * exited while its listener was still open, so the kernel had accepted the client and reset its
+     * connection at the exit: in seed 1501 the log had `left` with `listening=true` just before.
      */
     @Test
     public void supersededProcessExitsOnlyAfterItsListenerIsClosed() throws Exception {
@@ -312,18 +325,18 @@
         awaitReady(first);
         int port = clientPort(first);
         takeOverFrom(first);
-        boolean endedTooSoon =
+        boolean exitedTooEarly =
                 onLoop(
                         first,
                         () -> {
                             first.beginShutdown(first.loop.now());
                             return first.exitLatch.getCount() == 0 && first.clients.listens();
                         });
-        assertFalse(endedTooSoon);
+        assertFalse(exitedTooEarly);
         assertEquals(healthStatus(port), "200");
     }
 
-    /** Until its successor listens, clients go on coming to the process before it. */
+    /** Until its successor listens, the predecessor accepts clients, so that none is refused. */
     @Test
     public void predecessorAcceptsClientsUntilTheSuccessorListens() throws Exception {
         Daemon first = start(0, true);
@@ -341,9 +354,10 @@
     }
 
     /**
-     * Two processes were started one after the other, and one of them had taken over before the
-     * other asked. That one got a 409 (`handover.no_state why=status 409`), served alone beside it
-     * and was still there when both runs had ended. It is told who serves, and asks there.
+     * Two processes are started one after the other, and one takes over before the other requests
+     * the state. Guards against the other one serving alone beside it: it got a 409
+     * (`handover.no_state why=status 409`), and was still running when both runs had ended. It must
+     * be told which process serves, and request the state there.
      */
     @Test
     public void lateProcessIsReferredToTheServingOne() throws Exception {
@@ -353,18 +367,21 @@
         takeOverFrom(first);
         Daemon late = start(port, true);
         discovery.setSoTimeout(5000);
-        String asked = "";
-        while (!asked.startsWith("POST /v1/link/join ")) {
-            // Watches of the list come here as well.
+        String request = "";
+        while (!request.startsWith("POST /v1/link/join ")) {
+            // Requests for the list of workers arrive here as well.
             Socket s = discovery.accept();
             sockets.add(s);
-            asked = Bench.read(s);
+            request = Bench.read(s);
         }
-        assertTrue(asked.contains("X-Token: of the successor\r\n"), asked);
+        assertTrue(request.contains("X-Token: of the successor\r\n"), request);
         assertFalse(onLoop(late, late.clients::listens));
     }
 
-    /** Whoever starts a process ends all that it started before, so the last one has to serve. */
+    /**
+     * Operators end the older processes after starting a new one, so the process that started last
+     * must serve.
+     */
     @Test
     public void joinOfAnOlderProcessIsRefused() throws Exception {
         Daemon first = start(0, true);
@@ -379,27 +396,28 @@
         assertEquals(call(first, "GET", "/v1/readyz"), 200);
     }
 
+    /** A `join` call that is answered 410 comes from a process older than the serving one. */
     @Test
     public void processOlderThanTheServingOneExits() throws Exception {
         try (ServerSocket peer = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            String at = "127.0.0.1:" + peer.getLocalPort();
+            String address = "127.0.0.1:" + peer.getLocalPort();
             Files.writeString(
                     folder.resolve("gingerspool-n1.json"),
                     "{\"v\":1,\"at\":\""
-                            + at
+                            + address
                             + "\",\"token\":\"t\",\"suspended\":[],\"drained\":false}");
-            Daemon overtaken = start(0, true);
+            Daemon older = start(0, true);
             Socket s = peer.accept();
             sockets.add(s);
             Bench.read(s);
             Bench.write(s, "HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n");
-            assertTrue(overtaken.exitLatch.await(10, TimeUnit.SECONDS));
-            assertEquals(overtaken.exitCode, 1);
-            assertFalse(onLoop(overtaken, overtaken.clients::listens));
+            assertTrue(older.exitLatch.await(10, TimeUnit.SECONDS));
+            assertEquals(older.exitCode, 1);
+            assertFalse(onLoop(older, older.clients::listens));
         }
     }
 
-    /** SIGTERM comes in the middle of taking over: the process must take nothing any more. */
+    /** SIGTERM arrives during the takeover: from then on the process must take nothing over. */
     @Test
     public void processShutDownBeforeItServesTakesNothingOver() throws Exception {
         Daemon first = start(0, true);
@@ -414,9 +432,10 @@
     }
 
     /**
-     * Answers came up to 900 ms after their expiry: the new process had been told once that the old
-     * one holds about 900 descriptors, took 54 clients and let the others wait until that one had
-     * ended. It asks again, and takes those who wait as soon as it may.
+     * Guards against answers up to 900 ms after their expiry. The new process was told only once
+     * how many descriptors the old one holds, about 900, so it accepted 54 clients and kept the
+     * others waiting until the old one had exited. It must poll that number, and accept the waiting
+     * clients as soon as there are descriptors for them.
      */
     @Test
     public void descriptorsFreedByThePredecessorAreUsedAtOnce() throws Exception {
@@ -430,7 +449,8 @@
         Daemon second = start(port, false);
         awaitReady(second);
         awaitListenerClosed(first);
-        // One more than it may hold beside what the first holds, each busy with its request.
+        // One more than the second may hold while the first holds its descriptors. None of them is
+        // idle: each has sent a part of its request.
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
             clients.add(connect(second.clients.address(), "GET /healthz HTTP/1.1\r\n"));
@@ -442,6 +462,6 @@
             Bench.write(s, "\r\n");
             assertTrue(Bench.read(s).startsWith("HTTP/1.1 200 "));
         }
-        assertEquals(first.exitLatch.getCount(), 1, "the first one has not ended");
+        assertEquals(first.exitLatch.getCount(), 1, "the first process must still be running");
     }
 }
--- a/src/test/java/gingerspool/daemon/HandoverTestBase.java
+++ b/src/test/java/gingerspool/daemon/HandoverTestBase.java
@@ -22,11 +22,15 @@
 import org.testng.annotations.BeforeMethod;
 
 /**
- * Daemons of one scheduler beside each other, on one address and one folder, and another process
- * that the test plays itself.
+ * Base of the hand-over tests: starts several daemons of one scheduler with the same client address
+ * and hand-over folder. A test may also play another process of that scheduler itself. The methods
+ * run on the test's thread; each daemon has its own event loop.
  */
 abstract class HandoverTestBase extends SocketTestBase {
+    /** In the order of their start; stopped after the test. */
     final List<Daemon> daemons = new ArrayList<>();
+
+    /** Holds the hand-over file. */
     Path folder;
 
     @BeforeMethod
@@ -37,12 +41,12 @@
 
     @AfterMethod
     public void stop() throws Exception {
-        // The first first, so that it does not take back what the next one had.
+        // In the order of their start: a predecessor that is still running would serve again.
         for (Daemon d : daemons) {
             d.loop.stop();
         }
         for (Daemon d : daemons) {
-            // A file on its way to the disk would come after its folder is gone.
+            // A pending write would recreate the hand-over file after its folder was removed.
             d.fileExecutor.shutdown();
             assertTrue(d.fileExecutor.awaitTermination(10, TimeUnit.SECONDS));
         }
@@ -52,13 +56,22 @@
     }
 
     /**
-     * Starts a process that listens for clients at this port; the list that it knows may be empty.
+     * Starts a daemon that listens for clients at this port, or at a free one if it is 0.
+     *
+     * @param knowsWorker whether the daemon's list of workers holds the test's worker or is empty
      */
     Daemon start(int port, boolean knowsWorker) throws Exception {
         return start(port, knowsWorker, "'dueTimeMs':100", 250);
     }
 
-    Daemon start(int port, boolean knowsWorker, String due, int within) throws Exception {
+    /**
+     * The same with other settings.
+     *
+     * @param dueTimeSetting replaces the setting of the profile's due time in the configuration
+     * @param connectTimeoutMs how long the daemon may take to connect to a peer or a worker
+     */
+    Daemon start(int port, boolean knowsWorker, String dueTimeSetting, int connectTimeoutMs)
+            throws Exception {
         String hosts =
                 !knowsWorker
                         ? ""
@@ -78,8 +91,10 @@
                                 "'settings'",
                                 "'known':{'seq':7,'whole':true,'hosts':[" + hosts + "]},'settings'")
                         .replace("'safe'", "'unsafe'")
-                        .replace("'dueTimeMs':100", due)
-                        .replace("'maxOpen':9", "'maxOpen':9,'connectTimeoutMs':" + within);
+                        .replace("'dueTimeMs':100", dueTimeSetting)
+                        .replace(
+                                "'maxOpen':9",
+                                "'maxOpen':9,'connectTimeoutMs':" + connectTimeoutMs);
         Daemon d =
                 new Daemon(
                         new NodeConfiguration(
@@ -94,20 +109,21 @@
         return ((InetSocketAddress) d.clients.address()).getPort();
     }
 
+    /** Makes an operator's call and returns the status. */
     int call(Daemon d, String method, String path) throws IOException {
         try (Socket s =
                 connect(d.management.address(), method + " " + path + " HTTP/1.1\r\n\r\n")) {
-            // Guards tests that ask until something holds: each call would keep a descriptor.
+            // Closed here: a test that polls would otherwise keep a descriptor for each call.
             sockets.remove(s);
             return Integer.parseInt(Bench.read(s).substring(9, 12));
         }
     }
 
-    /** Asks until it says yes; the time-out is far beyond what is needed. */
+    /** Polls until the daemon is ready; the time-out is far longer than this takes. */
     void awaitReady(Daemon d) throws IOException {
         long since = System.nanoTime();
         while (call(d, "GET", "/v1/readyz") != 200) {
-            assertTrue(System.nanoTime() - since < 10_000_000_000L, "not ready in 10 s");
+            assertTrue(System.nanoTime() - since < 10_000_000_000L, "not ready within 10 s");
         }
     }
 
@@ -119,18 +135,21 @@
         }
     }
 
-    /** Guards tests against the moment between two listeners: asks until clients are served. */
+    /** Polls until clients are served, as there may be no listener for a moment. */
     void awaitServing(int port) throws IOException {
         long since = System.nanoTime();
         for (String status = ""; !status.equals("200"); ) {
             try {
                 status = healthStatus(port);
             } catch (ConnectException e) {
-                assertTrue(System.nanoTime() - since < 10_000_000_000L, "nobody listens for 10 s");
+                assertTrue(
+                        System.nanoTime() - since < 10_000_000_000L,
+                        "no process listens within 10 s");
             }
         }
     }
 
+    /** A client's request with 4 s left. */
     static String taskRequest(String id) {
         return "POST /p HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: "
                 + id
@@ -138,13 +157,14 @@
                 + "X-Time-Left-Ms: 4000\r\nContent-Length: 2\r\n\r\nhi";
     }
 
-    /** What this says in a turn of the process. */
-    static <T> T onLoop(Daemon d, Supplier<T> what) throws Exception {
-        CompletableFuture<T> told = new CompletableFuture<>();
-        d.loop.submit(() -> told.complete(what.get()));
-        return told.get();
+    /** Runs this on the daemon's event loop and returns its result. */
+    static <T> T onLoop(Daemon d, Supplier<T> query) throws Exception {
+        CompletableFuture<T> result = new CompletableFuture<>();
+        d.loop.submit(() -> result.complete(query.get()));
+        return result.get();
     }
 
+    /** Accepts a connection as the worker, reads this task from it and accepts the task. */
     Socket acceptAtWorker(String id) throws IOException {
         Socket s = worker.accept();
         sockets.add(s);
@@ -154,6 +174,7 @@
         return s;
     }
 
+    /** The status of a client's health check. */
     String healthStatus(int port) throws IOException {
         try (Socket s =
                 connect(
@@ -163,25 +184,30 @@
         }
     }
 
-    /** Guards tests against the reset that a client may meet at the very moment of closing. */
+    /**
+     * Polls until the daemon's listener is closed. A client that connects while it closes may be
+     * reset.
+     */
     void awaitListenerClosed(Daemon d) throws IOException {
         while (d.clients.listens()) {
             call(d, "GET", "/v1/readyz");
         }
     }
 
-    /** A call of the hand-over, as another process makes it; its answer, or what came of it. */
-    String handoverCall(Daemon to, String secret, String path, String body) throws IOException {
-        return Bench.read(sendHandoverCall(to, secret, path, body));
+    /** Makes a hand-over call as another process does, and returns the response. */
+    String handoverCall(Daemon daemon, String token, String path, String body) throws IOException {
+        return Bench.read(sendHandoverCall(daemon, token, path, body));
     }
 
-    Socket sendHandoverCall(Daemon to, String secret, String path, String body) throws IOException {
+    /** Sends a hand-over call without waiting for the response. */
+    Socket sendHandoverCall(Daemon daemon, String token, String path, String body)
+            throws IOException {
         return connect(
-                to.management.address(),
+                daemon.management.address(),
                 "POST /v1/link/"
                         + path
                         + " HTTP/1.1\r\nX-Token: "
-                        + secret
+                        + token
                         + "\r\nX-From: 127.0.0.1:"
                         + discovery.getLocalPort()
                         + "\r\nContent-Length: "
@@ -190,19 +216,22 @@
                         + body);
     }
 
+    /** The token that hand-over calls to the serving process must carry. */
     String tokenInHandoverFile() throws IOException {
         return Files.readString(folder.resolve("gingerspool-n1.json"))
                 .replaceAll("(?s).*\"token\":\"([0-9a-f]+)\".*", "$1");
     }
 
+    /** The body of a `join` call without its closing brace, so that fields can be added. */
     static final String JOIN_BODY_START = "{\"v\":1,\"token\":\"of the successor\",\"ask\":1";
 
-    /** Another process, played by the test, has the clients of this one. */
-    void takeOverFrom(Daemon first) throws IOException {
-        String secret = tokenInHandoverFile();
+    /** Takes over from this daemon, as another process that the test plays. */
+    void takeOverFrom(Daemon predecessor) throws IOException {
+        String token = tokenInHandoverFile();
         assertTrue(
-                handoverCall(first, secret, "join", JOIN_BODY_START + "}")
+                handoverCall(predecessor, token, "join", JOIN_BODY_START + "}")
                         .startsWith("HTTP/1.1 200 "));
-        assertTrue(handoverCall(first, secret, "take", "{\"n\":0}").startsWith("HTTP/1.1 200 "));
+        assertTrue(
+                handoverCall(predecessor, token, "take", "{\"n\":0}").startsWith("HTTP/1.1 200 "));
     }
 }
--- a/src/test/java/gingerspool/daemon/OverlappingHandoverTest.java
+++ b/src/test/java/gingerspool/daemon/OverlappingHandoverTest.java
@@ -16,14 +16,19 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Replacements that are late, overlap the end of a process or each other, or stop half way. */
+/**
+ * Hand-overs that are late, overlap a shutdown or each other, or are interrupted by a stopped or
+ * killed process. The daemons use loopback sockets; in some tests the test itself plays the
+ * successor.
+ */
 public class OverlappingHandoverTest extends HandoverTestBase {
-    /** Operators are owed an answer by then, in nanoseconds: 1 s. */
+    /** Operators are promised an answer within 1 s, in nanoseconds. */
     private static final long MAX_ANSWER_NANOS = 1_000_000_000L;
 
+    /** The time-out of conditions that are awaited: far longer than they take, in nanoseconds. */
     private static final long AWAIT_TIMEOUT_NANOS = 10_000_000_000L;
 
-    /** Operators' calls, by their paths. */
+    /** The paths of operators' calls. */
     @DataProvider
     public Object[][] operatorCalls() {
         return new Object[][] {
@@ -32,22 +37,22 @@
     }
 
     /**
-     * Guards operators: the second process was killed after it had the state and before it took
-     * over, and every call was answered 503 from then on (`handover.joined`, then
+     * Guards operators' calls if the second process is killed after it has received the state and
+     * before it takes over: every call was answered 503 from then on (`handover.joined`, then
      * `handover.notification_failed status=0` 375 to 506 times in 8 s).
      */
     @Test(dataProvider = "operatorCalls")
     public void callsSucceedAfterTheJoinedProcessEnded(String path) throws Exception {
         Daemon first = start(0, true);
         awaitReady(first);
-        String join = JOIN_BODY_START + "}";
-        handoverCall(first, tokenInHandoverFile(), "join", join);
+        String joinBody = JOIN_BODY_START + "}";
+        handoverCall(first, tokenInHandoverFile(), "join", joinBody);
         discovery.close();
         assertEquals(call(first, "POST", path), 200);
         assertEquals(call(first, "POST", path), 200);
     }
 
-    /** Guards operators: the same with a process that is stopped, so that nothing refuses. */
+    /** The same with a process that is stopped, so that its connections stay open. */
     @Test(dataProvider = "operatorCalls")
     public void callSucceedsThoughTheJoinedProcessIsStopped(String path) throws Exception {
         Daemon first = start(0, true);
@@ -55,44 +60,44 @@
         handoverCall(first, tokenInHandoverFile(), "join", JOIN_BODY_START + "}");
         long since = System.nanoTime();
         assertEquals(call(first, "POST", path), 200);
-        assertTrue(System.nanoTime() - since < MAX_ANSWER_NANOS, "the answer took over 1 s");
-        // It goes on after all: it has missed a word, so it has to ask for the state again.
-        String taken = handoverCall(first, tokenInHandoverFile(), "take", "{\"n\":0}");
-        assertTrue(taken.startsWith("HTTP/1.1 409 "), taken);
+        assertTrue(System.nanoTime() - since < MAX_ANSWER_NANOS, "the answer took more than 1 s");
+        // The process resumes. It has missed a command, so it must request the state again.
+        String response = handoverCall(first, tokenInHandoverFile(), "take", "{\"n\":0}");
+        assertTrue(response.startsWith("HTTP/1.1 409 "), response);
         takeOverFrom(first);
     }
 
-    /** Guards operators: one that has taken over and is stopped costs a no, and that in time. */
+    /** A call can't be confirmed if the successor has taken over and is stopped. */
     @Test
     public void callIsRefusedInTimeIfTheSuccessorIsStopped() throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 700);
         awaitReady(first);
         takeOverFrom(first);
-        Socket held = sendHandoverCall(first, tokenInHandoverFile(), "hold", "");
+        Socket holdCall = sendHandoverCall(first, tokenInHandoverFile(), "hold", "");
         long since = System.nanoTime();
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 503);
-        assertTrue(System.nanoTime() - since < MAX_ANSWER_NANOS, "the answer took over 1 s");
-        held.close();
+        assertTrue(System.nanoTime() - since < MAX_ANSWER_NANOS, "the answer took more than 1 s");
+        holdCall.close();
     }
 
-    /** Guards operators: the call waits for a loop that is late, and its time runs meanwhile. */
+    /** The same if the loop is late: the time in which the call waits for it counts as well. */
     @Test
     public void callReadLateIsRefusedInTimeIfTheSuccessorIsStopped() throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 700);
         awaitReady(first);
         takeOverFrom(first);
-        Socket held = sendHandoverCall(first, tokenInHandoverFile(), "hold", "");
+        Socket holdCall = sendHandoverCall(first, tokenInHandoverFile(), "hold", "");
         blockLoop(first, 400);
         long since = System.nanoTime();
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 503);
-        assertTrue(System.nanoTime() - since < MAX_ANSWER_NANOS, "the answer took over 1 s");
-        held.close();
+        assertTrue(System.nanoTime() - since < MAX_ANSWER_NANOS, "the answer took more than 1 s");
+        holdCall.close();
     }
 
     /**
-     * Guards operators: a call that is read late, beside a process that has the state and is
-     * stopped, was a yes after 1.0 s: that process had its usual time, and then 0.1 s more to be
-     * seen gone.
+     * Guards operators' calls that are read late while a process that has received the state is
+     * stopped: they were confirmed only after 1.0 s, because that process had its usual time to
+     * acknowledge, and then 0.1 s more in which its end could be noticed.
      */
     @Test
     public void callReadLateSucceedsInTimeThoughTheJoinedProcessIsStopped() throws Exception {
@@ -102,20 +107,22 @@
         blockLoop(first, 700);
         long since = System.nanoTime();
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
-        assertTrue(System.nanoTime() - since < MAX_ANSWER_NANOS, "the answer took over 1 s");
+        assertTrue(System.nanoTime() - since < MAX_ANSWER_NANOS, "the answer took more than 1 s");
     }
 
-    /** A client that has come to this process and has not written its request yet. */
-    private Socket connectClient(Daemon to) throws Exception {
-        Socket client = connect(to.clients.address(), "");
-        awaitCondition(() -> onLoop(to, to.clients::connections) > 0, "no client was accepted");
+    /** Connects a client that has not sent its request yet, and awaits its acceptance. */
+    private Socket connectClient(Daemon daemon) throws Exception {
+        Socket client = connect(daemon.clients.address(), "");
+        awaitCondition(
+                () -> onLoop(daemon, daemon.clients::connections) > 0, "no client was accepted");
         return client;
     }
 
     /**
-     * Guards first requests: the successor serves, SIGTERM comes, its claim is late, the time to
-     * leave is over, and a client that was let in writes. The process had closed it with the end of
-     * that time (`leaving.abandoned`, then the reset, 5 to 30 ms after the request).
+     * Guards first requests to a superseded process that shuts down. The successor serves, but its
+     * claim is late; the shutdown period is over when a client that was accepted sends its request.
+     * The process had closed its connection at the end of that period (`leaving.abandoned`, then
+     * the reset, 5 to 30 ms after the request).
      */
     @Test
     public void firstRequestAtTheEndOfTheShutdownPeriodIsAnswered() throws Exception {
@@ -123,11 +130,11 @@
         awaitReady(first);
         takeOverFrom(first);
         Socket client = connectClient(first);
-        double within = onLoop(first, () -> first.shutdownPeriod());
+        double shutdownPeriod = onLoop(first, () -> first.shutdownPeriod());
         onLoop(
                 first,
                 () -> {
-                    first.beginShutdown(first.loop.now() - within);
+                    first.beginShutdown(first.loop.now() - shutdownPeriod);
                     return null;
                 });
         Bench.write(client, taskRequest("i1"));
@@ -139,8 +146,8 @@
     }
 
     /**
-     * Guards first requests: operators end the process before as soon as this one says yes, so it
-     * says so once new connections come here. It takes clients all the while.
+     * Guards first requests: operators end the predecessor as soon as its successor is ready, so
+     * the successor is ready only once it gets the new connections. It accepts clients before that.
      */
     @Test
     public void successorIsReadyOnceItGetsNewConnections() throws Exception {
@@ -148,32 +155,33 @@
         awaitReady(first);
         int port = clientPort(first);
         Daemon second = start(port, false);
-        CountDownLatch steered = new CountDownLatch(1);
-        second.systemCallExecutor.execute(() -> await(steered));
-        awaitCondition(() -> onLoop(second, second.clients::listens), "it does not listen");
-        awaitCondition(() -> "200".equals(healthStatus(port)), "nobody serves");
+        CountDownLatch claimReleased = new CountDownLatch(1);
+        second.systemCallExecutor.execute(() -> await(claimReleased));
+        awaitCondition(
+                () -> onLoop(second, second.clients::listens), "the successor does not listen");
+        awaitCondition(() -> "200".equals(healthStatus(port)), "no process serves");
         assertEquals(call(second, "GET", "/v1/readyz"), 503);
-        steered.countDown();
+        claimReleased.countDown();
         awaitReady(second);
         assertTrue(onLoop(second, () -> second.steering.member()) >= 0);
     }
 
-    /** Guards operators: where connections can't be had, it is ready all the same. */
+    /** A successor that can't claim the new connections must become ready as well. */
     @Test
     public void successorBecomesReadyThoughItsClaimNeverEnds() throws Exception {
         Daemon first = start(0, true);
         awaitReady(first);
         Daemon second = start(clientPort(first), false);
-        CountDownLatch never = new CountDownLatch(1);
-        second.systemCallExecutor.execute(() -> await(never));
+        CountDownLatch claimReleased = new CountDownLatch(1);
+        second.systemCallExecutor.execute(() -> await(claimReleased));
         awaitReady(second);
-        never.countDown();
+        claimReleased.countDown();
     }
 
     /**
-     * Guards first requests: the second process is replaced before it has the connections
-     * (`handover.claimed all=false`), and the first closed its listener though clients came. It
-     * stops once they all go to the third.
+     * Guards first requests if the second process is replaced before it gets all new connections
+     * (`handover.claimed all=false`): the first closed its listener while clients still arrived
+     * there. It must close it only once they all go to the third.
      */
     @Test
     public void firstOfThreeStopsListeningOnceTheThirdServes() throws Exception {
@@ -181,24 +189,27 @@
         awaitReady(first);
         int port = clientPort(first);
         Daemon second = start(port, false, "'dueTimeMs':100", 5000);
-        CountDownLatch steered = new CountDownLatch(1);
-        second.systemCallExecutor.execute(() -> await(steered));
+        CountDownLatch claimReleased = new CountDownLatch(1);
+        second.systemCallExecutor.execute(() -> await(claimReleased));
         awaitReady(second);
         Daemon third = start(port, false, "'dueTimeMs':100", 5000);
         awaitReady(third);
         awaitListenerClosed(first);
         awaitListenerClosed(second);
-        steered.countDown();
+        claimReleased.countDown();
         assertEquals(healthStatus(port), "200");
     }
 
-    /** Guards first requests: the third is killed, and the second claims anew beside the first. */
+    /**
+     * Guards first requests if the third process is killed: the second claims the new connections
+     * again, beside the first.
+     */
     @Test
     public void secondOfThreeServesAgainIfTheThirdIsKilled() throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 5000);
         awaitReady(first);
         int port = clientPort(first);
-        // The first keeps a task, so it stays.
+        // The first keeps running, as it has a task.
         connect(first.clients.address(), taskRequest("i1"));
         acceptAtWorker("i1");
         Daemon second = start(port, false, "'dueTimeMs':100", 5000);
@@ -213,8 +224,9 @@
     }
 
     /**
-     * Guards the process that serves: the one before it was taken over, is to end, and loses sight
-     * of its successor, after which a third may have come. It must not name itself in the file.
+     * Guards the serving process: a superseded one is shutting down and loses the connection to its
+     * successor, while a third may have taken over from that one. The superseded one must not name
+     * itself in the hand-over file.
      */
     @Test
     public void processShuttingDownDoesNotRewriteTheHandoverFile() throws Exception {
@@ -222,81 +234,83 @@
         awaitReady(first);
         int port = clientPort(first);
         takeOverFrom(first);
-        String secret = tokenInHandoverFile();
-        Socket held = sendHandoverCall(first, secret, "hold", "");
-        Path note = folder.resolve("gingerspool-n1.json");
-        String ofThird = Files.readString(note).replace(secret, "00ff");
-        Files.writeString(note, ofThird);
+        String token = tokenInHandoverFile();
+        Socket holdCall = sendHandoverCall(first, token, "hold", "");
+        Path file = folder.resolve("gingerspool-n1.json");
+        String contentOfThird = Files.readString(file).replace(token, "00ff");
+        Files.writeString(file, contentOfThird);
         Socket client = connectClient(first);
         first.loop.submit(() -> first.beginShutdown(first.loop.now()));
-        held.close();
-        awaitCondition(() -> "503".equals(healthStatus(port)), "it is not alone");
+        holdCall.close();
+        awaitCondition(
+                () -> "503".equals(healthStatus(port)), "the end of the successor is not noticed");
         first.fileExecutor.submit(() -> {}).get();
-        assertEquals(Files.readString(note), ofThird);
+        assertEquals(Files.readString(file), contentOfThird);
         client.close();
     }
 
     /**
-     * Guards against two schedulers of one name: two processes start at once when the one before
-     * has gone. Both found nobody where the file points (`handover.no_state why="no answer"`) and
-     * served beside each other without each other's bans (soak, seed 18).
+     * Guards against two schedulers of one name, if two processes start at once after their
+     * predecessor was killed. Both got no answer at the address in the hand-over file
+     * (`handover.no_state why="no answer"`) and served beside each other without each other's
+     * suspensions (soak, seed 18).
      */
     @Test(invocationCount = 5)
     public void oneOfTwoProcessesStartedAtOnceAfterAKillJoinsTheOther() throws Exception {
-        Daemon gone = start(0, true);
-        awaitReady(gone);
-        int port = clientPort(gone);
-        gone.loop.stop();
+        Daemon killed = start(0, true);
+        awaitReady(killed);
+        int port = clientPort(killed);
+        killed.loop.stop();
         assertActAsOneScheduler(List.of(start(port, true), start(port, true)));
     }
 
-    /** Guards against the same where no process was before them: no file names one. */
+    /** The same without a predecessor, and thus without a hand-over file. */
     @Test(invocationCount = 5)
     public void oneOfTwoProcessesStartedAtOnceInAnEmptyFolderJoinsTheOther() throws Exception {
         int port = Ports.free("127.0.0.1");
         assertActAsOneScheduler(List.of(start(port, true), start(port, true)));
     }
 
-    /** Both listen, one is ready, and each tells the other what operators say. */
-    private void assertActAsOneScheduler(List<Daemon> both) throws Exception {
-        for (Daemon each : both) {
-            awaitCondition(() -> onLoop(each, each.clients::listens), "it does not listen");
+    /** Asserts that both listen, one is ready, and each passes operators' commands to the other. */
+    private void assertActAsOneScheduler(List<Daemon> daemons) throws Exception {
+        for (Daemon each : daemons) {
+            awaitCondition(() -> onLoop(each, each.clients::listens), "a process does not listen");
         }
-        awaitCondition(() -> countReady(both) == 1, "not just one of them is ready");
-        for (Daemon each : both) {
-            int wanted = call(each, "GET", "/v1/readyz");
-            assertEquals(call(each, "POST", "/v1/workers/s-1/suspend"), 200, "ready: " + wanted);
-            for (Daemon other : both) {
+        awaitCondition(() -> countReady(daemons) == 1, "not exactly one of them is ready");
+        for (Daemon each : daemons) {
+            int readiness = call(each, "GET", "/v1/readyz");
+            assertEquals(call(each, "POST", "/v1/workers/s-1/suspend"), 200, "ready: " + readiness);
+            for (Daemon other : daemons) {
                 assertTrue(onLoop(other, () -> other.scheduler.suspended().contains("s-1")));
             }
             assertEquals(call(each, "POST", "/v1/workers/s-1/resume"), 200);
         }
     }
 
-    private int countReady(List<Daemon> all) throws IOException {
-        int serving = 0;
-        for (Daemon each : all) {
-            serving += call(each, "GET", "/v1/readyz") == 200 ? 1 : 0;
+    private int countReady(List<Daemon> daemons) throws IOException {
+        int ready = 0;
+        for (Daemon each : daemons) {
+            ready += call(each, "GET", "/v1/readyz") == 200 ? 1 : 0;
         }
-        return serving;
+        return ready;
     }
 
-    /** Guards operators: the successor is killed while a call is told to it, and it is not owed. */
+    /** The successor is killed while it is sent a command; its acknowledgement is not needed. */
     @Test
     public void callSucceedsIfTheSuccessorEndsMeanwhile() throws Exception {
         Daemon first = start(0, true);
         awaitReady(first);
         takeOverFrom(first);
-        Socket held = sendHandoverCall(first, tokenInHandoverFile(), "hold", "");
+        Socket holdCall = sendHandoverCall(first, tokenInHandoverFile(), "hold", "");
         discovery.close();
-        first.loop.submit(() -> first.loop.schedule(20, () -> close(held)));
+        first.loop.submit(() -> first.loop.schedule(20, () -> close(holdCall)));
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
     }
 
     /**
-     * Guards operators: the second process is killed between taking over and holding its call open.
-     * Each call was answered 503 for the 2 s until the first saw it (26 times in a play of
-     * dayToDayKeepsAllRules, found by the rule OPERATORS).
+     * Guards operators' calls if the second process is killed after it has taken over and before it
+     * opens its `hold` call. Each call was answered 503 for the 2 s until the first process noticed
+     * (26 times in a run of dayToDayKeepsAllRules, found by the rule OPERATORS).
      */
     @Test(dataProvider = "operatorCalls")
     public void callSucceedsIfTheSuccessorEndedBeforeItsHoldCall(String path) throws Exception {
@@ -309,19 +323,19 @@
     }
 
     /**
-     * Guards operators: a disk that takes its time holds no call up. A new process answered `drain`
-     * 503 after 960 ms, with no word that failed (soak, seed 91022 at a load of 30).
+     * Guards operators' calls against a slow disk. A new process answered `drain` with 503 after
+     * 960 ms though no notification had failed (soak, seed 91022 at a load of 30).
      */
     @Test(dataProvider = "operatorCalls")
     public void callIsAnsweredInTimeThoughTheFileIsNotWritten(String path) throws Exception {
         Daemon first = start(0, true);
         awaitReady(first);
-        CountDownLatch written = new CountDownLatch(1);
-        first.fileExecutor.execute(() -> await(written));
+        CountDownLatch fileReleased = new CountDownLatch(1);
+        first.fileExecutor.execute(() -> await(fileReleased));
         long since = System.nanoTime();
         assertEquals(call(first, "POST", path), 200);
-        assertTrue(System.nanoTime() - since < MAX_ANSWER_NANOS, "the answer took over 1 s");
-        written.countDown();
+        assertTrue(System.nanoTime() - since < MAX_ANSWER_NANOS, "the answer took more than 1 s");
+        fileReleased.countDown();
     }
 
     private static void close(Socket socket) {
@@ -336,10 +350,10 @@
         boolean holds() throws Exception;
     }
 
-    private static void awaitCondition(Condition condition, String otherwise) throws Exception {
+    private static void awaitCondition(Condition condition, String failure) throws Exception {
         long since = System.nanoTime();
         while (!condition.holds()) {
-            assertTrue(System.nanoTime() - since < AWAIT_TIMEOUT_NANOS, otherwise + " in 10 s");
+            assertTrue(System.nanoTime() - since < AWAIT_TIMEOUT_NANOS, failure + " within 10 s");
         }
     }
 }
--- a/src/test/java/gingerspool/daemon/StoppedPeerTest.java
+++ b/src/test/java/gingerspool/daemon/StoppedPeerTest.java
@@ -20,29 +20,33 @@
 import org.testng.annotations.Test;
 
 /**
- * One of the two processes of a hand-over stands still for a while at a certain step, and goes on.
- * The test plays the other one; a process stands still by a task that holds its loop.
+ * Hand-overs in which one of the two processes is stopped for a while at a certain step, and
+ * resumes. A daemon is stopped by a task that blocks its loop. In some tests the test itself plays
+ * the other process, or relays the calls between two daemons and delays one of them.
  */
 public class StoppedPeerTest extends HandoverTestBase {
     private static final String OK_RESPONSE_START = "HTTP/1.1 200 OK\r\nContent-Length: ";
+
+    /** The predecessor's state, as its answer to a `join` call. */
     private static final String STATE =
             "{\"v\":1,\"suspended\":[],\"drained\":false,\"discovery\":\"\","
                     + "\"list\":{\"seq\":7,\"whole\":true,\"hosts\":[{\"host\":\"s-1\","
                     + "\"dial\":\"127.0.0.1:9\",\"site\":\"a\",\"class\":\"m\",\"block\":0,"
                     + "\"health\":\"SERVING\",\"share\":4,\"born_ms\":0}]}}";
 
-    /** Operators are owed an answer by then, in milliseconds. */
+    /** Operators are promised an answer within this time. */
     private static final long MAX_ANSWER_MS = 1000;
 
-    /** A connection to another process comes up within this, in milliseconds. */
+    /** How long a daemon may take to connect to another process. */
     private static final int CONNECT_TIMEOUT_MS = 250;
 
-    /** No process of these tests stands still for longer, in milliseconds. */
+    /** The maximum time for which a daemon is stopped. */
     private static final long MAX_STOP_MS = 2000;
 
-    /** A process that has to wait for another one asks every 50 ms, for 2 s here. */
+    /** A process that waits for its predecessor requests the state every 50 ms, here for 2 s. */
     private static final int MAX_JOIN_CALLS = 50;
 
+    /** Far longer than what is awaited takes. */
     private static final long AWAIT_TIMEOUT_S = 10;
 
     private Predecessor predecessor;
@@ -57,12 +61,12 @@
         predecessor.server.close();
     }
 
-    /** The process before, as the test plays it: answers whatever it is not told to leave. */
+    /** A predecessor that the test plays: answers all hand-over calls but the ones listed. */
     private final class Predecessor {
         private final ServerSocket server =
                 new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
-        /** Calls of these names get no answer. */
+        /** The names of the calls that get no answer. */
         private volatile String unansweredCalls = "hold";
 
         Predecessor() throws IOException {
@@ -71,19 +75,19 @@
 
         private void serve(Socket s) throws IOException {
             while (true) {
-                String name = Bench.read(s).replaceAll("(?s)POST /v1/link/([a-z]+) .*", "$1");
-                if (unansweredCalls.contains(name)) {
+                String call = Bench.read(s).replaceAll("(?s)POST /v1/link/([a-z]+) .*", "$1");
+                if (unansweredCalls.contains(call)) {
                     return;
                 }
-                Bench.write(s, answer(name));
+                Bench.write(s, answer(call));
             }
         }
 
-        private String answer(String name) {
+        private String answer(String call) {
             String body =
-                    name.equals("join")
+                    call.equals("join")
                             ? STATE
-                            : name.equals("take") || name.equals("held")
+                            : call.equals("take") || call.equals("held")
                                     ? "{\"descriptors\":30,\"listener\":0}"
                                     : "";
             return OK_RESPONSE_START + body.length() + "\r\n\r\n" + body;
@@ -94,14 +98,14 @@
         void handle(Socket s) throws IOException;
     }
 
-    /** Serves each connection on a thread of its own, until the socket is closed. */
-    private void acceptAll(ServerSocket server, ConnectionHandler service) {
+    /** Handles each connection on its own thread, until the listening socket is closed. */
+    private void acceptAll(ServerSocket server, ConnectionHandler handler) {
         startThread(
                 () -> {
                     while (true) {
                         Socket s = server.accept();
                         sockets.add(s);
-                        startThread(() -> service.handle(s));
+                        startThread(() -> handler.handle(s));
                     }
                 });
     }
@@ -110,14 +114,14 @@
         void run() throws IOException;
     }
 
-    private static void startThread(IoTask step) {
+    private static void startThread(IoTask task) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                step.run();
+                                task.run();
                             } catch (IOException e) {
-                                // Closed by the other side, or the test is over.
+                                // The other side has closed the connection, or the test has ended.
                             }
                         },
                         "peer");
@@ -125,7 +129,7 @@
         thread.start();
     }
 
-    /** A process that finds the one of the test in the file. */
+    /** Starts a daemon whose hand-over file names the predecessor that the test plays. */
     private Daemon startSuccessor() throws Exception {
         Files.writeString(
                 folder.resolve("gingerspool-n1.json"),
@@ -135,18 +139,18 @@
         return start(0, true, "'dueTimeMs':100", CONNECT_TIMEOUT_MS);
     }
 
-    /** Holds the process's loop from now on, until the latch is down. */
-    private static CountDownLatch blockLoopUntilReleased(Daemon process)
+    /** Blocks the daemon's loop until the returned latch is counted down. */
+    private static CountDownLatch blockLoopUntilReleased(Daemon daemon)
             throws InterruptedException {
-        CountDownLatch stands = new CountDownLatch(1);
-        CountDownLatch goesOn = new CountDownLatch(1);
-        process.loop.submit(
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        daemon.loop.submit(
                 () -> {
-                    stands.countDown();
-                    await(goesOn);
+                    blocked.countDown();
+                    await(release);
                 });
-        stands.await();
-        return goesOn;
+        blocked.await();
+        return release;
     }
 
     private static void sleep(long ms) throws InterruptedException {
@@ -154,8 +158,8 @@
     }
 
     /**
-     * Whether the call to take over is held up or its answer, and for how long, in milliseconds:
-     * beyond the time after which it is made once more.
+     * Whether the first `take` call is delayed or its answer, and for how long, in milliseconds:
+     * longer than the time after which the call is repeated.
      */
     @DataProvider
     public Object[][] takeDelays() {
@@ -163,62 +167,67 @@
     }
 
     /**
-     * Guards bans and call-backs: the process before stands still when it is asked to retire, or
-     * the new one when that is answered. Both go on, and the new one must know of the other: a ban
-     * that it says yes to holds there as well.
+     * Guards suspensions and callbacks: the predecessor is stopped when it is asked to retire, or
+     * the successor when the answer arrives. Both resume, and the successor must know that its
+     * predecessor runs: a suspension that it confirms must apply there as well.
      */
     @Test(dataProvider = "takeDelays")
-    public void successorOfAStoppedProcessKnowsThatItStillRuns(boolean isCall, long stopped)
+    public void successorOfAStoppedProcessKnowsThatItStillRuns(boolean delaysCall, long delayMs)
             throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", CONNECT_TIMEOUT_MS);
         awaitReady(first);
-        String note = Files.readString(handoverFile());
-        Relay relay = new Relay((InetSocketAddress) first.management.address(), isCall);
+        String content = Files.readString(handoverFile());
+        Relay relay = new Relay((InetSocketAddress) first.management.address(), delaysCall);
         Files.writeString(
                 handoverFile(),
-                note.replaceAll("127.0.0.1:[0-9]+", "127.0.0.1:" + relay.server.getLocalPort()));
+                content.replaceAll("127.0.0.1:[0-9]+", "127.0.0.1:" + relay.server.getLocalPort()));
         Daemon second = start(clientPort(first), true, "'dueTimeMs':100", CONNECT_TIMEOUT_MS);
         assertTrue(relay.firstTakeReceived.await(AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
-        sleep(stopped);
+        sleep(delayMs);
         relay.released.countDown();
         awaitReady(second);
         assertEquals(call(second, "POST", "/v1/workers/s-1/suspend"), 200);
-        boolean isBanned = onLoop(first, () -> first.scheduler.suspended().contains("s-1"));
+        boolean isSuspended = onLoop(first, () -> first.scheduler.suspended().contains("s-1"));
         relay.server.close();
-        assertTrue(isBanned, "yes was said to a ban that the process before knows nothing of");
-        assertTrue(relay.joinCalls.get() <= MAX_JOIN_CALLS, relay.joinCalls + " calls to join");
+        assertTrue(isSuspended, "a suspension was confirmed that the predecessor does not know");
+        assertTrue(relay.joinCalls.get() <= MAX_JOIN_CALLS, relay.joinCalls + " join calls");
     }
 
-    /** Guards bans: the process before stands still for 2 s when it is asked for its state. */
+    /** Guards suspensions: the predecessor is stopped for 2 s when its state is requested. */
     @Test
     public void processStoppedAtTheJoinCallSendsItsStateLater() throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", CONNECT_TIMEOUT_MS);
         awaitReady(first);
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
-        CountDownLatch goesOn = blockLoopUntilReleased(first);
+        CountDownLatch release = blockLoopUntilReleased(first);
         Daemon second = start(clientPort(first), true, "'dueTimeMs':100", CONNECT_TIMEOUT_MS);
         sleep(MAX_STOP_MS);
-        goesOn.countDown();
+        release.countDown();
         awaitReady(second);
         assertEquals(call(second, "POST", "/v1/workers/s-1/resume"), 200);
-        assertTrue(onLoop(first, () -> first.scheduler.suspended().isEmpty()), "it was not told");
+        assertTrue(
+                onLoop(first, () -> first.scheduler.suspended().isEmpty()),
+                "the predecessor was not notified");
     }
 
-    /** Guards who takes over: each call of a hand-over may be made twice, as when one breaks. */
+    /** Any hand-over call may be repeated, for example when its connection breaks. */
     @Test
     public void takeCallMayBeRepeated() throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", CONNECT_TIMEOUT_MS);
         awaitReady(first);
         takeOverFrom(first);
-        String again = handoverCall(first, tokenInHandoverFile(), "take", "{\"n\":0}");
-        assertTrue(again.startsWith("HTTP/1.1 200 "), again);
+        String response = handoverCall(first, tokenInHandoverFile(), "take", "{\"n\":0}");
+        assertTrue(response.startsWith("HTTP/1.1 200 "), response);
     }
 
     private Path handoverFile() {
         return folder.resolve("gingerspool-n1.json");
     }
 
-    /** Stands between the two processes; holds the first call to take over, or its answer, up. */
+    /**
+     * Relays hand-over calls from the successor to the predecessor. Delays the first `take` call or
+     * its answer until it is released.
+     */
     private final class Relay {
         private final ServerSocket server =
                 new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -230,9 +239,9 @@
         private final CountDownLatch firstTakeReceived = new CountDownLatch(1);
         private final CountDownLatch released = new CountDownLatch(1);
 
-        Relay(InetSocketAddress to, boolean holdsCall) throws IOException {
-            this.target = to;
-            this.delaysCall = holdsCall;
+        Relay(InetSocketAddress target, boolean delaysCall) throws IOException {
+            this.target = target;
+            this.delaysCall = delaysCall;
             acceptAll(server, this::relay);
         }
 
@@ -240,16 +249,17 @@
             while (true) {
                 String call = Bench.read(from);
                 joinCalls.addAndGet(call.startsWith("POST /v1/link/join ") ? 1 : 0);
-                int take = call.startsWith("POST /v1/link/take ") ? takeCalls.incrementAndGet() : 0;
-                if (take == 1) {
+                int takeNumber =
+                        call.startsWith("POST /v1/link/take ") ? takeCalls.incrementAndGet() : 0;
+                if (takeNumber == 1) {
                     firstTakeReceived.countDown();
                 }
-                if (take > 0 && delaysCall) {
-                    // What a stopped process has not read it reads in this order.
-                    await(take == 1 ? released : firstTakeAnswered);
+                if (takeNumber > 0 && delaysCall) {
+                    // A process that resumes reads the calls in the order of their arrival.
+                    await(takeNumber == 1 ? released : firstTakeAnswered);
                 }
                 String answer = forward(call);
-                if (take == 1) {
+                if (takeNumber == 1) {
                     firstTakeAnswered.countDown();
                     await(released);
                 }
@@ -257,24 +267,24 @@
             }
         }
 
-        /** On a connection of its own, which the process has had no time to close as idle. */
+        /** Uses a new connection, as the process may be closing an idle one. */
         private String forward(String call) throws IOException {
-            try (Socket on = new Socket(target.getAddress(), target.getPort())) {
-                sockets.add(on);
-                Bench.write(on, call);
-                return Bench.read(on);
+            try (Socket connection = new Socket(target.getAddress(), target.getPort())) {
+                sockets.add(connection);
+                Bench.write(connection, call);
+                return Bench.read(connection);
             }
         }
     }
 
-    /** The process before stands still at these calls, as long as it is asked. */
+    /** The paths of operators' calls. */
     @DataProvider
     public Object[][] operatorCalls() {
         return new Object[][] {{"/v1/workers/s-1/suspend"}, {"/v1/scheduler/drain"}};
     }
 
     /**
-     * Guards operators: the process that serves does what they ask though the old one is stopped.
+     * Operators' calls to the serving process succeed in time though its predecessor is stopped.
      */
     @Test(dataProvider = "operatorCalls")
     public void aCallIsAYesThoughThePredecessorIsStopped(String path) throws Exception {
@@ -283,25 +293,25 @@
         predecessor.unansweredCalls = "hold held word callback";
         long since = System.nanoTime();
         assertEquals(call(second, "POST", path), 200);
-        assertTrue(msSince(since) < MAX_ANSWER_MS, "the answer took over 1 s");
+        assertTrue(msSince(since) < MAX_ANSWER_MS, "the answer took more than 1 s");
     }
 
     /**
-     * Guards operators: a call waits while the process stands still, and then for a successor that
-     * says nothing. Both together are within the second that is owed.
+     * A call waits until the stopped process resumes, and then for a successor that does not
+     * answer. Both together must stay within the promised second.
      */
     @Test(dataProvider = "operatorCalls")
     public void callReadLateIsAnsweredInTime(String path) throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", CONNECT_TIMEOUT_MS);
         awaitReady(first);
-        String secret = tokenInHandoverFile();
+        String token = tokenInHandoverFile();
         takeOverFrom(first);
-        sendHandoverCall(first, secret, "hold", "");
-        CountDownLatch goesOn = blockLoopUntilReleased(first);
+        sendHandoverCall(first, token, "hold", "");
+        CountDownLatch release = blockLoopUntilReleased(first);
         Socket caller = connect(first.management.address(), "POST " + path + " HTTP/1.1\r\n\r\n");
         long since = System.nanoTime();
         sleep(MAX_ANSWER_MS / 2);
-        goesOn.countDown();
+        release.countDown();
         Bench.read(caller);
         long took = msSince(since);
         assertTrue(took < MAX_ANSWER_MS, "the answer came after " + took + " ms");
