--- a/src/test/java/gingerspool/daemon/FileProcessTest.java
+++ b/src/test/java/gingerspool/daemon/FileProcessTest.java
@@ -14,8 +14,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** `serve --file` beside the platform's configuration, as a process with signals. */
+/**
+ * `serve --file` in its own process, with the platform's configuration as well. The operator's file
+ * is reloaded on SIGHUP.
+ */
 public class FileProcessTest {
+    /** An operator's file that agrees with the platform's configuration. */
     private static final String FILE_CONTENT =
             "[profile.p]\neffect = \"idempotent\"\nexpiry = \"5s\"\n";
 
@@ -36,9 +40,10 @@
         Folders.remove(folder);
     }
 
-    private BufferedReader start(String text) throws IOException {
-        Files.writeString(file, text);
-        ProcessBuilder made =
+    /** Starts the process with this operator's file and returns its output. */
+    private BufferedReader start(String content) throws IOException {
+        Files.writeString(file, content);
+        ProcessBuilder builder =
                 new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
@@ -47,17 +52,18 @@
                         "serve",
                         "--file",
                         file.toString());
-        made.environment().put("GW_CONFIG", folder.resolve("node.json").toString());
-        process = made.redirectErrorStream(true).start();
+        builder.environment().put("GW_CONFIG", folder.resolve("node.json").toString());
+        process = builder.redirectErrorStream(true).start();
         return process.inputReader();
     }
 
+    /** Reads up to the first line that contains this text and returns it. */
     private static String skipTo(BufferedReader log, String text) throws IOException {
         String line = log.readLine();
         while (line != null && !line.contains(text)) {
             line = log.readLine();
         }
-        assertNotNull(line, text + " is not in the log");
+        assertNotNull(line, text + " is missing from the log");
         return line;
     }
 
@@ -71,14 +77,12 @@
         skipTo(log, " serving");
         Files.writeString(file, FILE_CONTENT + "[[route]]\nname = \"r\"\nassignments = 9\n");
         sendSighup();
-        assertTrue(skipTo(log, " file.fault").contains("line=6 "), "the line is named");
+        assertTrue(skipTo(log, " file.fault").contains("line=6 "), "the faulty line must be named");
         skipTo(log, " file.refused");
         Files.writeString(file, FILE_CONTENT + "[[route]]\nname = \"r\"\nassignments = 2\n");
         sendSighup();
         assertTrue(skipTo(log, " file.applied").contains("routes=1 "));
-        // Beside the platform its profiles are those that run: a file that was checked against
-        // others is
-        // refused.
+        // The platform's profiles are in force: a file that was checked against others is refused.
         Files.writeString(file, FILE_CONTENT.replace("idempotent", "side-effecting"));
         sendSighup();
         assertTrue(skipTo(log, " file.refused").contains("profile.p.effect differs"));
--- a/src/test/java/gingerspool/daemon/ServeTest.java
+++ b/src/test/java/gingerspool/daemon/ServeTest.java
@@ -23,17 +23,25 @@
 import org.testng.annotations.Test;
 
 /**
- * A whole daemon on loopback sockets; the test itself stands in for client, worker and discovery.
+ * A complete daemon on loopback sockets, from a client's request to its answer. The test itself
+ * plays the clients, a worker and discovery.
  */
 public class ServeTest {
+    /** A worker's response to a task that it accepts. */
     private static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+
+    /** A worker's response to a task that it refuses without having run it. */
     private static final String UNPROCESSED =
             "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n" + "Content-Length: 0\r\n\r\n";
 
+    /** Closed after the test. */
     private final List<Socket> sockets = new ArrayList<>();
+
     private ServerSocket worker;
     private ServerSocket discovery;
     private Daemon daemon;
+
+    /** The daemon's configuration. */
     private String node;
 
     @BeforeMethod
@@ -44,9 +52,12 @@
         discovery.setSoTimeout(5000);
     }
 
-    /** Starts with one worker known and the configuration of that test, with this put in place. */
-    private void start(String sound, String other) throws Exception {
-        String known =
+    /**
+     * Starts a daemon that knows the test's worker. Its configuration is that of ConfigurationTest,
+     * with the text replaced.
+     */
+    private void start(String text, String replacement) throws Exception {
+        String knownList =
                 "'known':{'seq':7,'whole':true,'hosts':[{'host':'s-1','dial':'127.0.0.1:"
                         + worker.getLocalPort()
                         + "','site':'a','class':'m','block':0,'health':'SERVING','share':4,"
@@ -54,9 +65,9 @@
         node =
                 ConfigurationTest.NODE
                         .replace("127.0.0.1:1'", "127.0.0.1:" + discovery.getLocalPort() + "'")
-                        .replace("'settings'", known + "'settings'")
+                        .replace("'settings'", knownList + "'settings'")
                         .replace("'safe'", "'unsafe'")
-                        .replace(sound, other);
+                        .replace(text, replacement);
         daemon = new Daemon(new NodeConfiguration(ConfigurationTest.parse(node), Map.of()));
         daemon.loop.submit(daemon::start);
     }
@@ -87,12 +98,14 @@
         return s;
     }
 
+    /** Sends this text on a new connection. */
     private Socket sendRequest(String text) throws IOException {
         Socket s = connectClient();
         Bench.write(s, text);
         return s;
     }
 
+    /** A client's request with this time left, in milliseconds. */
     private static String taskRequest(String id, int timeLeft) {
         return "POST /p HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: "
                 + id
@@ -102,6 +115,7 @@
                 + "\r\nContent-Length: 2\r\n\r\nhi";
     }
 
+    /** Sends a worker's callback on a new connection and returns the response. */
     private String sendCallback(String id, String from, String state) throws IOException {
         String body =
                 "{\"id\":\""
@@ -119,13 +133,13 @@
                                 + body));
     }
 
-    /** Takes the next connection at the worker, reads a request there and answers it. */
-    private Socket acceptAtWorker(String answer) throws IOException {
+    /** Accepts a connection as the worker, reads a task from it and sends this response. */
+    private Socket acceptAtWorker(String response) throws IOException {
         Socket s = worker.accept();
         sockets.add(s);
         s.setSoTimeout(5000);
         assertTrue(Bench.read(s).startsWith("POST /p HTTP/1.1\r\n"));
-        Bench.write(s, answer);
+        Bench.write(s, response);
         return s;
     }
 
@@ -139,50 +153,51 @@
         assertTrue(answer.startsWith("HTTP/1.1 200 ") && answer.endsWith("made \u00e9"), answer);
         assertTrue(
                 sendCallback("i1", "s-1", "done").startsWith("HTTP/1.1 200 "),
-                "a repeat is wanted no more");
+                "a repeated callback must be acknowledged");
     }
 
     @Test
     public void workerConnectionIsReused() throws Exception {
         start();
         Socket client = sendRequest(taskRequest("i1", 3000));
-        Socket atWorker = acceptAtWorker(ACCEPTED);
+        Socket workerConnection = acceptAtWorker(ACCEPTED);
         sendCallback("i1", "s-1", "done");
         Bench.read(client);
         Bench.write(client, taskRequest("i2", 3000));
-        assertTrue(Bench.read(atWorker).contains("X-Correlation-Id: i2\r\n"));
+        assertTrue(Bench.read(workerConnection).contains("X-Correlation-Id: i2\r\n"));
     }
 
     /**
-     * Found on service days: connections at rest were dropped without a word, and each cost a task.
+     * Guards tasks against connections that a worker or the network drops silently while they are
+     * idle: each such connection cost a task.
      */
     @Test
     public void connectionsIdleLongerThanABrokenOneAreNotReused() throws Exception {
         start();
-        Socket first = sendRequest(taskRequest("i1", 3000));
+        Socket client = sendRequest(taskRequest("i1", 3000));
         Socket older = acceptAtWorker("");
         sendRequest(taskRequest("i2", 3000));
         Socket newer = acceptAtWorker("");
         Bench.write(older, ACCEPTED);
         sendCallback("i1", "s-1", "done");
-        Bench.read(first);
+        Bench.read(client);
         Bench.write(newer, ACCEPTED);
         sendCallback("i2", "s-1", "done");
-        // One that breaks having rested under 6 ms shortens the rest to its least, which the other
-        // may be
-        // under.
+        // A connection that breaks after being idle for less than 6 ms reduces the idle limit to
+        // its
+        // minimum, and the other connection may have been idle for less than that.
         long since = System.nanoTime();
-        // On one connection: new ones would make the idle ones make way, the first of all.
-        Socket other = connectClient();
+        // On one connection, as new ones would have idle ones closed, the oldest first.
+        Socket pollingClient = connectClient();
         while (System.nanoTime() - since < 20_000_000) {
-            Bench.write(other, "GET /healthz HTTP/1.1\r\n\r\n");
-            Bench.read(other);
+            Bench.write(pollingClient, "GET /healthz HTTP/1.1\r\n\r\n");
+            Bench.read(pollingClient);
         }
-        Bench.write(first, taskRequest("i3", 3000));
+        Bench.write(client, taskRequest("i3", 3000));
         assertTrue(Bench.read(newer).contains("X-Correlation-Id: i3\r\n"));
         newer.close();
-        assertTrue(Bench.read(first).startsWith("HTTP/1.1 500 "));
-        Bench.write(first, taskRequest("i4", 3000));
+        assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
+        Bench.write(client, taskRequest("i4", 3000));
         acceptAtWorker(ACCEPTED);
         assertEquals(older.getInputStream().read(), -1);
     }
@@ -207,7 +222,7 @@
         assertTrue(Bench.read(client).endsWith("ready\n"));
     }
 
-    /** Guards rule two: a worker that ends before its answer may have run the task. */
+    /** Guards rule two: a worker that disconnects before its response may have run the task. */
     @Test
     public void connectionClosedBeforeTheResponseAbandonsASideEffectingTask() throws Exception {
         start();
@@ -235,22 +250,22 @@
     public void acceptedTaskIsCancelledByADeleteRequestBeforeItsExpiry() throws Exception {
         start();
         Socket client = sendRequest(taskRequest("i1", 800));
-        Socket atWorker = acceptAtWorker(ACCEPTED);
+        Socket workerConnection = acceptAtWorker(ACCEPTED);
         assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
-        assertTrue(Bench.read(atWorker).startsWith("DELETE /jobs/i1 HTTP/1.1\r\n"));
+        assertTrue(Bench.read(workerConnection).startsWith("DELETE /jobs/i1 HTTP/1.1\r\n"));
     }
 
     @Test
     public void taskWithoutAResponseIsCancelledByClosingItsConnection() throws Exception {
         start();
         Socket client = sendRequest(taskRequest("i1", 800));
-        Socket atWorker = acceptAtWorker("");
+        Socket workerConnection = acceptAtWorker("");
         assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
-        assertEquals(atWorker.getInputStream().read(), -1);
+        assertEquals(workerConnection.getInputStream().read(), -1);
     }
 
     @Test
-    public void serverKeepsServingAfterAClientDisconnects() throws Exception {
+    public void callbackForADisconnectedClientIsAcknowledged() throws Exception {
         start();
         Socket client = sendRequest(taskRequest("i1", 3000));
         acceptAtWorker(ACCEPTED);
@@ -261,14 +276,17 @@
                         .startsWith("HTTP/1.1 200 "));
     }
 
-    /** Found on days when clients go away: workers spent a seventh of their time in vain. */
+    /**
+     * Guards workers against tasks whose clients have disconnected: they spent a seventh of their
+     * time on such tasks.
+     */
     @Test
     public void taskOfADisconnectedClientIsCancelled() throws Exception {
         start("'maxOpen':9", "'maxOpen':9,'cancelling':true");
         Socket client = sendRequest(taskRequest("i1", 3000));
-        Socket atWorker = acceptAtWorker(ACCEPTED);
+        Socket workerConnection = acceptAtWorker(ACCEPTED);
         client.close();
-        assertTrue(Bench.read(atWorker).startsWith("DELETE /jobs/i1 HTTP/1.1\r\n"));
+        assertTrue(Bench.read(workerConnection).startsWith("DELETE /jobs/i1 HTTP/1.1\r\n"));
     }
 
     @DataProvider
@@ -323,16 +341,16 @@
     }
 
     /**
-     * Guards rule two: the second word that a task was handed back may be the first one's repeat.
+     * Guards rule two: the second callback that returns a task may be a repetition of the first.
      */
     @Test
     public void taskReturnedTwiceByOneWorkerIsAbandoned() throws Exception {
         start("'dueTimeMs':100", "'dueTimeMs':600");
         Socket client =
                 sendRequest(taskRequest("i1", 3000).replace("X-Weight-Hint: 10000\r\n", ""));
-        Socket atWorker = acceptAtWorker(ACCEPTED);
+        Socket workerConnection = acceptAtWorker(ACCEPTED);
         sendCallback("i1", "s-1", "returned");
-        assertTrue(Bench.read(atWorker).contains("X-Correlation-Id: i1\r\n"));
+        assertTrue(Bench.read(workerConnection).contains("X-Correlation-Id: i1\r\n"));
         sendCallback("i1", "s-1", "returned");
         assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
     }
@@ -354,8 +372,8 @@
     }
 
     /**
-     * Guards the limit on descriptors: 12 connections are allowed here, and the next one still gets
-     * in.
+     * Guards the descriptor limit: 12 client connections are allowed here, and further ones are
+     * still accepted.
      */
     @Test
     public void idleConnectionsAreClosedForNewOnes() throws Exception {
@@ -368,7 +386,8 @@
     }
 
     /**
-     * Found with a limit lower than the one told: the door held what it had and answered nobody.
+     * Guards against a descriptor limit that is lower than the configured one: the client endpoint
+     * kept the connections that it had and answered no new client.
      */
     @Test
     public void idleConnectionsAreClosedWhenOutOfDescriptors() throws Exception {
@@ -385,41 +404,43 @@
     }
 
     /**
-     * Found on siracusa-indici: where the list is pushed nobody asked for it, and drains were
-     * missed.
+     * Guards drains of workers on platforms that push the list of workers (found on
+     * siracusa-indici): the list was not requested, so drains were missed.
      */
     @Test
     public void listIsFollowedFromTheKnownVersion() throws Exception {
         start();
-        Socket watch = discovery.accept();
-        sockets.add(watch);
-        assertTrue(Bench.read(watch).startsWith("GET /v1/servers?follow=1&since=7 HTTP/1.1\r\n"));
-        String line = "{\"seq\":8,\"whole\":true,\"hosts\":[]}\n";
+        Socket discoveryStream = discovery.accept();
+        sockets.add(discoveryStream);
+        assertTrue(
+                Bench.read(discoveryStream)
+                        .startsWith("GET /v1/servers?follow=1&since=7 HTTP/1.1\r\n"));
+        String update = "{\"seq\":8,\"whole\":true,\"hosts\":[]}\n";
         Bench.write(
-                watch,
+                discoveryStream,
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
-                        + Integer.toHexString(line.length())
+                        + Integer.toHexString(update.length())
                         + "\r\n"
-                        + line.substring(0, 9));
-        Bench.write(watch, line.substring(9) + "\r\n");
-        watch.close();
+                        + update.substring(0, 9));
+        Bench.write(discoveryStream, update.substring(9) + "\r\n");
+        discoveryStream.close();
         assertTrue(Bench.read(discovery.accept()).contains("since=8 "));
         String answer = Bench.read(sendRequest(taskRequest("i1", 3000)));
-        assertTrue(answer.startsWith("HTTP/1.1 503 "), "a worker that is gone got a task");
+        assertTrue(answer.startsWith("HTTP/1.1 503 "), "a removed worker must get no task");
     }
 
-    /** Takes the next call for the list that comes here. */
-    private String readListRequest(ServerSocket from) throws IOException {
-        Socket s = from.accept();
+    /** Accepts a connection as this discovery and reads the request for the list from it. */
+    private String readListRequest(ServerSocket server) throws IOException {
+        Socket s = server.accept();
         sockets.add(s);
         s.setSoTimeout(5000);
         return Bench.read(s);
     }
 
-    /** Has the configuration read again, with this in its file. */
-    private void reload(String text) throws IOException {
+    /** Reloads the configuration with this content and waits until the daemon answers again. */
+    private void reload(String configuration) throws IOException {
         Path file = Files.createTempFile("configuration", ".json");
-        Files.writeString(file, text.replace('\'', '"'));
+        Files.writeString(file, configuration.replace('\'', '"'));
         daemon.reload(Map.of("GW_CONFIG", file.toString()));
         assertTrue(
                 Bench.read(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
@@ -427,43 +448,47 @@
         Files.delete(file);
     }
 
-    /** A version of another discovery says nothing of what this one has told. */
+    /** The version of the old discovery's list is meaningless to the new one. */
     @Test
     public void newDiscoveryIsFollowedAtOnceAndTheOldStreamCloses() throws Exception {
         start();
         assertTrue(readListRequest(discovery).contains("since=7 "));
-        try (ServerSocket other = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            other.setSoTimeout(5000);
-            String moved =
+        try (ServerSocket newDiscovery =
+                new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+            newDiscovery.setSoTimeout(5000);
+            String newConfiguration =
                     node.replace(
-                            ":" + discovery.getLocalPort() + "'", ":" + other.getLocalPort() + "'");
-            reload(moved);
-            reload(moved);
-            assertTrue(readListRequest(other).contains("since=0 "));
+                            ":" + discovery.getLocalPort() + "'",
+                            ":" + newDiscovery.getLocalPort() + "'");
+            reload(newConfiguration);
+            reload(newConfiguration);
+            assertTrue(readListRequest(newDiscovery).contains("since=0 "));
             assertEquals(sockets.get(0).getInputStream().read(), -1);
             daemon.loop.submit(daemon.scheduler::watchList);
             sockets.get(sockets.size() - 1).close();
             assertTrue(
-                    readListRequest(other).contains("since=0 "),
-                    "only a watch that ended is opened again");
+                    readListRequest(newDiscovery).contains("since=0 "),
+                    "a list request must be repeated only after its stream has ended");
         }
     }
 
     @Test
     public void invalidConfigurationOnReloadChangesNothing() throws Exception {
         start();
-        Socket watch = discovery.accept();
-        sockets.add(watch);
-        Bench.read(watch);
+        Socket discoveryStream = discovery.accept();
+        sockets.add(discoveryStream);
+        Bench.read(discoveryStream);
         reload("{'discovery':");
         reload(node.replace("'seed'", "'sead'"));
         reload(node);
-        Bench.write(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-        watch.close();
+        Bench.write(
+                discoveryStream,
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+        discoveryStream.close();
         assertTrue(readListRequest(discovery).contains("since=7 "));
     }
 
-    /** Found in service: a signal came that Java programs end on. */
+    /** Guards a process in service: by default a Java program exits on SIGHUP. */
     @Test
     public void sighupDoesNotEndTheProcess() throws Exception {
         Path file = Files.createTempFile("configuration", ".json");
@@ -473,15 +498,15 @@
                         .replace('\'', '"')
                         .replace("127.0.0.1:1\"", "127.0.0.1:" + discovery.getLocalPort() + "\""));
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        ProcessBuilder made =
+        ProcessBuilder builder =
                 new ProcessBuilder(
                         java,
                         "-cp",
                         System.getProperty("java.class.path"),
                         "gingerspool.Main",
                         "serve");
-        made.environment().put("GW_CONFIG", file.toString());
-        Process process = made.redirectErrorStream(true).start();
+        builder.environment().put("GW_CONFIG", file.toString());
+        Process process = builder.redirectErrorStream(true).start();
         try (BufferedReader log = process.inputReader()) {
             skipTo(log, " serving");
             new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
@@ -493,34 +518,35 @@
         }
     }
 
+    /** Reads the log up to the first line that contains this text. */
     private static void skipTo(BufferedReader log, String text) throws IOException {
         String line = log.readLine();
         while (line != null && !line.contains(text)) {
             line = log.readLine();
         }
-        assertNotNull(line, text + " is not in the log");
+        assertNotNull(line, text + " is missing from the log");
     }
 
     @Test
     public void drainingWorkerLosesItsIdleConnectionsDespiteInvalidListEntries() throws Exception {
         start();
-        Socket watch = discovery.accept();
-        sockets.add(watch);
+        Socket discoveryStream = discovery.accept();
+        sockets.add(discoveryStream);
         Socket client = sendRequest(taskRequest("i1", 3000));
-        Socket atWorker = acceptAtWorker(ACCEPTED);
+        Socket workerConnection = acceptAtWorker(ACCEPTED);
         sendCallback("i1", "s-1", "done");
         Bench.read(client);
-        String line =
+        String update =
                 "{\"seq\":8,\"whole\":false,\"hosts\":[{},7,{\"host\":\"s-2\",\"dial\":\"nowhere\"},"
                         + "{\"host\":\"s-1\",\"health\":\"DRAINING\"}]}\n";
         Bench.write(
-                watch,
+                discoveryStream,
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                        + Integer.toHexString(line.length())
+                        + Integer.toHexString(update.length())
                         + "\r\n"
-                        + line
+                        + update
                         + "\r\n");
-        assertEquals(atWorker.getInputStream().read(), -1);
+        assertEquals(workerConnection.getInputStream().read(), -1);
     }
 
     @Test
@@ -542,20 +568,20 @@
     }
 
     /**
-     * Found in planned restarts: told to close, clients opened new connections while no one took
-     * any.
+     * Guards planned restarts: clients whose connections were closed opened new ones while no
+     * process accepted any.
      */
     @Test
     public void shuttingDownProcessServesOnKeptConnections() throws Exception {
         start();
         Socket client = sendRequest(taskRequest("i1", 3000));
-        Socket atWorker = acceptAtWorker(ACCEPTED);
+        Socket workerConnection = acceptAtWorker(ACCEPTED);
         sendCallback("i1", "s-1", "done");
         Bench.read(client);
         daemon.loop.submit(() -> daemon.beginShutdown(daemon.loop.now() - 1500));
         Bench.write(client, taskRequest("i2", 3000));
-        assertTrue(Bench.read(atWorker).contains("X-Correlation-Id: i2\r\n"));
-        Bench.write(atWorker, ACCEPTED);
+        assertTrue(Bench.read(workerConnection).contains("X-Correlation-Id: i2\r\n"));
+        Bench.write(workerConnection, ACCEPTED);
         sendCallback("i2", "s-1", "done");
         String answer = Bench.read(client);
         assertTrue(answer.startsWith("HTTP/1.1 200 ") && !answer.contains("close"), answer);
--- a/src/test/java/gingerspool/daemon/SignalledProcessTest.java
+++ b/src/test/java/gingerspool/daemon/SignalledProcessTest.java
@@ -23,37 +23,38 @@
 import org.testng.annotations.Test;
 
 /**
- * A scheduler as a process of its own, which is stopped and continued by signals, or whose standard
- * error nobody reads. What has to hold is far from what a busy machine adds: a second or more.
+ * A scheduler in its own operating-system process that is stopped and continued by signals, or
+ * whose standard error is not read. The test plays its clients, its operators, a worker and its
+ * successor. The bounds leave a second or more for delays by a busy machine.
  */
 public class SignalledProcessTest extends SocketTestBase {
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** The longest expiry counts for so much, in milliseconds. */
+    /** The longest expiry of a task. */
     private static final long MAX_EXPIRY_MS = 3000;
 
-    /** SIGKILL may come so long after SIGTERM, in milliseconds. */
+    /** SIGKILL may come this long after SIGTERM. */
     private static final long KILL_DELAY_MS = MAX_EXPIRY_MS + 700;
 
-    /** The process stands still for so long with SIGTERM waiting for it, in milliseconds. */
+    /** How long the process is stopped. */
     private static final long STOPPED_MS = 600;
 
-    /** It goes on for so long between two stops, in milliseconds. */
+    /** How long the process runs between two stops. */
     private static final long RESUMED_MS = 200;
 
-    /** More lines than any pipe holds: 64 KiB and 100 bytes each. */
+    /** Calls that log more lines than a pipe holds: it holds 64 KiB, and a line has 100 bytes. */
     private static final int LOGGED_CALLS = 1500;
 
-    /** A successor is taken for gone where it holds no call by then, in milliseconds. */
+    /** A successor that has not opened its `hold` call by then is considered gone. */
     private static final long HOLD_CALL_TIMEOUT_MS = 2000;
 
-    /** Operators are owed an answer by then, in milliseconds. */
+    /** Operators are promised an answer within this time. */
     private static final long MAX_ANSWER_MS = 1000;
 
-    /** A call that has no answer by then is kept open, in milliseconds. */
+    /** A `hold` call without an answer after this time counts as kept open. */
     private static final int OBSERVED_MS = 500;
 
-    /** So much of an answer tells its status. */
+    /** The index after the status code in a response. */
     private static final int STATUS_END = 12;
 
     private ServerSocket successor;
@@ -82,12 +83,12 @@
         process = builder.start();
         long since = System.nanoTime();
         while (!isReady()) {
-            assertTrue(msSince(since) < 20_000, "not ready in 20 s");
+            assertTrue(msSince(since) < 20_000, "not ready within 20 s");
         }
     }
 
     private String configuration() {
-        String known =
+        String knownList =
                 "'known':{'seq':7,'whole':true,'hosts':[{'host':'s-1','dial':'127.0.0.1:"
                         + worker.getLocalPort()
                         + "','site':'a','class':'m','block':0,'health':'SERVING','share':4,"
@@ -101,7 +102,7 @@
                                 + "','management':'127.0.0.1:"
                                 + managementAddress.getPort()
                                 + "'")
-                .replace("'settings'", known)
+                .replace("'settings'", knownList)
                 .replace("'safe'", "'unsafe'")
                 .replace('\'', '"');
     }
@@ -114,6 +115,7 @@
         Folders.remove(folder);
     }
 
+    /** Whether the process listens for operators and reports that it is ready. */
     private boolean isReady() throws IOException {
         try {
             return call("GET", "/v1/readyz") == 200;
@@ -122,6 +124,7 @@
         }
     }
 
+    /** Makes an operator's call and returns the status. */
     private int call(String method, String path) throws IOException {
         try (Socket s = connect(managementAddress, method + " " + path + " HTTP/1.1\r\n\r\n")) {
             sockets.remove(s);
@@ -139,8 +142,8 @@
     }
 
     /**
-     * Guards a client whose task is out: SIGTERM comes while the process stands still, and the time
-     * that it leaves runs from when it was sent. What is out has its answer before SIGKILL.
+     * Guards clients with a task in flight when SIGTERM is sent to a stopped process. The shutdown
+     * period runs from the sending of the signal, and the task must be answered before SIGKILL.
      */
     @Test
     public void taskInFlightIsAnsweredBeforeSigkillIfStoppedAtSigterm() throws Exception {
@@ -148,17 +151,17 @@
                 connect(
                         clientAddress,
                         HandoverTestBase.taskRequest("i1").replace("Ms: 4000", "Ms: 5000"));
-        Socket taken = worker.accept();
-        sockets.add(taken);
-        assertTrue(Bench.read(taken).contains("X-Correlation-Id: i1\r\n"));
-        Bench.write(taken, ACCEPTED);
+        Socket workerConnection = worker.accept();
+        sockets.add(workerConnection);
+        assertTrue(Bench.read(workerConnection).contains("X-Correlation-Id: i1\r\n"));
+        Bench.write(workerConnection, ACCEPTED);
         signal("STOP");
         signal("TERM");
-        long terminated = System.nanoTime();
+        long sigtermAt = System.nanoTime();
         assertFalse(process.waitFor(STOPPED_MS, TimeUnit.MILLISECONDS));
         signal("CONT");
         Bench.read(client);
-        long answeredAfter = msSince(terminated);
+        long answeredAfter = msSince(sigtermAt);
         assertTrue(
                 answeredAfter < KILL_DELAY_MS,
                 "SIGKILL may come after "
@@ -168,9 +171,9 @@
     }
 
     /**
-     * Guards clients of a process that is stopped several times in a row: a request whose time is
-     * over when it is read gets its answer then, not after the next stop (day-to-day, seed 781001:
-     * two of them on kept connections got none at all).
+     * Guards clients of a process that is stopped several times in a row: a request that has
+     * expired when it is read must be answered at once, not after the next stop (day-to-day, seed
+     * 781001: two such requests on kept connections got no answer).
      */
     @Test
     public void aRequestThatIsOverIsAnsweredBetweenTwoStops() throws Exception {
@@ -190,12 +193,14 @@
         try {
             assertEquals(Bench.read(client).substring(9, 12), "503");
         } catch (SocketTimeoutException e) {
-            throw new AssertionError("read 600 ms after its sending, not answered 200 ms later", e);
+            throw new AssertionError(
+                    "read 600 ms after it was sent, but not answered 200 ms later", e);
         }
     }
 
+    /** Sends a hand-over call as the successor, without waiting for the response. */
     private Socket sendHandoverCall(String name, String body) throws IOException {
-        String secret =
+        String token =
                 Files.readString(folder.resolve("gingerspool-n1.json"))
                         .replaceAll("(?s).*\"token\":\"([0-9a-f]+)\".*", "$1");
         return connect(
@@ -203,7 +208,7 @@
                 "POST /v1/link/"
                         + name
                         + " HTTP/1.1\r\nX-Token: "
-                        + secret
+                        + token
                         + "\r\nX-From: 127.0.0.1:"
                         + successor.getLocalPort()
                         + "\r\nContent-Length: "
@@ -212,37 +217,37 @@
                         + body);
     }
 
-    /** The test is the successor, and has the clients. */
+    /** Takes over from the process, as the successor that the test plays. */
     private void takeOver() throws IOException {
-        String taken = Bench.read(sendHandoverCall("join", HandoverTestBase.JOIN_BODY_START + "}"));
-        assertTrue(taken.startsWith("HTTP/1.1 200 "), taken);
+        String state = Bench.read(sendHandoverCall("join", HandoverTestBase.JOIN_BODY_START + "}"));
+        assertTrue(state.startsWith("HTTP/1.1 200 "), state);
         assertTrue(Bench.read(sendHandoverCall("take", "{\"n\":0}")).startsWith("HTTP/1.1 200 "));
     }
 
     /**
-     * Guards bans and call-backs: a process stands still while its successor, which lives, begins
-     * to hold its call open; it goes on and must not take the successor for gone.
+     * Guards suspensions and callbacks: a process is stopped while its successor opens the `hold`
+     * call. When it resumes it must not consider the successor gone, which still runs.
      */
     @Test
     public void successorWhoseHoldCallIsReadLateIsNotDropped() throws Exception {
         takeOver();
         signal("STOP");
-        Socket held = sendHandoverCall("hold", "");
+        Socket holdCall = sendHandoverCall("hold", "");
         assertFalse(process.waitFor(HOLD_CALL_TIMEOUT_MS + 100, TimeUnit.MILLISECONDS));
         signal("CONT");
-        held.setSoTimeout(OBSERVED_MS);
+        holdCall.setSoTimeout(OBSERVED_MS);
         String answer;
         try {
-            answer = Bench.read(held);
+            answer = Bench.read(holdCall);
         } catch (SocketTimeoutException e) {
             return;
         }
-        fail("its call is not kept open: " + answer.substring(0, STATUS_END));
+        fail("the hold call is not kept open: " + answer.substring(0, STATUS_END));
     }
 
     /**
-     * Guards operators: the successor has acknowledged their call, and the process, which stood
-     * still, goes on in time to say so.
+     * Guards operators' calls: the successor acknowledges a command while the process is stopped,
+     * and the process resumes in time to confirm the call.
      */
     @Test
     public void acknowledgementReadLateCounts() throws Exception {
@@ -250,29 +255,29 @@
         sendHandoverCall("hold", "");
         Socket caller = connect(managementAddress, "POST /v1/workers/s-1/suspend HTTP/1.1\r\n\r\n");
         long since = System.nanoTime();
-        Socket told = successor.accept();
-        sockets.add(told);
-        assertTrue(Bench.read(told).startsWith("POST /v1/link/word "));
+        Socket notification = successor.accept();
+        sockets.add(notification);
+        assertTrue(Bench.read(notification).startsWith("POST /v1/link/word "));
         signal("STOP");
-        Bench.write(told, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        Bench.write(notification, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         assertFalse(process.waitFor(MAX_ANSWER_MS - 150 - msSince(since), TimeUnit.MILLISECONDS));
         signal("CONT");
         assertEquals(Bench.read(caller).substring(9, 12), "200");
     }
 
-    /** Guards operators and clients: a log that nobody reads holds no call up. */
+    /** A log that is not read must not delay calls. */
     @Test
     public void callsAreAnsweredThoughTheLogIsNotRead() throws Exception {
         for (int i = 0; i < LOGGED_CALLS; i++) {
             try {
                 assertEquals(call("POST", "/v1/workers/s-1/suspend"), 200);
             } catch (SocketTimeoutException e) {
-                throw new AssertionError("call " + i + " has no answer after 5 s", e);
+                throw new AssertionError("call " + i + " is not answered within 5 s", e);
             }
         }
     }
 
-    /** Guards whoever ends it: a log that nobody reads does not keep the process. */
+    /** A log that is not read must not keep the process from exiting. */
     @Test
     public void processExitsThoughTheLogIsNotRead() throws Exception {
         try {
@@ -280,9 +285,11 @@
                 call("POST", "/v1/workers/s-1/suspend");
             }
         } catch (SocketTimeoutException e) {
-            // What the test above is about.
+            // Covered by the test above.
         }
         signal("TERM");
-        assertTrue(process.waitFor(KILL_DELAY_MS, TimeUnit.MILLISECONDS), "alive after SIGTERM");
+        assertTrue(
+                process.waitFor(KILL_DELAY_MS, TimeUnit.MILLISECONDS),
+                "still running after SIGTERM");
     }
 }
--- a/src/test/java/gingerspool/daemon/StalledPipeTest.java
+++ b/src/test/java/gingerspool/daemon/StalledPipeTest.java
@@ -25,18 +25,23 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A scheduler process whose standard error, or configuration file, is a pipe that stands still. */
+/**
+ * A scheduler in its own process whose standard error, or configuration file, is a named pipe that
+ * is not read or not written for a while.
+ */
 public class StalledPipeTest {
-    /** What operators and the front are owed an answer in. */
+    /** Operators and the front end are promised an answer within this time. */
     private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(1);
 
-    /** From SIGTERM to SIGKILL: the longest expiry, 3 s at most, and 0.7 s. */
+    /** The time from SIGTERM to SIGKILL: the longest expiry, at most 3 s, plus 0.7 s. */
     private static final long KILL_DELAY_MS = 3_700;
 
     private static final int RELOAD_TIMEOUT_MS = 20_000;
+
+    /** The exit status of a process that SIGTERM has ended. */
     private static final int SIGTERM_EXIT = 143;
 
-    /** No other process has connections from this address, so a port found free stays free. */
+    /** No other process uses this address, so a port that was found free stays free. */
     private static final String HOST = "127.0.64.1";
 
     private final HttpClient http = HttpClient.newHttpClient();
@@ -47,7 +52,7 @@
     private Process process;
     private BufferedReader log;
 
-    /** Starts the process and reads its log up to the line that says that it serves. */
+    /** Starts the process and reads its log up to the line that reports that it serves. */
     @BeforeMethod
     public void begin() throws Exception {
         folder = Files.createTempDirectory("gingerspool");
@@ -60,8 +65,8 @@
                 ConfigurationTest.NODE
                         .replace("127.0.0.1:0", HOST + ":" + clientPort)
                         .replace('\'', '"'));
-        // A pipe is opened for writing without waiting only while somebody has it open to read.
-        RandomAccessFile both = new RandomAccessFile(pipe.toFile(), "rw");
+        // Opening a pipe for writing blocks until it is open for reading, so it is opened for both.
+        RandomAccessFile readWriteEnd = new RandomAccessFile(pipe.toFile(), "rw");
         try {
             process = start();
             log =
@@ -69,7 +74,7 @@
                             new InputStreamReader(
                                     new FileInputStream(pipe.toFile()), StandardCharsets.UTF_8));
         } finally {
-            both.close();
+            readWriteEnd.close();
         }
         skipTo(" serving");
     }
@@ -82,19 +87,20 @@
     }
 
     private Process start() throws IOException {
-        ProcessBuilder made =
+        ProcessBuilder builder =
                 new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
                         "gingerspool.Main",
                         "serve");
-        made.environment().put("GW_CONFIG", folder.resolve("node.json").toString());
-        made.environment().put("GW_MANAGEMENT", HOST + ":" + managementPort);
-        made.environment().remove("TMPDIR");
-        return made.redirectError(pipe.toFile()).start();
+        builder.environment().put("GW_CONFIG", folder.resolve("node.json").toString());
+        builder.environment().put("GW_MANAGEMENT", HOST + ":" + managementPort);
+        builder.environment().remove("TMPDIR");
+        return builder.redirectError(pipe.toFile()).start();
     }
 
+    /** Reads the log up to the first line that contains this. */
     private void skipTo(String text) throws IOException {
         StringBuilder skipped = new StringBuilder();
         String line = log.readLine();
@@ -102,10 +108,10 @@
             skipped.append(line).append('\n');
             line = log.readLine();
         }
-        assertNotNull(line, text + " is not in the log, which ended after: " + skipped);
+        assertNotNull(line, text + " is missing from the log, which is: " + skipped);
     }
 
-    /** Writes to the pipe until it takes nothing more. */
+    /** Writes to the pipe until it is full. */
     private void fillPipe() throws Exception {
         Process fill =
                 new ProcessBuilder(
@@ -117,9 +123,9 @@
                                 "oflag=nonblock")
                         .redirectErrorStream(true)
                         .start();
-        String said = new String(fill.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(fill.waitFor(), 1, said);
-        assertTrue(said.contains("temporarily unavailable"), said);
+        String output = new String(fill.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(fill.waitFor(), 1, output);
+        assertTrue(output.contains("temporarily unavailable"), output);
     }
 
     private int status(int port, String method, String path) throws Exception {
@@ -131,7 +137,7 @@
         return http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
     }
 
-    /** An operators' call that is logged before it is answered. */
+    /** Makes an operators' call that is logged before it is answered. */
     private void makeLoggedCall() throws Exception {
         assertEquals(status(managementPort, "POST", "/v1/scheduler/activate"), 200);
     }
@@ -147,7 +153,9 @@
     public void sigtermEndsTheProcessInTime() throws Exception {
         fillPipe();
         process.destroy();
-        assertTrue(process.waitFor(KILL_DELAY_MS, TimeUnit.MILLISECONDS), "it is still there");
+        assertTrue(
+                process.waitFor(KILL_DELAY_MS, TimeUnit.MILLISECONDS),
+                "still running after SIGTERM");
         assertEquals(process.exitValue(), SIGTERM_EXIT);
     }
 
@@ -158,7 +166,7 @@
         skipTo(" operators.call");
     }
 
-    /** SIGHUP has the configuration read again, here from a pipe that nobody has written to yet. */
+    /** On SIGHUP the configuration is reloaded, here from a pipe that was not written to yet. */
     @Test(timeOut = RELOAD_TIMEOUT_MS)
     public void requestsAreAnsweredWhileTheConfigurationIsRead() throws Exception {
         Path file = folder.resolve("node.json");
@@ -166,7 +174,7 @@
         Files.delete(file);
         assertEquals(new ProcessBuilder("mkfifo", file.toString()).start().waitFor(), 0);
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
-        // It is opened for writing once the process has opened it to read.
+        // Blocks until the process has opened the pipe for reading.
         try (FileOutputStream writer = new FileOutputStream(file.toFile())) {
             assertEquals(status(clientPort, "GET", "/healthz"), 200);
             writer.write(content);
@@ -174,11 +182,13 @@
         skipTo(" config.reloaded");
     }
 
-    /** With a reader that keeps up nothing is lost at the end. */
+    /** If the log is read without delay, its last lines must not be lost. */
     @Test
     public void theLastLineIsWrittenBeforeTheProcessEnds() throws Exception {
         process.destroy();
         skipTo(" left");
-        assertTrue(process.waitFor(KILL_DELAY_MS, TimeUnit.MILLISECONDS), "it is still there");
+        assertTrue(
+                process.waitFor(KILL_DELAY_MS, TimeUnit.MILLISECONDS),
+                "still running after SIGTERM");
     }
 }
--- a/src/test/java/gingerspool/daemon/StoppedDuringShutdownTest.java
+++ b/src/test/java/gingerspool/daemon/StoppedDuringShutdownTest.java
@@ -17,23 +17,24 @@
 import org.testng.annotations.Test;
 
 /**
- * A process that was replaced stands still in its time to leave (SIGSTOP, no processor) and goes on
- * before SIGKILL may come. When it goes on, its timers come due before the threads of the runtime
- * have read and accepted what came meanwhile: it must not close that unread. Sockets and time are
- * modelled; times are milliseconds.
+ * A superseded process that is stopped during its shutdown (by SIGSTOP or for lack of a processor)
+ * and resumes before SIGKILL may come. Its timers then come due before the threads of the runtime
+ * have accepted the connections and read the requests that arrived meanwhile: the process must not
+ * close these connections unread. Sockets and time are modelled; times are milliseconds.
  */
 public class StoppedDuringShutdownTest {
-    /** The longest expiry, after which SIGKILL comes no sooner than `KILL_AFTER`. */
+    /** The longest expiry of a task. */
     private static final double MAX_EXPIRY_MS = 2000;
 
+    /** SIGKILL comes no sooner than this after SIGTERM. */
     private static final double KILL_DELAY_MS = MAX_EXPIRY_MS + 700;
 
-    /** As the daemon has it: 300 are spared before the kill. */
+    /** As in the daemon, which keeps 300 ms in reserve before SIGKILL. */
     private static final double SHUTDOWN_PERIOD_MS = KILL_DELAY_MS - 300;
 
     private static final double APPLY_INTERVAL_MS = ConnectionDraining.APPLY_INTERVAL_MS;
 
-    /** The runtime's threads read and accept so long after the loop has gone on. */
+    /** How long after the loop has resumed the runtime's threads accept and read. */
     private static final double READ_DELAY_MS = 5;
 
     private static final String REQUEST =
@@ -45,13 +46,15 @@
     private ModelServerChannel channel;
     private ConnectionDraining draining;
 
-    /** A connection that has had an answer before the process was replaced. */
+    /** A connection that got an answer before the process was superseded. */
     private ModelSocketChannel kept;
 
+    /** When SIGTERM came. */
     private double shutdownAt;
+
     private boolean mayExit;
 
-    /** Refuses every task at once: what is tested is whether it is read at all. */
+    /** Refuses every task at once: the tests are about whether its request is read at all. */
     private static final class RefusedTasks extends RequestHandlerStub
             implements ConnectionDraining.Tasks {
         @Override
@@ -91,6 +94,7 @@
         lifecycle.shutDown(shutdownAt, SHUTDOWN_PERIOD_MS);
     }
 
+    /** What the daemon does on its timer, until the process may exit. */
     private void applyPeriodically() {
         draining.apply(loop.now());
         mayExit = lifecycle.mayExit(loop.now(), false) && draining.finishIfEmpty(loop.now());
@@ -99,68 +103,68 @@
         }
     }
 
-    /** When the process stops and goes on, counted from SIGTERM. */
+    /** When the process is stopped and when it resumes, counted from SIGTERM. */
     @DataProvider
     public Object[][] stops() {
-        double isOver = SHUTDOWN_PERIOD_MS;
-        double isPast = SHUTDOWN_PERIOD_MS + ProcessLifecycle.REFUSAL_PERIOD_MS;
+        double periodEnd = SHUTDOWN_PERIOD_MS;
+        double refusalEnd = SHUTDOWN_PERIOD_MS + ProcessLifecycle.REFUSAL_PERIOD_MS;
         return new Object[][] {
             {1100, 1100 + 600},
-            {isOver - 500, isOver + 50},
-            {isOver - 500, isPast + 10},
-            {isOver + 50, isPast + 10},
-            {isOver + 50, KILL_DELAY_MS - 50}
+            {periodEnd - 500, periodEnd + 50},
+            {periodEnd - 500, refusalEnd + 10},
+            {periodEnd + 50, refusalEnd + 10},
+            {periodEnd + 50, KILL_DELAY_MS - 50}
         };
     }
 
-    /** Guards first requests that came on an accepted connection while the process stood still. */
+    /** Guards first requests that arrive on an accepted connection while the process is stopped. */
     @Test(dataProvider = "stops")
-    public void firstRequestIsRead(double stopped, double goesOn) {
-        runUntil(stopped);
+    public void firstRequestIsRead(double stoppedAt, double resumedAt) {
+        runUntil(stoppedAt);
         ModelSocketChannel client = channel.arrive(2);
         loop.run(1);
         client.starve(true);
         client.say(REQUEST);
-        stallUntil(goesOn);
+        stallUntil(resumedAt);
         loop.run(READ_DELAY_MS);
         client.starve(false);
         loop.run(APPLY_INTERVAL_MS);
         assertAnswered(client);
     }
 
-    /** When the process stops and goes on, around the moment when it begins to close. */
+    /** The same, around the time when the process begins to close idle connections. */
     @DataProvider
     public Object[][] stopsAroundIdleClosing() {
         return new Object[][] {{900, 1000}, {700, 1000}, {700, 1700}};
     }
 
     /**
-     * Guards clients that go on with a connection which they have had since before the hand-over.
-     * One that is closed unread costs the client a new connection and time that it may not have.
+     * Guards clients that keep using a connection from before the hand-over. If it is closed with a
+     * request unread, the client needs a new connection and may run out of time.
      */
     @Test(dataProvider = "stopsAroundIdleClosing")
-    public void requestOnAKeptConnectionIsRead(double stopped, double goesOn) {
-        runUntil(stopped);
+    public void requestOnAKeptConnectionIsRead(double stoppedAt, double resumedAt) {
+        runUntil(stoppedAt);
         kept.starve(true);
         kept.say(REQUEST);
-        stallUntil(goesOn);
+        stallUntil(resumedAt);
         loop.run(READ_DELAY_MS);
         kept.starve(false);
         loop.run(APPLY_INTERVAL_MS);
         assertAnswered(kept);
     }
 
-    /** Guards clients whose connections came while the process stood still. */
+    /** Guards clients whose connections arrive in the accept queue while the process is stopped. */
     @Test(dataProvider = "stops")
-    public void queuedClientsAreAccepted(double stopped, double goesOn) {
-        runUntil(stopped);
+    public void queuedClientsAreAccepted(double stoppedAt, double resumedAt) {
+        runUntil(stoppedAt);
         assertTrue(clients.listens());
         channel.starve(true);
         ModelSocketChannel first = channel.arrive(2);
         ModelSocketChannel second = channel.arrive(3);
         first.say(REQUEST);
         second.say(REQUEST);
-        stallUntil(goesOn);
+        stallUntil(resumedAt);
         loop.run(READ_DELAY_MS);
         channel.starve(false);
         loop.run(APPLY_INTERVAL_MS);
@@ -169,12 +173,12 @@
         assertAnswered(second);
     }
 
-    /** Guards whoever ends the process: it ends by itself once it has gone on and nobody comes. */
+    /** Without further clients the process must exit soon after it resumes, without SIGKILL. */
     @Test(dataProvider = "stops")
-    public void processExitsSoonAfterItResumes(double stopped, double goesOn) {
-        runUntil(stopped);
+    public void processExitsSoonAfterItResumes(double stoppedAt, double resumedAt) {
+        runUntil(stoppedAt);
         channel.arrive(2);
-        stallUntil(goesOn);
+        stallUntil(resumedAt);
         loop.run(KILL_DELAY_MS + 500 - (loop.now() - shutdownAt));
         assertTrue(mayExit);
     }
@@ -183,12 +187,14 @@
         loop.run(shutdownAt + afterSigterm - loop.now());
     }
 
+    /** Stops the process until then. */
     private void stallUntil(double afterSigterm) {
         loop.stall(shutdownAt + afterSigterm - loop.now());
     }
 
     private void assertAnswered(ModelSocketChannel client) {
         assertFalse(client.wasReset(), "closed with its request unread");
-        assertTrue(client.answered.indexOf("HTTP/1.1 503 ") == 0, client.answered + "no answer");
+        assertTrue(
+                client.answered.indexOf("HTTP/1.1 503 ") == 0, client.answered + " is no refusal");
     }
 }
