--- a/src/test/java/gingerspool/daemon/OverlappingHandoverTest.java
+++ b/src/test/java/gingerspool/daemon/OverlappingHandoverTest.java
@@ -261,18 +261,18 @@
         awaitReady(killed);
         int port = clientPort(killed);
         killed.loop.stop();
-        assertActAsOneScheduler(List.of(start(port, true), start(port, true)));
+        verifyActAsOneScheduler(List.of(start(port, true), start(port, true)));
     }
 
     /** The same without a predecessor, and thus without a hand-over file. */
     @Test(invocationCount = 5)
     public void oneOfTwoProcessesStartedAtOnceInAnEmptyFolderJoinsTheOther() throws Exception {
         int port = Ports.free("127.0.0.1");
-        assertActAsOneScheduler(List.of(start(port, true), start(port, true)));
+        verifyActAsOneScheduler(List.of(start(port, true), start(port, true)));
     }
 
     /** Asserts that both listen, one is ready, and each passes operators' commands to the other. */
-    private void assertActAsOneScheduler(List<Daemon> daemons) throws Exception {
+    private void verifyActAsOneScheduler(List<Daemon> daemons) throws Exception {
         for (Daemon each : daemons) {
             awaitCondition(() -> onLoop(each, each.clients::listens), "a process does not listen");
         }
--- a/src/test/java/gingerspool/daemon/ServeTest.java
+++ b/src/test/java/gingerspool/daemon/ServeTest.java
@@ -404,8 +404,8 @@
     }
 
     /**
-     * Guards drains of workers on platforms that push the list of workers (found on
-     * siracusa-indici): the list was not requested, so drains were missed.
+     * Guards drains of workers where discovery pushes the list of workers, as on siracusa-indici:
+     * the list was not requested, so drains were missed.
      */
     @Test
     public void listIsFollowedFromTheKnownVersion() throws Exception {
@@ -568,8 +568,8 @@
     }
 
     /**
-     * Guards planned restarts: clients whose connections were closed opened new ones while no
-     * process accepted any.
+     * Guards planned restarts, in which no process may accept connections for a while: clients that
+     * were told to close theirs opened new ones.
      */
     @Test
     public void shuttingDownProcessServesOnKeptConnections() throws Exception {
--- a/src/test/java/gingerspool/daemon/StalledPipeTest.java
+++ b/src/test/java/gingerspool/daemon/StalledPipeTest.java
@@ -108,7 +108,7 @@
             skipped.append(line).append('\n');
             line = log.readLine();
         }
-        assertNotNull(line, text + " is missing from the log, which is: " + skipped);
+        assertNotNull(line, text + " is missing from the log: " + skipped);
     }
 
     /** Writes to the pipe until it is full. */
