--- a/src/test/java/gingerspool/daemon/ServeTest.java
+++ b/src/test/java/gingerspool/daemon/ServeTest.java
@@ -330,7 +330,7 @@
     }
 
     @Test
-    public void expectContinueIsAnswered() throws Exception {
+    public void requestExpectingContinueIsAnswered() throws Exception {
         start();
         Socket client =
                 sendRequest(
