--- a/src/test/java/gingerspool/daemon/FileProcessTest.java
+++ b/src/test/java/gingerspool/daemon/FileProcessTest.java
@@ -14,9 +14,14 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** `serve --file` beside the platform's configuration, as a process with signals. */
+/**
+ * `serve --file` in its own process, with the platform's configuration as well. The operator's file
+ * is reloaded on SIGHUP.
+ */
 public class FileProcessTest {
-    private static final String FILE = "[profile.p]\neffect = \"idempotent\"\nexpiry = \"5s\"\n";
+    /** An operator's file that agrees with the platform's configuration. */
+    private static final String FILE_CONTENT =
+            "[profile.p]\neffect = \"idempotent\"\nexpiry = \"5s\"\n";
 
     private Path folder;
     private Path file;
@@ -35,9 +40,10 @@
         Folders.remove(folder);
     }
 
-    private BufferedReader start(String text) throws IOException {
-        Files.writeString(file, text);
-        ProcessBuilder made =
+    /** Starts the process with this operator's file and returns its output. */
+    private BufferedReader start(String content) throws IOException {
+        Files.writeString(file, content);
+        ProcessBuilder builder =
                 new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
@@ -46,55 +52,54 @@
                         "serve",
                         "--file",
                         file.toString());
-        made.environment().put("GW_CONFIG", folder.resolve("node.json").toString());
-        process = made.redirectErrorStream(true).start();
+        builder.environment().put("GW_CONFIG", folder.resolve("node.json").toString());
+        process = builder.redirectErrorStream(true).start();
         return process.inputReader();
     }
 
+    /** Reads up to the first line that contains this text and returns it. */
     private static String skipTo(BufferedReader log, String text) throws IOException {
         String line = log.readLine();
         while (line != null && !line.contains(text)) {
             line = log.readLine();
         }
-        assertNotNull(line, text + " is not in the log");
+        assertNotNull(line, text + " is missing from the log");
         return line;
     }
 
-    private void hangUp() throws Exception {
+    private void sendSighup() throws Exception {
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
     }
 
     @Test
-    public void hangupAppliesAGoodFileAndABadOneChangesNothing() throws Exception {
-        BufferedReader log = start(FILE);
+    public void sighupAppliesAValidFileAndRefusesAnInvalidOne() throws Exception {
+        BufferedReader log = start(FILE_CONTENT);
         skipTo(log, " serving");
-        Files.writeString(file, FILE + "[[route]]\nname = \"r\"\nassignments = 9\n");
-        hangUp();
-        assertTrue(skipTo(log, " file.fault").contains("line=6 "), "the line is named");
+        Files.writeString(file, FILE_CONTENT + "[[route]]\nname = \"r\"\nassignments = 9\n");
+        sendSighup();
+        assertTrue(skipTo(log, " file.fault").contains("line=6 "), "the faulty line must be named");
         skipTo(log, " file.refused");
-        Files.writeString(file, FILE + "[[route]]\nname = \"r\"\nassignments = 2\n");
-        hangUp();
+        Files.writeString(file, FILE_CONTENT + "[[route]]\nname = \"r\"\nassignments = 2\n");
+        sendSighup();
         assertTrue(skipTo(log, " file.applied").contains("routes=1 "));
-        // Beside the platform its profiles are those that run: a file that was checked against
-        // others is
-        // refused.
-        Files.writeString(file, FILE.replace("idempotent", "side-effecting"));
-        hangUp();
+        // The platform's profiles are in force: a file that was checked against others is refused.
+        Files.writeString(file, FILE_CONTENT.replace("idempotent", "side-effecting"));
+        sendSighup();
         assertTrue(skipTo(log, " file.refused").contains("profile.p.effect differs"));
         assertTrue(process.isAlive());
     }
 
     @Test
-    public void aFileThatContradictsThePlatformIsNotStartedWith() throws Exception {
-        BufferedReader log = start(FILE.replace("5s", "6s"));
+    public void fileContradictingThePlatformIsRefusedAtStart() throws Exception {
+        BufferedReader log = start(FILE_CONTENT.replace("5s", "6s"));
         skipTo(log, "profile.p.expiry is beyond the platform's");
         assertTrue(process.waitFor(10, TimeUnit.SECONDS));
         assertEquals(process.exitValue(), 2);
     }
 
     @Test
-    public void theLogIsJsonWhereTheFileSaysSo() throws Exception {
-        String line = skipTo(start("log.form = \"json\"\n" + FILE), "\"serving\"");
+    public void logIsJsonIfTheFileSaysSo() throws Exception {
+        String line = skipTo(start("log.form = \"json\"\n" + FILE_CONTENT), "\"serving\"");
         assertTrue(
                 line.startsWith("{")
                         && line.contains("\"message\":\"serving\"")
--- a/src/test/java/gingerspool/daemon/HandoverTest.java
+++ b/src/test/java/gingerspool/daemon/HandoverTest.java
@@ -18,14 +18,18 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Two daemons of one scheduler beside each other, on one address and one folder. */
-public class HandoverTest extends HandoverRig {
-    /** One figure of the first profile or worker, as the process would tell it. */
-    private static double learned(Daemon d, String name) throws Exception {
-        return ((double[]) on(d, () -> d.scheduler.estimates().get(name)))[0];
+/**
+ * A hand-over between daemons of one scheduler, from the start of the successor to the exit of the
+ * predecessor. The daemons use loopback sockets and share an address and a hand-over folder.
+ */
+public class HandoverTest extends HandoverTestBase {
+    /** One estimate of the first profile or worker, as the process would hand it over. */
+    private static double firstEstimate(Daemon d, String name) throws Exception {
+        return ((double[]) onLoop(d, () -> d.scheduler.estimates().get(name)))[0];
     }
 
-    private static String done(String id) {
+    /** The worker's callback of a finished task. */
+    private static String doneCallback(String id) {
         String body =
                 "{\"id\":\""
                         + id
@@ -36,101 +40,103 @@
     }
 
     @Test
-    public void theSecondTakesTheClientsAndCallBacksReachWhoeverHasTheTask() throws Exception {
+    public void successorServesClientsAndCallbacksReachTheOwnerOfTheTask() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
-        Socket kept = connect(first.clients.address(), task("i1"));
-        atWorker("i1");
-        Socket calls =
+        awaitReady(first);
+        int port = clientPort(first);
+        Socket firstClient = connect(first.clients.address(), taskRequest("i1"));
+        acceptAtWorker("i1");
+        Socket callbacks =
                 connect(
                         first.clients.address(),
                         "POST /callback HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}");
-        Bench.read(calls);
+        Bench.read(callbacks);
         Daemon second = start(port, false);
-        ready(second);
+        awaitReady(second);
         assertEquals(call(first, "GET", "/v1/readyz"), 503);
-        untilItListensNoMore(first);
-        Socket fresh = connect(second.clients.address(), task("i2"));
-        atWorker("i2");
-        // New connections all come to the second now, and the task of the first is told there.
-        Socket told = connect(second.clients.address(), done("i1"));
-        assertTrue(Bench.read(told).startsWith("HTTP/1.1 200 "));
-        String answer = Bench.read(kept);
+        awaitListenerClosed(first);
+        Socket secondClient = connect(second.clients.address(), taskRequest("i2"));
+        acceptAtWorker("i2");
+        // All new connections go to the second, also the callback for the first one's task.
+        Socket lateCallback = connect(second.clients.address(), doneCallback("i1"));
+        assertTrue(Bench.read(lateCallback).startsWith("HTTP/1.1 200 "));
+        String answer = Bench.read(firstClient);
         assertTrue(answer.endsWith("made i1") && answer.contains("Connection: close\r\n"), answer);
-        Bench.write(calls, done("i2"));
-        answer = Bench.read(calls);
+        Bench.write(callbacks, doneCallback("i2"));
+        answer = Bench.read(callbacks);
         assertTrue(
                 answer.startsWith("HTTP/1.1 200 ") || answer.startsWith("HTTP/1.1 400 "), answer);
-        answer = Bench.read(fresh);
+        answer = Bench.read(secondClient);
         assertTrue(answer.endsWith("made i2") && !answer.contains("close"), answer);
-        assertEquals(healthz(port), "200");
+        assertEquals(healthStatus(port), "200");
         first.loop.submit(() -> first.beginShutdown(first.loop.now()));
         first.exitLatch.await();
-        assertEquals(healthz(port), "200");
+        assertEquals(healthStatus(port), "200");
     }
 
-    private Daemon after(Daemon before, int port) throws Exception {
-        Daemon next = start(port, false, "'dueTimeMs':100", 5000);
-        ready(next);
-        untilItListensNoMore(before);
-        return next;
+    /** Starts a daemon and waits until it has taken over from this one. */
+    private Daemon startSuccessor(Daemon predecessor, int port) throws Exception {
+        Daemon successor = start(port, false, "'dueTimeMs':100", 5000);
+        awaitReady(successor);
+        awaitListenerClosed(predecessor);
+        return successor;
     }
 
     /**
-     * Two upgrades within the time of a task: words and call-backs pass through the middle process.
+     * Two upgrades during one task: operators' commands and callbacks pass through the process in
+     * the middle.
      */
     @Test
     public void inAChainOfThreeWordsAndCallBacksGoAllTheWay() throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 5000);
-        ready(first);
-        int port = port(first);
-        Socket one = connect(first.clients.address(), task("i1"));
-        atWorker("i1");
-        Daemon second = after(first, port);
-        Socket two = connect(second.clients.address(), task("i2"));
-        atWorker("i2");
-        Daemon third = after(second, port);
+        awaitReady(first);
+        int port = clientPort(first);
+        Socket firstClient = connect(first.clients.address(), taskRequest("i1"));
+        acceptAtWorker("i1");
+        Daemon second = startSuccessor(first, port);
+        Socket secondClient = connect(second.clients.address(), taskRequest("i2"));
+        acceptAtWorker("i2");
+        Daemon third = startSuccessor(second, port);
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
         assertTrue(third.scheduler.suspended().contains("s-1"));
         assertEquals(call(third, "POST", "/v1/workers/s-1/resume"), 200);
         assertTrue(first.scheduler.suspended().isEmpty() && second.scheduler.suspended().isEmpty());
         assertTrue(
-                Bench.read(connect(third.clients.address(), done("i2")))
+                Bench.read(connect(third.clients.address(), doneCallback("i2")))
                         .startsWith("HTTP/1.1 200 "));
-        assertTrue(Bench.read(two).endsWith("made i2"));
-        two.close();
+        assertTrue(Bench.read(secondClient).endsWith("made i2"));
+        secondClient.close();
         long since = System.nanoTime();
-        while (on(second, second.clients::ofClients) > 0) {
+        while (onLoop(second, second.clients::ofClients) > 0) {
             assertTrue(
                     System.nanoTime() - since < 10_000_000_000L,
-                    "the client's end is not seen in 10 s");
+                    "the client's disconnection is not noticed within 10 s");
         }
-        long still =
-                on(
+        long exitLatchCount =
+                onLoop(
                         second,
                         () -> {
                             second.beginShutdown(second.loop.now());
                             return second.exitLatch.getCount();
                         });
         assertEquals(
-                still,
+                exitLatchCount,
                 1,
-                "nothing is left in the middle process, but the first one's call-backs are");
+                "the process in the middle must stay for the first one's callbacks");
         assertTrue(
-                Bench.read(connect(third.clients.address(), done("i1")))
+                Bench.read(connect(third.clients.address(), doneCallback("i1")))
                         .startsWith("HTTP/1.1 200 "));
-        assertTrue(Bench.read(one).endsWith("made i1"));
-        one.close();
+        assertTrue(Bench.read(firstClient).endsWith("made i1"));
+        firstClient.close();
         first.loop.submit(() -> first.beginShutdown(first.loop.now()));
         first.exitLatch.await();
         second.exitLatch.await();
-        Socket three = connect(third.clients.address(), task("i3"));
-        atWorker("i3");
+        Socket thirdClient = connect(third.clients.address(), taskRequest("i3"));
+        acceptAtWorker("i3");
         assertTrue(
-                Bench.read(connect(third.clients.address(), done("i3")))
+                Bench.read(connect(third.clients.address(), doneCallback("i3")))
                         .startsWith("HTTP/1.1 200 "));
-        assertTrue(Bench.read(three).endsWith("made i3"));
+        assertTrue(Bench.read(thirdClient).endsWith("made i3"));
     }
 
     @DataProvider
@@ -139,143 +145,150 @@
     }
 
     /**
-     * A move: the next process has the same tasks, or others. What is of machines goes along either
-     * way.
+     * The successor has the same profile, or one with another due time. The estimates about workers
+     * are handed over in both cases.
      */
     @Test(dataProvider = "dueTimes")
-    public void whatWasLearnedOfTasksGoesToTheSameTasksOnly(String due, double hints)
-            throws Exception {
+    public void taskEstimatesAreHandedOverOnlyForAnUnchangedProfile(
+            String dueTimeSetting, double expectedHintsSeen) throws Exception {
         Daemon first = start(0, true, "'dueTimeMs':100", 5000);
-        ready(first);
-        Socket client = connect(first.clients.address(), task("i1"));
-        atWorker("i1");
-        Bench.read(connect(first.clients.address(), done("i1")));
-        assertTrue(Bench.read(client).endsWith("made i1"));
-        Daemon second = start(port(first), false, due, 5000);
-        ready(second);
-        assertEquals(learned(second, "hintsSeen"), hints);
-        assertEquals(learned(second, "answeredAt"), learned(first, "answeredAt"));
-        assertEquals(learned(second, "slots"), learned(first, "slots"));
-        untilItListensNoMore(first);
-        Socket next = connect(second.clients.address(), task("i2"));
-        atWorker("i2");
-        Bench.read(connect(second.clients.address(), done("i2")));
-        assertTrue(Bench.read(next).endsWith("made i2"));
+        awaitReady(first);
+        Socket firstClient = connect(first.clients.address(), taskRequest("i1"));
+        acceptAtWorker("i1");
+        Bench.read(connect(first.clients.address(), doneCallback("i1")));
+        assertTrue(Bench.read(firstClient).endsWith("made i1"));
+        Daemon second = start(clientPort(first), false, dueTimeSetting, 5000);
+        awaitReady(second);
+        assertEquals(firstEstimate(second, "hintsSeen"), expectedHintsSeen);
+        assertEquals(firstEstimate(second, "answeredAt"), firstEstimate(first, "answeredAt"));
+        assertEquals(firstEstimate(second, "slots"), firstEstimate(first, "slots"));
+        awaitListenerClosed(first);
+        Socket secondClient = connect(second.clients.address(), taskRequest("i2"));
+        acceptAtWorker("i2");
+        Bench.read(connect(second.clients.address(), doneCallback("i2")));
+        assertTrue(Bench.read(secondClient).endsWith("made i2"));
     }
 
     @Test
-    public void bansAndDrainsHoldOverAnUpgrade() throws Exception {
+    public void suspensionsAndDrainAreHandedOver() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
+        awaitReady(first);
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
         assertEquals(call(first, "POST", "/v1/scheduler/drain"), 200);
-        Daemon second = start(port(first), false);
-        ready(second);
-        assertEquals(healthz(port(second)), "503");
+        Daemon second = start(clientPort(first), false);
+        awaitReady(second);
+        assertEquals(healthStatus(clientPort(second)), "503");
         assertEquals(call(second, "POST", "/v1/workers/s-9/resume"), 404);
         assertEquals(call(second, "POST", "/v1/scheduler/activate"), 200);
-        assertEquals(healthz(port(second)), "200");
-        String early = task("i1").replace("4000", "300");
+        assertEquals(healthStatus(clientPort(second)), "200");
+        String shortTask = taskRequest("i1").replace("4000", "300");
         assertTrue(
-                Bench.read(connect(second.clients.address(), early)).startsWith("HTTP/1.1 503 "));
-        // A word at either process holds for both.
+                Bench.read(connect(second.clients.address(), shortTask))
+                        .startsWith("HTTP/1.1 503 "));
+        // A command to either process applies to both.
         assertEquals(call(first, "POST", "/v1/workers/s-1/resume"), 200);
-        connect(second.clients.address(), task("i2"));
-        atWorker("i2");
+        connect(second.clients.address(), taskRequest("i2"));
+        acceptAtWorker("i2");
         assertEquals(call(second, "POST", "/v1/workers/s-1/suspend"), 200);
         assertTrue(first.scheduler.suspended().contains("s-1"));
     }
 
-    /** The next process finds nobody at the address, but the bans in the note hold all the same. */
+    /**
+     * The next process gets no answer at the address in the hand-over file, but applies the
+     * suspensions that the file lists.
+     */
     @Test
-    public void afterAKillTheBansOfTheNoteHold() throws Exception {
+    public void suspensionsInTheHandoverFileApplyAfterAKill() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
+        awaitReady(first);
+        int port = clientPort(first);
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
         first.loop.stop();
         Daemon second = start(port, true);
-        ready(second);
-        String early = task("i1").replace("4000", "300");
+        awaitReady(second);
+        String shortTask = taskRequest("i1").replace("4000", "300");
         assertTrue(
-                Bench.read(connect(second.clients.address(), early)).startsWith("HTTP/1.1 503 "));
+                Bench.read(connect(second.clients.address(), shortTask))
+                        .startsWith("HTTP/1.1 503 "));
         assertEquals(call(second, "POST", "/v1/workers/s-1/resume"), 200);
-        connect(second.clients.address(), task("i2"));
-        atWorker("i2");
+        connect(second.clients.address(), taskRequest("i2"));
+        acceptAtWorker("i2");
     }
 
     @Test
-    public void theFirstTakesItsClientsBackIfTheSecondIsKilled() throws Exception {
+    public void predecessorServesAgainIfTheSuccessorIsKilled() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
+        awaitReady(first);
+        int port = clientPort(first);
         Daemon second = start(port, false);
-        ready(second);
-        CountDownLatch written = new CountDownLatch(1);
-        first.fileExecutor.execute(() -> await(written));
+        awaitReady(second);
+        CountDownLatch fileReleased = new CountDownLatch(1);
+        first.fileExecutor.execute(() -> await(fileReleased));
         second.loop.stop();
-        serves(port);
-        // Until the note names the first again, a third would look for the second and find nobody.
+        awaitServing(port);
+        // Until the hand-over file names the first again, a third process would search for the
+        // second and get no answer, so the first must not be ready.
         assertEquals(call(first, "GET", "/v1/readyz"), 503);
-        written.countDown();
-        ready(first);
+        fileReleased.countDown();
+        awaitReady(first);
         Daemon third = start(port, false);
-        ready(third);
+        awaitReady(third);
         long since = System.nanoTime();
         while (call(first, "GET", "/v1/readyz") != 503) {
             assertTrue(
                     System.nanoTime() - since < 10_000_000_000L,
-                    "the first does not retire in 10 s");
+                    "the first process does not retire within 10 s");
         }
-        assertEquals(healthz(port), "200");
+        assertEquals(healthStatus(port), "200");
     }
 
     /**
-     * Whoever is named in the note does not answer, answers rubbish, or ends: the new one serves
-     * alone.
+     * What the process that the hand-over file names does with the `join` call: it closes the
+     * connection, does not answer, or sends a body that can't be used.
      */
     @DataProvider
-    public Object[][] peers() {
+    public Object[][] unusablePredecessors() {
         return new Object[][] {
             {"closes"}, {"rubbish"}, {"another version"}, {"no list"}, {"hangs"}
         };
     }
 
-    @Test(dataProvider = "peers")
-    public void withoutAStateTheNewOneServesWithTheBansOfTheNote(String how) throws Exception {
+    /** Without a state the new process serves alone, with the suspensions in the file. */
+    @Test(dataProvider = "unusablePredecessors")
+    public void suspensionsInTheHandoverFileApplyWithoutAState(String behaviour) throws Exception {
         try (ServerSocket peer = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            String at =
+            String address =
                     Address.text(new InetSocketAddress(peer.getInetAddress(), peer.getLocalPort()));
             Files.writeString(
                     folder.resolve("gingerspool-n1.json"),
                     "{\"v\":1,\"at\":\""
-                            + at
+                            + address
                             + "\",\"token\":\"t\",\"suspended\":[\"s-1\"],\"drained\":false}");
-            Daemon second = start(0, true);
+            Daemon successor = start(0, true);
             Socket s = peer.accept();
             sockets.add(s);
             assertTrue(Bench.read(s).startsWith("POST /v1/link/join "));
             String body =
-                    how.equals("another version")
+                    behaviour.equals("another version")
                             ? "{\"v\":9}"
-                            : how.equals("no list") ? "{\"v\":1}" : "?";
-            if (how.equals("closes")) {
+                            : behaviour.equals("no list") ? "{\"v\":1}" : "?";
+            if (behaviour.equals("closes")) {
                 s.close();
-            } else if (!how.equals("hangs")) {
+            } else if (!behaviour.equals("hangs")) {
                 Bench.write(
                         s,
                         "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             }
-            ready(second);
-            assertEquals(second.scheduler.suspended().toString(), "[s-1]");
-            assertEquals(call(second, "POST", "/v1/workers/s-1/resume"), 200);
+            awaitReady(successor);
+            assertEquals(successor.scheduler.suspended().toString(), "[s-1]");
+            assertEquals(call(successor, "POST", "/v1/workers/s-1/resume"), 200);
         }
     }
 
     @Test
-    public void strangersAreTurnedAwayFromTheLink() throws Exception {
+    public void handoverCallsWithoutTheTokenAreRejected() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
+        awaitReady(first);
         for (String path : List.of("join", "take", "hold", "word", "callback")) {
             Socket s =
                     connect(
@@ -290,142 +303,154 @@
         assertEquals(call(first, "GET", "/v1/readyz"), 200);
     }
 
-    /** Guards the start beside a stale note that can't be read. */
+    /** Guards the start with a hand-over file that can't be parsed. */
     @Test
-    public void aTornNoteIsNoNote() throws Exception {
+    public void truncatedHandoverFileIsIgnored() throws Exception {
         Files.writeString(folder.resolve("gingerspool-n1.json"), "{\"v\":1,\"at\":\"127.");
         Daemon first = start(0, true);
-        ready(first);
+        awaitReady(first);
         assertFalse(first.scheduler.suspended().contains("s-1"));
     }
 
-    // ---- Several processes at once ----
+    // ---- Concurrent processes ----
 
     /**
-     * A client of a replaced process lost its first request. The process had nothing left and
-     * ended, but its listener was still open, so the kernel let the client in and reset it with the
-     * end: in seed 1501 the log said `left` with `listening=true` just before.
+     * Guards a client's first request to a superseded process. The process had no tasks left and
+     * exited while its listener was still open, so the kernel had accepted the client and reset its
+     * connection at the exit: in seed 1501 the log had `left` with `listening=true` just before.
      */
     @Test
-    public void aProcessThatWasSucceededEndsOnlyOnceItsListenerHasClosed() throws Exception {
+    public void supersededProcessExitsOnlyAfterItsListenerIsClosed() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
-        takeFrom(first);
-        boolean endedTooSoon =
-                on(
+        awaitReady(first);
+        int port = clientPort(first);
+        takeOverFrom(first);
+        boolean exitedTooEarly =
+                onLoop(
                         first,
                         () -> {
                             first.beginShutdown(first.loop.now());
                             return first.exitLatch.getCount() == 0 && first.clients.listens();
                         });
-        assertFalse(endedTooSoon);
-        assertEquals(healthz(port), "200");
+        assertFalse(exitedTooEarly);
+        assertEquals(healthStatus(port), "200");
     }
 
-    /** Until its successor listens, clients go on coming to the process before it. */
+    /** Until its successor listens, the predecessor accepts clients, so that none is refused. */
     @Test
-    public void nobodyIsRefusedBeforeTheSuccessorListens() throws Exception {
+    public void predecessorAcceptsClientsUntilTheSuccessorListens() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
-        takeFrom(first);
+        awaitReady(first);
+        int port = clientPort(first);
+        takeOverFrom(first);
         long since = System.nanoTime();
         while (System.nanoTime() - since < 500_000_000L) {
-            assertEquals(healthz(port), "200");
+            assertEquals(healthStatus(port), "200");
         }
         assertTrue(
-                linkCall(first, secretOfNote(), "bound", "{\"all\":true}")
+                handoverCall(first, tokenInHandoverFile(), "bound", "{\"all\":true}")
                         .startsWith("HTTP/1.1 200 "));
-        untilItListensNoMore(first);
+        awaitListenerClosed(first);
     }
 
     /**
-     * Two processes were started one after the other, and one of them had taken over before the
-     * other asked. That one got a 409 (`handover.no_state why=status 409`), served alone beside it
-     * and was still there when both runs had ended. It is told who serves, and asks there.
+     * Two processes are started one after the other, and one takes over before the other requests
+     * the state. Guards against the other one serving alone beside it: it got a 409
+     * (`handover.no_state why=status 409`), and was still running when both runs had ended. It must
+     * be told which process serves, and request the state there.
      */
     @Test
-    public void aProcessThatComesTooLateAsksTheOneThatServes() throws Exception {
+    public void lateProcessIsReferredToTheServingOne() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
-        takeFrom(first);
+        awaitReady(first);
+        int port = clientPort(first);
+        takeOverFrom(first);
         Daemon late = start(port, true);
         discovery.setSoTimeout(5000);
-        String asked = "";
-        while (!asked.startsWith("POST /v1/link/join ")) {
-            // Watches of the list come here as well.
+        String request = "";
+        while (!request.startsWith("POST /v1/link/join ")) {
+            // Requests for the list of workers arrive here as well.
             Socket s = discovery.accept();
             sockets.add(s);
-            asked = Bench.read(s);
+            request = Bench.read(s);
         }
-        assertTrue(asked.contains("X-Token: of the successor\r\n"), asked);
-        assertFalse(on(late, late.clients::listens));
+        assertTrue(request.contains("X-Token: of the successor\r\n"), request);
+        assertFalse(onLoop(late, late.clients::listens));
     }
 
-    /** Whoever starts a process ends all that it started before, so the last one has to serve. */
+    /**
+     * Operators end the older processes after starting a new one, so the process that started last
+     * must serve.
+     */
     @Test
-    public void ofTwoTheOneThatStartedLaterServes() throws Exception {
+    public void joinOfAnOlderProcessIsRefused() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        String answer = linkCall(first, secretOfNote(), "join", JOIN + ",\"started\":1000}");
+        awaitReady(first);
+        String answer =
+                handoverCall(
+                        first,
+                        tokenInHandoverFile(),
+                        "join",
+                        JOIN_BODY_START + ",\"started\":1000}");
         assertTrue(answer.startsWith("HTTP/1.1 410 "), answer);
         assertEquals(call(first, "GET", "/v1/readyz"), 200);
     }
 
+    /** A `join` call that is answered 410 comes from a process older than the serving one. */
     @Test
-    public void aProcessThatALaterOneHasOvertakenEnds() throws Exception {
+    public void processOlderThanTheServingOneExits() throws Exception {
         try (ServerSocket peer = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            String at = "127.0.0.1:" + peer.getLocalPort();
+            String address = "127.0.0.1:" + peer.getLocalPort();
             Files.writeString(
                     folder.resolve("gingerspool-n1.json"),
                     "{\"v\":1,\"at\":\""
-                            + at
+                            + address
                             + "\",\"token\":\"t\",\"suspended\":[],\"drained\":false}");
-            Daemon overtaken = start(0, true);
+            Daemon older = start(0, true);
             Socket s = peer.accept();
             sockets.add(s);
             Bench.read(s);
             Bench.write(s, "HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n");
-            assertTrue(overtaken.exitLatch.await(10, TimeUnit.SECONDS));
-            assertEquals(overtaken.exitCode, 1);
-            assertFalse(on(overtaken, overtaken.clients::listens));
+            assertTrue(older.exitLatch.await(10, TimeUnit.SECONDS));
+            assertEquals(older.exitCode, 1);
+            assertFalse(onLoop(older, older.clients::listens));
         }
     }
 
-    /** SIGTERM comes in the middle of taking over: the process must take nothing any more. */
+    /** SIGTERM arrives during the takeover: from then on the process must take nothing over. */
     @Test
-    public void aProcessThatIsToEndBeforeItServesTakesNothingOver() throws Exception {
+    public void processShutDownBeforeItServesTakesNothingOver() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
+        awaitReady(first);
+        int port = clientPort(first);
         Daemon second = start(port, false);
         second.loop.submit(() -> second.beginShutdown(second.loop.now()));
         assertTrue(second.exitLatch.await(10, TimeUnit.SECONDS));
-        assertEquals(healthz(port), "200");
-        ready(first);
-        assertFalse(on(second, second.clients::listens));
+        assertEquals(healthStatus(port), "200");
+        awaitReady(first);
+        assertFalse(onLoop(second, second.clients::listens));
     }
 
     /**
-     * Answers came up to 900 ms after their expiry: the new process had been told once that the old
-     * one holds about 900 descriptors, took 54 clients and let the others wait until that one had
-     * ended. It asks again, and takes those who wait as soon as it may.
+     * Guards against answers up to 900 ms after their expiry. The new process was told only once
+     * how many descriptors the old one holds, about 900, so it accepted 54 clients and kept the
+     * others waiting until the old one had exited. It must poll that number, and accept the waiting
+     * clients as soon as there are descriptors for them.
      */
     @Test
-    public void whatTheProcessBeforeGivesUpIsUsedAtOnce() throws Exception {
+    public void descriptorsFreedByThePredecessorAreUsedAtOnce() throws Exception {
         Daemon first = start(0, true);
-        ready(first);
-        int port = port(first);
+        awaitReady(first);
+        int port = clientPort(first);
         List<Socket> held = new ArrayList<>();
         for (int i = 0; i < first.node.sockets; i++) {
             held.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
         Daemon second = start(port, false);
-        ready(second);
-        untilItListensNoMore(first);
-        // One more than it may hold beside what the first holds, each busy with its request.
+        awaitReady(second);
+        awaitListenerClosed(first);
+        // One more than the second may hold while the first holds its descriptors. None of them is
+        // idle: each has sent a part of its request.
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
             clients.add(connect(second.clients.address(), "GET /healthz HTTP/1.1\r\n"));
@@ -437,6 +462,6 @@
             Bench.write(s, "\r\n");
             assertTrue(Bench.read(s).startsWith("HTTP/1.1 200 "));
         }
-        assertEquals(first.exitLatch.getCount(), 1, "the first one has not ended");
+        assertEquals(first.exitLatch.getCount(), 1, "the first process must still be running");
     }
 }
--- a/src/test/java/gingerspool/daemon/StoppedPeerTest.java
+++ b/src/test/java/gingerspool/daemon/StoppedPeerTest.java
@@ -20,30 +20,34 @@
 import org.testng.annotations.Test;
 
 /**
- * One of the two processes of a hand-over stands still for a while at a certain step, and goes on.
- * The test plays the other one; a process stands still by a task that holds its loop.
+ * Hand-overs in which one of the two processes is stopped for a while at a certain step, and
+ * resumes. A daemon is stopped by a task that blocks its loop. In some tests the test itself plays
+ * the other process, or relays the calls between two daemons and delays one of them.
  */
-public class StoppedPeerTest extends HandoverRig {
-    private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: ";
+public class StoppedPeerTest extends HandoverTestBase {
+    private static final String OK_RESPONSE_START = "HTTP/1.1 200 OK\r\nContent-Length: ";
+
+    /** The predecessor's state, as its answer to a `join` call. */
     private static final String STATE =
             "{\"v\":1,\"suspended\":[],\"drained\":false,\"discovery\":\"\","
                     + "\"list\":{\"seq\":7,\"whole\":true,\"hosts\":[{\"host\":\"s-1\","
                     + "\"dial\":\"127.0.0.1:9\",\"site\":\"a\",\"class\":\"m\",\"block\":0,"
                     + "\"health\":\"SERVING\",\"share\":4,\"born_ms\":0}]}}";
 
-    /** Operators are owed an answer by then, in milliseconds. */
-    private static final long ANSWER_OWED = 1000;
+    /** Operators are promised an answer within this time. */
+    private static final long MAX_ANSWER_MS = 1000;
 
-    /** A connection to another process comes up within this, in milliseconds. */
-    private static final int CONNECT_WITHIN = 250;
+    /** How long a daemon may take to connect to another process. */
+    private static final int CONNECT_TIMEOUT_MS = 250;
 
-    /** No process of these tests stands still for longer, in milliseconds. */
-    private static final long LONGEST_STOP = 2000;
+    /** The maximum time for which a daemon is stopped. */
+    private static final long MAX_STOP_MS = 2000;
 
-    /** A process that has to wait for another one asks every 50 ms, for 2 s here. */
-    private static final int MOST_JOINS = 50;
+    /** A process that waits for its predecessor requests the state every 50 ms, here for 2 s. */
+    private static final int MAX_JOIN_CALLS = 50;
 
-    private static final long FAR_BEYOND = 10;
+    /** Far longer than what is awaited takes. */
+    private static final long AWAIT_TIMEOUT_S = 10;
 
     private Predecessor predecessor;
 
@@ -57,13 +61,13 @@
         predecessor.server.close();
     }
 
-    /** The process before, as the test plays it: answers whatever it is not told to leave. */
+    /** A predecessor that the test plays: answers all hand-over calls but the ones listed. */
     private final class Predecessor {
         private final ServerSocket server =
                 new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
-        /** Calls of these names get no answer. */
-        private volatile String silentAt = "hold";
+        /** The names of the calls that get no answer. */
+        private volatile String unansweredCalls = "hold";
 
         Predecessor() throws IOException {
             acceptAll(server, this::serve);
@@ -71,53 +75,53 @@
 
         private void serve(Socket s) throws IOException {
             while (true) {
-                String name = Bench.read(s).replaceAll("(?s)POST /v1/link/([a-z]+) .*", "$1");
-                if (silentAt.contains(name)) {
+                String call = Bench.read(s).replaceAll("(?s)POST /v1/link/([a-z]+) .*", "$1");
+                if (unansweredCalls.contains(call)) {
                     return;
                 }
-                Bench.write(s, answer(name));
+                Bench.write(s, answer(call));
             }
         }
 
-        private String answer(String name) {
+        private String answer(String call) {
             String body =
-                    name.equals("join")
+                    call.equals("join")
                             ? STATE
-                            : name.equals("take") || name.equals("held")
+                            : call.equals("take") || call.equals("held")
                                     ? "{\"descriptors\":30,\"listener\":0}"
                                     : "";
-            return OK + body.length() + "\r\n\r\n" + body;
+            return OK_RESPONSE_START + body.length() + "\r\n\r\n" + body;
         }
     }
 
-    private interface Service {
-        void serve(Socket s) throws IOException;
+    private interface ConnectionHandler {
+        void handle(Socket s) throws IOException;
     }
 
-    /** Serves each connection on a thread of its own, until the socket is closed. */
-    private void acceptAll(ServerSocket server, Service service) {
-        begin(
+    /** Handles each connection on its own thread, until the listening socket is closed. */
+    private void acceptAll(ServerSocket server, ConnectionHandler handler) {
+        startThread(
                 () -> {
                     while (true) {
                         Socket s = server.accept();
                         sockets.add(s);
-                        begin(() -> service.serve(s));
+                        startThread(() -> handler.handle(s));
                     }
                 });
     }
 
-    private interface Step {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void begin(Step step) {
+    private static void startThread(IoTask task) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                step.run();
+                                task.run();
                             } catch (IOException e) {
-                                // Closed by the other side, or the test is over.
+                                // The other side has closed the connection, or the test has ended.
                             }
                         },
                         "peer");
@@ -125,185 +129,192 @@
         thread.start();
     }
 
-    /** A process that finds the one of the test in the file. */
-    private Daemon startAfterPredecessor() throws Exception {
+    /** Starts a daemon whose hand-over file names the predecessor that the test plays. */
+    private Daemon startSuccessor() throws Exception {
         Files.writeString(
                 folder.resolve("gingerspool-n1.json"),
                 "{\"v\":1,\"at\":\"127.0.0.1:"
                         + predecessor.server.getLocalPort()
                         + "\",\"token\":\"00ff\",\"suspended\":[],\"drained\":false}");
-        return start(0, true, "'dueTimeMs':100", CONNECT_WITHIN);
+        return start(0, true, "'dueTimeMs':100", CONNECT_TIMEOUT_MS);
     }
 
-    /** Holds the process's loop from now on, until the latch is down. */
-    private static CountDownLatch standStill(Daemon process) throws InterruptedException {
-        CountDownLatch stands = new CountDownLatch(1);
-        CountDownLatch goesOn = new CountDownLatch(1);
-        process.loop.submit(
+    /** Blocks the daemon's loop until the returned latch is counted down. */
+    private static CountDownLatch blockLoopUntilReleased(Daemon daemon)
+            throws InterruptedException {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        daemon.loop.submit(
                 () -> {
-                    stands.countDown();
-                    await(goesOn);
+                    blocked.countDown();
+                    await(release);
                 });
-        stands.await();
-        return goesOn;
+        blocked.await();
+        return release;
     }
 
-    private static void pass(long ms) throws InterruptedException {
+    private static void sleep(long ms) throws InterruptedException {
         new CountDownLatch(1).await(ms, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Whether the call to take over is held up or its answer, and for how long, in milliseconds:
-     * beyond the time after which it is made once more.
+     * Whether the first `take` call is delayed or its answer, and for how long, in milliseconds:
+     * longer than the time after which the call is repeated.
      */
     @DataProvider
-    public Object[][] heldUp() {
+    public Object[][] takeDelays() {
         return new Object[][] {{true, 1450}, {false, 1450}, {true, 2050}, {false, 2050}};
     }
 
     /**
-     * Guards bans and call-backs: the process before stands still when it is asked to retire, or
-     * the new one when that is answered. Both go on, and the new one must know of the other: a ban
-     * that it says yes to holds there as well.
+     * Guards suspensions and callbacks: the predecessor is stopped when it is asked to retire, or
+     * the successor when the answer arrives. Both resume, and the successor must know that its
+     * predecessor runs: a suspension that it confirms must apply there as well.
      */
-    @Test(dataProvider = "heldUp")
-    public void whoTakesOverFromAStoppedProcessKnowsThatItLives(boolean isCall, long stopped)
+    @Test(dataProvider = "takeDelays")
+    public void successorOfAStoppedProcessKnowsThatItStillRuns(boolean delaysCall, long delayMs)
             throws Exception {
-        Daemon first = start(0, true, "'dueTimeMs':100", CONNECT_WITHIN);
-        ready(first);
-        String note = Files.readString(note());
-        Relay relay = new Relay((InetSocketAddress) first.management.address(), isCall);
+        Daemon first = start(0, true, "'dueTimeMs':100", CONNECT_TIMEOUT_MS);
+        awaitReady(first);
+        String content = Files.readString(handoverFile());
+        Relay relay = new Relay((InetSocketAddress) first.management.address(), delaysCall);
         Files.writeString(
-                note(),
-                note.replaceAll("127.0.0.1:[0-9]+", "127.0.0.1:" + relay.server.getLocalPort()));
-        Daemon second = start(port(first), true, "'dueTimeMs':100", CONNECT_WITHIN);
-        assertTrue(relay.isTaken.await(FAR_BEYOND, TimeUnit.SECONDS));
-        pass(stopped);
-        relay.goesOn.countDown();
-        ready(second);
+                handoverFile(),
+                content.replaceAll("127.0.0.1:[0-9]+", "127.0.0.1:" + relay.server.getLocalPort()));
+        Daemon second = start(clientPort(first), true, "'dueTimeMs':100", CONNECT_TIMEOUT_MS);
+        assertTrue(relay.firstTakeReceived.await(AWAIT_TIMEOUT_S, TimeUnit.SECONDS));
+        sleep(delayMs);
+        relay.released.countDown();
+        awaitReady(second);
         assertEquals(call(second, "POST", "/v1/workers/s-1/suspend"), 200);
-        boolean isBanned = on(first, () -> first.scheduler.suspended().contains("s-1"));
+        boolean isSuspended = onLoop(first, () -> first.scheduler.suspended().contains("s-1"));
         relay.server.close();
-        assertTrue(isBanned, "yes was said to a ban that the process before knows nothing of");
-        assertTrue(relay.joins.get() <= MOST_JOINS, relay.joins + " calls to join");
+        assertTrue(isSuspended, "a suspension was confirmed that the predecessor does not know");
+        assertTrue(relay.joinCalls.get() <= MAX_JOIN_CALLS, relay.joinCalls + " join calls");
     }
 
-    /** Guards bans: the process before stands still for 2 s when it is asked for its state. */
+    /** Guards suspensions: the predecessor is stopped for 2 s when its state is requested. */
     @Test
-    public void aProcessThatIsAskedWhileItStandsStillTellsItsState() throws Exception {
-        Daemon first = start(0, true, "'dueTimeMs':100", CONNECT_WITHIN);
-        ready(first);
+    public void processStoppedAtTheJoinCallSendsItsStateLater() throws Exception {
+        Daemon first = start(0, true, "'dueTimeMs':100", CONNECT_TIMEOUT_MS);
+        awaitReady(first);
         assertEquals(call(first, "POST", "/v1/workers/s-1/suspend"), 200);
-        CountDownLatch goesOn = standStill(first);
-        Daemon second = start(port(first), true, "'dueTimeMs':100", CONNECT_WITHIN);
-        pass(LONGEST_STOP);
-        goesOn.countDown();
-        ready(second);
+        CountDownLatch release = blockLoopUntilReleased(first);
+        Daemon second = start(clientPort(first), true, "'dueTimeMs':100", CONNECT_TIMEOUT_MS);
+        sleep(MAX_STOP_MS);
+        release.countDown();
+        awaitReady(second);
         assertEquals(call(second, "POST", "/v1/workers/s-1/resume"), 200);
-        assertTrue(on(first, () -> first.scheduler.suspended().isEmpty()), "it was not told");
+        assertTrue(
+                onLoop(first, () -> first.scheduler.suspended().isEmpty()),
+                "the predecessor was not notified");
     }
 
-    /** Guards who takes over: each call of a hand-over may be made twice, as when one breaks. */
+    /** Any hand-over call may be repeated, for example when its connection breaks. */
     @Test
-    public void aCallToTakeOverMayBeMadeTwice() throws Exception {
-        Daemon first = start(0, true, "'dueTimeMs':100", CONNECT_WITHIN);
-        ready(first);
-        takeFrom(first);
-        String again = linkCall(first, secretOfNote(), "take", "{\"n\":0}");
-        assertTrue(again.startsWith("HTTP/1.1 200 "), again);
+    public void takeCallMayBeRepeated() throws Exception {
+        Daemon first = start(0, true, "'dueTimeMs':100", CONNECT_TIMEOUT_MS);
+        awaitReady(first);
+        takeOverFrom(first);
+        String response = handoverCall(first, tokenInHandoverFile(), "take", "{\"n\":0}");
+        assertTrue(response.startsWith("HTTP/1.1 200 "), response);
     }
 
-    private Path note() {
+    private Path handoverFile() {
         return folder.resolve("gingerspool-n1.json");
     }
 
-    /** Stands between the two processes; holds the first call to take over, or its answer, up. */
+    /**
+     * Relays hand-over calls from the successor to the predecessor. Delays the first `take` call or
+     * its answer until it is released.
+     */
     private final class Relay {
         private final ServerSocket server =
                 new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        private final InetSocketAddress to;
-        private final boolean holdsCall;
-        private final AtomicInteger joins = new AtomicInteger();
-        private final AtomicInteger takes = new AtomicInteger();
-        private final CountDownLatch isFirstAnswered = new CountDownLatch(1);
-        private final CountDownLatch isTaken = new CountDownLatch(1);
-        private final CountDownLatch goesOn = new CountDownLatch(1);
-
-        Relay(InetSocketAddress to, boolean holdsCall) throws IOException {
-            this.to = to;
-            this.holdsCall = holdsCall;
+        private final InetSocketAddress target;
+        private final boolean delaysCall;
+        private final AtomicInteger joinCalls = new AtomicInteger();
+        private final AtomicInteger takeCalls = new AtomicInteger();
+        private final CountDownLatch firstTakeAnswered = new CountDownLatch(1);
+        private final CountDownLatch firstTakeReceived = new CountDownLatch(1);
+        private final CountDownLatch released = new CountDownLatch(1);
+
+        Relay(InetSocketAddress target, boolean delaysCall) throws IOException {
+            this.target = target;
+            this.delaysCall = delaysCall;
             acceptAll(server, this::relay);
         }
 
         private void relay(Socket from) throws IOException {
             while (true) {
                 String call = Bench.read(from);
-                joins.addAndGet(call.startsWith("POST /v1/link/join ") ? 1 : 0);
-                int take = call.startsWith("POST /v1/link/take ") ? takes.incrementAndGet() : 0;
-                if (take == 1) {
-                    isTaken.countDown();
+                joinCalls.addAndGet(call.startsWith("POST /v1/link/join ") ? 1 : 0);
+                int takeNumber =
+                        call.startsWith("POST /v1/link/take ") ? takeCalls.incrementAndGet() : 0;
+                if (takeNumber == 1) {
+                    firstTakeReceived.countDown();
                 }
-                if (take > 0 && holdsCall) {
-                    // What a stopped process has not read it reads in this order.
-                    await(take == 1 ? goesOn : isFirstAnswered);
+                if (takeNumber > 0 && delaysCall) {
+                    // A process that resumes reads the calls in the order of their arrival.
+                    await(takeNumber == 1 ? released : firstTakeAnswered);
                 }
-                String answer = answer(call);
-                if (take == 1) {
-                    isFirstAnswered.countDown();
-                    await(goesOn);
+                String answer = forward(call);
+                if (takeNumber == 1) {
+                    firstTakeAnswered.countDown();
+                    await(released);
                 }
                 Bench.write(from, answer);
             }
         }
 
-        /** On a connection of its own, which the process has had no time to close as idle. */
-        private String answer(String call) throws IOException {
-            try (Socket on = new Socket(to.getAddress(), to.getPort())) {
-                sockets.add(on);
-                Bench.write(on, call);
-                return Bench.read(on);
+        /** Uses a new connection, as the process may be closing an idle one. */
+        private String forward(String call) throws IOException {
+            try (Socket connection = new Socket(target.getAddress(), target.getPort())) {
+                sockets.add(connection);
+                Bench.write(connection, call);
+                return Bench.read(connection);
             }
         }
     }
 
-    /** The process before stands still at these calls, as long as it is asked. */
+    /** The paths of operators' calls. */
     @DataProvider
-    public Object[][] operatorsCalls() {
+    public Object[][] operatorCalls() {
         return new Object[][] {{"/v1/workers/s-1/suspend"}, {"/v1/scheduler/drain"}};
     }
 
     /**
-     * Guards operators: the process that serves does what they ask though the old one is stopped.
+     * Operators' calls to the serving process succeed in time though its predecessor is stopped.
      */
-    @Test(dataProvider = "operatorsCalls")
+    @Test(dataProvider = "operatorCalls")
     public void aCallIsAYesThoughThePredecessorIsStopped(String path) throws Exception {
-        Daemon second = startAfterPredecessor();
-        ready(second);
-        predecessor.silentAt = "hold held word callback";
+        Daemon second = startSuccessor();
+        awaitReady(second);
+        predecessor.unansweredCalls = "hold held word callback";
         long since = System.nanoTime();
         assertEquals(call(second, "POST", path), 200);
-        assertTrue(msSince(since) < ANSWER_OWED, "the answer took over 1 s");
+        assertTrue(msSince(since) < MAX_ANSWER_MS, "the answer took more than 1 s");
     }
 
     /**
-     * Guards operators: a call waits while the process stands still, and then for a successor that
-     * says nothing. Both together are within the second that is owed.
+     * A call waits until the stopped process resumes, and then for a successor that does not
+     * answer. Both together must stay within the promised second.
      */
-    @Test(dataProvider = "operatorsCalls")
-    public void aCallThatIsReadLateIsAnsweredInTime(String path) throws Exception {
-        Daemon first = start(0, true, "'dueTimeMs':100", CONNECT_WITHIN);
-        ready(first);
-        String secret = secretOfNote();
-        takeFrom(first);
-        beginLinkCall(first, secret, "hold", "");
-        CountDownLatch goesOn = standStill(first);
+    @Test(dataProvider = "operatorCalls")
+    public void callReadLateIsAnsweredInTime(String path) throws Exception {
+        Daemon first = start(0, true, "'dueTimeMs':100", CONNECT_TIMEOUT_MS);
+        awaitReady(first);
+        String token = tokenInHandoverFile();
+        takeOverFrom(first);
+        sendHandoverCall(first, token, "hold", "");
+        CountDownLatch release = blockLoopUntilReleased(first);
         Socket caller = connect(first.management.address(), "POST " + path + " HTTP/1.1\r\n\r\n");
         long since = System.nanoTime();
-        pass(ANSWER_OWED / 2);
-        goesOn.countDown();
+        sleep(MAX_ANSWER_MS / 2);
+        release.countDown();
         Bench.read(caller);
         long took = msSince(since);
-        assertTrue(took < ANSWER_OWED, "the answer came after " + took + " ms");
+        assertTrue(took < MAX_ANSWER_MS, "the answer came after " + took + " ms");
     }
 
     private static long msSince(long nanos) {
