--- a/src/test/java/gingerspool/dispatch/Bench.java
+++ b/src/test/java/gingerspool/dispatch/Bench.java
@@ -14,11 +14,11 @@
  * does.
  */
 public final class Bench implements DispatchActions {
-    final List<String> acts = new ArrayList<>();
+    final List<String> actions = new ArrayList<>();
     final List<Assignment> sent = new ArrayList<>();
-    final List<byte[]> messages = new ArrayList<>();
+    final List<byte[]> peerMessages = new ArrayList<>();
     final DispatcherSettings settings = new DispatcherSettings();
-    Dispatcher d;
+    Dispatcher dispatcher;
 
     /**
      * Two slots a worker, three dispatchers, one profile of this effect: due 100 + 2 x work, expiry
@@ -55,22 +55,22 @@
      * idle.
      */
     Bench start(int workers) {
-        d = new Dispatcher(settings, 7, this);
-        list(0, true, workers, Dispatcher.RUNNING, 0);
+        dispatcher = new Dispatcher(settings, 7, this);
+        listWorkers(0, true, workers, Dispatcher.RUNNING, 0);
         for (int w = 0; w < workers; w++) {
-            d.reportReceived(1, w, report(Double.NaN, 2));
+            dispatcher.reportReceived(1, w, report(Double.NaN, 2));
         }
-        acts.clear();
+        actions.clear();
         return this;
     }
 
-    void list(double at, boolean whole, int workers, int state, double startedAt) {
-        d.listBegins(at, whole);
+    void listWorkers(double at, boolean whole, int workers, int state, double startedAt) {
+        dispatcher.listBegins(at, whole);
         for (int w = 0; w < workers; w++) {
-            d.workerNamed(w, "worker-" + w);
-            d.listed(w, w % 2, 0, w / 2, state, 2, startedAt);
+            dispatcher.workerNamed(w, "worker-" + w);
+            dispatcher.listed(w, w % 2, 0, w / 2, state, 2, startedAt);
         }
-        d.listEnds(at, whole, false);
+        dispatcher.listEnds(at, whole, false);
     }
 
     static double[] report(double queue, double freeSlots) {
@@ -82,7 +82,7 @@
     }
 
     Task task(int profile, double at, double hint) {
-        Task t = new Task("t" + acts.size());
+        Task t = new Task("t" + actions.size());
         t.profile = settings.profiles[profile];
         t.expiry = at + t.profile.expiry;
         t.hint = hint;
@@ -91,67 +91,67 @@
 
     Task arrive(int profile, double at) {
         Task t = task(profile, at, 100);
-        d.arrived(at, t);
+        dispatcher.arrived(at, t);
         return t;
     }
 
     /** An assignment of this task there, sent as the dispatcher would, whatever it had chosen. */
-    Assignment sentTo(Task t, int worker, double at) {
+    Assignment forceSend(Task t, int worker, double at) {
         t.work = t.hint;
         Assignment a = new Assignment(t, worker, 0, at, t.hint, 0, sent.size());
         t.inFlight++;
-        d.fleet.link(a);
+        dispatcher.fleet.link(a);
         return a;
     }
 
-    Assignment last() {
+    Assignment lastSent() {
         return sent.get(sent.size() - 1);
     }
 
-    int count(String act) {
-        return (int) acts.stream().filter(a -> a.startsWith(act)).count();
+    int countActions(String act) {
+        return (int) actions.stream().filter(a -> a.startsWith(act)).count();
     }
 
     @Override
     public void send(Assignment a, double timeout) {
         sent.add(a);
-        acts.add("send " + a.worker);
+        actions.add("send " + a.worker);
     }
 
     @Override
     public void bounce(Task t, double pause) {
-        acts.add("bounce " + pause);
+        actions.add("bounce " + pause);
     }
 
     @Override
     public void abandon(Task t) {
-        acts.add("abandon");
+        actions.add("abandon");
     }
 
     @Override
     public void cancel(Assignment a) {
-        acts.add("cancel");
+        actions.add("cancel");
     }
 
     @Override
     public void probe(int worker) {
-        acts.add("probe " + worker);
+        actions.add("probe " + worker);
     }
 
     @Override
     public void sendToPeer(int dispatcher, byte[] message) {
-        acts.add("tell " + dispatcher);
-        messages.add(message);
+        actions.add("tell " + dispatcher);
+        peerMessages.add(message);
     }
 
     @Override
     public void watchList() {
-        acts.add("watch");
+        actions.add("watch");
     }
 
     @Override
     public void wakeAfter(double span) {
-        acts.add("wake " + span);
+        actions.add("wake " + span);
     }
 
     public static Assignment assignment(Task t, int worker, int number) {
@@ -173,7 +173,7 @@
         ByteArrayOutputStream in = new ByteArrayOutputStream();
         String text = "";
         int end = -1;
-        while (end < 0 || in.size() < end + length(text)) {
+        while (end < 0 || in.size() < end + contentLength(text)) {
             int b = s.getInputStream().read();
             if (b < 0) {
                 throw new EOFException("ended after: " + in);
@@ -185,7 +185,7 @@
         return text;
     }
 
-    private static int length(String head) {
+    private static int contentLength(String head) {
         int at = head.indexOf("Content-Length: ");
         return at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf('\r', at)));
     }
--- a/src/test/java/gingerspool/dispatch/ColdBudgetTest.java
+++ b/src/test/java/gingerspool/dispatch/ColdBudgetTest.java
@@ -9,40 +9,40 @@
 
 /** Workers that are not warm yet. */
 public class ColdBudgetTest {
-    private static final Effect SAFE = Effect.IDEMPOTENT;
+    private static final Effect IDEMPOTENT = Effect.IDEMPOTENT;
 
     @Test
-    public void aColdWorkerGetsNoMoreThanItsShare() {
-        Bench b = Bench.of(SAFE).start(1);
-        b.list(20000, false, 1, Dispatcher.RUNNING, 20000);
+    public void coldWorkerGetsAtMostItsBudget() {
+        Bench harness = Bench.of(IDEMPOTENT).start(1);
+        harness.listWorkers(20000, false, 1, Dispatcher.RUNNING, 20000);
         double work = 0;
         for (int i = 0; i < 50; i++) {
-            b.arrive(0, 20000 + i);
+            harness.arrive(0, 20000 + i);
         }
-        for (Assignment a : b.sent) {
+        for (Assignment a : harness.sent) {
             work += a.task.work;
         }
         // A third of 3 x a quarter of its capacity (2 slots) x 1000 ms.
         assertTrue(work <= 500, "work " + work);
-        assertFalse(b.d.inBudget(0, 1000));
+        assertFalse(harness.dispatcher.inBudget(0, 1000));
     }
 
     /** Found in incident ie2c056: with many dispatchers new workers idled until they were warm. */
     @Test
-    public void amongManyDispatchersAColdWorkerStillGetsSingleTasks() {
-        Bench b = Bench.of(SAFE);
-        b.settings.dispatchers = 20;
-        b.settings.overloadFactor = 4;
-        b.start(1);
-        b.list(20000, false, 1, Dispatcher.RUNNING, 20000);
+    public void coldWorkerStillGetsTasksWithManyDispatchers() {
+        Bench harness = Bench.of(IDEMPOTENT);
+        harness.settings.dispatchers = 20;
+        harness.settings.overloadFactor = 4;
+        harness.start(1);
+        harness.listWorkers(20000, false, 1, Dispatcher.RUNNING, 20000);
         for (int i = 0; i < 400; i++) {
-            Task t = b.task(0, 20000 + i * 10, 40);
-            b.d.arrived(20000 + i * 10, t);
+            Task t = harness.task(0, 20000 + i * 10, 40);
+            harness.dispatcher.arrived(20000 + i * 10, t);
         }
-        double work = b.sent.stream().mapToDouble(a -> a.task.work).sum();
+        double work = harness.sent.stream().mapToDouble(a -> a.task.work).sum();
         // At most our part, 1/20, of 4 x capacity (2 slots, at most half warm) over 4 s, and one
         // task more.
-        assertTrue(b.count("send") >= 1);
+        assertTrue(harness.countActions("send") >= 1);
         assertTrue(work <= 4 * 2 * 0.55 * 4000 / 20 + 40, "work " + work);
     }
 
@@ -51,36 +51,36 @@
      * budget.
      */
     @Test
-    public void aWorkerSeenToStartIsWarmInTimeHeardOfOrNot() {
-        Bench b = Bench.of(SAFE).start(1);
-        b.list(20000, false, 1, Dispatcher.RUNNING, 20000);
-        b.d.wake(20000 + b.settings.warmUpSpan - 1);
-        assertFalse(b.d.inBudget(0, 5000));
-        b.d.wake(20000 + b.settings.warmUpSpan);
-        assertTrue(b.d.inBudget(0, 5000));
+    public void startedWorkerWarmsUpInTimeWithoutReports() {
+        Bench harness = Bench.of(IDEMPOTENT).start(1);
+        harness.listWorkers(20000, false, 1, Dispatcher.RUNNING, 20000);
+        harness.dispatcher.wake(20000 + harness.settings.warmUpSpan - 1);
+        assertFalse(harness.dispatcher.inBudget(0, 5000));
+        harness.dispatcher.wake(20000 + harness.settings.warmUpSpan);
+        assertTrue(harness.dispatcher.inBudget(0, 5000));
     }
 
     /**
      * Found in incident ic7dd21: a new worker was in few buddy sets and idled until it was warm.
      */
     @Test
-    public void aColdWorkerIsWeighedBesideTheBuddySet() {
-        Bench b = Bench.of(SAFE);
-        b.settings.dispatchers = 20;
-        b.start(40);
-        b.d.listBegins(10000, false);
-        b.d.listed(40, 0, 0, 0, Dispatcher.RUNNING, 2, 10000);
-        b.d.listEnds(10000, false, false);
+    public void coldWorkerIsScoredBesidesUsualCandidates() {
+        Bench harness = Bench.of(IDEMPOTENT);
+        harness.settings.dispatchers = 20;
+        harness.start(40);
+        harness.dispatcher.listBegins(10000, false);
+        harness.dispatcher.listed(40, 0, 0, 0, Dispatcher.RUNNING, 2, 10000);
+        harness.dispatcher.listEnds(10000, false, false);
         for (int i = 0; i < 8; i++) {
             for (int w = 0; w < 40; w++) {
-                b.d.reportReceived(18980 + i, w, Bench.report(20 + i, 0));
+                harness.dispatcher.reportReceived(18980 + i, w, Bench.report(20 + i, 0));
             }
         }
         for (int i = 0; i < 4; i++) {
-            b.d.reportReceived(18990 + i, 40, Bench.report(0, 2 - i / 10.0));
+            harness.dispatcher.reportReceived(18990 + i, 40, Bench.report(0, 2 - i / 10.0));
         }
-        b.arrive(0, 19000);
-        assertEquals(b.last().worker, 40);
+        harness.arrive(0, 19000);
+        assertEquals(harness.lastSent().worker, 40);
     }
 
     /**
@@ -88,43 +88,45 @@
      * jammed.
      */
     @Test
-    public void aNewWorkerIsBelievedEmpty() {
-        Bench b = Bench.of(SAFE).start(8);
+    public void newWorkerIsAssumedEmpty() {
+        Bench harness = Bench.of(IDEMPOTENT).start(8);
         for (int i = 0; i < 40; i++) {
             for (int w = 0; w < 8; w++) {
-                b.d.reportReceived(10 + i, w, Bench.report(9 + i, 0));
+                harness.dispatcher.reportReceived(10 + i, w, Bench.report(9 + i, 0));
             }
         }
-        b.d.listBegins(10000, false);
-        b.d.listed(8, 0, 0, 0, Dispatcher.RUNNING, 2, 10000);
-        b.d.listEnds(10000, false, false);
-        assertTrue(b.d.peerJobs(7) > 2, "others " + b.d.peerJobs(7));
-        assertEquals(b.d.peerJobs(8), 0.0);
+        harness.dispatcher.listBegins(10000, false);
+        harness.dispatcher.listed(8, 0, 0, 0, Dispatcher.RUNNING, 2, 10000);
+        harness.dispatcher.listEnds(10000, false, false);
+        assertTrue(harness.dispatcher.peerJobs(7) > 2, "others " + harness.dispatcher.peerJobs(7));
+        assertEquals(harness.dispatcher.peerJobs(8), 0.0);
     }
 
     /**
      * The believed pace of a cold worker that never answered, over that of a warm one that did not.
      */
     @Test
-    public void whatSomeColdWorkersShowHoldsForTheOtherColdOnes() {
-        Bench b = Bench.of(SAFE);
-        b.settings.notifiesStart = true;
-        b.start(7);
-        b.list(20000, false, 6, Dispatcher.RUNNING, 20000);
-        b.d.wake(20500);
-        double feared = b.d.pace(5) / b.d.pace(6);
-        runsOnColdOnes(b, 100);
-        double seen = b.d.pace(5) / b.d.pace(6);
+    public void warmUpIsLearnedForAllColdWorkers() {
+        Bench harness = Bench.of(IDEMPOTENT);
+        harness.settings.notifiesStart = true;
+        harness.start(7);
+        harness.listWorkers(20000, false, 6, Dispatcher.RUNNING, 20000);
+        harness.dispatcher.wake(20500);
+        double feared = harness.dispatcher.pace(5) / harness.dispatcher.pace(6);
+        finishTasksOnColdWorkers(harness, 100);
+        double seen = harness.dispatcher.pace(5) / harness.dispatcher.pace(6);
         assertTrue(seen > 1.1 * feared, seen + " of " + feared);
-        runsOnColdOnes(b, 2000);
-        assertTrue(b.d.pace(5) / b.d.pace(6) < seen, "no slower for slow answers");
+        finishTasksOnColdWorkers(harness, 2000);
+        assertTrue(
+                harness.dispatcher.pace(5) / harness.dispatcher.pace(6) < seen,
+                "no slower for slow answers");
     }
 
-    private static void runsOnColdOnes(Bench b, double run) {
+    private static void finishTasksOnColdWorkers(Bench harness, double run) {
         for (int i = 0; i < 20; i++) {
-            Assignment a = b.sentTo(b.task(0, 20500 - run, 100), i % 5, 20500 - run);
-            b.d.started(20500 - run, a);
-            b.d.ended(20500, a, Outcome.OK, true, null);
+            Assignment a = harness.forceSend(harness.task(0, 20500 - run, 100), i % 5, 20500 - run);
+            harness.dispatcher.started(20500 - run, a);
+            harness.dispatcher.ended(20500, a, Outcome.OK, true, null);
         }
     }
 
@@ -133,22 +135,24 @@
      * back.
      */
     @Test
-    public void aResumedWorkerIsUsedAtOnceAndHeldToTheColdBudget() {
-        Bench b = Bench.of(SAFE);
-        b.settings.profiles[0].dueTime = 1000;
-        b.start(1);
-        Assignment a = b.sentTo(b.task(0, 5, 100), 0, 5);
-        b.d.suspended(10, 0);
-        b.d.suspended(11, 0);
-        b.d.ended(20, a, Outcome.UNREACHABLE, false, null);
-        assertEquals(b.count("send"), 0);
-        b.d.resumed(1000, 0);
-        assertEquals(b.d.fleet.startedAt[0], 1000.0);
-        assertEquals(b.d.failRate(0, 0), 0.0);
+    public void resumedWorkerIsUsedWithinColdBudget() {
+        Bench harness = Bench.of(IDEMPOTENT);
+        harness.settings.profiles[0].dueTime = 1000;
+        harness.start(1);
+        Assignment a = harness.forceSend(harness.task(0, 5, 100), 0, 5);
+        harness.dispatcher.suspended(10, 0);
+        harness.dispatcher.suspended(11, 0);
+        harness.dispatcher.ended(20, a, Outcome.UNREACHABLE, false, null);
+        assertEquals(harness.countActions("send"), 0);
+        harness.dispatcher.resumed(1000, 0);
+        assertEquals(harness.dispatcher.fleet.startedAt[0], 1000.0);
+        assertEquals(harness.dispatcher.failRate(0, 0), 0.0);
         for (int i = 0; i < 50; i++) {
-            b.arrive(0, 1000 + i);
+            harness.arrive(0, 1000 + i);
         }
-        assertTrue(b.count("send") > 0, "it is weighed again");
-        assertTrue(b.count("send") < 10, b.count("send") + " sends to a cold worker");
+        assertTrue(harness.countActions("send") > 0, "it is weighed again");
+        assertTrue(
+                harness.countActions("send") < 10,
+                harness.countActions("send") + " sends to a cold worker");
     }
 }
--- a/src/test/java/gingerspool/dispatch/DecisionTraceTest.java
+++ b/src/test/java/gingerspool/dispatch/DecisionTraceTest.java
@@ -25,21 +25,21 @@
     private static final int WORKERS = 12;
 
     /** One dispatcher, driven by drawn inputs; what it calls is the trace. */
-    private static final class Drive implements DispatchActions {
+    private static final class DispatcherDriver implements DispatchActions {
         private final SplittableRandom random;
         private final boolean platform;
         private final DecisionTrace trace = new DecisionTrace();
         private final DispatcherSettings settings = new DispatcherSettings();
         private final Dispatcher dispatcher;
-        private final List<Assignment> out = new ArrayList<>();
+        private final List<Assignment> inFlight = new ArrayList<>();
         private final List<Task> tasks = new ArrayList<>();
-        private final List<Integer> probed = new ArrayList<>();
-        private final PriorityQueue<Double> wakes = new PriorityQueue<>();
-        private final RetryBudget budget = new DrawnBudget();
+        private final List<Integer> probedWorkers = new ArrayList<>();
+        private final PriorityQueue<Double> wakeTimes = new PriorityQueue<>();
+        private final RetryBudget retryBudget = new RefillingBudget();
         private double now;
 
         /** A budget of repeats that runs out and comes back. */
-        private static final class DrawnBudget implements RetryBudget {
+        private static final class RefillingBudget implements RetryBudget {
             private double left = 5;
 
             @Override
@@ -58,7 +58,7 @@
             }
         }
 
-        Drive(long seed, boolean platform) {
+        DispatcherDriver(long seed, boolean platform) {
             this.platform = platform;
             random = new SplittableRandom(seed);
             Profile.Effect[] effects = Profile.Effect.values();
@@ -67,12 +67,12 @@
                 settings.profiles[i] = profile(i, effects[i % effects.length]);
             }
             if (platform) {
-                bePlatform();
+                configurePlatform();
             } else {
-                beJobScheduler(seed);
+                configureJobScheduler(seed);
             }
             dispatcher = new Dispatcher(settings, 31 * seed, this);
-            list(true);
+            listWorkers(true);
         }
 
         private static Profile profile(int index, Profile.Effect effect) {
@@ -91,7 +91,7 @@
             return p;
         }
 
-        private void beJobScheduler(long seed) {
+        private void configureJobScheduler(long seed) {
             settings.zone = 0;
             settings.dispatchers = 4;
             settings.listOnRequest = seed % 2 == 0;
@@ -120,7 +120,7 @@
             settings.allowance = new double[] {40, 60};
         }
 
-        private void bePlatform() {
+        private void configurePlatform() {
             settings.zone = 1;
             settings.dispatchers = 3;
             settings.kinds = new String[] {"instance"};
@@ -133,7 +133,7 @@
             settings.zoneFee = 0.05;
         }
 
-        private void list(boolean whole) {
+        private void listWorkers(boolean whole) {
             dispatcher.listBegins(now, whole);
             for (int w = 0; w < WORKERS; w++) {
                 if (whole || random.nextInt(3) == 0) {
@@ -157,27 +157,27 @@
             }
         }
 
-        private void step() {
+        private void applyRandomInput() {
             now += -Math.log(1 - random.nextDouble()) * 6;
-            while (!wakes.isEmpty() && wakes.peek() <= now) {
-                dispatcher.wake(Math.max(wakes.poll(), 0));
+            while (!wakeTimes.isEmpty() && wakeTimes.peek() <= now) {
+                dispatcher.wake(Math.max(wakeTimes.poll(), 0));
             }
-            trace.add(now, "step", out.size());
+            trace.add(now, "step", inFlight.size());
             switch (random.nextInt(24)) {
-                case 0, 1, 2, 3, 4, 5, 6 -> arrive();
-                case 7, 8, 9, 10, 11, 12 -> end();
+                case 0, 1, 2, 3, 4, 5, 6 -> addTask();
+                case 7, 8, 9, 10, 11, 12 -> endAssignment();
                 case 13, 14 -> answerProbe();
-                case 15 -> leave();
+                case 15 -> disconnectClient();
                 case 16 -> grantOrReport();
                 case 17 -> startOrProgress();
-                case 18 -> operate();
-                case 19 -> peer();
-                case 20 -> listChange();
+                case 18 -> suspendOrResume();
+                case 19 -> receivePeerMessage();
+                case 20 -> changeList();
                 default -> dispatcher.wake(now);
             }
         }
 
-        private void arrive() {
+        private void addTask() {
             Task t = new Task("t" + tasks.size());
             t.profile = settings.profiles[random.nextInt(settings.profiles.length)];
             t.expiry = now + t.profile.expiry;
@@ -186,17 +186,17 @@
             t.memory = random.nextInt(4);
             t.overLimit = random.nextInt(60) == 0;
             if (platform) {
-                t.terms = terms(1 + random.nextInt(3));
+                t.terms = randomTerms(1 + random.nextInt(3));
             } else if (random.nextInt(4) == 0) {
-                t.terms = new Terms(3, 400, 5, 80, 0.5, 2, 50, budget, null);
+                t.terms = new Terms(3, 400, 5, 80, 0.5, 2, 50, retryBudget, null);
             }
             tasks.add(t);
             dispatcher.arrived(now, t);
         }
 
-        private Terms terms(int attempts) {
+        private Terms randomTerms(int attempts) {
             return random.nextBoolean()
-                    ? new Terms(attempts, 0, 0, 0, 0, Math.min(2, attempts), 75, budget, null)
+                    ? new Terms(attempts, 0, 0, 0, 0, Math.min(2, attempts), 75, retryBudget, null)
                     : new Terms(
                             4,
                             0,
@@ -209,17 +209,17 @@
                             EnumSet.of(Outcome.UNREACHABLE, Outcome.MOOT));
         }
 
-        private void end() {
-            if (!out.isEmpty()) {
-                Assignment a = out.remove(random.nextInt(out.size()));
+        private void endAssignment() {
+            if (!inFlight.isEmpty()) {
+                Assignment a = inFlight.remove(random.nextInt(inFlight.size()));
                 Outcome[] all = Outcome.values();
                 Outcome how = random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length)];
                 boolean over = how == Outcome.OK || a.task.ended();
-                dispatcher.ended(now, a, how, over, random.nextBoolean() ? report() : null);
+                dispatcher.ended(now, a, how, over, random.nextBoolean() ? randomReport() : null);
             }
         }
 
-        private double[] report() {
+        private double[] randomReport() {
             double[] report = new double[Report.SIZE];
             Arrays.fill(report, Double.NaN);
             report[Report.QUEUE] = random.nextInt(3) == 0 ? Double.NaN : random.nextInt(6);
@@ -228,17 +228,17 @@
         }
 
         private void answerProbe() {
-            if (!probed.isEmpty()) {
-                int w = probed.remove(random.nextInt(probed.size()));
+            if (!probedWorkers.isEmpty()) {
+                int w = probedWorkers.remove(random.nextInt(probedWorkers.size()));
                 if (random.nextInt(5) == 0) {
                     dispatcher.reportMissing(now, w);
                 } else {
-                    dispatcher.reportReceived(now, w, report());
+                    dispatcher.reportReceived(now, w, randomReport());
                 }
             }
         }
 
-        private void leave() {
+        private void disconnectClient() {
             List<Task> open = tasks.stream().filter(t -> !t.ended()).toList();
             if (!open.isEmpty()) {
                 dispatcher.clientLeft(now, open.get(random.nextInt(open.size())));
@@ -249,13 +249,13 @@
             int w = random.nextInt(WORKERS);
             if (platform) {
                 dispatcher.granted(now, w, random.nextInt(4));
-                dispatcher.reportReceived(now, w, report());
+                dispatcher.reportReceived(now, w, randomReport());
             }
         }
 
         private void startOrProgress() {
-            if (!out.isEmpty() && !platform) {
-                Assignment a = out.get(random.nextInt(out.size()));
+            if (!inFlight.isEmpty() && !platform) {
+                Assignment a = inFlight.get(random.nextInt(inFlight.size()));
                 if (random.nextBoolean()) {
                     dispatcher.started(now, a);
                 } else {
@@ -264,7 +264,7 @@
             }
         }
 
-        private void operate() {
+        private void suspendOrResume() {
             int w = random.nextInt(WORKERS);
             if (!platform && dispatcher.isSuspended(w)) {
                 dispatcher.resumed(now, w);
@@ -273,7 +273,7 @@
             }
         }
 
-        private void peer() {
+        private void receivePeerMessage() {
             if (!platform && settings.mayMessagePeers) {
                 byte[] message = new byte[random.nextInt(12)];
                 for (int i = 0; i < message.length; i++) {
@@ -283,17 +283,17 @@
             }
         }
 
-        private void listChange() {
+        private void changeList() {
             if (random.nextInt(4) == 0 && !platform) {
                 dispatcher.listFailed(now);
             } else {
-                list(random.nextInt(6) == 0);
+                listWorkers(random.nextInt(6) == 0);
             }
         }
 
         @Override
         public void send(Assignment a, double timeout) {
-            out.add(a);
+            inFlight.add(a);
             trace.add(now, "send", a.task.id, a.worker, a.number, timeout);
         }
 
@@ -314,7 +314,7 @@
 
         @Override
         public void probe(int worker) {
-            probed.add(worker);
+            probedWorkers.add(worker);
             trace.add(now, "probe", worker);
         }
 
@@ -330,19 +330,19 @@
 
         @Override
         public void wakeAfter(double span) {
-            wakes.add(now + span);
+            wakeTimes.add(now + span);
             trace.add(now, "wake", span);
         }
     }
 
     @Test
-    public void decisionsAreThoseRecorded() {
+    public void decisionsMatchRecordedTraces() {
         Map<String, String> found = new TreeMap<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
             for (boolean platform : new boolean[] {false, true}) {
-                Drive drive = new Drive(seed, platform);
+                DispatcherDriver drive = new DispatcherDriver(seed, platform);
                 for (int i = 0; i < STEPS; i++) {
-                    drive.step();
+                    drive.applyRandomInput();
                 }
                 assertTrue(
                         drive.trace.lines() > STEPS + 500, "few decisions: " + drive.trace.lines());
--- a/src/test/java/gingerspool/dispatch/PolicyFilesTest.java
+++ b/src/test/java/gingerspool/dispatch/PolicyFilesTest.java
@@ -15,9 +15,9 @@
  * The files that decide, as both deploy files list them under `policy`, stay small enough to read.
  */
 public class PolicyFilesTest {
-    private static final int MOST_LINES = 1100;
+    private static final int MAX_LINES = 1100;
 
-    private static List<String> policy(String deployFile) throws IOException {
+    private static List<String> policyFiles(String deployFile) throws IOException {
         String line =
                 Files.readAllLines(Path.of("deploy", deployFile)).stream()
                         .filter(l -> l.startsWith("policy = "))
@@ -31,16 +31,16 @@
     }
 
     @Test
-    public void bothProgramsListTheSameFiles() throws IOException {
-        assertEquals(policy("system.toml"), policy("balancer.toml"));
+    public void deployFilesListSamePolicyFiles() throws IOException {
+        assertEquals(policyFiles("system.toml"), policyFiles("balancer.toml"));
     }
 
     @Test
-    public void theFilesThatDecideHoldElevenHundredLinesTogether() throws IOException {
+    public void policyFilesStayWithinMaxLines() throws IOException {
         long lines = 0;
-        for (String file : policy("balancer.toml")) {
+        for (String file : policyFiles("balancer.toml")) {
             lines += Files.readAllLines(Path.of(file)).stream().filter(l -> !l.isBlank()).count();
         }
-        assertTrue(lines > 0 && lines <= MOST_LINES, lines + " non-blank lines");
+        assertTrue(lines > 0 && lines <= MAX_LINES, lines + " non-blank lines");
     }
 }
--- a/src/test/java/gingerspool/dispatch/TermsTest.java
+++ b/src/test/java/gingerspool/dispatch/TermsTest.java
@@ -16,14 +16,14 @@
 
 /** What an operator's terms make of the module's assignments. */
 public class TermsTest {
-    private static final Effect SAFE = Effect.IDEMPOTENT;
+    private static final Effect IDEMPOTENT = Effect.IDEMPOTENT;
 
     /** A budget of so many, which nothing fills up. */
-    private static final class Coins implements RetryBudget {
+    private static final class FixedBudget implements RetryBudget {
         int left;
         int earned;
 
-        Coins(int left) {
+        FixedBudget(int left) {
             this.left = left;
         }
 
@@ -51,178 +51,178 @@
         return new Terms(4, 0, 0, 0, 0, most, after, budget, null);
     }
 
-    private static Task arrive(Bench b, double at, Terms terms) {
-        Task t = b.task(0, at, 100);
+    private static Task arrive(Bench harness, double at, Terms terms) {
+        Task t = harness.task(0, at, 100);
         t.terms = terms;
-        b.d.arrived(at, t);
+        harness.dispatcher.arrived(at, t);
         return t;
     }
 
     @Test
-    public void theTermsBoundTheAssignmentsBelowTheSettings() {
-        Bench b = Bench.of(SAFE).start(4);
-        arrive(b, 1, terms(2, 0, 0, null));
-        b.d.ended(2, b.last(), Outcome.ERROR, false, null);
-        assertEquals(b.sent.size(), 2);
-        b.d.ended(3, b.last(), Outcome.ERROR, false, null);
-        assertEquals(b.sent.size(), 2);
-        assertEquals(b.count("bounce"), 1);
+    public void termsLowerMaxAssignments() {
+        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        arrive(harness, 1, terms(2, 0, 0, null));
+        harness.dispatcher.ended(2, harness.lastSent(), Outcome.ERROR, false, null);
+        assertEquals(harness.sent.size(), 2);
+        harness.dispatcher.ended(3, harness.lastSent(), Outcome.ERROR, false, null);
+        assertEquals(harness.sent.size(), 2);
+        assertEquals(harness.countActions("bounce"), 1);
     }
 
     @Test
-    public void termsNeverAllowMoreThanTheSettings() {
-        Bench b = Bench.of(SAFE);
-        b.settings.maxAssignments = 1;
-        b.start(4);
-        arrive(b, 1, terms(4, 0, 0, null));
-        b.d.ended(2, b.last(), Outcome.ERROR, false, null);
-        assertEquals(b.sent.size(), 1);
-        assertEquals(b.count("bounce"), 1);
+    public void termsNeverRaiseMaxAssignments() {
+        Bench harness = Bench.of(IDEMPOTENT);
+        harness.settings.maxAssignments = 1;
+        harness.start(4);
+        arrive(harness, 1, terms(4, 0, 0, null));
+        harness.dispatcher.ended(2, harness.lastSent(), Outcome.ERROR, false, null);
+        assertEquals(harness.sent.size(), 1);
+        assertEquals(harness.countActions("bounce"), 1);
     }
 
     @Test
-    public void aPauseComesBetweenAssignmentsAndDoubles() {
-        Bench b = Bench.of(SAFE).start(4);
-        arrive(b, 1, terms(4, 20, 30, null));
-        b.d.ended(10, b.last(), Outcome.ERROR, false, null);
-        b.d.wake(29);
-        assertEquals(b.sent.size(), 1);
-        b.d.wake(30);
-        assertEquals(b.sent.size(), 2);
-        b.d.ended(40, b.last(), Outcome.ERROR, false, null);
-        b.d.wake(69);
-        assertEquals(b.sent.size(), 2);
-        b.d.wake(70);
-        assertEquals(b.sent.size(), 3);
+    public void pauseBetweenAssignmentsDoublesUpToMaximum() {
+        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        arrive(harness, 1, terms(4, 20, 30, null));
+        harness.dispatcher.ended(10, harness.lastSent(), Outcome.ERROR, false, null);
+        harness.dispatcher.wake(29);
+        assertEquals(harness.sent.size(), 1);
+        harness.dispatcher.wake(30);
+        assertEquals(harness.sent.size(), 2);
+        harness.dispatcher.ended(40, harness.lastSent(), Outcome.ERROR, false, null);
+        harness.dispatcher.wake(69);
+        assertEquals(harness.sent.size(), 2);
+        harness.dispatcher.wake(70);
+        assertEquals(harness.sent.size(), 3);
     }
 
     /** Found by reading: a change of the list looks at every task at once, and cut pauses short. */
     @Test
-    public void aChangeOfTheListDoesNotCutAPauseShort() {
-        Bench b = Bench.of(SAFE).start(4);
-        arrive(b, 1, terms(4, 20, 20, null));
-        b.d.ended(10, b.last(), Outcome.ERROR, false, null);
-        b.list(15, true, 4, Dispatcher.RUNNING, 0);
-        assertEquals(b.sent.size(), 1);
-        b.d.wake(30);
-        assertEquals(b.sent.size(), 2);
+    public void workerListDoesNotShortenPause() {
+        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        arrive(harness, 1, terms(4, 20, 20, null));
+        harness.dispatcher.ended(10, harness.lastSent(), Outcome.ERROR, false, null);
+        harness.listWorkers(15, true, 4, Dispatcher.RUNNING, 0);
+        assertEquals(harness.sent.size(), 1);
+        harness.dispatcher.wake(30);
+        assertEquals(harness.sent.size(), 2);
     }
 
     @Test
-    public void whatThePauseWouldOutlastIsGivenUpAtOnce() {
-        Bench b = Bench.of(SAFE).start(4);
-        arrive(b, 1, terms(4, 20, 20, null));
-        b.d.ended(4990, b.last(), Outcome.ERROR, false, null);
-        assertEquals(b.count("bounce"), 1);
+    public void givesUpAtOnceIfPauseExceedsExpiry() {
+        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        arrive(harness, 1, terms(4, 20, 20, null));
+        harness.dispatcher.ended(4990, harness.lastSent(), Outcome.ERROR, false, null);
+        assertEquals(harness.countActions("bounce"), 1);
     }
 
     @Test
-    public void whatMayNotRunAgainIsGivenUpWithoutAPause() {
-        Bench b = Bench.of(Effect.SIDE_EFFECTING).start(4);
-        arrive(b, 1, terms(4, 20, 20, null));
-        b.d.ended(5, b.last(), Outcome.RESET, false, null);
-        assertEquals(b.count("abandon"), 1);
+    public void abandonsNonRetryableTaskWithoutPause() {
+        Bench harness = Bench.of(Effect.SIDE_EFFECTING).start(4);
+        arrive(harness, 1, terms(4, 20, 20, null));
+        harness.dispatcher.ended(5, harness.lastSent(), Outcome.RESET, false, null);
+        assertEquals(harness.countActions("abandon"), 1);
     }
 
     @Test
-    public void onlyNamedOutcomesGoAgain() {
+    public void retriesOnlyAfterRetryableOutcomes() {
         Terms t = new Terms(4, 0, 0, 0, 0, 1, 0, null, EnumSet.of(Outcome.FULL));
-        Bench b = Bench.of(SAFE).start(4);
-        arrive(b, 1, t);
-        b.d.ended(2, b.last(), Outcome.FULL, false, null);
-        assertEquals(b.sent.size(), 2);
-        b.d.ended(3, b.last(), Outcome.ERROR, false, null);
-        assertEquals(b.sent.size(), 2);
-        assertEquals(b.count("bounce"), 1);
+        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        arrive(harness, 1, t);
+        harness.dispatcher.ended(2, harness.lastSent(), Outcome.FULL, false, null);
+        assertEquals(harness.sent.size(), 2);
+        harness.dispatcher.ended(3, harness.lastSent(), Outcome.ERROR, false, null);
+        assertEquals(harness.sent.size(), 2);
+        assertEquals(harness.countActions("bounce"), 1);
     }
 
     @Test
-    public void theTimeOutGoesWithTheAssignment() {
+    public void passesTimeoutWithAssignment() {
         double[] told = new double[1];
-        Bench b = Bench.of(SAFE);
-        b.start(2);
-        DispatchActions out = b;
-        b.d =
+        Bench harness = Bench.of(IDEMPOTENT);
+        harness.start(2);
+        DispatchActions out = harness;
+        harness.dispatcher =
                 new Dispatcher(
-                        b.settings,
+                        harness.settings,
                         7,
-                        new Relay(out) {
+                        new ForwardingActions(out) {
                             @Override
                             public void send(Assignment a, double timeout) {
                                 told[0] = timeout;
                                 super.send(a, timeout);
                             }
                         });
-        b.list(0, true, 2, Dispatcher.RUNNING, 0);
-        arrive(b, 1, new Terms(4, 250, 0, 0, 0, 1, 0, null, null));
+        harness.listWorkers(0, true, 2, Dispatcher.RUNNING, 0);
+        arrive(harness, 1, new Terms(4, 250, 0, 0, 0, 1, 0, null, null));
         assertEquals(told[0], 250.0);
     }
 
     /** Passes everything on. */
-    private static class Relay implements DispatchActions {
-        private final DispatchActions to;
+    private static class ForwardingActions implements DispatchActions {
+        private final DispatchActions target;
 
-        Relay(DispatchActions to) {
-            this.to = to;
+        ForwardingActions(DispatchActions to) {
+            this.target = to;
         }
 
         @Override
         public void send(Assignment a, double timeout) {
-            to.send(a, timeout);
+            target.send(a, timeout);
         }
 
         @Override
         public void bounce(Task t, double pause) {
-            to.bounce(t, pause);
+            target.bounce(t, pause);
         }
 
         @Override
         public void abandon(Task t) {
-            to.abandon(t);
+            target.abandon(t);
         }
 
         @Override
         public void cancel(Assignment a) {
-            to.cancel(a);
+            target.cancel(a);
         }
 
         @Override
         public void probe(int worker) {
-            to.probe(worker);
+            target.probe(worker);
         }
 
         @Override
         public void watchList() {
-            to.watchList();
+            target.watchList();
         }
 
         @Override
         public void wakeAfter(double span) {
-            to.wakeAfter(span);
+            target.wakeAfter(span);
         }
     }
 
     @Test
-    public void overItsLimitATaskIsBouncedAtOnceWithAdvice() {
-        Bench b = Bench.of(SAFE).start(4);
-        Task t = b.task(0, 1, 100);
+    public void bouncesTaskOverLimitWithRetryAdvice() {
+        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        Task t = harness.task(0, 1, 100);
         t.overLimit = true;
         t.retryAfter = 300;
-        b.d.arrived(1, t);
-        assertEquals(b.acts, List.of("bounce 300.0"));
+        harness.dispatcher.arrived(1, t);
+        assertEquals(harness.actions, List.of("bounce 300.0"));
         assertTrue(t.ended());
     }
 
     @Test
-    public void aSpentBudgetGivesUpAtOnce() {
-        Coins coins = new Coins(1);
-        Bench b = Bench.of(SAFE).start(4);
-        arrive(b, 1, terms(4, 20, 20, coins));
-        b.d.ended(2, b.last(), Outcome.ERROR, false, null);
-        b.d.wake(30);
-        b.d.ended(31, b.last(), Outcome.ERROR, false, null);
-        assertEquals(b.sent.size(), 2);
-        assertEquals(b.count("bounce"), 1);
+    public void givesUpAtOnceIfRetryBudgetIsSpent() {
+        FixedBudget coins = new FixedBudget(1);
+        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        arrive(harness, 1, terms(4, 20, 20, coins));
+        harness.dispatcher.ended(2, harness.lastSent(), Outcome.ERROR, false, null);
+        harness.dispatcher.wake(30);
+        harness.dispatcher.ended(31, harness.lastSent(), Outcome.ERROR, false, null);
+        assertEquals(harness.sent.size(), 2);
+        assertEquals(harness.countActions("bounce"), 1);
         assertEquals(coins.earned, 1);
         assertEquals(coins.left, 0);
     }
@@ -230,67 +230,67 @@
     // ---- Copies ----
 
     @Test
-    public void aCopyGoesToAnotherWorkerAfterItsTime() {
-        Bench b = Bench.of(SAFE).start(4);
-        arrive(b, 1, copies(2, 50, null));
-        b.d.wake(50);
-        assertEquals(b.sent.size(), 1);
-        b.d.wake(51);
-        assertEquals(b.sent.size(), 2);
-        assertTrue(b.sent.get(0).worker != b.sent.get(1).worker);
-        b.d.wake(200);
-        assertEquals(b.sent.size(), 2, "no more than two at once");
+    public void sendsCopyToAnotherWorkerAfterDelay() {
+        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        arrive(harness, 1, copies(2, 50, null));
+        harness.dispatcher.wake(50);
+        assertEquals(harness.sent.size(), 1);
+        harness.dispatcher.wake(51);
+        assertEquals(harness.sent.size(), 2);
+        assertTrue(harness.sent.get(0).worker != harness.sent.get(1).worker);
+        harness.dispatcher.wake(200);
+        assertEquals(harness.sent.size(), 2, "no more than two at once");
     }
 
     @Test
-    public void theFirstToFinishCallsTheOtherBack() {
-        Bench b = Bench.of(SAFE);
-        b.settings.mayCancel = true;
-        b.start(4);
-        Task t = arrive(b, 1, copies(2, 50, null));
-        b.d.wake(51);
-        b.d.ended(60, b.sent.get(1), Outcome.OK, true, null);
-        assertEquals(b.count("cancel"), 1);
-        b.d.ended(61, b.sent.get(0), Outcome.CANCELLED, true, null);
-        b.d.wake(500);
-        assertEquals(b.sent.size(), 2);
-        assertEquals(b.count("bounce") + b.count("abandon"), 0);
+    public void firstAnswerCancelsOtherCopy() {
+        Bench harness = Bench.of(IDEMPOTENT);
+        harness.settings.mayCancel = true;
+        harness.start(4);
+        Task t = arrive(harness, 1, copies(2, 50, null));
+        harness.dispatcher.wake(51);
+        harness.dispatcher.ended(60, harness.sent.get(1), Outcome.OK, true, null);
+        assertEquals(harness.countActions("cancel"), 1);
+        harness.dispatcher.ended(61, harness.sent.get(0), Outcome.CANCELLED, true, null);
+        harness.dispatcher.wake(500);
+        assertEquals(harness.sent.size(), 2);
+        assertEquals(harness.countActions("bounce") + harness.countActions("abandon"), 0);
         assertEquals(t.outstanding(), 0);
     }
 
     @Test
-    public void oneThatFailsWaitsForTheOther() {
-        Bench b = Bench.of(SAFE).start(4);
-        arrive(b, 1, copies(2, 50, null));
-        b.d.wake(51);
-        b.d.ended(60, b.sent.get(0), Outcome.ERROR, false, null);
-        assertEquals(b.sent.size(), 2);
-        b.d.ended(61, b.sent.get(1), Outcome.ERROR, false, null);
-        assertEquals(b.sent.size(), 3);
-        b.d.wake(110);
-        assertEquals(b.sent.size(), 3);
-        b.d.wake(112);
-        assertEquals(b.sent.size(), 4);
-        b.d.wake(500);
-        assertEquals(b.sent.size(), 4, "copies are assignments, of which there are four");
+    public void retriesOnlyAfterAllCopiesFailed() {
+        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        arrive(harness, 1, copies(2, 50, null));
+        harness.dispatcher.wake(51);
+        harness.dispatcher.ended(60, harness.sent.get(0), Outcome.ERROR, false, null);
+        assertEquals(harness.sent.size(), 2);
+        harness.dispatcher.ended(61, harness.sent.get(1), Outcome.ERROR, false, null);
+        assertEquals(harness.sent.size(), 3);
+        harness.dispatcher.wake(110);
+        assertEquals(harness.sent.size(), 3);
+        harness.dispatcher.wake(112);
+        assertEquals(harness.sent.size(), 4);
+        harness.dispatcher.wake(500);
+        assertEquals(harness.sent.size(), 4, "copies are assignments, of which there are four");
     }
 
     @Test
-    public void noCopyGoesToTheOneWorkerThatHasTheTask() {
-        Bench b = Bench.of(SAFE).start(1);
-        arrive(b, 1, copies(2, 50, null));
-        b.d.wake(51);
-        b.d.wake(200);
-        assertEquals(b.sent.size(), 1);
+    public void sendsNoCopyToWorkerRunningTheTask() {
+        Bench harness = Bench.of(IDEMPOTENT).start(1);
+        arrive(harness, 1, copies(2, 50, null));
+        harness.dispatcher.wake(51);
+        harness.dispatcher.wake(200);
+        assertEquals(harness.sent.size(), 1);
     }
 
     @Test
-    public void copiesAreOutOfTheBudget() {
-        Coins coins = new Coins(0);
-        Bench b = Bench.of(SAFE).start(4);
-        arrive(b, 1, copies(2, 50, coins));
-        b.d.wake(51);
-        assertEquals(b.sent.size(), 1);
+    public void copiesAreChargedToRetryBudget() {
+        FixedBudget coins = new FixedBudget(0);
+        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        arrive(harness, 1, copies(2, 50, coins));
+        harness.dispatcher.wake(51);
+        assertEquals(harness.sent.size(), 1);
     }
 
     /**
@@ -298,27 +298,27 @@
      * does as well.
      */
     @Test
-    public void onlyWhatIsIdempotentIsCopied() {
+    public void copiesOnlyIdempotentTasks() {
         for (Effect e : new Effect[] {Effect.FINGERPRINTED, Effect.SIDE_EFFECTING}) {
-            Bench b = Bench.of(e).start(4);
-            arrive(b, 1, copies(3, 50, null));
-            b.d.wake(51);
-            assertEquals(b.sent.size(), 1);
+            Bench harness = Bench.of(e).start(4);
+            arrive(harness, 1, copies(3, 50, null));
+            harness.dispatcher.wake(51);
+            assertEquals(harness.sent.size(), 1);
         }
     }
 
     @Test
-    public void aClientThatLeavesEndsThePauseAndTheCopies() {
-        Bench b = Bench.of(SAFE).start(4);
-        Task t = arrive(b, 1, copies(2, 50, null));
-        b.d.clientLeft(10, t);
-        b.d.wake(60);
-        assertEquals(b.sent.size(), 1);
-        Task u = arrive(b, 70, terms(4, 20, 20, null));
-        b.d.ended(75, b.last(), Outcome.ERROR, false, null);
-        b.d.clientLeft(80, u);
-        b.d.wake(100);
-        assertEquals(b.sent.size(), 2);
+    public void clientLeavingEndsPausesAndCopies() {
+        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        Task t = arrive(harness, 1, copies(2, 50, null));
+        harness.dispatcher.clientLeft(10, t);
+        harness.dispatcher.wake(60);
+        assertEquals(harness.sent.size(), 1);
+        Task u = arrive(harness, 70, terms(4, 20, 20, null));
+        harness.dispatcher.ended(75, harness.lastSent(), Outcome.ERROR, false, null);
+        harness.dispatcher.clientLeft(80, u);
+        harness.dispatcher.wake(100);
+        assertEquals(harness.sent.size(), 2);
     }
 
     // ---- Terms by the million ----
@@ -337,14 +337,14 @@
      * once.
      */
     @Test(dataProvider = "effects")
-    public void noTermsBreakTheRules(Effect effect) {
+    public void randomTermsNeverBreakRules(Effect effect) {
         int copied = 0;
         for (int seed = 0; seed < 3000; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
-            Bench b = Bench.of(effect);
-            b.settings.mayCancel = r.nextBoolean();
-            b.settings.maxAssignments = 1 + r.nextInt(4);
-            b.start(1 + r.nextInt(5));
+            Bench harness = Bench.of(effect);
+            harness.settings.mayCancel = r.nextBoolean();
+            harness.settings.maxAssignments = 1 + r.nextInt(4);
+            harness.start(1 + r.nextInt(5));
             Set<Outcome> again = r.nextInt(3) == 0 ? EnumSet.of(Outcome.ERROR, Outcome.FULL) : null;
             Terms terms =
                     new Terms(
@@ -355,16 +355,16 @@
                             r.nextDouble(),
                             1 + r.nextInt(3),
                             10 + r.nextInt(50),
-                            r.nextInt(3) == 0 ? new Coins(r.nextInt(5)) : null,
+                            r.nextInt(3) == 0 ? new FixedBudget(r.nextInt(5)) : null,
                             again);
-            Task t = arrive(b, 1, terms);
+            Task t = arrive(harness, 1, terms);
             List<Assignment> open = new ArrayList<>();
             int seen = 0;
             boolean ran = false;
             boolean over = false;
             for (double now = 2; now < 400; now += r.nextInt(20)) {
-                for (; seen < b.sent.size(); seen++) {
-                    Assignment a = b.sent.get(seen);
+                for (; seen < harness.sent.size(); seen++) {
+                    Assignment a = harness.sent.get(seen);
                     assertFalse(over, "seed " + seed + ": sent after the end");
                     assertTrue(
                             open.isEmpty() || effect == Effect.IDEMPOTENT,
@@ -382,19 +382,19 @@
                 }
                 over = t.ended();
                 assertTrue(
-                        seen <= Math.min(terms.maxAssignments, b.settings.maxAssignments),
+                        seen <= Math.min(terms.maxAssignments, harness.settings.maxAssignments),
                         "seed " + seed);
                 assertTrue(
-                        b.count("bounce") + b.count("abandon") <= 1,
+                        harness.countActions("bounce") + harness.countActions("abandon") <= 1,
                         "seed " + seed + ": two answers");
                 if (!open.isEmpty() && r.nextInt(3) == 0) {
                     Assignment a = open.remove(r.nextInt(open.size()));
                     Outcome how = t.ended() ? Outcome.CANCELLED : Outcome.values()[r.nextInt(6)];
                     ran |= !how.neverRan();
                     over |= how == Outcome.OK;
-                    b.d.ended(now, a, how, over, null);
+                    harness.dispatcher.ended(now, a, how, over, null);
                 } else {
-                    b.d.wake(now);
+                    harness.dispatcher.wake(now);
                 }
             }
         }
@@ -407,8 +407,8 @@
      * Simulated time: a fleet that fails everything after a while; gives firsts and repeats by
      * second.
      */
-    private static int[][] storm(RetryBudget budget, int seed) {
-        Bench b = Bench.of(SAFE).start(200);
+    private static int[][] simulateFailingFleet(RetryBudget budget, int seed) {
+        Bench harness = Bench.of(IDEMPOTENT).start(200);
         Terms terms = new Terms(4, 0, 0, 0, 0, 1, 0, budget, null);
         SplittableRandom r = new SplittableRandom(seed);
         int seconds = 30;
@@ -424,14 +424,15 @@
                 break;
             }
             if (arrives) {
-                arrive(b, now, terms);
+                arrive(harness, now, terms);
                 // Bursts and lulls: the rate changes each second by chance.
                 next = now - Math.log(1 - r.nextDouble()) * (now % 3000 < 1000 ? 4 : 25);
             } else {
-                b.d.ended(now, b.sent.get((int) ends.poll()[1]), Outcome.RESET, false, null);
+                harness.dispatcher.ended(
+                        now, harness.sent.get((int) ends.poll()[1]), Outcome.RESET, false, null);
             }
-            for (; seen < b.sent.size(); seen++) {
-                counts[b.sent.get(seen).number == 0 ? 0 : 1][(int) (now / 1000)]++;
+            for (; seen < harness.sent.size(); seen++) {
+                counts[harness.sent.get(seen).number == 0 ? 0 : 1][(int) (now / 1000)]++;
                 ends.add(new double[] {now + 5 + 20 * r.nextDouble(), seen});
             }
         }
@@ -439,16 +440,16 @@
     }
 
     @Test
-    public void aFleetThatFailsEverythingGetsNoMoreThanTheBudget() {
+    public void retriesStayWithinBudgetWhenAllTasksFail() {
         for (int seed = 0; seed < 5; seed++) {
             double share = 0.1;
             double least = 2;
             int[][] with =
-                    storm(
+                    simulateFailingFleet(
                             new gingerspool.route.Budget(
                                     new gingerspool.route.Policy.Repeats(share, least)),
                             seed);
-            int[][] without = storm(null, seed);
+            int[][] without = simulateFailingFleet(null, seed);
             int repeats = 0;
             int firsts = 0;
             int stormed = 0;
