--- a/src/test/java/gingerspool/dispatch/Bench.java
+++ b/src/test/java/gingerspool/dispatch/Bench.java
@@ -10,49 +10,52 @@
 import java.util.List;
 
 /**
- * Builds the states that tests need, writes down what a Dispatcher does, and talks HTTP as a peer
- * does.
+ * Test harness around a {@link Dispatcher}: builds its state, records its actions in order, and
+ * exchanges HTTP messages over a socket for tests of other packages. Times and spans are
+ * milliseconds. Not thread-safe.
  */
 public final class Bench implements DispatchActions {
+    /** Actions in order, each as a name and at most one argument, such as "send 3". */
     final List<String> actions = new ArrayList<>();
+
     final List<Assignment> sent = new ArrayList<>();
     final List<byte[]> peerMessages = new ArrayList<>();
     final DispatcherSettings settings = new DispatcherSettings();
     Dispatcher dispatcher;
 
     /**
-     * Two slots a worker, three dispatchers, one profile of this effect: due 100 + 2 x work, expiry
-     * 5000.
+     * Creates settings of three dispatchers and one profile per effect: due 100 ms + 2 x work after
+     * arrival, expiry after 5000 ms.
      */
     static Bench of(Profile.Effect... effects) {
-        Bench b = new Bench();
-        b.settings.profiles = new Profile[effects.length];
+        Bench harness = new Bench();
+        harness.settings.profiles = new Profile[effects.length];
         for (int i = 0; i < effects.length; i++) {
-            Profile p = new Profile();
-            p.index = i;
-            p.dueTime = 100;
-            p.stretch = 2;
-            p.expiry = 5000;
-            p.dedupWindow = 1000;
-            p.effect = effects[i];
-            b.settings.profiles[i] = p;
+            Profile profile = new Profile();
+            profile.index = i;
+            profile.dueTime = 100;
+            profile.stretch = 2;
+            profile.expiry = 5000;
+            profile.dedupWindow = 1000;
+            profile.effect = effects[i];
+            harness.settings.profiles[i] = profile;
         }
-        b.settings.zone = 0;
-        b.settings.dispatchers = 3;
-        b.settings.maxAssignments = 4;
-        b.settings.listRequestWindow = 10000;
-        b.settings.coldShare = 0.25;
-        b.settings.warmUpSpan = 10000;
-        b.settings.coldWindow = 1000;
-        b.settings.overloadFactor = 3;
-        b.settings.mayAdviseRetryAfter = true;
-        b.settings.maxRetryAfter = 2000;
-        return b;
+        harness.settings.zone = 0;
+        harness.settings.dispatchers = 3;
+        harness.settings.maxAssignments = 4;
+        harness.settings.listRequestWindow = 10000;
+        harness.settings.coldShare = 0.25;
+        harness.settings.warmUpSpan = 10000;
+        harness.settings.coldWindow = 1000;
+        harness.settings.overloadFactor = 3;
+        harness.settings.mayAdviseRetryAfter = true;
+        harness.settings.maxRetryAfter = 2000;
+        return harness;
     }
 
     /**
-     * Starts the dispatcher with so many running workers of size 2, all long started and heard
-     * idle.
+     * Starts the dispatcher with this many running workers of two slots, which started long ago and
+     * have reported that they are idle. Clears the recorded actions.
      */
     Bench start(int workers) {
         dispatcher = new Dispatcher(settings, 7, this);
@@ -64,6 +67,7 @@
         return this;
     }
 
+    /** Lists the first workers, which alternate between two zones and share a cell in pairs. */
     void listWorkers(double at, boolean whole, int workers, int state, double startedAt) {
         dispatcher.listBegins(at, whole);
         for (int w = 0; w < workers; w++) {
@@ -74,11 +78,11 @@
     }
 
     static double[] report(double queue, double freeSlots) {
-        double[] r = new double[Report.SIZE];
-        Arrays.fill(r, Double.NaN);
-        r[Report.QUEUE] = queue;
-        r[Report.FREE_SLOTS] = freeSlots;
-        return r;
+        double[] report = new double[Report.SIZE];
+        Arrays.fill(report, Double.NaN);
+        report[Report.QUEUE] = queue;
+        report[Report.FREE_SLOTS] = freeSlots;
+        return report;
     }
 
     Task task(int profile, double at, double hint) {
@@ -89,13 +93,16 @@
         return t;
     }
 
+    /** Lets a task arrive that is expected to run for 100 ms. */
     Task arrive(int profile, double at) {
         Task t = task(profile, at, 100);
         dispatcher.arrived(at, t);
         return t;
     }
 
-    /** An assignment of this task there, sent as the dispatcher would, whatever it had chosen. */
+    /**
+     * Adds an unfinished assignment of the task to the worker without a decision of the dispatcher.
+     */
     Assignment forceSend(Task t, int worker, double at) {
         t.work = t.hint;
         Assignment a = new Assignment(t, worker, 0, at, t.hint, 0, sent.size());
@@ -108,8 +115,8 @@
         return sent.get(sent.size() - 1);
     }
 
-    int countActions(String act) {
-        return (int) actions.stream().filter(a -> a.startsWith(act)).count();
+    int countActions(String prefix) {
+        return (int) actions.stream().filter(a -> a.startsWith(prefix)).count();
     }
 
     @Override
@@ -139,8 +146,8 @@
     }
 
     @Override
-    public void sendToPeer(int dispatcher, byte[] message) {
-        actions.add("tell " + dispatcher);
+    public void sendToPeer(int peer, byte[] message) {
+        actions.add("message " + peer);
         peerMessages.add(message);
     }
 
@@ -162,27 +169,27 @@
         t.ended = true;
     }
 
-    // ---- A peer on a socket ----
+    // ---- HTTP over a socket ----
 
-    public static void write(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    public static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** One whole message with a length, or none. */
-    public static String read(Socket s) throws IOException {
-        ByteArrayOutputStream in = new ByteArrayOutputStream();
-        String text = "";
-        int end = -1;
-        while (end < 0 || in.size() < end + contentLength(text)) {
-            int b = s.getInputStream().read();
-            if (b < 0) {
-                throw new EOFException("ended after: " + in);
+    /** Reads one HTTP message, with the body that its Content-Length announces, if any. */
+    public static String read(Socket socket) throws IOException {
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
+        String message = "";
+        int headEnd = -1;
+        while (headEnd < 0 || received.size() < headEnd + contentLength(message)) {
+            int next = socket.getInputStream().read();
+            if (next < 0) {
+                throw new EOFException("connection closed after: " + received);
             }
-            in.write(b);
-            text = in.toString(StandardCharsets.UTF_8);
-            end = end < 0 && text.endsWith("\r\n\r\n") ? in.size() : end;
+            received.write(next);
+            message = received.toString(StandardCharsets.UTF_8);
+            headEnd = headEnd < 0 && message.endsWith("\r\n\r\n") ? received.size() : headEnd;
         }
-        return text;
+        return message;
     }
 
     private static int contentLength(String head) {
--- a/src/test/java/gingerspool/dispatch/ColdBudgetTest.java
+++ b/src/test/java/gingerspool/dispatch/ColdBudgetTest.java
@@ -7,7 +7,7 @@
 import gingerspool.dispatch.Profile.Effect;
 import org.testng.annotations.Test;
 
-/** Workers that are not warm yet. */
+/** Tests the limits on work sent to workers that are not warm yet. */
 public class ColdBudgetTest {
     private static final Effect IDEMPOTENT = Effect.IDEMPOTENT;
 
@@ -22,12 +22,15 @@
         for (Assignment a : harness.sent) {
             work += a.task.work;
         }
-        // A third of 3 x a quarter of its capacity (2 slots) x 1000 ms.
+        // Our third of 3 x a quarter of its capacity (2 slots) x 1000 ms.
         assertTrue(work <= 500, "work " + work);
         assertFalse(harness.dispatcher.inBudget(0, 1000));
     }
 
-    /** Found in incident ie2c056: with many dispatchers new workers idled until they were warm. */
+    /**
+     * Guards against new workers that stay idle until they are warm when there are many
+     * dispatchers.
+     */
     @Test
     public void coldWorkerStillGetsTasksWithManyDispatchers() {
         Bench harness = Bench.of(IDEMPOTENT);
@@ -40,15 +43,15 @@
             harness.dispatcher.arrived(20000 + i * 10, t);
         }
         double work = harness.sent.stream().mapToDouble(a -> a.task.work).sum();
-        // At most our part, 1/20, of 4 x capacity (2 slots, at most half warm) over 4 s, and one
-        // task more.
+        // At most our share, 1/20, of 4 x capacity (2 slots, at most half warm) over 4 s, plus one
+        // task.
         assertTrue(harness.countActions("send") >= 1);
         assertTrue(work <= 4 * 2 * 0.55 * 4000 / 20 + 40, "work " + work);
     }
 
     /**
-     * Found on incident i3d5089: most of 438 dispatchers kept workers long warm under the cold
-     * budget.
+     * Guards against limiting warm workers: most of 438 dispatchers kept workers under the cold
+     * budget long after these were warm.
      */
     @Test
     public void startedWorkerWarmsUpInTimeWithoutReports() {
@@ -61,7 +64,8 @@
     }
 
     /**
-     * Found in incident ic7dd21: a new worker was in few buddy sets and idled until it was warm.
+     * Guards against new workers that stay idle until they are warm because few dispatchers have
+     * them among their candidates.
      */
     @Test
     public void coldWorkerIsScoredBesidesUsualCandidates() {
@@ -84,8 +88,8 @@
     }
 
     /**
-     * Found on fleet days: new workers, as full and slow as could be feared, idled while others
-     * jammed.
+     * Guards against assuming that new workers are full and slow: they stayed idle while others
+     * were congested.
      */
     @Test
     public void newWorkerIsAssumedEmpty() {
@@ -98,12 +102,14 @@
         harness.dispatcher.listBegins(10000, false);
         harness.dispatcher.listed(8, 0, 0, 0, Dispatcher.RUNNING, 2, 10000);
         harness.dispatcher.listEnds(10000, false, false);
-        assertTrue(harness.dispatcher.peerJobs(7) > 2, "others " + harness.dispatcher.peerJobs(7));
+        assertTrue(
+                harness.dispatcher.peerJobs(7) > 2, "peer jobs: " + harness.dispatcher.peerJobs(7));
         assertEquals(harness.dispatcher.peerJobs(8), 0.0);
     }
 
     /**
-     * The believed pace of a cold worker that never answered, over that of a warm one that did not.
+     * Compares the estimated pace of a cold worker that never answered with that of a warm one that
+     * never did.
      */
     @Test
     public void warmUpIsLearnedForAllColdWorkers() {
@@ -112,14 +118,14 @@
         harness.start(7);
         harness.listWorkers(20000, false, 6, Dispatcher.RUNNING, 20000);
         harness.dispatcher.wake(20500);
-        double feared = harness.dispatcher.pace(5) / harness.dispatcher.pace(6);
+        double initial = harness.dispatcher.pace(5) / harness.dispatcher.pace(6);
         finishTasksOnColdWorkers(harness, 100);
-        double seen = harness.dispatcher.pace(5) / harness.dispatcher.pace(6);
-        assertTrue(seen > 1.1 * feared, seen + " of " + feared);
+        double learned = harness.dispatcher.pace(5) / harness.dispatcher.pace(6);
+        assertTrue(learned > 1.1 * initial, learned + " after " + initial);
         finishTasksOnColdWorkers(harness, 2000);
         assertTrue(
-                harness.dispatcher.pace(5) / harness.dispatcher.pace(6) < seen,
-                "no slower for slow answers");
+                harness.dispatcher.pace(5) / harness.dispatcher.pace(6) < learned,
+                "slow answers do not lower the pace");
     }
 
     private static void finishTasksOnColdWorkers(Bench harness, double run) {
@@ -131,8 +137,8 @@
     }
 
     /**
-     * Guards rule four: it comes back cold, perhaps before the list tells so; a single call puts it
-     * back.
+     * Guards the limit on cold workers: a resumed worker may have restarted, perhaps before the
+     * list shows it. One resume call ends a suspension that was requested twice.
      */
     @Test
     public void resumedWorkerIsUsedWithinColdBudget() {
@@ -150,7 +156,7 @@
         for (int i = 0; i < 50; i++) {
             harness.arrive(0, 1000 + i);
         }
-        assertTrue(harness.countActions("send") > 0, "it is weighed again");
+        assertTrue(harness.countActions("send") > 0, "the worker is a candidate again");
         assertTrue(
                 harness.countActions("send") < 10,
                 harness.countActions("send") + " sends to a cold worker");
--- a/src/test/java/gingerspool/dispatch/DecisionTraceTest.java
+++ b/src/test/java/gingerspool/dispatch/DecisionTraceTest.java
@@ -15,19 +15,28 @@
 import org.testng.annotations.Test;
 
 /**
- * The same inputs give the same decisions, to the bit, as the recorded ones: by seed, in the way of
- * the job scheduler (reports, probes, peers, operators) and in that of the platform's scheduler
- * (granted slots, terms by route).
+ * Compares decisions, to the bit, with the recorded ones in src/test/resources/traces. Random
+ * inputs, repeatable by seed, drive a {@link Dispatcher} as the job scheduler does (reports,
+ * probes, peers, operators) and as the platform's scheduler does (granted slots, terms by route).
  */
 public class DecisionTraceTest {
     private static final int SEEDS = 6;
+
+    /** Random inputs per seed and mode. */
     private static final int STEPS = 1500;
+
     private static final int WORKERS = 12;
 
-    /** One dispatcher, driven by drawn inputs; what it calls is the trace. */
+    /**
+     * Drives one dispatcher with random inputs and records its actions. Their names are part of the
+     * recorded traces.
+     */
     private static final class DispatcherDriver implements DispatchActions {
         private final SplittableRandom random;
+
+        /** Whether to drive the platform's mode, else the job scheduler's. */
         private final boolean platform;
+
         private final DecisionTrace trace = new DecisionTrace();
         private final DispatcherSettings settings = new DispatcherSettings();
         private final Dispatcher dispatcher;
@@ -36,25 +45,27 @@
         private final List<Integer> probedWorkers = new ArrayList<>();
         private final PriorityQueue<Double> wakeTimes = new PriorityQueue<>();
         private final RetryBudget retryBudget = new RefillingBudget();
+
+        /** Simulated time in milliseconds. */
         private double now;
 
-        /** A budget of repeats that runs out and comes back. */
+        /** A retry budget that runs out and is refilled by first tries. */
         private static final class RefillingBudget implements RetryBudget {
-            private double left = 5;
+            private double remaining = 5;
 
             @Override
             public boolean allows(double now) {
-                return left >= 1;
+                return remaining >= 1;
             }
 
             @Override
             public void earn(double now) {
-                left += 0.3;
+                remaining += 0.3;
             }
 
             @Override
             public void spend(double now) {
-                left--;
+                remaining--;
             }
         }
 
@@ -137,14 +148,14 @@
             dispatcher.listBegins(now, whole);
             for (int w = 0; w < WORKERS; w++) {
                 if (whole || random.nextInt(3) == 0) {
-                    boolean drains = now > 0 && random.nextInt(8) == 0;
+                    boolean draining = now > 0 && random.nextInt(8) == 0;
                     dispatcher.workerNamed(w, "worker-" + w);
                     dispatcher.listed(
                             w,
                             w % 3,
                             platform ? 0 : w % 2,
                             w / 4,
-                            drains ? Dispatcher.DRAINING : Dispatcher.RUNNING,
+                            draining ? Dispatcher.DRAINING : Dispatcher.RUNNING,
                             1 + w % 4,
                             random.nextInt(20) == 0 ? now : 0);
                 }
@@ -212,10 +223,14 @@
         private void endAssignment() {
             if (!inFlight.isEmpty()) {
                 Assignment a = inFlight.remove(random.nextInt(inFlight.size()));
-                Outcome[] all = Outcome.values();
-                Outcome how = random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length)];
-                boolean over = how == Outcome.OK || a.task.ended();
-                dispatcher.ended(now, a, how, over, random.nextBoolean() ? randomReport() : null);
+                Outcome[] outcomes = Outcome.values();
+                Outcome outcome =
+                        random.nextInt(3) > 0
+                                ? Outcome.OK
+                                : outcomes[random.nextInt(outcomes.length)];
+                boolean over = outcome == Outcome.OK || a.task.ended();
+                dispatcher.ended(
+                        now, a, outcome, over, random.nextBoolean() ? randomReport() : null);
             }
         }
 
@@ -239,9 +254,9 @@
         }
 
         private void disconnectClient() {
-            List<Task> open = tasks.stream().filter(t -> !t.ended()).toList();
-            if (!open.isEmpty()) {
-                dispatcher.clientLeft(now, open.get(random.nextInt(open.size())));
+            List<Task> openTasks = tasks.stream().filter(t -> !t.ended()).toList();
+            if (!openTasks.isEmpty()) {
+                dispatcher.clientLeft(now, openTasks.get(random.nextInt(openTasks.size())));
             }
         }
 
@@ -319,8 +334,8 @@
         }
 
         @Override
-        public void sendToPeer(int other, byte[] message) {
-            trace.add(now, "tell", other, message);
+        public void sendToPeer(int peer, byte[] message) {
+            trace.add(now, "tell", peer, message);
         }
 
         @Override
@@ -337,18 +352,19 @@
 
     @Test
     public void decisionsMatchRecordedTraces() {
-        Map<String, String> found = new TreeMap<>();
+        Map<String, String> traces = new TreeMap<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
             for (boolean platform : new boolean[] {false, true}) {
-                DispatcherDriver drive = new DispatcherDriver(seed, platform);
+                DispatcherDriver driver = new DispatcherDriver(seed, platform);
                 for (int i = 0; i < STEPS; i++) {
-                    drive.applyRandomInput();
+                    driver.applyRandomInput();
                 }
                 assertTrue(
-                        drive.trace.lines() > STEPS + 500, "few decisions: " + drive.trace.lines());
-                found.put((platform ? "platform " : "jobs ") + seed, drive.trace.end());
+                        driver.trace.lines() > STEPS + 500,
+                        "too few decisions: " + driver.trace.lines());
+                traces.put((platform ? "platform " : "jobs ") + seed, driver.trace.end());
             }
         }
-        assertEquals(found, DecisionTrace.recorded("dispatch", found));
+        assertEquals(traces, DecisionTrace.recorded("dispatch", traces));
     }
 }
--- a/src/test/java/gingerspool/dispatch/DispatcherTest.java
+++ b/src/test/java/gingerspool/dispatch/DispatcherTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What a Dispatcher does with its inputs, from listing workers to giving up. */
+/** Tests the decisions of a {@link Dispatcher}: worker list, assignments, retries and giving up. */
 public class DispatcherTest {
     private static final Effect IDEMPOTENT = Effect.IDEMPOTENT;
 
@@ -70,12 +70,12 @@
     }
 
     @Test(dataProvider = "nextActionByOutcome")
-    public void retriesAsEffectAllows(Effect effect, Outcome how, String next) {
+    public void retriesAsEffectAllows(Effect effect, Outcome outcome, String expectedAction) {
         Bench harness = Bench.of(effect).start(4);
         harness.arrive(0, 1);
         harness.actions.clear();
-        harness.dispatcher.ended(20, harness.lastSent(), how, false, null);
-        assertEquals(harness.countActions(next), 1, harness.actions.toString());
+        harness.dispatcher.ended(20, harness.lastSent(), outcome, false, null);
+        assertEquals(harness.countActions(expectedAction), 1, harness.actions.toString());
         assertEquals(
                 harness.countActions("send")
                         + harness.countActions("abandon")
@@ -140,8 +140,8 @@
     }
 
     /**
-     * Found by the drill of sofia-topup: a timer of 8.0 ms fired at 5676.0 for a wake at
-     * 5676.00003.
+     * Guards against a task that waits forever after its timer fired slightly early: a timer of 8.0
+     * ms fired at 5676.0 ms for a wake-up at 5676.00003 ms.
      */
     @Test
     public void reschedulesTimerThatFiresEarly() {
@@ -151,7 +151,7 @@
         double at = 2;
         for (int i = 0; i < 5000 && harness.countActions("bounce") == 0; i++) {
             String wake = harness.actions.get(harness.actions.size() - 1);
-            assertTrue(wake.startsWith("wake "), "nothing waits for " + harness.actions);
+            assertTrue(wake.startsWith("wake "), "no timer is set: " + harness.actions);
             harness.actions.add("fired");
             at += Double.parseDouble(wake.substring(5)) - 3e-4;
             harness.dispatcher.wake(at);
@@ -176,17 +176,19 @@
         int failed = 0;
         for (int i = 0; i < 40; i++) {
             harness.arrive(0, i * 50);
-            boolean bad = harness.lastSent().worker == 0;
-            failed += bad ? 1 : 0;
+            boolean failing = harness.lastSent().worker == 0;
+            failed += failing ? 1 : 0;
             harness.dispatcher.ended(
-                    i * 50 + 10, harness.lastSent(), bad ? Outcome.ERROR : Outcome.OK, !bad, null);
+                    i * 50 + 10,
+                    harness.lastSent(),
+                    failing ? Outcome.ERROR : Outcome.OK,
+                    !failing,
+                    null);
         }
-        assertTrue(failed < 8, "failed " + failed);
+        assertTrue(failed < 8, "failed tasks: " + failed);
     }
 
-    /**
-     * Found on service days: workers that failed one profile's tasks only went on getting these.
-     */
+    /** Guards against workers that fail only one profile's tasks and still receive these. */
     @Test
     public void tracksFailureRatePerProfile() {
         Bench harness = Bench.of(IDEMPOTENT, IDEMPOTENT).start(1);
@@ -201,14 +203,14 @@
         }
         assertTrue(
                 harness.dispatcher.failRate(0, 0) > 0.7,
-                "failing " + harness.dispatcher.failRate(0, 0));
+                "profile that fails: " + harness.dispatcher.failRate(0, 0));
         assertTrue(
                 harness.dispatcher.failRate(0, 1) < 0.4,
-                "sound " + harness.dispatcher.failRate(0, 1));
+                "other profile: " + harness.dispatcher.failRate(0, 1));
         harness.dispatcher.wake(3 * 2560);
         assertTrue(
                 harness.dispatcher.failRate(0, 0) > 0.3,
-                "remembered " + harness.dispatcher.failRate(0, 0));
+                "profile that fails, later: " + harness.dispatcher.failRate(0, 0));
     }
 
     @Test
@@ -229,8 +231,8 @@
 
     @Test
     public void sameEventsGiveSameActions() {
-        Bench[] two = {Bench.of(IDEMPOTENT).start(8), Bench.of(IDEMPOTENT).start(8)};
-        for (Bench harness : two) {
+        Bench[] harnesses = {Bench.of(IDEMPOTENT).start(8), Bench.of(IDEMPOTENT).start(8)};
+        for (Bench harness : harnesses) {
             for (int i = 0; i < 60; i++) {
                 harness.arrive(0, i * 5);
                 harness.dispatcher.ended(
@@ -241,27 +243,26 @@
                         null);
             }
         }
-        assertEquals(two[0].actions, two[1].actions);
-        assertNotEquals(two[0].countActions("send 0"), 60);
+        assertEquals(harnesses[0].actions, harnesses[1].actions);
+        assertNotEquals(harnesses[0].countActions("send 0"), 60);
     }
 
     /**
-     * Found on palermo-archivi's overload: later tries were served after the due time of the first.
+     * Guards against serving a client's retries after the due time of its first try, as happened
+     * under overload.
      */
     @Test
     public void clientRetryIsDueRelativeToFirstTry() {
         Bench harness = Bench.of(IDEMPOTENT).start(2);
         harness.arrive(0, 1000);
-        Task again = harness.task(0, 1000, 100);
-        harness.dispatcher.arrived(3000, again);
-        assertTrue(again.due < 3000);
+        Task retry = harness.task(0, 1000, 100);
+        harness.dispatcher.arrived(3000, retry);
+        assertTrue(retry.due < 3000);
         assertEquals(harness.countActions("bounce"), 1);
         assertEquals(harness.countActions("send"), 1);
     }
 
-    /**
-     * Found in incident ic80c1a: all workers slowed at once, each one's few answers showed it late.
-     */
+    /** Guards against learning a fleet-wide slowdown late, from each worker's few answers. */
     @Test
     public void fleetWideSlowdownLowersPaceOfEveryWorker() {
         Bench harness = Bench.of(IDEMPOTENT);
@@ -279,10 +280,7 @@
                 before + " " + harness.dispatcher.pace(29));
     }
 
-    /**
-     * Found on palermo-archivi's big-1: where no report shows a queue, fuller workers looked as
-     * good.
-     */
+    /** Guards against scoring fuller workers as high as emptier ones when reports show no queue. */
     @Test
     public void choosesEmptierWorkerWhenReportsShowNoQueue() {
         Bench harness = Bench.of(IDEMPOTENT).start(2);
@@ -298,7 +296,10 @@
         assertEquals(harness.countActions("send 1"), 12);
     }
 
-    /** Found in overload: tasks sent at a poor chance end late and make those behind them late. */
+    /**
+     * Guards against tasks sent with a low score under overload: they end late and delay the tasks
+     * behind them.
+     */
     @Test
     public void givesUpTasksWithLowScoreWhenNoSlotIsFree() {
         Bench harness = Bench.of(IDEMPOTENT).start(2);
@@ -311,8 +312,7 @@
     }
 
     /**
-     * Found on a copy of a site file without reports: warm workers stayed under the cold budget for
-     * good.
+     * Guards against keeping warm workers under the cold budget forever where there are no reports.
      */
     @Test
     public void answeredWorkerLeavesColdBudgetWithoutReports() {
@@ -326,8 +326,8 @@
     }
 
     /**
-     * Found on the grown siracusa-indici: the best of 60 workers hardly heard of was mostly a wrong
-     * one.
+     * Guards against choosing among too many workers: the best-scored of 60 workers with few
+     * reports was mostly the wrong choice.
      */
     @Test
     public void usesFewCandidatesWithManyDispatchers() {
@@ -351,10 +351,13 @@
             }
         }
         long used = harness.sent.stream().mapToInt(a -> a.worker).distinct().count();
-        assertTrue(used > 1 && used <= 8, "used " + used);
+        assertTrue(used > 1 && used <= 8, "workers used: " + used);
     }
 
-    /** Found on sofia-topup: one report a task, no sooner than after 2.5 mean runs, was 4 s old. */
+    /**
+     * Guards against deciding on old reports: with one report per task, and none within 2.5 mean
+     * running times, reports were 4 s old.
+     */
     @Test
     public void probesBestWorkersWithinCostAndWaitsForAllReports() {
         Bench harness = Bench.of(IDEMPOTENT);
@@ -366,49 +369,56 @@
         assertEquals(harness.countActions("probe"), 0);
         harness.arrive(0, 5001);
         assertEquals(harness.countActions("probe"), 2);
-        for (String act : harness.actions.stream().filter(a -> a.startsWith("probe")).toList()) {
+        for (String action : harness.actions.stream().filter(a -> a.startsWith("probe")).toList()) {
             assertEquals(harness.countActions("send"), 0);
             harness.dispatcher.reportReceived(
-                    5002, Integer.parseInt(act.substring(6)), Bench.report(0, 2));
+                    5002, Integer.parseInt(action.substring(6)), Bench.report(0, 2));
         }
         assertEquals(harness.countActions("send"), 1);
-        Task late = harness.task(0, 0, 100);
-        late.expiry = 9003;
-        harness.dispatcher.arrived(9000, late);
+        Task expiring = harness.task(0, 0, 100);
+        expiring.expiry = 9003;
+        harness.dispatcher.arrived(9000, expiring);
         assertEquals(harness.countActions("probe"), 2);
-        assertTrue(late.ended || late.tries == 1);
+        assertTrue(expiring.ended || expiring.tries == 1);
     }
 
-    /** Found on sofia-topup: what others sent since the last report was the weakest belief. */
+    /**
+     * Announcements improve the least accurate estimate: what peers sent to a worker since its last
+     * report.
+     */
     @Test
     public void announcedPeerSendsCountUntilTheyEnd() {
-        Bench from = Bench.of(SIDE_EFFECTING);
-        from.settings.mayMessagePeers = true;
-        from.start(1);
-        from.dispatcher.arrived(2, from.task(0, 2, 1600));
-        Bench to = Bench.of(SIDE_EFFECTING).start(2);
-        double idle = to.dispatcher.load(0, 0);
-        to.dispatcher.peerMessageReceived(3, 1, from.peerMessages.get(0));
-        assertEquals(to.dispatcher.load(0, 0), idle + 0.5);
-        to.dispatcher.peerMessageReceived(
-                4, 2, new byte[] {from.peerMessages.get(0)[0], from.peerMessages.get(0)[1]});
+        Bench sender = Bench.of(SIDE_EFFECTING);
+        sender.settings.mayMessagePeers = true;
+        sender.start(1);
+        sender.dispatcher.arrived(2, sender.task(0, 2, 1600));
+        Bench receiver = Bench.of(SIDE_EFFECTING).start(2);
+        double idleLoad = receiver.dispatcher.load(0, 0);
+        receiver.dispatcher.peerMessageReceived(3, 1, sender.peerMessages.get(0));
+        assertEquals(receiver.dispatcher.load(0, 0), idleLoad + 0.5);
+        receiver.dispatcher.peerMessageReceived(
+                4, 2, new byte[] {sender.peerMessages.get(0)[0], sender.peerMessages.get(0)[1]});
         assertEquals(
-                to.dispatcher.load(0, 0), idle + 0.5, "an end told by one who had sent nothing");
-        from.dispatcher.ended(900, from.lastSent(), Outcome.OK, true, null);
-        to.dispatcher.peerMessageReceived(901, 1, from.peerMessages.get(1));
-        assertEquals(to.dispatcher.load(0, 0), idle);
-        to.dispatcher.peerMessageReceived(902, 1, from.peerMessages.get(0));
-        to.dispatcher.wake(60000);
-        to.arrive(0, 60000);
+                receiver.dispatcher.load(0, 0),
+                idleLoad + 0.5,
+                "end announced by a peer that had announced no send");
+        sender.dispatcher.ended(900, sender.lastSent(), Outcome.OK, true, null);
+        receiver.dispatcher.peerMessageReceived(901, 1, sender.peerMessages.get(1));
+        assertEquals(receiver.dispatcher.load(0, 0), idleLoad);
+        receiver.dispatcher.peerMessageReceived(902, 1, sender.peerMessages.get(0));
+        receiver.dispatcher.wake(60000);
+        receiver.arrive(0, 60000);
         assertEquals(
-                to.dispatcher.load(1 - to.lastSent().worker, 0),
+                receiver.dispatcher.load(1 - receiver.lastSent().worker, 0),
                 0.0,
-                "a word that was lost counts for ever");
-        to.dispatcher.peerMessageReceived(60001, 1, new byte[] {1});
-        to.dispatcher.peerMessageReceived(60001, 1, new byte[] {0, 0, 0, 0});
+                "a send whose end message was lost still counts");
+        receiver.dispatcher.peerMessageReceived(60001, 1, new byte[] {1});
+        receiver.dispatcher.peerMessageReceived(60001, 1, new byte[] {0, 0, 0, 0});
     }
 
-    /** Found on sofia-topup big-1: telling all sends to 158 others cost 0.06 of service. */
+    /**
+     * Guards against the cost of announcing every send: with 158 peers it took 0.06 of the service.
+     */
     @Test
     public void announcesOnlyLargestSendsToManyPeers() {
         Bench harness = Bench.of(IDEMPOTENT);
@@ -421,17 +431,15 @@
             harness.dispatcher.arrived(i * 300, t);
             harness.dispatcher.ended(i * 300 + 250, harness.lastSent(), Outcome.OK, true, null);
         }
-        long told = harness.sent.stream().filter(a -> a.announced).count();
-        assertTrue(told > 20 && told < 60, "told " + told);
+        long announced = harness.sent.stream().filter(a -> a.announced).count();
+        assertTrue(announced > 20 && announced < 60, "announced: " + announced);
         assertTrue(
                 harness.sent.stream().filter(a -> a.announced && a.task.hint < 100).count()
-                        < told / 3);
-        assertEquals(harness.peerMessages.size(), 2 * told);
+                        < announced / 3);
+        assertEquals(harness.peerMessages.size(), 2 * announced);
     }
 
-    /**
-     * Found on kingston-returns overload: a worker that hangs answers no report; its tasks waited.
-     */
+    /** Guards against tasks that wait at a worker that hangs and does not answer probes. */
     @Test
     public void retriesSafeTasksElsewhereWhenProbeIsUnanswered() {
         Bench harness = Bench.of(IDEMPOTENT, SIDE_EFFECTING);
@@ -443,25 +451,23 @@
         harness.settings.profiles[1].dueTime = 2000;
         harness.start(2);
         harness.listWorkers(2, false, 1, Dispatcher.DRAINING, 0);
-        Task safe = harness.arrive(0, 3);
-        Task once = harness.arrive(1, 3);
-        Task begun = harness.arrive(0, 3);
+        Task idempotent = harness.arrive(0, 3);
+        Task sideEffecting = harness.arrive(1, 3);
+        Task running = harness.arrive(0, 3);
         harness.dispatcher.reportReceived(4, 1, Bench.report(0, 2));
         assertEquals(harness.countActions("send 1"), 3, harness.actions.toString());
-        harness.dispatcher.started(5, begun.assignments[0]);
+        harness.dispatcher.started(5, running.assignments[0]);
         harness.listWorkers(6, false, 1, Dispatcher.RUNNING, 0);
         harness.dispatcher.reportMissing(60, 1);
         assertEquals(harness.countActions("cancel"), 1);
-        harness.dispatcher.ended(61, safe.assignments[0], Outcome.CANCELLED, false, null);
-        assertEquals(harness.lastSent().task, safe);
+        harness.dispatcher.ended(61, idempotent.assignments[0], Outcome.CANCELLED, false, null);
+        assertEquals(harness.lastSent().task, idempotent);
         assertEquals(harness.lastSent().worker, 0);
-        assertEquals(once.tries, 1);
-        assertEquals(begun.tries, 1);
+        assertEquals(sideEffecting.tries, 1);
+        assertEquals(running.tries, 1);
     }
 
-    /**
-     * Found on incident i3d5089: after its wait a task was sent to the one that had not answered.
-     */
+    /** Guards against sending a task that waited for reports to the worker that did not answer. */
     @Test
     public void avoidsWorkerWithOverdueProbe() {
         Bench harness = Bench.of(IDEMPOTENT);
@@ -478,7 +484,8 @@
     }
 
     /**
-     * Found on sofia-topup overload: the profile that counts most in the goal was served a quarter.
+     * Guards against neglecting the profile with the most weight in the goal: only a quarter of its
+     * tasks was served under overload.
      */
     @Test
     public void worstServedProfileIsWorthItsWeightInGoal() {
@@ -498,13 +505,13 @@
                     null);
             harness.dispatcher.clientLeft(i * 400 + 100, t);
         }
-        Task well = harness.arrive(0, 30000);
-        Task badly = harness.arrive(1, 30001);
-        assertEquals(well.worth, 8 * well.work, 1e-9);
-        assertEquals(badly.worth, (3 + 0.4 / 0.6 * 11) * badly.work, badly.work);
+        Task wellServed = harness.arrive(0, 30000);
+        Task worstServed = harness.arrive(1, 30001);
+        assertEquals(wellServed.worth, 8 * wellServed.work, 1e-9);
+        assertEquals(worstServed.worth, (3 + 0.4 / 0.6 * 11) * worstServed.work, worstServed.work);
     }
 
-    /** Found on sofia-topup: progress is told, starts are not, and all of it was dropped. */
+    /** Guards against dropping all progress reports of workers that send no start notices. */
     @Test
     public void firstProgressReportImpliesStart() {
         Bench harness = Bench.of(IDEMPOTENT);
@@ -516,16 +523,14 @@
         assertEquals(a.run, 4000.0);
         harness.dispatcher.progressed(2510, a, 0.5);
         assertEquals(a.startedAt, 510.0);
-        Assignment unsaid =
+        Assignment withoutInterval =
                 Bench.of(IDEMPOTENT).start(1).forceSend(harness.task(0, 10, 3000), 0, 10);
         harness.settings.progressInterval = 0;
-        harness.start(1).dispatcher.progressed(1510, unsaid, 0.25);
-        assertTrue(Double.isNaN(unsaid.startedAt));
+        harness.start(1).dispatcher.progressed(1510, withoutInterval, 0.25);
+        assertTrue(Double.isNaN(withoutInterval.startedAt));
     }
 
-    /**
-     * Found on palermo-archivi-later rough-1: a place that was cut off was tried worker by worker.
-     */
+    /** Guards against trying the workers of an unreachable zone one by one. */
     @Test
     public void doesNotReplaceUnreachableWorkersOfOtherZone() {
         Bench harness = Bench.of(IDEMPOTENT);
@@ -546,7 +551,7 @@
                 harness.actions.toString());
     }
 
-    /** Found in incident i8a9b13: a jam showed only when its late answers came. */
+    /** Guards against detecting congestion only when the late answers arrive. */
     @Test
     public void overdueSendsCountAsLate() {
         Bench harness = Bench.of(IDEMPOTENT).start(2);
@@ -558,8 +563,8 @@
     }
 
     /**
-     * Found on the grown siracusa-indici: for its first 64 tasks a dispatcher held crossings to be
-     * free.
+     * Guards against assuming that sends to another zone cost nothing, as a dispatcher did for its
+     * first 64 tasks.
      */
     @Test
     public void zoneFeeAppliesFromFirstTask() {
@@ -572,7 +577,10 @@
         assertEquals(harness.countActions("send 0"), 2);
     }
 
-    /** Found on the grown siracusa-indici: 64 samples of one worker were more than a day held. */
+    /**
+     * Guards against learning too slowly where few tasks arrive: one worker had fewer than 64
+     * samples a day.
+     */
     @Test
     public void learnsWorkerPaceFromFewTasks() {
         Bench harness = Bench.of(IDEMPOTENT);
@@ -597,7 +605,8 @@
     }
 
     /**
-     * Found in planned restarts: begun anew on busy workers, it took their few free slots for all.
+     * Guards against underestimating busy workers after a planned restart of the scheduler, which
+     * took their few free slots for all their slots.
      */
     @Test
     public void firstReportDoesNotLowerSlotsBelowListedSize() {
@@ -610,12 +619,12 @@
         harness.dispatcher.reportReceived(2, 0, Bench.report(0, 1));
         assertEquals(harness.dispatcher.slotsOf(0), 8.0);
         harness.dispatcher.reportReceived(9000, 0, Bench.report(0, 3));
-        assertEquals(harness.dispatcher.slotsOf(0), 3.0, "later what was told counts");
+        assertEquals(harness.dispatcher.slotsOf(0), 3.0, "later reports are taken as they are");
     }
 
     /**
-     * Found after each start: due times by works not yet learned passed, and free slots met
-     * bounces.
+     * Guards against rejecting tasks despite free slots after each start, when answers miss due
+     * times that are based on work not learned yet.
      */
     @Test
     public void firstLateAnswersDoNotRefuseTasksWithFreeSlots() {
@@ -633,7 +642,8 @@
     }
 
     /**
-     * Found on sockets: hints in another unit made a held task wait six seconds, past its expiry.
+     * Guards against tasks that stay pending past their expiry: hints in another unit caused a
+     * delay of six seconds.
      */
     @Test
     public void reconsidersPendingTaskBeforeLatestStart() {
@@ -644,11 +654,11 @@
         harness.listWorkers(3, true, 1, Dispatcher.DRAINING, 0);
         Task t = harness.task(0, 4, 10);
         harness.dispatcher.arrived(4, t);
-        assertTrue(t.pending && t.decideAt > 4, "not held");
-        assertTrue(t.decideAt <= t.due - t.work, "looked at again at " + t.decideAt);
+        assertTrue(t.pending && t.decideAt > 4, "task is not pending");
+        assertTrue(t.decideAt <= t.due - t.work, "next decision at " + t.decideAt);
     }
 
-    /** The operators' ban is theirs: no word of the list, and no start it tells, ends it. */
+    /** Only operators end a suspension; neither a worker list nor a restart that it shows does. */
     @Test
     public void sendsNothingToSuspendedWorker() {
         Bench harness = Bench.of(IDEMPOTENT).start(2);
@@ -677,10 +687,10 @@
         assertEquals(
                 harness.dispatcher.fleet.startedAt[0],
                 500.0,
-                "what is not banned is left as it is");
+                "resuming a worker that is not suspended changes nothing");
     }
 
-    /** Errors at all workers that a repeat gets round are no reason to give up. */
+    /** Errors at all workers are no reason to give up while retries succeed. */
     @Test
     public void retriesWhenRetriesSucceed() {
         Bench harness = Bench.of(IDEMPOTENT);
@@ -707,28 +717,28 @@
         assertEquals(harness.sent.size(), 200 + 67);
     }
 
-    /** One bad worker among good ones is still told: its tasks go on elsewhere. */
+    /** A single failing worker is still detected, and its tasks are retried elsewhere. */
     @Test
     public void avoidsSingleFailingWorkerAndRetriesItsTasks() {
         Bench harness = Bench.of(IDEMPOTENT);
         harness.settings.profiles[0].dueTime = 2000;
         harness.start(4);
-        int atBad = 0;
+        int sentToFailing = 0;
         for (int i = 0; i < 100; i++) {
             Task t = harness.arrive(0, 10 + 20 * i);
             while (t.inFlight > 0) {
                 Assignment a = harness.lastSent();
-                boolean bad = a.worker == 2;
-                atBad += bad && i >= 20 ? 1 : 0;
+                boolean failing = a.worker == 2;
+                sentToFailing += failing && i >= 20 ? 1 : 0;
                 harness.dispatcher.ended(
                         15 + 20 * i,
                         a,
-                        bad ? Outcome.ERROR : Outcome.OK,
-                        !bad,
+                        failing ? Outcome.ERROR : Outcome.OK,
+                        !failing,
                         Bench.report(Double.NaN, 2));
             }
         }
         assertEquals(harness.countActions("bounce"), 0);
-        assertTrue(atBad < 10, atBad + " of 80 at the bad one");
+        assertTrue(sentToFailing < 10, sentToFailing + " sends to the failing worker in 80 tasks");
     }
 }
--- a/src/test/java/gingerspool/dispatch/PolicyFilesTest.java
+++ b/src/test/java/gingerspool/dispatch/PolicyFilesTest.java
@@ -12,9 +12,11 @@
 import org.testng.annotations.Test;
 
 /**
- * The files that decide, as both deploy files list them under `policy`, stay small enough to read.
+ * Checks the files that decide on tasks: both deploy files list the same ones under `policy`, and
+ * together they stay small enough to read.
  */
 public class PolicyFilesTest {
+    /** Maximum number of non-blank lines of all policy files together. */
     private static final int MAX_LINES = 1100;
 
     private static List<String> policyFiles(String deployFile) throws IOException {
--- a/src/test/java/gingerspool/dispatch/ScoreTest.java
+++ b/src/test/java/gingerspool/dispatch/ScoreTest.java
@@ -7,7 +7,10 @@
 import java.util.Arrays;
 import org.testng.annotations.Test;
 
-/** The score, O and what reports and hints make of them. */
+/**
+ * Tests the {@link Score}, the estimated load of workers, and the effect of reports and hints on
+ * both.
+ */
 public class ScoreTest {
     private static final Effect IDEMPOTENT = Effect.IDEMPOTENT;
 
@@ -17,10 +20,9 @@
         Task t = harness.task(0, 0, 0);
         t.work = 150;
         t.due = 100 + 2 * 150;
-        // Mean 150, spread sqrt(0.5): likely works 52, 93, 146, 263, allowed waits 152, 193, 246,
-        // 363.
-        // Waits at midpoints 0, 0, 11, 37, 71, 120, 187, 300, 487 and more: 6, 7, 7 and 8 of 14
-        // regions fit.
+        // Mean 150, standard deviation sqrt(0.5) of the logarithm: the sampled works 52, 93, 146
+        // and 263 leave a slack of 152, 193, 246 and 363. Waits at the midpoints of regions are 0,
+        // 0, 11, 37, 71, 120, 187, 300, 487 and more: 6, 7, 7 and 8 of the 14 regions fit.
         assertEquals(harness.dispatcher.probabilityInTime(t, 0), (6 + 7 + 7 + 8) / 56.0, 1e-9);
     }
 
@@ -39,25 +41,29 @@
 
     @Test
     public void busyPeriodsFollowBorelDistribution() {
-        double[] run = new double[17];
-        run[1] = 1;
-        double[] within = new double[17];
-        double lambda = 0.3;
-        BusyPeriods.fillProbabilities(1, lambda, run, within);
-        // Unit jobs behind one unit of work: Borel's law, P(0) = e^-a, P(1) = a e^-2a, P(2) = 3/2
-        // a^2 e^-3a.
-        assertEquals(within[0], Math.exp(-lambda), 1e-12);
-        assertEquals(within[1] - within[0], lambda * Math.exp(-2 * lambda), 1e-12);
-        assertEquals(within[2] - within[1], 1.5 * lambda * lambda * Math.exp(-3 * lambda), 1e-12);
+        double[] runProbabilities = new double[17];
+        runProbabilities[1] = 1;
+        double[] cumulative = new double[17];
+        double arrivalRate = 0.3;
+        BusyPeriods.fillProbabilities(1, arrivalRate, runProbabilities, cumulative);
+        // Unit jobs behind one unit of work follow Borel's distribution: P(0) = e^-a,
+        // P(1) = a e^-2a, P(2) = 3/2 a^2 e^-3a, with the arrival rate a.
+        assertEquals(cumulative[0], Math.exp(-arrivalRate), 1e-12);
+        assertEquals(
+                cumulative[1] - cumulative[0], arrivalRate * Math.exp(-2 * arrivalRate), 1e-12);
+        assertEquals(
+                cumulative[2] - cumulative[1],
+                1.5 * arrivalRate * arrivalRate * Math.exp(-3 * arrivalRate),
+                1e-12);
     }
 
     @Test
     public void jobsWithoutRunningTimeAddNoDelay() {
-        double[] run = new double[17];
-        run[0] = 1;
-        double[] within = new double[17];
-        BusyPeriods.fillProbabilities(4, 0.5, run, within);
-        assertEquals(within[0], 1, 1e-12);
+        double[] runProbabilities = new double[17];
+        runProbabilities[0] = 1;
+        double[] cumulative = new double[17];
+        BusyPeriods.fillProbabilities(4, 0.5, runProbabilities, cumulative);
+        assertEquals(cumulative[0], 1, 1e-12);
     }
 
     @Test
@@ -86,16 +92,16 @@
         Bench harness = Bench.of(IDEMPOTENT).start(1);
         double before = harness.dispatcher.load(0, 0);
         harness.arrive(0, 1);
-        double one = harness.dispatcher.load(0, 0);
+        double afterOne = harness.dispatcher.load(0, 0);
         harness.arrive(0, 2);
         assertEquals(before, 0.0);
-        assertEquals(one, 0.5);
+        assertEquals(afterOne, 0.5);
         assertTrue(harness.dispatcher.load(0, 0) > 1);
     }
 
     /**
-     * Found on the first day: rows never visited are flat, so a worker full of our own sends looked
-     * good.
+     * Guards against a high score of a worker full of our own sends: pairs that were never counted
+     * have equal weights.
      */
     @Test
     public void scoreOmitsRegionsBelowOwnSends() {
@@ -107,7 +113,7 @@
         assertEquals(harness.countActions("send 1"), 3);
     }
 
-    /** Found on catania-trascrizioni: a worker once heard full was believed full for 28 s. */
+    /** Guards against assuming that a worker is full long after its report: 28 s in one case. */
     @Test
     public void reportedLoadDecaysToMean() {
         Bench harness = Bench.of(IDEMPOTENT).start(4);
@@ -118,7 +124,7 @@
         assertTrue(harness.dispatcher.peerJobs(3) < 1);
     }
 
-    /** Found on both sites with hints: a hint far from the mean says less than it seems. */
+    /** A hint far from the mean says less about the running time than it seems to. */
     @Test
     public void outlyingHintsAreShrunkTowardMean() {
         Bench harness = Bench.of(IDEMPOTENT).start(4);
@@ -133,10 +139,10 @@
     @Test
     public void implausibleReportsAreIgnored() {
         Bench harness = Bench.of(IDEMPOTENT).start(2);
-        double[] r = new double[Report.SIZE];
-        for (double v : new double[] {-1, 1e18, Double.NaN, Double.POSITIVE_INFINITY}) {
-            Arrays.fill(r, v);
-            harness.dispatcher.reportReceived(5, 0, r);
+        double[] report = new double[Report.SIZE];
+        for (double value : new double[] {-1, 1e18, Double.NaN, Double.POSITIVE_INFINITY}) {
+            Arrays.fill(report, value);
+            harness.dispatcher.reportReceived(5, 0, report);
             harness.dispatcher.reportReceived(5, 1, null);
         }
         assertEquals(harness.dispatcher.slotsOf(0), 2.0);
@@ -146,7 +152,7 @@
     }
 
     /**
-     * Found on kingston-returns big-1: slow workers nobody asked were believed as full as the fast.
+     * Guards against assuming that slow workers, which nobody probed, are as full as the fast ones.
      */
     @Test
     public void unreportedWorkerTakesMeanOfItsKindAndZone() {
@@ -158,36 +164,42 @@
         for (int i = 0; i < 400; i++) {
             harness.dispatcher.reportReceived(10 + i, i % 3 * 2, Bench.report(6 + i % 2, 0));
         }
-        assertTrue(harness.dispatcher.peerJobs(7) > 4, "others " + harness.dispatcher.peerJobs(7));
+        assertTrue(
+                harness.dispatcher.peerJobs(7) > 4, "peer jobs: " + harness.dispatcher.peerJobs(7));
         assertEquals(harness.dispatcher.peerJobs(6), 0.0);
         assertTrue(
-                harness.dispatcher.peerJobs(5) < 0.5, "others " + harness.dispatcher.peerJobs(5));
+                harness.dispatcher.peerJobs(5) < 0.5,
+                "peer jobs: " + harness.dispatcher.peerJobs(5));
     }
 
     /**
-     * Found on sofia-topup: reports told 2 running and 3 waiting as 3 and 5, and 8 were believed.
+     * Guards against counting queued jobs twice: reports gave 2 running and 3 queued jobs as 3
+     * queued and 5 in flight, and 8 were assumed.
      */
     @Test
     public void queueIsNotAddedToInFlightCount() {
-        double[] believed = new double[2];
+        double[] estimates = new double[2];
         for (int i = 0; i < 2; i++) {
             Bench harness = Bench.of(IDEMPOTENT).start(1);
-            double[] r = Bench.report(3, 0);
-            r[Report.IN_FLIGHT] = i == 0 ? 5 : Double.NaN;
-            harness.dispatcher.reportReceived(10, 0, r);
-            believed[i] = harness.dispatcher.peerJobs(0);
+            double[] report = Bench.report(3, 0);
+            report[Report.IN_FLIGHT] = i == 0 ? 5 : Double.NaN;
+            harness.dispatcher.reportReceived(10, 0, report);
+            estimates[i] = harness.dispatcher.peerJobs(0);
         }
-        assertEquals(believed[0], believed[1]);
+        assertEquals(estimates[0], estimates[1]);
     }
 
-    /** Found on all grown sites: hundreds of dispatchers flocked after the same old report. */
+    /**
+     * Guards against hundreds of dispatchers that all send to a worker because of the same old
+     * report.
+     */
     @Test
     public void reportMovesEstimatePartially() {
         Bench harness = Bench.of(IDEMPOTENT).start(4);
         harness.dispatcher.reportReceived(10, 3, Bench.report(6, 0));
-        double once = harness.dispatcher.peerJobs(3);
+        double afterOne = harness.dispatcher.peerJobs(3);
         harness.dispatcher.reportReceived(11, 3, Bench.report(7, 0));
-        assertTrue(once > 2 && once < 4, "once " + once);
-        assertTrue(harness.dispatcher.peerJobs(3) > once + 1);
+        assertTrue(afterOne > 2 && afterOne < 4, "after one report: " + afterOne);
+        assertTrue(harness.dispatcher.peerJobs(3) > afterOne + 1);
     }
 }
--- a/src/test/java/gingerspool/dispatch/TermsTest.java
+++ b/src/test/java/gingerspool/dispatch/TermsTest.java
@@ -14,17 +14,17 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What an operator's terms make of the module's assignments. */
+/** Tests how an operator's {@link Terms} limit retries, pauses, timeouts and copies. */
 public class TermsTest {
     private static final Effect IDEMPOTENT = Effect.IDEMPOTENT;
 
-    /** A budget of so many, which nothing fills up. */
+    /** A retry budget of a fixed number of retries, which first tries do not refill. */
     private static final class FixedBudget implements RetryBudget {
-        int left;
+        int remaining;
         int earned;
 
-        FixedBudget(int left) {
-            this.left = left;
+        FixedBudget(int remaining) {
+            this.remaining = remaining;
         }
 
         @Override
@@ -34,21 +34,22 @@
 
         @Override
         public boolean allows(double now) {
-            return left > 0;
+            return remaining > 0;
         }
 
         @Override
         public void spend(double now) {
-            left--;
+            remaining--;
         }
     }
 
-    private static Terms terms(int assignments, double first, double most, RetryBudget budget) {
-        return new Terms(assignments, 0, first, most, 0, 1, 0, budget, null);
+    private static Terms termsWithPause(
+            int maxAssignments, double firstPause, double maxPause, RetryBudget budget) {
+        return new Terms(maxAssignments, 0, firstPause, maxPause, 0, 1, 0, budget, null);
     }
 
-    private static Terms copies(int most, double after, RetryBudget budget) {
-        return new Terms(4, 0, 0, 0, 0, most, after, budget, null);
+    private static Terms termsWithCopies(int copies, double copyDelay, RetryBudget budget) {
+        return new Terms(4, 0, 0, 0, 0, copies, copyDelay, budget, null);
     }
 
     private static Task arrive(Bench harness, double at, Terms terms) {
@@ -61,7 +62,7 @@
     @Test
     public void termsLowerMaxAssignments() {
         Bench harness = Bench.of(IDEMPOTENT).start(4);
-        arrive(harness, 1, terms(2, 0, 0, null));
+        arrive(harness, 1, termsWithPause(2, 0, 0, null));
         harness.dispatcher.ended(2, harness.lastSent(), Outcome.ERROR, false, null);
         assertEquals(harness.sent.size(), 2);
         harness.dispatcher.ended(3, harness.lastSent(), Outcome.ERROR, false, null);
@@ -74,7 +75,7 @@
         Bench harness = Bench.of(IDEMPOTENT);
         harness.settings.maxAssignments = 1;
         harness.start(4);
-        arrive(harness, 1, terms(4, 0, 0, null));
+        arrive(harness, 1, termsWithPause(4, 0, 0, null));
         harness.dispatcher.ended(2, harness.lastSent(), Outcome.ERROR, false, null);
         assertEquals(harness.sent.size(), 1);
         assertEquals(harness.countActions("bounce"), 1);
@@ -83,7 +84,7 @@
     @Test
     public void pauseBetweenAssignmentsDoublesUpToMaximum() {
         Bench harness = Bench.of(IDEMPOTENT).start(4);
-        arrive(harness, 1, terms(4, 20, 30, null));
+        arrive(harness, 1, termsWithPause(4, 20, 30, null));
         harness.dispatcher.ended(10, harness.lastSent(), Outcome.ERROR, false, null);
         harness.dispatcher.wake(29);
         assertEquals(harness.sent.size(), 1);
@@ -96,11 +97,13 @@
         assertEquals(harness.sent.size(), 3);
     }
 
-    /** Found by reading: a change of the list looks at every task at once, and cut pauses short. */
+    /**
+     * Guards against pauses cut short when a worker list makes all pending tasks be decided again.
+     */
     @Test
     public void workerListDoesNotShortenPause() {
         Bench harness = Bench.of(IDEMPOTENT).start(4);
-        arrive(harness, 1, terms(4, 20, 20, null));
+        arrive(harness, 1, termsWithPause(4, 20, 20, null));
         harness.dispatcher.ended(10, harness.lastSent(), Outcome.ERROR, false, null);
         harness.listWorkers(15, true, 4, Dispatcher.RUNNING, 0);
         assertEquals(harness.sent.size(), 1);
@@ -111,7 +114,7 @@
     @Test
     public void givesUpAtOnceIfPauseExceedsExpiry() {
         Bench harness = Bench.of(IDEMPOTENT).start(4);
-        arrive(harness, 1, terms(4, 20, 20, null));
+        arrive(harness, 1, termsWithPause(4, 20, 20, null));
         harness.dispatcher.ended(4990, harness.lastSent(), Outcome.ERROR, false, null);
         assertEquals(harness.countActions("bounce"), 1);
     }
@@ -119,16 +122,16 @@
     @Test
     public void abandonsNonRetryableTaskWithoutPause() {
         Bench harness = Bench.of(Effect.SIDE_EFFECTING).start(4);
-        arrive(harness, 1, terms(4, 20, 20, null));
+        arrive(harness, 1, termsWithPause(4, 20, 20, null));
         harness.dispatcher.ended(5, harness.lastSent(), Outcome.RESET, false, null);
         assertEquals(harness.countActions("abandon"), 1);
     }
 
     @Test
     public void retriesOnlyAfterRetryableOutcomes() {
-        Terms t = new Terms(4, 0, 0, 0, 0, 1, 0, null, EnumSet.of(Outcome.FULL));
+        Terms terms = new Terms(4, 0, 0, 0, 0, 1, 0, null, EnumSet.of(Outcome.FULL));
         Bench harness = Bench.of(IDEMPOTENT).start(4);
-        arrive(harness, 1, t);
+        arrive(harness, 1, terms);
         harness.dispatcher.ended(2, harness.lastSent(), Outcome.FULL, false, null);
         assertEquals(harness.sent.size(), 2);
         harness.dispatcher.ended(3, harness.lastSent(), Outcome.ERROR, false, null);
@@ -138,27 +141,27 @@
 
     @Test
     public void passesTimeoutWithAssignment() {
-        double[] told = new double[1];
+        double[] sentTimeout = new double[1];
         Bench harness = Bench.of(IDEMPOTENT);
         harness.start(2);
-        DispatchActions out = harness;
+        DispatchActions target = harness;
         harness.dispatcher =
                 new Dispatcher(
                         harness.settings,
                         7,
-                        new ForwardingActions(out) {
+                        new ForwardingActions(target) {
                             @Override
                             public void send(Assignment a, double timeout) {
-                                told[0] = timeout;
+                                sentTimeout[0] = timeout;
                                 super.send(a, timeout);
                             }
                         });
         harness.listWorkers(0, true, 2, Dispatcher.RUNNING, 0);
         arrive(harness, 1, new Terms(4, 250, 0, 0, 0, 1, 0, null, null));
-        assertEquals(told[0], 250.0);
+        assertEquals(sentTimeout[0], 250.0);
     }
 
-    /** Passes everything on. */
+    /** Forwards all actions except messages to peers. */
     private static class ForwardingActions implements DispatchActions {
         private final DispatchActions target;
 
@@ -215,16 +218,16 @@
 
     @Test
     public void givesUpAtOnceIfRetryBudgetIsSpent() {
-        FixedBudget coins = new FixedBudget(1);
+        FixedBudget budget = new FixedBudget(1);
         Bench harness = Bench.of(IDEMPOTENT).start(4);
-        arrive(harness, 1, terms(4, 20, 20, coins));
+        arrive(harness, 1, termsWithPause(4, 20, 20, budget));
         harness.dispatcher.ended(2, harness.lastSent(), Outcome.ERROR, false, null);
         harness.dispatcher.wake(30);
         harness.dispatcher.ended(31, harness.lastSent(), Outcome.ERROR, false, null);
         assertEquals(harness.sent.size(), 2);
         assertEquals(harness.countActions("bounce"), 1);
-        assertEquals(coins.earned, 1);
-        assertEquals(coins.left, 0);
+        assertEquals(budget.earned, 1);
+        assertEquals(budget.remaining, 0);
     }
 
     // ---- Copies ----
@@ -232,14 +235,14 @@
     @Test
     public void sendsCopyToAnotherWorkerAfterDelay() {
         Bench harness = Bench.of(IDEMPOTENT).start(4);
-        arrive(harness, 1, copies(2, 50, null));
+        arrive(harness, 1, termsWithCopies(2, 50, null));
         harness.dispatcher.wake(50);
         assertEquals(harness.sent.size(), 1);
         harness.dispatcher.wake(51);
         assertEquals(harness.sent.size(), 2);
         assertTrue(harness.sent.get(0).worker != harness.sent.get(1).worker);
         harness.dispatcher.wake(200);
-        assertEquals(harness.sent.size(), 2, "no more than two at once");
+        assertEquals(harness.sent.size(), 2, "at most two copies in flight");
     }
 
     @Test
@@ -247,7 +250,7 @@
         Bench harness = Bench.of(IDEMPOTENT);
         harness.settings.mayCancel = true;
         harness.start(4);
-        Task t = arrive(harness, 1, copies(2, 50, null));
+        Task t = arrive(harness, 1, termsWithCopies(2, 50, null));
         harness.dispatcher.wake(51);
         harness.dispatcher.ended(60, harness.sent.get(1), Outcome.OK, true, null);
         assertEquals(harness.countActions("cancel"), 1);
@@ -261,7 +264,7 @@
     @Test
     public void retriesOnlyAfterAllCopiesFailed() {
         Bench harness = Bench.of(IDEMPOTENT).start(4);
-        arrive(harness, 1, copies(2, 50, null));
+        arrive(harness, 1, termsWithCopies(2, 50, null));
         harness.dispatcher.wake(51);
         harness.dispatcher.ended(60, harness.sent.get(0), Outcome.ERROR, false, null);
         assertEquals(harness.sent.size(), 2);
@@ -272,13 +275,13 @@
         harness.dispatcher.wake(112);
         assertEquals(harness.sent.size(), 4);
         harness.dispatcher.wake(500);
-        assertEquals(harness.sent.size(), 4, "copies are assignments, of which there are four");
+        assertEquals(harness.sent.size(), 4, "copies count toward the maximum of four assignments");
     }
 
     @Test
     public void sendsNoCopyToWorkerRunningTheTask() {
         Bench harness = Bench.of(IDEMPOTENT).start(1);
-        arrive(harness, 1, copies(2, 50, null));
+        arrive(harness, 1, termsWithCopies(2, 50, null));
         harness.dispatcher.wake(51);
         harness.dispatcher.wake(200);
         assertEquals(harness.sent.size(), 1);
@@ -286,22 +289,22 @@
 
     @Test
     public void copiesAreChargedToRetryBudget() {
-        FixedBudget coins = new FixedBudget(0);
+        FixedBudget budget = new FixedBudget(0);
         Bench harness = Bench.of(IDEMPOTENT).start(4);
-        arrive(harness, 1, copies(2, 50, coins));
+        arrive(harness, 1, termsWithCopies(2, 50, budget));
         harness.dispatcher.wake(51);
         assertEquals(harness.sent.size(), 1);
     }
 
     /**
-     * Guards rule two whatever the terms say: the file's checker refuses such terms, the module
-     * does as well.
+     * Guards against running a task twice that must not be: the configuration check rejects such
+     * terms, and the dispatcher does not rely on it.
      */
     @Test
     public void copiesOnlyIdempotentTasks() {
         for (Effect e : new Effect[] {Effect.FINGERPRINTED, Effect.SIDE_EFFECTING}) {
             Bench harness = Bench.of(e).start(4);
-            arrive(harness, 1, copies(3, 50, null));
+            arrive(harness, 1, termsWithCopies(3, 50, null));
             harness.dispatcher.wake(51);
             assertEquals(harness.sent.size(), 1);
         }
@@ -310,18 +313,18 @@
     @Test
     public void clientLeavingEndsPausesAndCopies() {
         Bench harness = Bench.of(IDEMPOTENT).start(4);
-        Task t = arrive(harness, 1, copies(2, 50, null));
-        harness.dispatcher.clientLeft(10, t);
+        Task copied = arrive(harness, 1, termsWithCopies(2, 50, null));
+        harness.dispatcher.clientLeft(10, copied);
         harness.dispatcher.wake(60);
         assertEquals(harness.sent.size(), 1);
-        Task u = arrive(harness, 70, terms(4, 20, 20, null));
+        Task paused = arrive(harness, 70, termsWithPause(4, 20, 20, null));
         harness.dispatcher.ended(75, harness.lastSent(), Outcome.ERROR, false, null);
-        harness.dispatcher.clientLeft(80, u);
+        harness.dispatcher.clientLeft(80, paused);
         harness.dispatcher.wake(100);
         assertEquals(harness.sent.size(), 2);
     }
 
-    // ---- Terms by the million ----
+    // ---- Random terms ----
 
     @DataProvider
     public Object[][] effects() {
@@ -331,109 +334,118 @@
     }
 
     /**
-     * Random terms, ends and times: one final answer at most, no assignment after what may have run
-     * where the effect bars it, no two at a time where it is not idempotent, none at one worker
-     * twice at a time, no more than terms and settings allow, and copies never more than allowed at
-     * once.
+     * Random terms, outcomes and times: at most one final answer, no assignment after one that may
+     * have run if the effect forbids it, no overlap unless the task is idempotent, no two
+     * assignments in flight at one worker, and no more assignments or copies in flight than the
+     * terms and settings allow.
      */
     @Test(dataProvider = "effects")
     public void randomTermsNeverBreakRules(Effect effect) {
-        int copied = 0;
+        int copiesSent = 0;
         for (int seed = 0; seed < 3000; seed++) {
-            SplittableRandom r = new SplittableRandom(seed);
+            SplittableRandom random = new SplittableRandom(seed);
             Bench harness = Bench.of(effect);
-            harness.settings.mayCancel = r.nextBoolean();
-            harness.settings.maxAssignments = 1 + r.nextInt(4);
-            harness.start(1 + r.nextInt(5));
-            Set<Outcome> again = r.nextInt(3) == 0 ? EnumSet.of(Outcome.ERROR, Outcome.FULL) : null;
+            harness.settings.mayCancel = random.nextBoolean();
+            harness.settings.maxAssignments = 1 + random.nextInt(4);
+            harness.start(1 + random.nextInt(5));
+            Set<Outcome> retryable =
+                    random.nextInt(3) == 0 ? EnumSet.of(Outcome.ERROR, Outcome.FULL) : null;
             Terms terms =
                     new Terms(
-                            1 + r.nextInt(5),
-                            r.nextInt(2) * 200,
-                            r.nextInt(3) * 20,
+                            1 + random.nextInt(5),
+                            random.nextInt(2) * 200,
+                            random.nextInt(3) * 20,
                             100,
-                            r.nextDouble(),
-                            1 + r.nextInt(3),
-                            10 + r.nextInt(50),
-                            r.nextInt(3) == 0 ? new FixedBudget(r.nextInt(5)) : null,
-                            again);
+                            random.nextDouble(),
+                            1 + random.nextInt(3),
+                            10 + random.nextInt(50),
+                            random.nextInt(3) == 0 ? new FixedBudget(random.nextInt(5)) : null,
+                            retryable);
             Task t = arrive(harness, 1, terms);
-            List<Assignment> open = new ArrayList<>();
-            int seen = 0;
-            boolean ran = false;
-            boolean over = false;
-            for (double now = 2; now < 400; now += r.nextInt(20)) {
-                for (; seen < harness.sent.size(); seen++) {
-                    Assignment a = harness.sent.get(seen);
-                    assertFalse(over, "seed " + seed + ": sent after the end");
+            List<Assignment> inFlight = new ArrayList<>();
+            int checked = 0;
+            boolean mayHaveRun = false;
+            boolean taskEnded = false;
+            for (double now = 2; now < 400; now += random.nextInt(20)) {
+                for (; checked < harness.sent.size(); checked++) {
+                    Assignment a = harness.sent.get(checked);
+                    assertFalse(taskEnded, "seed " + seed + ": sent after the task ended");
                     assertTrue(
-                            open.isEmpty() || effect == Effect.IDEMPOTENT,
-                            "seed " + seed + ": overlap");
+                            inFlight.isEmpty() || effect == Effect.IDEMPOTENT,
+                            "seed " + seed + ": overlapping assignments");
                     assertTrue(
-                            open.stream().noneMatch(o -> o.worker == a.worker),
-                            "seed " + seed + ": twice there");
+                            inFlight.stream().noneMatch(o -> o.worker == a.worker),
+                            "seed " + seed + ": two in flight at one worker");
                     assertFalse(
-                            ran && effect == Effect.SIDE_EFFECTING, "seed " + seed + ": repeat");
-                    open.add(a);
-                    copied += open.size() > 1 ? 1 : 0;
+                            mayHaveRun && effect == Effect.SIDE_EFFECTING,
+                            "seed " + seed + ": retried after it may have run");
+                    inFlight.add(a);
+                    copiesSent += inFlight.size() > 1 ? 1 : 0;
                     assertTrue(
-                            open.size() <= Math.max(1, terms.copies),
-                            "seed " + seed + ": too many at once");
+                            inFlight.size() <= Math.max(1, terms.copies),
+                            "seed " + seed + ": too many in flight");
                 }
-                over = t.ended();
+                taskEnded = t.ended();
                 assertTrue(
-                        seen <= Math.min(terms.maxAssignments, harness.settings.maxAssignments),
+                        checked <= Math.min(terms.maxAssignments, harness.settings.maxAssignments),
                         "seed " + seed);
                 assertTrue(
                         harness.countActions("bounce") + harness.countActions("abandon") <= 1,
-                        "seed " + seed + ": two answers");
-                if (!open.isEmpty() && r.nextInt(3) == 0) {
-                    Assignment a = open.remove(r.nextInt(open.size()));
-                    Outcome how = t.ended() ? Outcome.CANCELLED : Outcome.values()[r.nextInt(6)];
-                    ran |= !how.neverRan();
-                    over |= how == Outcome.OK;
-                    harness.dispatcher.ended(now, a, how, over, null);
+                        "seed " + seed + ": more than one final answer");
+                if (!inFlight.isEmpty() && random.nextInt(3) == 0) {
+                    Assignment a = inFlight.remove(random.nextInt(inFlight.size()));
+                    Outcome outcome =
+                            t.ended() ? Outcome.CANCELLED : Outcome.values()[random.nextInt(6)];
+                    mayHaveRun |= !outcome.neverRan();
+                    taskEnded |= outcome == Outcome.OK;
+                    harness.dispatcher.ended(now, a, outcome, taskEnded, null);
                 } else {
                     harness.dispatcher.wake(now);
                 }
             }
         }
-        assertEquals(copied > 100, effect == Effect.IDEMPOTENT, copied + " copies");
+        assertEquals(copiesSent > 100, effect == Effect.IDEMPOTENT, copiesSent + " copies");
     }
 
-    // ---- The storm ----
+    // ---- Retry storms ----
 
     /**
-     * Simulated time: a fleet that fails everything after a while; gives firsts and repeats by
-     * second.
+     * Simulates a fleet that fails every task 5 to 25 ms after it is sent. Returns the first tries
+     * and the retries, by second.
      */
     private static int[][] simulateFailingFleet(RetryBudget budget, int seed) {
         Bench harness = Bench.of(IDEMPOTENT).start(200);
         Terms terms = new Terms(4, 0, 0, 0, 0, 1, 0, budget, null);
-        SplittableRandom r = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         int seconds = 30;
         int[][] counts = new int[2][seconds];
-        PriorityQueue<double[]> ends = new PriorityQueue<>((x, y) -> Double.compare(x[0], y[0]));
-        int seen = 0;
-        double next = 0;
+        PriorityQueue<double[]> failures =
+                new PriorityQueue<>((x, y) -> Double.compare(x[0], y[0]));
+        int counted = 0;
+        double nextArrival = 0;
         double now = 0;
         while (now < 1000 * seconds) {
-            boolean arrives = ends.isEmpty() || next <= ends.peek()[0];
-            now = arrives ? next : ends.peek()[0];
+            boolean arrives = failures.isEmpty() || nextArrival <= failures.peek()[0];
+            now = arrives ? nextArrival : failures.peek()[0];
             if (now >= 1000 * seconds) {
                 break;
             }
             if (arrives) {
                 arrive(harness, now, terms);
-                // Bursts and lulls: the rate changes each second by chance.
-                next = now - Math.log(1 - r.nextDouble()) * (now % 3000 < 1000 ? 4 : 25);
+                // Alternates bursts (mean gap 4 ms, every third second) and lulls (25 ms).
+                nextArrival =
+                        now - Math.log(1 - random.nextDouble()) * (now % 3000 < 1000 ? 4 : 25);
             } else {
                 harness.dispatcher.ended(
-                        now, harness.sent.get((int) ends.poll()[1]), Outcome.RESET, false, null);
+                        now,
+                        harness.sent.get((int) failures.poll()[1]),
+                        Outcome.RESET,
+                        false,
+                        null);
             }
-            for (; seen < harness.sent.size(); seen++) {
-                counts[harness.sent.get(seen).number == 0 ? 0 : 1][(int) (now / 1000)]++;
-                ends.add(new double[] {now + 5 + 20 * r.nextDouble(), seen});
+            for (; counted < harness.sent.size(); counted++) {
+                counts[harness.sent.get(counted).number == 0 ? 0 : 1][(int) (now / 1000)]++;
+                failures.add(new double[] {now + 5 + 20 * random.nextDouble(), counted});
             }
         }
         return counts;
@@ -443,46 +455,48 @@
     public void retriesStayWithinBudgetWhenAllTasksFail() {
         for (int seed = 0; seed < 5; seed++) {
             double share = 0.1;
-            double least = 2;
-            int[][] with =
+            double minPerSecond = 2;
+            int[][] withBudget =
                     simulateFailingFleet(
                             new gingerspool.route.Budget(
-                                    new gingerspool.route.Policy.Repeats(share, least)),
+                                    new gingerspool.route.Policy.Repeats(share, minPerSecond)),
                             seed);
-            int[][] without = simulateFailingFleet(null, seed);
-            int repeats = 0;
-            int firsts = 0;
-            int stormed = 0;
-            for (int s = 0; s < with[0].length; s++) {
-                // A second's own share and floor, and what may have been kept: one second of both.
-                double kept = Math.max(1, least + share * 260);
+            int[][] withoutBudget = simulateFailingFleet(null, seed);
+            int retries = 0;
+            int firstTries = 0;
+            int retriesWithoutBudget = 0;
+            for (int second = 0; second < withBudget[0].length; second++) {
+                // The share and minimum of this second, and one second of both carried over.
+                double carriedOver = Math.max(1, minPerSecond + share * 260);
                 assertTrue(
-                        with[1][s] <= share * with[0][s] + least + kept,
+                        withBudget[1][second]
+                                <= share * withBudget[0][second] + minPerSecond + carriedOver,
                         "seed "
                                 + seed
                                 + " second "
-                                + s
+                                + second
                                 + ": "
-                                + with[1][s]
-                                + " repeats of "
-                                + with[0][s]);
-                repeats += with[1][s];
-                firsts += with[0][s];
-                stormed += without[1][s];
+                                + withBudget[1][second]
+                                + " retries of "
+                                + withBudget[0][second]);
+                retries += withBudget[1][second];
+                firstTries += withBudget[0][second];
+                retriesWithoutBudget += withoutBudget[1][second];
             }
             assertTrue(
-                    repeats <= share * firsts + least * with[0].length + 30,
-                    repeats + " of " + firsts);
+                    retries <= share * firstTries + minPerSecond * withBudget[0].length + 30,
+                    retries + " of " + firstTries);
             assertTrue(
-                    stormed > 2 * (share * firsts + least * with[0].length + 30),
+                    retriesWithoutBudget
+                            > 2 * (share * firstTries + minPerSecond * withBudget[0].length + 30),
                     "without a budget: "
-                            + stormed
-                            + " repeats of "
-                            + java.util.Arrays.stream(without[0]).sum()
-                            + ", with one "
-                            + repeats
+                            + retriesWithoutBudget
+                            + " retries of "
+                            + java.util.Arrays.stream(withoutBudget[0]).sum()
+                            + ", with a budget "
+                            + retries
                             + " of "
-                            + firsts);
+                            + firstTries);
         }
     }
 }
