--- a/src/test/java/gingerspool/dispatch/DispatcherTest.java
+++ b/src/test/java/gingerspool/dispatch/DispatcherTest.java
@@ -188,7 +188,7 @@
         assertTrue(failed < 8, "failed tasks: " + failed);
     }
 
-    /** Guards against workers that fail only one profile's tasks and still receive these. */
+    /** Guards against workers that fail only one profile's tasks and keep receiving them. */
     @Test
     public void tracksFailureRatePerProfile() {
         Bench harness = Bench.of(IDEMPOTENT, IDEMPOTENT).start(1);
@@ -619,7 +619,7 @@
         harness.dispatcher.reportReceived(2, 0, Bench.report(0, 1));
         assertEquals(harness.dispatcher.slotsOf(0), 8.0);
         harness.dispatcher.reportReceived(9000, 0, Bench.report(0, 3));
-        assertEquals(harness.dispatcher.slotsOf(0), 3.0, "later reports are taken as they are");
+        assertEquals(harness.dispatcher.slotsOf(0), 3.0, "later reports lower the number of slots");
     }
 
     /**
