--- a/src/test/java/gingerspool/dispatch/Bench.java
+++ b/src/test/java/gingerspool/dispatch/Bench.java
@@ -10,148 +10,155 @@
 import java.util.List;
 
 /**
- * Builds the states that tests need, writes down what a Dispatcher does, and talks HTTP as a peer
- * does.
+ * Test harness around a {@link Dispatcher}: builds its state, records its actions in order, and
+ * exchanges HTTP messages over a socket for tests of other packages. Times and spans are
+ * milliseconds. Not thread-safe.
  */
 public final class Bench implements DispatchActions {
-    final List<String> acts = new ArrayList<>();
+    /** Actions in order, each as a name and at most one argument, such as "send 3". */
+    final List<String> actions = new ArrayList<>();
+
     final List<Assignment> sent = new ArrayList<>();
-    final List<byte[]> messages = new ArrayList<>();
+    final List<byte[]> peerMessages = new ArrayList<>();
     final DispatcherSettings settings = new DispatcherSettings();
-    Dispatcher d;
+    Dispatcher dispatcher;
 
     /**
-     * Two slots a worker, three dispatchers, one profile of this effect: due 100 + 2 x work, expiry
-     * 5000.
+     * Creates settings of three dispatchers and one profile per effect: due 100 ms + 2 x work after
+     * arrival, expiry after 5000 ms.
      */
     static Bench of(Profile.Effect... effects) {
-        Bench b = new Bench();
-        b.settings.profiles = new Profile[effects.length];
+        Bench harness = new Bench();
+        harness.settings.profiles = new Profile[effects.length];
         for (int i = 0; i < effects.length; i++) {
-            Profile p = new Profile();
-            p.index = i;
-            p.dueTime = 100;
-            p.stretch = 2;
-            p.expiry = 5000;
-            p.dedupWindow = 1000;
-            p.effect = effects[i];
-            b.settings.profiles[i] = p;
+            Profile profile = new Profile();
+            profile.index = i;
+            profile.dueTime = 100;
+            profile.stretch = 2;
+            profile.expiry = 5000;
+            profile.dedupWindow = 1000;
+            profile.effect = effects[i];
+            harness.settings.profiles[i] = profile;
         }
-        b.settings.zone = 0;
-        b.settings.dispatchers = 3;
-        b.settings.maxAssignments = 4;
-        b.settings.listRequestWindow = 10000;
-        b.settings.coldShare = 0.25;
-        b.settings.warmUpSpan = 10000;
-        b.settings.coldWindow = 1000;
-        b.settings.overloadFactor = 3;
-        b.settings.mayAdviseRetryAfter = true;
-        b.settings.maxRetryAfter = 2000;
-        return b;
+        harness.settings.zone = 0;
+        harness.settings.dispatchers = 3;
+        harness.settings.maxAssignments = 4;
+        harness.settings.listRequestWindow = 10000;
+        harness.settings.coldShare = 0.25;
+        harness.settings.warmUpSpan = 10000;
+        harness.settings.coldWindow = 1000;
+        harness.settings.overloadFactor = 3;
+        harness.settings.mayAdviseRetryAfter = true;
+        harness.settings.maxRetryAfter = 2000;
+        return harness;
     }
 
     /**
-     * Starts the dispatcher with so many running workers of size 2, all long started and heard
-     * idle.
+     * Starts the dispatcher with this many running workers of two slots, which started long ago and
+     * have reported that they are idle. Clears the recorded actions.
      */
     Bench start(int workers) {
-        d = new Dispatcher(settings, 7, this);
-        list(0, true, workers, Dispatcher.RUNNING, 0);
+        dispatcher = new Dispatcher(settings, 7, this);
+        listWorkers(0, true, workers, Dispatcher.RUNNING, 0);
         for (int w = 0; w < workers; w++) {
-            d.reportReceived(1, w, report(Double.NaN, 2));
+            dispatcher.reportReceived(1, w, report(Double.NaN, 2));
         }
-        acts.clear();
+        actions.clear();
         return this;
     }
 
-    void list(double at, boolean whole, int workers, int state, double startedAt) {
-        d.listBegins(at, whole);
+    /** Lists the first workers, which alternate between two zones and share a cell in pairs. */
+    void listWorkers(double at, boolean whole, int workers, int state, double startedAt) {
+        dispatcher.listBegins(at, whole);
         for (int w = 0; w < workers; w++) {
-            d.workerNamed(w, "worker-" + w);
-            d.listed(w, w % 2, 0, w / 2, state, 2, startedAt);
+            dispatcher.workerNamed(w, "worker-" + w);
+            dispatcher.listed(w, w % 2, 0, w / 2, state, 2, startedAt);
         }
-        d.listEnds(at, whole, false);
+        dispatcher.listEnds(at, whole, false);
     }
 
     static double[] report(double queue, double freeSlots) {
-        double[] r = new double[Report.SIZE];
-        Arrays.fill(r, Double.NaN);
-        r[Report.QUEUE] = queue;
-        r[Report.FREE_SLOTS] = freeSlots;
-        return r;
+        double[] report = new double[Report.SIZE];
+        Arrays.fill(report, Double.NaN);
+        report[Report.QUEUE] = queue;
+        report[Report.FREE_SLOTS] = freeSlots;
+        return report;
     }
 
     Task task(int profile, double at, double hint) {
-        Task t = new Task("t" + acts.size());
+        Task t = new Task("t" + actions.size());
         t.profile = settings.profiles[profile];
         t.expiry = at + t.profile.expiry;
         t.hint = hint;
         return t;
     }
 
+    /** Lets a task arrive that is expected to run for 100 ms. */
     Task arrive(int profile, double at) {
         Task t = task(profile, at, 100);
-        d.arrived(at, t);
+        dispatcher.arrived(at, t);
         return t;
     }
 
-    /** An assignment of this task there, sent as the dispatcher would, whatever it had chosen. */
-    Assignment sentTo(Task t, int worker, double at) {
+    /**
+     * Adds an unfinished assignment of the task to the worker without a decision of the dispatcher.
+     */
+    Assignment forceSend(Task t, int worker, double at) {
         t.work = t.hint;
         Assignment a = new Assignment(t, worker, 0, at, t.hint, 0, sent.size());
         t.inFlight++;
-        d.fleet.link(a);
+        dispatcher.fleet.link(a);
         return a;
     }
 
-    Assignment last() {
+    Assignment lastSent() {
         return sent.get(sent.size() - 1);
     }
 
-    int count(String act) {
-        return (int) acts.stream().filter(a -> a.startsWith(act)).count();
+    int countActions(String prefix) {
+        return (int) actions.stream().filter(a -> a.startsWith(prefix)).count();
     }
 
     @Override
     public void send(Assignment a, double timeout) {
         sent.add(a);
-        acts.add("send " + a.worker);
+        actions.add("send " + a.worker);
     }
 
     @Override
     public void bounce(Task t, double pause) {
-        acts.add("bounce " + pause);
+        actions.add("bounce " + pause);
     }
 
     @Override
     public void abandon(Task t) {
-        acts.add("abandon");
+        actions.add("abandon");
     }
 
     @Override
     public void cancel(Assignment a) {
-        acts.add("cancel");
+        actions.add("cancel");
     }
 
     @Override
     public void probe(int worker) {
-        acts.add("probe " + worker);
+        actions.add("probe " + worker);
     }
 
     @Override
-    public void sendToPeer(int dispatcher, byte[] message) {
-        acts.add("tell " + dispatcher);
-        messages.add(message);
+    public void sendToPeer(int peer, byte[] message) {
+        actions.add("message " + peer);
+        peerMessages.add(message);
     }
 
     @Override
     public void watchList() {
-        acts.add("watch");
+        actions.add("watch");
     }
 
     @Override
     public void wakeAfter(double span) {
-        acts.add("wake " + span);
+        actions.add("wake " + span);
     }
 
     public static Assignment assignment(Task t, int worker, int number) {
@@ -162,30 +169,30 @@
         t.ended = true;
     }
 
-    // ---- A peer on a socket ----
+    // ---- HTTP over a socket ----
 
-    public static void write(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    public static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** One whole message with a length, or none. */
-    public static String read(Socket s) throws IOException {
-        ByteArrayOutputStream in = new ByteArrayOutputStream();
-        String text = "";
-        int end = -1;
-        while (end < 0 || in.size() < end + length(text)) {
-            int b = s.getInputStream().read();
-            if (b < 0) {
-                throw new EOFException("ended after: " + in);
+    /** Reads one HTTP message, with the body that its Content-Length announces, if any. */
+    public static String read(Socket socket) throws IOException {
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
+        String message = "";
+        int headEnd = -1;
+        while (headEnd < 0 || received.size() < headEnd + contentLength(message)) {
+            int next = socket.getInputStream().read();
+            if (next < 0) {
+                throw new EOFException("connection closed after: " + received);
             }
-            in.write(b);
-            text = in.toString(StandardCharsets.UTF_8);
-            end = end < 0 && text.endsWith("\r\n\r\n") ? in.size() : end;
+            received.write(next);
+            message = received.toString(StandardCharsets.UTF_8);
+            headEnd = headEnd < 0 && message.endsWith("\r\n\r\n") ? received.size() : headEnd;
         }
-        return text;
+        return message;
     }
 
-    private static int length(String head) {
+    private static int contentLength(String head) {
         int at = head.indexOf("Content-Length: ");
         return at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf('\r', at)));
     }
--- a/src/test/java/gingerspool/dispatch/DecisionTraceTest.java
+++ b/src/test/java/gingerspool/dispatch/DecisionTraceTest.java
@@ -15,50 +15,61 @@
 import org.testng.annotations.Test;
 
 /**
- * The same inputs give the same decisions, to the bit, as the recorded ones: by seed, in the way of
- * the job scheduler (reports, probes, peers, operators) and in that of the platform's scheduler
- * (granted slots, terms by route).
+ * Compares decisions, to the bit, with the recorded ones in src/test/resources/traces. Random
+ * inputs, repeatable by seed, drive a {@link Dispatcher} as the job scheduler does (reports,
+ * probes, peers, operators) and as the platform's scheduler does (granted slots, terms by route).
  */
 public class DecisionTraceTest {
     private static final int SEEDS = 6;
+
+    /** Random inputs per seed and mode. */
     private static final int STEPS = 1500;
+
     private static final int WORKERS = 12;
 
-    /** One dispatcher, driven by drawn inputs; what it calls is the trace. */
-    private static final class Drive implements DispatchActions {
+    /**
+     * Drives one dispatcher with random inputs and records its actions. Their names are part of the
+     * recorded traces.
+     */
+    private static final class DispatcherDriver implements DispatchActions {
         private final SplittableRandom random;
+
+        /** Whether to drive the platform's mode, else the job scheduler's. */
         private final boolean platform;
+
         private final DecisionTrace trace = new DecisionTrace();
         private final DispatcherSettings settings = new DispatcherSettings();
         private final Dispatcher dispatcher;
-        private final List<Assignment> out = new ArrayList<>();
+        private final List<Assignment> inFlight = new ArrayList<>();
         private final List<Task> tasks = new ArrayList<>();
-        private final List<Integer> probed = new ArrayList<>();
-        private final PriorityQueue<Double> wakes = new PriorityQueue<>();
-        private final RetryBudget budget = new DrawnBudget();
+        private final List<Integer> probedWorkers = new ArrayList<>();
+        private final PriorityQueue<Double> wakeTimes = new PriorityQueue<>();
+        private final RetryBudget retryBudget = new RefillingBudget();
+
+        /** Simulated time in milliseconds. */
         private double now;
 
-        /** A budget of repeats that runs out and comes back. */
-        private static final class DrawnBudget implements RetryBudget {
-            private double left = 5;
+        /** A retry budget that runs out and is refilled by first tries. */
+        private static final class RefillingBudget implements RetryBudget {
+            private double remaining = 5;
 
             @Override
             public boolean allows(double now) {
-                return left >= 1;
+                return remaining >= 1;
             }
 
             @Override
             public void earn(double now) {
-                left += 0.3;
+                remaining += 0.3;
             }
 
             @Override
             public void spend(double now) {
-                left--;
+                remaining--;
             }
         }
 
-        Drive(long seed, boolean platform) {
+        DispatcherDriver(long seed, boolean platform) {
             this.platform = platform;
             random = new SplittableRandom(seed);
             Profile.Effect[] effects = Profile.Effect.values();
@@ -67,12 +78,12 @@
                 settings.profiles[i] = profile(i, effects[i % effects.length]);
             }
             if (platform) {
-                bePlatform();
+                configurePlatform();
             } else {
-                beJobScheduler(seed);
+                configureJobScheduler(seed);
             }
             dispatcher = new Dispatcher(settings, 31 * seed, this);
-            list(true);
+            listWorkers(true);
         }
 
         private static Profile profile(int index, Profile.Effect effect) {
@@ -91,7 +102,7 @@
             return p;
         }
 
-        private void beJobScheduler(long seed) {
+        private void configureJobScheduler(long seed) {
             settings.zone = 0;
             settings.dispatchers = 4;
             settings.listOnRequest = seed % 2 == 0;
@@ -120,7 +131,7 @@
             settings.allowance = new double[] {40, 60};
         }
 
-        private void bePlatform() {
+        private void configurePlatform() {
             settings.zone = 1;
             settings.dispatchers = 3;
             settings.kinds = new String[] {"instance"};
@@ -133,18 +144,18 @@
             settings.zoneFee = 0.05;
         }
 
-        private void list(boolean whole) {
+        private void listWorkers(boolean whole) {
             dispatcher.listBegins(now, whole);
             for (int w = 0; w < WORKERS; w++) {
                 if (whole || random.nextInt(3) == 0) {
-                    boolean drains = now > 0 && random.nextInt(8) == 0;
+                    boolean draining = now > 0 && random.nextInt(8) == 0;
                     dispatcher.workerNamed(w, "worker-" + w);
                     dispatcher.listed(
                             w,
                             w % 3,
                             platform ? 0 : w % 2,
                             w / 4,
-                            drains ? Dispatcher.DRAINING : Dispatcher.RUNNING,
+                            draining ? Dispatcher.DRAINING : Dispatcher.RUNNING,
                             1 + w % 4,
                             random.nextInt(20) == 0 ? now : 0);
                 }
@@ -157,27 +168,27 @@
             }
         }
 
-        private void step() {
+        private void applyRandomInput() {
             now += -Math.log(1 - random.nextDouble()) * 6;
-            while (!wakes.isEmpty() && wakes.peek() <= now) {
-                dispatcher.wake(Math.max(wakes.poll(), 0));
+            while (!wakeTimes.isEmpty() && wakeTimes.peek() <= now) {
+                dispatcher.wake(Math.max(wakeTimes.poll(), 0));
             }
-            trace.add(now, "step", out.size());
+            trace.add(now, "step", inFlight.size());
             switch (random.nextInt(24)) {
-                case 0, 1, 2, 3, 4, 5, 6 -> arrive();
-                case 7, 8, 9, 10, 11, 12 -> end();
+                case 0, 1, 2, 3, 4, 5, 6 -> addTask();
+                case 7, 8, 9, 10, 11, 12 -> endAssignment();
                 case 13, 14 -> answerProbe();
-                case 15 -> leave();
+                case 15 -> disconnectClient();
                 case 16 -> grantOrReport();
                 case 17 -> startOrProgress();
-                case 18 -> operate();
-                case 19 -> peer();
-                case 20 -> listChange();
+                case 18 -> suspendOrResume();
+                case 19 -> receivePeerMessage();
+                case 20 -> changeList();
                 default -> dispatcher.wake(now);
             }
         }
 
-        private void arrive() {
+        private void addTask() {
             Task t = new Task("t" + tasks.size());
             t.profile = settings.profiles[random.nextInt(settings.profiles.length)];
             t.expiry = now + t.profile.expiry;
@@ -186,17 +197,17 @@
             t.memory = random.nextInt(4);
             t.overLimit = random.nextInt(60) == 0;
             if (platform) {
-                t.terms = terms(1 + random.nextInt(3));
+                t.terms = randomTerms(1 + random.nextInt(3));
             } else if (random.nextInt(4) == 0) {
-                t.terms = new Terms(3, 400, 5, 80, 0.5, 2, 50, budget, null);
+                t.terms = new Terms(3, 400, 5, 80, 0.5, 2, 50, retryBudget, null);
             }
             tasks.add(t);
             dispatcher.arrived(now, t);
         }
 
-        private Terms terms(int attempts) {
+        private Terms randomTerms(int attempts) {
             return random.nextBoolean()
-                    ? new Terms(attempts, 0, 0, 0, 0, Math.min(2, attempts), 75, budget, null)
+                    ? new Terms(attempts, 0, 0, 0, 0, Math.min(2, attempts), 75, retryBudget, null)
                     : new Terms(
                             4,
                             0,
@@ -209,17 +220,21 @@
                             EnumSet.of(Outcome.UNREACHABLE, Outcome.MOOT));
         }
 
-        private void end() {
-            if (!out.isEmpty()) {
-                Assignment a = out.remove(random.nextInt(out.size()));
-                Outcome[] all = Outcome.values();
-                Outcome how = random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length)];
-                boolean over = how == Outcome.OK || a.task.ended();
-                dispatcher.ended(now, a, how, over, random.nextBoolean() ? report() : null);
+        private void endAssignment() {
+            if (!inFlight.isEmpty()) {
+                Assignment a = inFlight.remove(random.nextInt(inFlight.size()));
+                Outcome[] outcomes = Outcome.values();
+                Outcome outcome =
+                        random.nextInt(3) > 0
+                                ? Outcome.OK
+                                : outcomes[random.nextInt(outcomes.length)];
+                boolean over = outcome == Outcome.OK || a.task.ended();
+                dispatcher.ended(
+                        now, a, outcome, over, random.nextBoolean() ? randomReport() : null);
             }
         }
 
-        private double[] report() {
+        private double[] randomReport() {
             double[] report = new double[Report.SIZE];
             Arrays.fill(report, Double.NaN);
             report[Report.QUEUE] = random.nextInt(3) == 0 ? Double.NaN : random.nextInt(6);
@@ -228,20 +243,20 @@
         }
 
         private void answerProbe() {
-            if (!probed.isEmpty()) {
-                int w = probed.remove(random.nextInt(probed.size()));
+            if (!probedWorkers.isEmpty()) {
+                int w = probedWorkers.remove(random.nextInt(probedWorkers.size()));
                 if (random.nextInt(5) == 0) {
                     dispatcher.reportMissing(now, w);
                 } else {
-                    dispatcher.reportReceived(now, w, report());
+                    dispatcher.reportReceived(now, w, randomReport());
                 }
             }
         }
 
-        private void leave() {
-            List<Task> open = tasks.stream().filter(t -> !t.ended()).toList();
-            if (!open.isEmpty()) {
-                dispatcher.clientLeft(now, open.get(random.nextInt(open.size())));
+        private void disconnectClient() {
+            List<Task> openTasks = tasks.stream().filter(t -> !t.ended()).toList();
+            if (!openTasks.isEmpty()) {
+                dispatcher.clientLeft(now, openTasks.get(random.nextInt(openTasks.size())));
             }
         }
 
@@ -249,13 +264,13 @@
             int w = random.nextInt(WORKERS);
             if (platform) {
                 dispatcher.granted(now, w, random.nextInt(4));
-                dispatcher.reportReceived(now, w, report());
+                dispatcher.reportReceived(now, w, randomReport());
             }
         }
 
         private void startOrProgress() {
-            if (!out.isEmpty() && !platform) {
-                Assignment a = out.get(random.nextInt(out.size()));
+            if (!inFlight.isEmpty() && !platform) {
+                Assignment a = inFlight.get(random.nextInt(inFlight.size()));
                 if (random.nextBoolean()) {
                     dispatcher.started(now, a);
                 } else {
@@ -264,7 +279,7 @@
             }
         }
 
-        private void operate() {
+        private void suspendOrResume() {
             int w = random.nextInt(WORKERS);
             if (!platform && dispatcher.isSuspended(w)) {
                 dispatcher.resumed(now, w);
@@ -273,7 +288,7 @@
             }
         }
 
-        private void peer() {
+        private void receivePeerMessage() {
             if (!platform && settings.mayMessagePeers) {
                 byte[] message = new byte[random.nextInt(12)];
                 for (int i = 0; i < message.length; i++) {
@@ -283,17 +298,17 @@
             }
         }
 
-        private void listChange() {
+        private void changeList() {
             if (random.nextInt(4) == 0 && !platform) {
                 dispatcher.listFailed(now);
             } else {
-                list(random.nextInt(6) == 0);
+                listWorkers(random.nextInt(6) == 0);
             }
         }
 
         @Override
         public void send(Assignment a, double timeout) {
-            out.add(a);
+            inFlight.add(a);
             trace.add(now, "send", a.task.id, a.worker, a.number, timeout);
         }
 
@@ -314,13 +329,13 @@
 
         @Override
         public void probe(int worker) {
-            probed.add(worker);
+            probedWorkers.add(worker);
             trace.add(now, "probe", worker);
         }
 
         @Override
-        public void sendToPeer(int other, byte[] message) {
-            trace.add(now, "tell", other, message);
+        public void sendToPeer(int peer, byte[] message) {
+            trace.add(now, "tell", peer, message);
         }
 
         @Override
@@ -330,25 +345,26 @@
 
         @Override
         public void wakeAfter(double span) {
-            wakes.add(now + span);
+            wakeTimes.add(now + span);
             trace.add(now, "wake", span);
         }
     }
 
     @Test
-    public void decisionsAreThoseRecorded() {
-        Map<String, String> found = new TreeMap<>();
+    public void decisionsMatchRecordedTraces() {
+        Map<String, String> traces = new TreeMap<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
             for (boolean platform : new boolean[] {false, true}) {
-                Drive drive = new Drive(seed, platform);
+                DispatcherDriver driver = new DispatcherDriver(seed, platform);
                 for (int i = 0; i < STEPS; i++) {
-                    drive.step();
+                    driver.applyRandomInput();
                 }
                 assertTrue(
-                        drive.trace.lines() > STEPS + 500, "few decisions: " + drive.trace.lines());
-                found.put((platform ? "platform " : "jobs ") + seed, drive.trace.end());
+                        driver.trace.lines() > STEPS + 500,
+                        "too few decisions: " + driver.trace.lines());
+                traces.put((platform ? "platform " : "jobs ") + seed, driver.trace.end());
             }
         }
-        assertEquals(found, DecisionTrace.recorded("dispatch", found));
+        assertEquals(traces, DecisionTrace.recorded("dispatch", traces));
     }
 }
