--- a/src/main/java/gingerspool/wire/EventExecutor.java
+++ b/src/main/java/gingerspool/wire/EventExecutor.java
@@ -17,7 +17,7 @@
     /**
      * Events noticed with more than this between them were not noticed by one look at the sockets.
      */
-    private static final long SAME_LOOK_NANOS = 20_000_000;
+    private static final long SAME_POLL_NANOS = 20_000_000;
 
     /**
      * An event that the runtime waited for, in System.nanoTime().
@@ -31,42 +31,42 @@
     record Quiet(long from, long until) {}
 
     /** A span without an event is long where a timer that fires so late is late. */
-    private static final long LONG_QUIET_NANOS = (long) (StallTracker.LATE * 1e6);
+    private static final long MIN_QUIET_NANOS = (long) (StallTracker.LATE_THRESHOLD_MS * 1e6);
 
-    private static final int QUIETS_KEPT = 16;
+    private static final int MAX_QUIET_SPANS = 16;
 
     private final ExecutorService loop;
-    private final Predicate<Thread> isLoop;
+    private final Predicate<Thread> isLoopThread;
 
-    private Notice latest;
+    private Notice latestNotice;
 
     /** When the look began that the latest event may belong to. */
-    private long lookBegan;
+    private long pollStartedAt;
 
     /** The last long spans without an event, the oldest overwritten first. */
-    private final Quiet[] quiets = new Quiet[QUIETS_KEPT];
+    private final Quiet[] quietSpans = new Quiet[MAX_QUIET_SPANS];
 
-    private int nextQuiet;
+    private int nextQuietIndex;
 
     /** That of the loop's present task; null where nobody waited for its event. */
-    private Notice present;
+    private Notice currentNotice;
 
     /** Passes events on to this executor, whose one thread the predicate knows. */
-    EventExecutor(ExecutorService loop, Predicate<Thread> isLoop) {
-        this(loop, isLoop, System.nanoTime());
+    EventExecutor(ExecutorService loop, Predicate<Thread> isLoopThread) {
+        this(loop, isLoopThread, System.nanoTime());
     }
 
     /** The same, begun at this instant of a clock that a test keeps. */
-    EventExecutor(ExecutorService loop, Predicate<Thread> isLoop, long now) {
+    EventExecutor(ExecutorService loop, Predicate<Thread> isLoopThread, long now) {
         this.loop = loop;
-        this.isLoop = isLoop;
-        latest = new Notice(now, now);
-        lookBegan = now;
+        this.isLoopThread = isLoopThread;
+        latestNotice = new Notice(now, now);
+        pollStartedAt = now;
     }
 
     @Override
     public void execute(Runnable event) {
-        if (isLoop.test(Thread.currentThread())) {
+        if (isLoopThread.test(Thread.currentThread())) {
             // Done at once: its end comes in the call that began it.
             event.run();
         } else {
@@ -77,21 +77,21 @@
 
     /** An event is noticed. */
     synchronized Notice notice(long at) {
-        long previous = latest.noticedAt;
-        long lookedAt = latest.lookedAt;
-        if (at - previous > SAME_LOOK_NANOS) {
+        long previous = latestNotice.noticedAt;
+        long lookedAt = latestNotice.lookedAt;
+        if (at - previous > SAME_POLL_NANOS) {
             lookedAt = previous;
-            lookBegan = at;
-        } else if (at - lookBegan > SAME_LOOK_NANOS) {
-            lookedAt = lookBegan;
-            lookBegan = at;
+            pollStartedAt = at;
+        } else if (at - pollStartedAt > SAME_POLL_NANOS) {
+            lookedAt = pollStartedAt;
+            pollStartedAt = at;
         }
-        if (at - previous > LONG_QUIET_NANOS) {
-            quiets[nextQuiet] = new Quiet(previous, at);
-            nextQuiet = (nextQuiet + 1) % QUIETS_KEPT;
+        if (at - previous > MIN_QUIET_NANOS) {
+            quietSpans[nextQuietIndex] = new Quiet(previous, at);
+            nextQuietIndex = (nextQuietIndex + 1) % MAX_QUIET_SPANS;
         }
-        latest = new Notice(at, lookedAt);
-        return latest;
+        latestNotice = new Notice(at, lookedAt);
+        return latestNotice;
     }
 
     /**
@@ -99,12 +99,12 @@
      * it lasts; null where there is none. From any thread.
      */
     synchronized Quiet quietAround(long time, long now) {
-        if (time - latest.noticedAt >= 0) {
-            return now - latest.noticedAt > LONG_QUIET_NANOS
-                    ? new Quiet(latest.noticedAt, now)
+        if (time - latestNotice.noticedAt >= 0) {
+            return now - latestNotice.noticedAt > MIN_QUIET_NANOS
+                    ? new Quiet(latestNotice.noticedAt, now)
                     : null;
         }
-        for (Quiet quiet : quiets) {
+        for (Quiet quiet : quietSpans) {
             if (quiet != null && time - quiet.from >= 0 && quiet.until - time >= 0) {
                 return quiet;
             }
@@ -113,22 +113,22 @@
     }
 
     private void run(Runnable event, Notice notice) {
-        present = notice;
+        currentNotice = notice;
         try {
             event.run();
         } finally {
-            present = null;
+            currentNotice = null;
         }
     }
 
     /** Of the event that the loop's present task tells of; null where nobody waited for it. */
-    Notice present() {
-        return present;
+    Notice currentNotice() {
+        return currentNotice;
     }
 
     /** The present task no longer tells of an event. */
-    void eventHandled() {
-        present = null;
+    void clearCurrentNotice() {
+        currentNotice = null;
     }
 
     @Override
--- a/src/main/java/gingerspool/wire/KernelFigures.java
+++ b/src/main/java/gingerspool/wire/KernelFigures.java
@@ -9,9 +9,9 @@
     private KernelFigures() {}
 
     /** The whole number at this place of a line of fields, counted from 0 at an index. */
-    static double field(String line, int start, int place) {
+    static double field(String line, int start, int index) {
         int from = start;
-        for (int i = 0; i < place; i++) {
+        for (int i = 0; i < index; i++) {
             int blank = line.indexOf(' ', from);
             if (blank < 0) {
                 return Double.NaN;
--- a/src/main/java/gingerspool/wire/KernelFile.java
+++ b/src/main/java/gingerspool/wire/KernelFile.java
@@ -13,10 +13,10 @@
  * of the thread that read first. A file that could not be read once is not tried again.
  */
 final class KernelFile implements Closeable {
-    private static final int MOST_BYTES = 1024;
+    private static final int MAX_BYTES = 1024;
 
     private final Path path;
-    private final byte[] bytes = new byte[MOST_BYTES];
+    private final byte[] bytes = new byte[MAX_BYTES];
     private FileChannel channel;
     private boolean isUsable = true;
 
--- a/src/main/java/gingerspool/wire/LatenessMonitor.java
+++ b/src/main/java/gingerspool/wire/LatenessMonitor.java
@@ -11,7 +11,7 @@
  */
 final class LatenessMonitor {
     /** A timer that fires later, and a task that takes longer than this is logged. */
-    static final long LIMIT_NANOS = 50_000_000;
+    static final long LATE_THRESHOLD_NANOS = 50_000_000;
 
     /** Late timers are logged once in this time at the most, and so are slow tasks. */
     static final long WARNING_INTERVAL_NANOS = 1_000_000_000;
@@ -19,21 +19,21 @@
     private static final double NANOS_PER_MS = 1e6;
 
     private final Logger log;
-    private final LoopUse use;
+    private final LoopUsage usage;
     private final LongToDoubleFunction unixMs;
 
     private long timerWarnedAt;
     private long taskWarnedAt;
     private long notifiedUntil;
-    private double latestTimerMs;
+    private double maxTimerLatenessMs;
 
     /** Null as long as nobody listens; set from any thread. */
     private volatile LatenessListener listener;
 
     /** For a loop that began at this instant, and whose instants are told so in Unix time. */
-    LatenessMonitor(Logger log, LoopUse use, long beganAt, LongToDoubleFunction unixMs) {
+    LatenessMonitor(Logger log, LoopUsage usage, long beganAt, LongToDoubleFunction unixMs) {
         this.log = log;
-        this.use = use;
+        this.usage = usage;
         this.unixMs = unixMs;
         timerWarnedAt = beganAt - WARNING_INTERVAL_NANOS;
         taskWarnedAt = timerWarnedAt;
@@ -46,27 +46,27 @@
 
     /** The start-up has ended: from here on the thread's time is read. */
     void startUpEnded(long now) {
-        use.startUpEnded(now);
+        usage.startUpEnded(now);
     }
 
     /** A timer that was due then fires now. */
     void timerFired(long due, long now) {
         long late = now - due;
-        latestTimerMs = Math.max(latestTimerMs, late / NANOS_PER_MS);
-        if (late <= LIMIT_NANOS) {
+        maxTimerLatenessMs = Math.max(maxTimerLatenessMs, late / NANOS_PER_MS);
+        if (late <= LATE_THRESHOLD_NANOS) {
             return;
         }
         notifyListener(due, now);
         if (now - timerWarnedAt > WARNING_INTERVAL_NANOS) {
             timerWarnedAt = now;
-            warn(due, now).log("loop.timer_late");
+            startWarning(due, now).log("loop.timer_late");
         }
     }
 
     /** One stall makes many timers late: only the time that was not told yet is. */
     private void notifyListener(long due, long now) {
         long from = due - notifiedUntil > 0 ? due : notifiedUntil;
-        if (listener == null || now - from <= LIMIT_NANOS) {
+        if (listener == null || now - from <= LATE_THRESHOLD_NANOS) {
             return;
         }
         notifiedUntil = now;
@@ -80,24 +80,24 @@
     private LateSpan span(long from, long now) {
         double fromMs = unixMs.applyAsDouble(from);
         double untilMs = unixMs.applyAsDouble(now);
-        TimeSplit split = use.split(from, now).orElse(TimeSplit.UNKNOWN);
+        TimeSplit split = usage.split(from, now).orElse(TimeSplit.UNKNOWN);
         return new LateSpan(fromMs, untilMs, split.ranMs(), split.waitedMs(), split.blockedMs());
     }
 
     /** A task that began then has ended now. */
     void taskEnded(Runnable task, long began, long now) {
-        if (now - began > LIMIT_NANOS && now - taskWarnedAt > WARNING_INTERVAL_NANOS) {
+        if (now - began > LATE_THRESHOLD_NANOS && now - taskWarnedAt > WARNING_INTERVAL_NANOS) {
             taskWarnedAt = now;
-            warn(began, now).addKeyValue("task", nameOf(task)).log("loop.task_slow");
+            startWarning(began, now).addKeyValue("task", taskName(task)).log("loop.task_slow");
         }
         if (listener != null) {
             startUpEnded(now);
         }
-        use.taskEnded(began, now);
+        usage.taskEnded(began, now);
     }
 
     /** The class that the task's code stands in: the part before the mark of a lambda's class. */
-    private static String nameOf(Runnable task) {
+    private static String taskName(Runnable task) {
         String name = task.getClass().getName();
         int lambda = name.indexOf("$$");
         return name.substring(
@@ -105,22 +105,22 @@
                 lambda < 0 ? name.length() : lambda);
     }
 
-    private LoggingEventBuilder warn(long from, long now) {
+    private LoggingEventBuilder startWarning(long from, long now) {
         LoggingEventBuilder line =
                 log.atWarn().addKeyValue("ms", Math.round((now - from) / NANOS_PER_MS));
-        use.describe(line, from, now);
+        usage.describe(line, from, now);
         return line;
     }
 
     /** The most that a timer was late by, in milliseconds, since this was last called. */
-    double takeLatestTimerMs() {
-        double latest = latestTimerMs;
-        latestTimerMs = 0;
+    double takeMaxTimerLatenessMs() {
+        double latest = maxTimerLatenessMs;
+        maxTimerLatenessMs = 0;
         return latest;
     }
 
     /** The thread is read no more; from any thread. */
     void close() {
-        use.close();
+        usage.close();
     }
 }
--- a/src/main/java/gingerspool/wire/LoopTimer.java
+++ b/src/main/java/gingerspool/wire/LoopTimer.java
@@ -13,8 +13,8 @@
     private Future<?> pending;
 
     /** What fires it. */
-    void firedBy(Future<?> timer) {
-        pending = timer;
+    void firedBy(Future<?> scheduled) {
+        pending = scheduled;
     }
 
     @Override
--- a/src/main/java/gingerspool/wire/LoopUse.java
+++ b/src/main/java/gingerspool/wire/LoopUsage.java
@@ -10,7 +10,7 @@
  * a processor meanwhile. So a span begins at the reading before it however old that is, and shows
  * little work that is not its own. Instants are those of System.nanoTime.
  */
-final class LoopUse {
+final class LoopUsage {
     /** The processor use is read when a task ends and the last reading is so old, */
     static final long READING_INTERVAL_NANOS = 100_000_000;
 
@@ -18,24 +18,24 @@
     static final long READING_WORK_NANOS = 20_000_000;
 
     /** The same for the thread's stalls and the machine, which cost more to read. */
-    static final long SURROUNDINGS_INTERVAL_NANOS = 1_000_000_000;
+    static final long ENVIRONMENT_INTERVAL_NANOS = 1_000_000_000;
 
     /** Unless the start-up is said to have ended, it has after this time. */
-    static final long LONGEST_START_NANOS = 10_000_000_000L;
+    static final long MAX_START_UP_NANOS = 10_000_000_000L;
 
     /** So many readings reach back 5 s; longer spans in which tasks ended are cut to that. */
-    private static final int READINGS = 250;
+    private static final int MAX_USE_READINGS = 250;
 
-    private static final int SURROUNDINGS = 6;
+    private static final int MAX_ENVIRONMENT_READINGS = 6;
 
     private static final double NANOS_PER_MS = 1e6;
 
     /** What may hold a thread up beside its own work. */
-    private record Surroundings(ThreadStalls thread, MachinePressure machine) {}
+    private record Environment(ThreadStalls thread, MachinePressure machine) {}
 
     private final LoopReadings source;
-    private final ReadingHistory<ProcessorUse> uses;
-    private final ReadingHistory<Surroundings> surroundings;
+    private final ReadingHistory<ProcessorUse> useHistory;
+    private final ReadingHistory<Environment> environmentHistory;
 
     /** Before this nothing is read, unless a line asks for it. */
     private long readingsFrom;
@@ -43,30 +43,30 @@
     /** When the processor use was last asked for, whether or not the system told it. */
     private long useReadAt;
 
-    private long workSinceNanos;
+    private long workSinceReadingNanos;
 
     /** The same for the surroundings; the end of the start-up puts their first reading off. */
-    private long surroundingsReadAt;
+    private long environmentReadAt;
 
     /** Of a thread that began at this instant. */
-    LoopUse(LoopReadings source, long beganAt) {
+    LoopUsage(LoopReadings source, long beganAt) {
         this.source = source;
         useReadAt = beganAt;
-        surroundingsReadAt = beganAt;
-        readingsFrom = beganAt + LONGEST_START_NANOS;
-        uses = new ReadingHistory<>(READINGS, beganAt, ProcessorUse.NONE);
-        surroundings =
+        environmentReadAt = beganAt;
+        readingsFrom = beganAt + MAX_START_UP_NANOS;
+        useHistory = new ReadingHistory<>(MAX_USE_READINGS, beganAt, ProcessorUse.NONE);
+        environmentHistory =
                 new ReadingHistory<>(
-                        SURROUNDINGS,
+                        MAX_ENVIRONMENT_READINGS,
                         beganAt,
-                        new Surroundings(ThreadStalls.NONE, MachinePressure.UNKNOWN));
+                        new Environment(ThreadStalls.NONE, MachinePressure.UNKNOWN));
     }
 
     /** The start-up has ended: from here on readings are taken. */
     void startUpEnded(long now) {
         if (isStarting(now)) {
             readingsFrom = now;
-            surroundingsReadAt = now;
+            environmentReadAt = now;
         }
     }
 
@@ -76,28 +76,29 @@
 
     /** A task that began then has ended now: reads what is due, one thing at a time. */
     void taskEnded(long began, long now) {
-        workSinceNanos += now - began;
+        workSinceReadingNanos += now - began;
         if (isStarting(now)) {
             return;
         }
-        if (now - useReadAt >= READING_INTERVAL_NANOS || workSinceNanos >= READING_WORK_NANOS) {
+        if (now - useReadAt >= READING_INTERVAL_NANOS
+                || workSinceReadingNanos >= READING_WORK_NANOS) {
             readUse(now);
-        } else if (now - surroundingsReadAt >= SURROUNDINGS_INTERVAL_NANOS) {
-            readSurroundings(now);
+        } else if (now - environmentReadAt >= ENVIRONMENT_INTERVAL_NANOS) {
+            readEnvironment(now);
         }
     }
 
     /** How the thread spent a span that ends now; empty where the system does not tell. */
     Optional<TimeSplit> split(long from, long now) {
-        Reading<ProcessorUse> before = uses.latestUntil(from);
+        Reading<ProcessorUse> earlier = useHistory.latestUntil(from);
         readUse(now);
-        Reading<ProcessorUse> here = uses.latest();
-        return here.atNanos() == now
+        Reading<ProcessorUse> latest = useHistory.latest();
+        return latest.atNanos() == now
                 ? Optional.of(
                         TimeSplit.of(
                                 (now - from) / NANOS_PER_MS,
-                                (now - before.atNanos()) / NANOS_PER_MS,
-                                here.value().since(before.value())))
+                                (now - earlier.atNanos()) / NANOS_PER_MS,
+                                latest.value().since(earlier.value())))
                 : Optional.empty();
     }
 
@@ -107,10 +108,10 @@
             return;
         }
         useReadAt = now;
-        workSinceNanos = 0;
+        workSinceReadingNanos = 0;
         Optional<ProcessorUse> use = source.processorUse();
         if (use.isPresent()) {
-            uses.add(now, use.get());
+            useHistory.add(now, use.get());
         }
     }
 
@@ -120,20 +121,20 @@
         if (split.isPresent()) {
             split.get().describe(line);
         }
-        Reading<Surroundings> before = surroundings.latestUntil(from);
-        Surroundings here = readSurroundings(now);
-        line.addKeyValue("around_ms", Math.round((now - before.atNanos()) / NANOS_PER_MS));
-        here.thread().since(before.value().thread()).describe(line);
-        here.machine().since(before.value().machine()).describe(line);
+        Reading<Environment> earlier = environmentHistory.latestUntil(from);
+        Environment current = readEnvironment(now);
+        line.addKeyValue("around_ms", Math.round((now - earlier.atNanos()) / NANOS_PER_MS));
+        current.thread().since(earlier.value().thread()).describe(line);
+        current.machine().since(earlier.value().machine()).describe(line);
     }
 
-    private Surroundings readSurroundings(long now) {
+    private Environment readEnvironment(long now) {
         MachinePressure machine =
                 isStarting(now) ? MachinePressure.UNKNOWN : source.machinePressure();
-        Surroundings here = new Surroundings(source.threadStalls(), machine);
-        surroundings.add(now, here);
-        surroundingsReadAt = now;
-        return here;
+        Environment current = new Environment(source.threadStalls(), machine);
+        environmentHistory.add(now, current);
+        environmentReadAt = now;
+        return current;
     }
 
     /** Nothing is read from here on; from any thread. */
--- a/src/main/java/gingerspool/wire/ReadingHistory.java
+++ b/src/main/java/gingerspool/wire/ReadingHistory.java
@@ -8,18 +8,18 @@
     /** A reading and when it was taken, as System.nanoTime tells it. */
     record Reading<T>(long atNanos, T value) {}
 
-    private final int most;
+    private final int capacity;
     private final ArrayDeque<Reading<T>> readings = new ArrayDeque<>();
 
     /** Keeps so many readings; the first one stands for the time before it. */
-    ReadingHistory(int most, long firstAtNanos, T first) {
-        this.most = most;
+    ReadingHistory(int capacity, long firstAtNanos, T first) {
+        this.capacity = capacity;
         add(firstAtNanos, first);
     }
 
     /** Adds a reading that is later than all before it. */
     void add(long atNanos, T value) {
-        if (readings.size() == most) {
+        if (readings.size() == capacity) {
             readings.removeFirst();
         }
         readings.addLast(new Reading<>(atNanos, value));
@@ -31,10 +31,10 @@
 
     /** The latest reading that is no later than this, or the earliest that is kept. */
     Reading<T> latestUntil(long nanos) {
-        Iterator<Reading<T>> fromLatest = readings.descendingIterator();
-        Reading<T> found = fromLatest.next();
-        while (found.atNanos() - nanos > 0 && fromLatest.hasNext()) {
-            found = fromLatest.next();
+        Iterator<Reading<T>> newestFirst = readings.descendingIterator();
+        Reading<T> found = newestFirst.next();
+        while (found.atNanos() - nanos > 0 && newestFirst.hasNext()) {
+            found = newestFirst.next();
         }
         return found;
     }
--- a/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
+++ b/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
@@ -20,38 +20,38 @@
 
     private static final double NANOS_PER_MS = 1e6;
 
-    private final ScheduledThreadPoolExecutor thread;
-    private final EventExecutor events;
+    private final ScheduledThreadPoolExecutor executor;
+    private final EventExecutor eventExecutor;
     private final AsynchronousChannelGroup group;
-    private final StallTracker stalls = new StallTracker();
-    private final TimerGate timers = new TimerGate(new GateLoop(), stalls);
+    private final StallTracker stallTracker = new StallTracker();
+    private final TimerGate timerGate = new TimerGate(new GateLoop(), stallTracker);
 
     /** Tasks that wait for the one going on. */
-    private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> queuedTasks = new ArrayDeque<>();
 
     private final double startedAt = System.currentTimeMillis();
     private final long startedAtNanos = System.nanoTime();
-    private boolean isRunning;
+    private boolean isRunningTasks;
 
     /** Null before the first task; replaced where an error ended it. */
     private volatile Thread loopThread;
 
-    private final LatenessMonitor lateness =
+    private final LatenessMonitor latenessMonitor =
             new LatenessMonitor(
                     LOG,
-                    new LoopUse(new KernelReadings(), startedAtNanos),
+                    new LoopUsage(new KernelReadings(), startedAtNanos),
                     startedAtNanos,
-                    this::unixMs);
+                    this::toUnixMs);
 
     public SingleThreadEventLoop() throws IOException {
-        thread = new ScheduledThreadPoolExecutor(1, this::newThread);
-        thread.setRemoveOnCancelPolicy(true);
-        thread.setRejectedExecutionHandler(new ThreadPoolExecutor.DiscardPolicy());
-        events = new EventExecutor(thread, this::isLoop);
-        group = AsynchronousChannelGroup.withThreadPool(events);
+        executor = new ScheduledThreadPoolExecutor(1, this::newThread);
+        executor.setRemoveOnCancelPolicy(true);
+        executor.setRejectedExecutionHandler(new ThreadPoolExecutor.DiscardPolicy());
+        eventExecutor = new EventExecutor(executor, this::isLoopThread);
+        group = AsynchronousChannelGroup.withThreadPool(eventExecutor);
     }
 
-    private boolean isLoop(Thread candidate) {
+    private boolean isLoopThread(Thread candidate) {
         return candidate == loopThread;
     }
 
@@ -62,22 +62,22 @@
 
     @Override
     public void execute(Runnable task) {
-        tasks.add(task);
-        if (isRunning) {
+        queuedTasks.add(task);
+        if (isRunningTasks) {
             return;
         }
-        isRunning = true;
+        isRunningTasks = true;
         try {
             long began = System.nanoTime();
-            for (Runnable next = tasks.poll(); next != null; next = tasks.poll()) {
+            for (Runnable next = queuedTasks.poll(); next != null; next = queuedTasks.poll()) {
                 run(next);
-                events.eventHandled();
+                eventExecutor.clearCurrentNotice();
                 long ended = System.nanoTime();
-                lateness.taskEnded(next, began, ended);
+                latenessMonitor.taskEnded(next, began, ended);
                 began = ended;
             }
         } finally {
-            isRunning = false;
+            isRunningTasks = false;
         }
     }
 
@@ -92,7 +92,7 @@
 
     /** Runs a task on the loop; from any thread. After stop() it is dropped. */
     public void submit(Runnable task) {
-        thread.execute(() -> execute(task));
+        executor.execute(() -> execute(task));
     }
 
     @Override
@@ -100,17 +100,17 @@
         long delayNanos = (long) (delay * NANOS_PER_MS);
         long dueNanos = System.nanoTime() + delayNanos;
         LoopTimer timer = new LoopTimer();
-        timer.firedBy(after(delayNanos, () -> fire(timer, dueNanos, task)));
+        timer.firedBy(scheduleNanos(delayNanos, () -> fire(timer, dueNanos, task)));
         return timer;
     }
 
-    private Future<?> after(long delayNanos, Runnable task) {
-        return thread.schedule(task, delayNanos, TimeUnit.NANOSECONDS);
+    private Future<?> scheduleNanos(long delayNanos, Runnable task) {
+        return executor.schedule(task, delayNanos, TimeUnit.NANOSECONDS);
     }
 
     private void fire(LoopTimer timer, long dueNanos, Runnable task) {
-        lateness.timerFired(dueNanos, System.nanoTime());
-        timers.fired(timer, unixMs(dueNanos), task);
+        latenessMonitor.timerFired(dueNanos, System.nanoTime());
+        timerGate.fired(timer, toUnixMs(dueNanos), task);
     }
 
     /** What the gate of the timers needs of this loop. */
@@ -122,15 +122,15 @@
 
         @Override
         public QuietSpan quietAround(double time) {
-            EventExecutor.Quiet quiet = events.quietAround(nanos(time), System.nanoTime());
+            EventExecutor.Quiet quiet = eventExecutor.quietAround(toNanos(time), System.nanoTime());
             return quiet == null
                     ? null
-                    : new QuietSpan(unixMs(quiet.from()), unixMs(quiet.until()));
+                    : new QuietSpan(toUnixMs(quiet.from()), toUnixMs(quiet.until()));
         }
 
         @Override
         public void after(double delay, Runnable step) {
-            SingleThreadEventLoop.this.after((long) (delay * NANOS_PER_MS), step);
+            SingleThreadEventLoop.this.scheduleNanos((long) (delay * NANOS_PER_MS), step);
         }
 
         @Override
@@ -145,43 +145,43 @@
      * listener. Only on the loop.
      */
     public void startUpEnded() {
-        lateness.startUpEnded(System.nanoTime());
+        latenessMonitor.startUpEnded(System.nanoTime());
     }
 
     /** Tells a listener of each late span from here on; from any thread. */
     public void setLatenessListener(LatenessListener listener) {
-        lateness.setListener(listener);
+        latenessMonitor.setListener(listener);
     }
 
     /** The most that a timer was late by, in milliseconds, since this was last called. */
     public double takeLatestTimerMs() {
-        return lateness.takeLatestTimerMs();
+        return latenessMonitor.takeMaxTimerLatenessMs();
     }
 
     @Override
     public double now() {
-        return unixMs(System.nanoTime());
+        return toUnixMs(System.nanoTime());
     }
 
-    private long nanos(double unixMs) {
+    private long toNanos(double unixMs) {
         return startedAtNanos + (long) ((unixMs - startedAt) * NANOS_PER_MS);
     }
 
-    private double unixMs(long nanos) {
+    private double toUnixMs(long nanos) {
         return startedAt + (nanos - startedAtNanos) / NANOS_PER_MS;
     }
 
     @Override
     public double noticedAt() {
-        EventExecutor.Notice notice = events.present();
+        EventExecutor.Notice notice = eventExecutor.currentNotice();
         return notice == null
                 ? Double.NEGATIVE_INFINITY
-                : stalls.earliest(unixMs(notice.noticedAt()), unixMs(notice.lookedAt()));
+                : stallTracker.earliest(toUnixMs(notice.noticedAt()), toUnixMs(notice.lookedAt()));
     }
 
     @Override
     public double onTimeSince() {
-        return stalls.onTimeSince();
+        return stallTracker.onTimeSince();
     }
 
     /**
@@ -189,7 +189,7 @@
      * nothing else, noticed at this time; only for callers on the loop's thread.
      */
     public double earliest(double noticedAt) {
-        return stalls.earliest(noticedAt);
+        return stallTracker.earliest(noticedAt);
     }
 
     @Override
@@ -204,7 +204,7 @@
         } catch (IOException e) {
             LOG.atWarn().addKeyValue("why", e.getMessage()).log("loop.close_failed");
         }
-        thread.shutdownNow();
-        lateness.close();
+        executor.shutdownNow();
+        latenessMonitor.close();
     }
 }
--- a/src/main/java/gingerspool/wire/StallTracker.java
+++ b/src/main/java/gingerspool/wire/StallTracker.java
@@ -14,65 +14,65 @@
  */
 final class StallTracker {
     /** A timer that fires later than this was held up. */
-    static final double LATE = 50;
+    static final double LATE_THRESHOLD_MS = 50;
 
     /** After a stall all that came meanwhile has been noticed within this. */
-    static final double CATCH_UP = 50;
+    static final double CATCH_UP_MS = 50;
 
     /** After a stall the runtime gets so long to look at the sockets before any timer runs. */
-    static final double TIMERS_HELD = 20;
+    static final double TIMER_HOLD_MS = 20;
 
     private double lastTimerAt = Double.NEGATIVE_INFINITY;
 
     /** When the loop was last seen to be late, whatever held it up. */
-    private double lateUntil = Double.NEGATIVE_INFINITY;
+    private double lastLateAt = Double.NEGATIVE_INFINITY;
 
-    private double stalledFrom = Double.NaN;
-    private double stalledUntil = Double.NEGATIVE_INFINITY;
+    private double stallStart = Double.NaN;
+    private double stallEnd = Double.NEGATIVE_INFINITY;
 
     /** When the first event after the stall was noticed, as far as known at its end. */
     private double quietUntil = Double.NEGATIVE_INFINITY;
 
     /** When the last one of the stalls that count as one began. */
-    private double lastStalledFrom = Double.NaN;
+    private double lastStallStart = Double.NaN;
 
     /** Until then timers wait for what came in a stall of the whole process. */
-    private double heldUntil = Double.NEGATIVE_INFINITY;
+    private double timersHeldUntil = Double.NEGATIVE_INFINITY;
 
     /**
      * A timer that was due at one time fires at another. The span is the one of over LATE without
      * an event in which it was due; null where events were noticed around that time. Returns for
      * how long the timer is to wait.
      */
-    double fired(double due, double at, QuietSpan quiet) {
-        if (at > due + LATE) {
-            lateUntil = at;
+    double timerFired(double due, double at, QuietSpan quiet) {
+        if (at > due + LATE_THRESHOLD_MS) {
+            lastLateAt = at;
             // Others that were due in the same stall tell nothing new.
-            if (quiet != null && due > stalledUntil) {
-                stalled(due, at, quiet);
+            if (quiet != null && due > stallEnd) {
+                recordStall(due, at, quiet);
             }
         }
         lastTimerAt = at;
-        return Math.max(0, heldUntil - at);
+        return Math.max(0, timersHeldUntil - at);
     }
 
-    private void stalled(double due, double at, QuietSpan quiet) {
-        boolean goesOn =
-                hasStalled() && lastTimerAt <= stalledUntil + CATCH_UP && quiet.from() < quietUntil;
-        lastStalledFrom = Math.min(due, Math.max(lastTimerAt, due - LATE));
-        stalledFrom = goesOn ? stalledFrom : lastStalledFrom;
-        stalledUntil = at;
+    private void recordStall(double due, double at, QuietSpan quiet) {
+        boolean continuesPrevious =
+                hasStalled() && lastTimerAt <= stallEnd + CATCH_UP_MS && quiet.from() < quietUntil;
+        lastStallStart = Math.min(due, Math.max(lastTimerAt, due - LATE_THRESHOLD_MS));
+        stallStart = continuesPrevious ? stallStart : lastStallStart;
+        stallEnd = at;
         quietUntil = quiet.until();
-        heldUntil = at + TIMERS_HELD;
+        timersHeldUntil = at + TIMER_HOLD_MS;
     }
 
     private boolean hasStalled() {
-        return stalledUntil > Double.NEGATIVE_INFINITY;
+        return stallEnd > Double.NEGATIVE_INFINITY;
     }
 
     /** Since when the loop has been on time; negative infinity where it always was. */
     double onTimeSince() {
-        return lateUntil;
+        return lastLateAt;
     }
 
     /**
@@ -80,7 +80,7 @@
      * waits for nothing else, as for a signal: in the last stall, since it ran before that.
      */
     double earliest(double noticedAt) {
-        return isAfterStall(noticedAt) ? Math.min(noticedAt, lastStalledFrom) : noticedAt;
+        return isAfterStall(noticedAt) ? Math.min(noticedAt, lastStallStart) : noticedAt;
     }
 
     /**
@@ -89,13 +89,13 @@
      */
     double earliest(double noticedAt, double lookedAt) {
         return isAfterStall(noticedAt)
-                ? Math.min(noticedAt, Math.max(stalledFrom, lookedAt))
+                ? Math.min(noticedAt, Math.max(stallStart, lookedAt))
                 : noticedAt;
     }
 
     private boolean isAfterStall(double at) {
         return hasStalled()
-                && at >= Math.min(quietUntil, stalledUntil - CATCH_UP)
-                && at <= stalledUntil + CATCH_UP;
+                && at >= Math.min(quietUntil, stallEnd - CATCH_UP_MS)
+                && at <= stallEnd + CATCH_UP_MS;
     }
 }
--- a/src/main/java/gingerspool/wire/TimerGate.java
+++ b/src/main/java/gingerspool/wire/TimerGate.java
@@ -10,7 +10,7 @@
  */
 final class TimerGate {
     /** Timers wait for so many stalls in a row; a process that is always late still runs them. */
-    private static final int MOST_WAITS = 3;
+    private static final int MAX_CONSECUTIVE_HOLDS = 3;
 
     /** The loop behind it. */
     interface Loop {
@@ -26,12 +26,12 @@
         void execute(Runnable task);
     }
 
-    private record Held(LoopTimer timer, Runnable task) {}
+    private record HeldTimer(LoopTimer timer, Runnable task) {}
 
     private final Loop loop;
     private final StallTracker stalls;
-    private final ArrayDeque<Held> held = new ArrayDeque<>();
-    private int waits;
+    private final ArrayDeque<HeldTimer> heldTimers = new ArrayDeque<>();
+    private int consecutiveHolds;
 
     TimerGate(Loop loop, StallTracker stalls) {
         this.loop = loop;
@@ -40,21 +40,21 @@
 
     /** A timer that was due then fires; its task runs now or after the others that wait. */
     void fired(LoopTimer timer, double due, Runnable task) {
-        double wait = waitFor(due);
-        if (wait == 0 && held.isEmpty()) {
+        double wait = holdTime(due);
+        if (wait == 0 && heldTimers.isEmpty()) {
             run(timer, task);
             return;
         }
-        held.add(new Held(timer, task));
-        if (held.size() == 1) {
+        heldTimers.add(new HeldTimer(timer, task));
+        if (heldTimers.size() == 1) {
             releaseAfter(wait);
         }
     }
 
-    private double waitFor(double due) {
+    private double holdTime(double due) {
         double now = loop.now();
-        QuietSpan quiet = now > due + StallTracker.LATE ? loop.quietAround(due) : null;
-        return stalls.fired(due, now, quiet);
+        QuietSpan quiet = now > due + StallTracker.LATE_THRESHOLD_MS ? loop.quietAround(due) : null;
+        return stalls.timerFired(due, now, quiet);
     }
 
     private void releaseAfter(double wait) {
@@ -64,13 +64,13 @@
 
     /** Unless the process stood still once more. */
     private void release(double due) {
-        double wait = waitFor(due);
-        if (wait > 0 && ++waits < MOST_WAITS) {
+        double wait = holdTime(due);
+        if (wait > 0 && ++consecutiveHolds < MAX_CONSECUTIVE_HOLDS) {
             releaseAfter(wait);
             return;
         }
-        waits = 0;
-        for (Held next = held.poll(); next != null; next = held.poll()) {
+        consecutiveHolds = 0;
+        for (HeldTimer next = heldTimers.poll(); next != null; next = heldTimers.poll()) {
             run(next.timer, next.task);
         }
     }
--- a/src/test/java/gingerspool/wire/EventExecutorTest.java
+++ b/src/test/java/gingerspool/wire/EventExecutorTest.java
@@ -20,7 +20,7 @@
      * look at the sockets is not as old as the load is.
      */
     @Test
-    public void eventsThatFollowEachOtherCloselyAreNotOneLook() throws Exception {
+    public void closelySpacedEventsAreSplitIntoPolls() throws Exception {
         ExecutorService loop = Executors.newSingleThreadExecutor();
         try {
             EventExecutor events = new EventExecutor(loop, thread -> false);
@@ -30,7 +30,7 @@
                 spin(BETWEEN_NANOS);
             }
             CompletableFuture<EventExecutor.Notice> last = new CompletableFuture<>();
-            events.execute(() -> last.complete(events.present()));
+            events.execute(() -> last.complete(events.currentNotice()));
             EventExecutor.Notice notice = last.get(ANSWER_S, TimeUnit.SECONDS);
             long age = (notice.noticedAt() - notice.lookedAt()) / MS;
             assertTrue(age < LOAD_NANOS / MS / 2, "the last look was " + age + " ms before");
--- a/src/test/java/gingerspool/wire/KernelFileTest.java
+++ b/src/test/java/gingerspool/wire/KernelFileTest.java
@@ -11,7 +11,7 @@
 
 /** A file of the kernel is read anew each time; one that is missing costs a single attempt. */
 public class KernelFileTest {
-    private static final int MOST_BYTES = 1024;
+    private static final int MAX_BYTES = 1024;
 
     private Path path;
 
@@ -26,7 +26,7 @@
     }
 
     @Test
-    public void eachReadingTellsWhatIsThereNow() throws IOException {
+    public void readReturnsCurrentContent() throws IOException {
         try (KernelFile file = new KernelFile(path.toString())) {
             Files.writeString(path, "1 2 3\n");
             assertEquals(file.read(), "1 2 3\n");
@@ -38,15 +38,15 @@
     }
 
     @Test
-    public void aLongFileIsCut() throws IOException {
-        Files.writeString(path, "x".repeat(MOST_BYTES + 1));
+    public void longFileIsTruncated() throws IOException {
+        Files.writeString(path, "x".repeat(MAX_BYTES + 1));
         try (KernelFile file = new KernelFile(path.toString())) {
-            assertEquals(file.read(), "x".repeat(MOST_BYTES));
+            assertEquals(file.read(), "x".repeat(MAX_BYTES));
         }
     }
 
     @Test
-    public void aMissingFileIsNotTriedAgain() throws IOException {
+    public void missingFileIsNotRetried() throws IOException {
         Files.delete(path);
         try (KernelFile file = new KernelFile(path.toString())) {
             assertEquals(file.read(), "");
@@ -56,14 +56,14 @@
     }
 
     @Test
-    public void whatCannotBeReadTellsNothing() {
+    public void unreadablePathReturnsEmptyText() {
         try (KernelFile folder = new KernelFile("target")) {
             assertEquals(folder.read(), "");
         }
     }
 
     @Test
-    public void aClosedFileIsNeitherReadNorOpened() throws IOException {
+    public void closedFileIsNeitherReadNorOpened() throws IOException {
         Files.writeString(path, "1\n");
         KernelFile read = new KernelFile(path.toString());
         assertEquals(read.read(), "1\n");
--- a/src/test/java/gingerspool/wire/KernelReadingsTest.java
+++ b/src/test/java/gingerspool/wire/KernelReadingsTest.java
@@ -12,7 +12,7 @@
 
     /** A thread that works is seen to have run, where the system tells. */
     @Test
-    public void aThreadThatWorksIsSeenToRun() {
+    public void busyThreadHasProcessorUse() {
         try (KernelReadings readings = new KernelReadings()) {
             Optional<ProcessorUse> before = readings.processorUse();
             long until = System.nanoTime() + SPIN_NANOS;
@@ -31,7 +31,7 @@
 
     /** No figure ever falls, so that a difference of two readings is never negative. */
     @Test
-    public void figuresOnlyGrow() {
+    public void figuresNeverDecrease() {
         try (KernelReadings readings = new KernelReadings()) {
             ThreadStalls stalls = readings.threadStalls();
             MachinePressure machine = readings.machinePressure();
@@ -47,7 +47,7 @@
     }
 
     @Test
-    public void afterTheEndNothingIsTold() {
+    public void closedReadingsAreUnknown() {
         KernelReadings readings = new KernelReadings();
         readings.close();
         assertEquals(readings.processorUse(), Optional.empty());
--- a/src/test/java/gingerspool/wire/LatenessMonitorTest.java
+++ b/src/test/java/gingerspool/wire/LatenessMonitorTest.java
@@ -20,14 +20,14 @@
 
     private static final long FIRST_READINGS_MS = 1_000;
 
-    private static final long BEGAN = Long.MAX_VALUE - 1_000 * NANOS_PER_MS;
-    private static final double UNIX_MS = 1e12;
+    private static final long LOOP_STARTED_AT = Long.MAX_VALUE - 1_000 * NANOS_PER_MS;
+    private static final double LOOP_STARTED_UNIX_MS = 1e12;
     private static final Runnable TASK = () -> {};
 
     private ModelReadings system;
     private RecordingLogger log;
     private LatenessMonitor monitor;
-    private List<LateSpan> told;
+    private List<LateSpan> lateSpans;
     private long nowMs;
 
     @BeforeMethod
@@ -37,15 +37,17 @@
         monitor =
                 new LatenessMonitor(
                         log,
-                        new LoopUse(system, BEGAN),
-                        BEGAN,
-                        nanos -> UNIX_MS + (double) (nanos - BEGAN) / NANOS_PER_MS);
-        told = new ArrayList<>();
+                        new LoopUsage(system, LOOP_STARTED_AT),
+                        LOOP_STARTED_AT,
+                        nanos ->
+                                LOOP_STARTED_UNIX_MS
+                                        + (double) (nanos - LOOP_STARTED_AT) / NANOS_PER_MS);
+        lateSpans = new ArrayList<>();
         nowMs = 0;
     }
 
     private static long nanos(long ms) {
-        return BEGAN + ms * NANOS_PER_MS;
+        return LOOP_STARTED_AT + ms * NANOS_PER_MS;
     }
 
     /** Time in which the thread does nothing, or cannot. */
@@ -78,7 +80,7 @@
         return log.lines(event).get(0).fields();
     }
 
-    private void becomesSteady() {
+    private void finishStartUp() {
         pass(START_UP_MS);
         monitor.startUpEnded(nanos(nowMs));
         pass(FIRST_READINGS_MS);
@@ -87,15 +89,15 @@
     }
 
     @Test
-    public void aTimerInTimeIsNotLogged() {
-        becomesSteady();
+    public void timerOnTimeIsNotLogged() {
+        finishStartUp();
         timer(nowMs - 50);
         assertEquals(log.lines(), List.of());
     }
 
     @Test
-    public void aLoopThatIsStoppedWasBlocked() {
-        becomesSteady();
+    public void stoppedLoopIsReportedBlocked() {
+        finishStartUp();
         pass(300);
         timer(nowMs - 200);
         Map<String, Object> line = onlyLine("loop.timer_late");
@@ -107,8 +109,8 @@
     }
 
     @Test
-    public void aLoopThatWaitsForAProcessorWasNotBlocked() {
-        becomesSteady();
+    public void processorWaitIsNotReportedBlocked() {
+        finishStartUp();
         pass(10);
         waits(180);
         runs(20);
@@ -121,8 +123,8 @@
 
     /** What the thread did more than one reading before the late span is not in the line. */
     @Test
-    public void aLongWaitBeforeTheSpanDoesNotShow() {
-        becomesSteady();
+    public void earlierSlowTasksAreExcluded() {
+        finishStartUp();
         task(() -> waits(49));
         task(() -> waits(49));
         task(() -> waits(49));
@@ -138,8 +140,8 @@
 
     /** The same without a line on the wait: it is the readings that divide, not the lines. */
     @Test
-    public void aWaitOfASecondBeforeTheSpanDoesNotShow() {
-        becomesSteady();
+    public void earlierUnloggedWaitIsExcluded() {
+        finishStartUp();
         waits(1_500);
         task(() -> runs(1));
         pass(100);
@@ -152,8 +154,8 @@
 
     /** Tasks that end in the late span, with readings, do not shorten what the line covers. */
     @Test
-    public void readingsWithinTheSpanDoNotCutIt() {
-        becomesSteady();
+    public void readingsWithinSpanDoNotShortenIt() {
+        finishStartUp();
         pass(100);
         task(() -> runs(1));
         long due = nowMs;
@@ -171,8 +173,8 @@
 
     /** Of a span longer than all readings that are kept no more is said than they cover. */
     @Test
-    public void blockedTimeIsOfWhatIsCovered() {
-        becomesSteady();
+    public void blockedTimeIsLimitedToCoveredTime() {
+        finishStartUp();
         long due = nowMs;
         for (int i = 0; i < 400; i++) {
             task(() -> runs(50));
@@ -186,10 +188,10 @@
     }
 
     @Test
-    public void theLineTellsOfTheDiskAndTheMachine() {
+    public void lineReportsDiskAndMachine() {
         system.majorFaults = 7;
         system.diskMs = 1_000;
-        becomesSteady();
+        finishStartUp();
         system.majorFaults += 3;
         system.diskMs += 250;
         pass(300);
@@ -204,8 +206,8 @@
     }
 
     @Test
-    public void lateTimersAreLoggedOnceASecond() {
-        becomesSteady();
+    public void lateTimersAreLoggedOncePerSecond() {
+        finishStartUp();
         pass(100);
         timer(nowMs - 100);
         timer(nowMs - 90);
@@ -215,13 +217,13 @@
         pass(1);
         timer(nowMs - 60);
         assertEquals(log.lines("loop.timer_late").size(), 2);
-        assertEquals(monitor.takeLatestTimerMs(), 100.0);
-        assertEquals(monitor.takeLatestTimerMs(), 0.0);
+        assertEquals(monitor.takeMaxTimerLatenessMs(), 100.0);
+        assertEquals(monitor.takeMaxTimerLatenessMs(), 0.0);
     }
 
     @Test
-    public void aSlowTaskIsLoggedWithWhatItDid() {
-        becomesSteady();
+    public void slowTaskIsLoggedWithTimeSplit() {
+        finishStartUp();
         task(() -> runs(50));
         assertEquals(log.lines(), List.of());
         task(
@@ -245,7 +247,7 @@
 
     /** A named class stands for itself. */
     @Test
-    public void aTaskOfItsOwnClassIsNamed() {
+    public void taskOfNamedClassIsLoggedByName() {
         class Sweep implements Runnable {
             @Override
             public void run() {}
@@ -268,7 +270,7 @@
 
     /** Readings cost system calls: none while a process starts, and few later. */
     @Test
-    public void readingsAreFew() {
+    public void readingsAreRare() {
         work(9_999, 10);
         assertEquals(system.useReadings + system.stallReadings + system.machineReadings, 0);
         work(1, 10);
@@ -281,7 +283,7 @@
 
     /** A loop that works all the time is read more often: what each task did is to be told. */
     @Test
-    public void readingsAreMoreWhereThereIsMoreWork() {
+    public void busyLoopIsReadMoreOften() {
         monitor.startUpEnded(nanos(nowMs));
         work(2_000, 10);
         assertEquals(system.useReadings, 100);
@@ -291,7 +293,7 @@
 
     /** The program says when it has started; the dearer readings begin a second after that. */
     @Test
-    public void readingsBeginWithTheEndOfTheStartUp() {
+    public void readingsBeginAtEndOfStartUp() {
         work(500, 10);
         monitor.startUpEnded(nanos(nowMs));
         work(1, 10);
@@ -306,8 +308,8 @@
 
     /** Who listens wants the late time alone from the first task on. */
     @Test
-    public void readingsBeginWithAListener() {
-        monitor.setListener(told::add);
+    public void readingsBeginWithListener() {
+        monitor.setListener(lateSpans::add);
         pass(300);
         task(() -> runs(1));
         assertEquals(system.useReadings, 1);
@@ -318,7 +320,7 @@
 
     /** A system that tells nothing is not asked more often than another. */
     @Test
-    public void aSystemThatTellsNothingIsNotAskedMoreOften() {
+    public void systemWithoutReadingsIsNotPolledMoreOften() {
         system.isSilent = true;
         monitor.startUpEnded(nanos(nowMs));
         work(2_000, 1);
@@ -328,7 +330,7 @@
 
     /** A line of the start-up counts from the thread's beginning, and leaves the machine out. */
     @Test
-    public void aLineAtTheStartCountsFromTheBeginning() {
+    public void startUpLineCountsFromThreadStart() {
         system.majorFaults = 4;
         runs(400);
         waits(200);
@@ -343,25 +345,25 @@
     }
 
     @Test
-    public void aSystemThatTellsNothingLeavesTheTimeAlone() {
+    public void systemWithoutReadingsGivesLatenessOnly() {
         system.isSilent = true;
-        monitor.setListener(told::add);
-        becomesSteady();
+        monitor.setListener(lateSpans::add);
+        finishStartUp();
         pass(300);
         timer(nowMs - 200);
         Map<String, Object> line = onlyLine("loop.timer_late");
         assertEquals(line.keySet(), Set.of("ms", "around_ms"));
-        assertEquals(told.size(), 1);
-        assertEquals(told.get(0).untilMs() - told.get(0).fromMs(), 200.0);
-        assertTrue(Double.isNaN(told.get(0).ranMs()), told + "");
-        assertTrue(Double.isNaN(told.get(0).waitedMs()), told + "");
-        assertTrue(Double.isNaN(told.get(0).blockedMs()), told + "");
+        assertEquals(lateSpans.size(), 1);
+        assertEquals(lateSpans.get(0).untilMs() - lateSpans.get(0).fromMs(), 200.0);
+        assertTrue(Double.isNaN(lateSpans.get(0).ranMs()), lateSpans + "");
+        assertTrue(Double.isNaN(lateSpans.get(0).waitedMs()), lateSpans + "");
+        assertTrue(Double.isNaN(lateSpans.get(0).blockedMs()), lateSpans + "");
     }
 
     @Test
-    public void aListenerIsToldOfEachLateSpan() {
-        monitor.setListener(told::add);
-        becomesSteady();
+    public void listenerReceivesEachLateSpan() {
+        monitor.setListener(lateSpans::add);
+        finishStartUp();
         long due = nowMs;
         waits(30);
         pass(70);
@@ -369,18 +371,28 @@
         pass(60);
         timer(nowMs - 60);
         assertEquals(
-                told,
+                lateSpans,
                 List.of(
-                        new LateSpan(UNIX_MS + due, UNIX_MS + due + 100, 0, 30, 70),
-                        new LateSpan(UNIX_MS + due + 100, UNIX_MS + due + 160, 0, 0, 60)));
+                        new LateSpan(
+                                LOOP_STARTED_UNIX_MS + due,
+                                LOOP_STARTED_UNIX_MS + due + 100,
+                                0,
+                                30,
+                                70),
+                        new LateSpan(
+                                LOOP_STARTED_UNIX_MS + due + 100,
+                                LOOP_STARTED_UNIX_MS + due + 160,
+                                0,
+                                0,
+                                60)));
         assertEquals(log.lines("loop.timer_late").size(), 1);
     }
 
     /** Many timers that one stall makes late are one span; what goes on after it is told too. */
     @Test
     public void spansDoNotOverlap() {
-        monitor.setListener(told::add);
-        becomesSteady();
+        monitor.setListener(lateSpans::add);
+        finishStartUp();
         long due = nowMs;
         pass(100);
         timer(due);
@@ -389,16 +401,19 @@
         timer(due + 2);
         runs(45);
         timer(due + 50);
-        assertEquals(told.size(), 2, told + "");
-        assertEquals(told.get(0).untilMs(), UNIX_MS + due + 100);
-        assertEquals(told.get(1), new LateSpan(UNIX_MS + due + 100, UNIX_MS + nowMs, 55, 0, 0));
+        assertEquals(lateSpans.size(), 2, lateSpans + "");
+        assertEquals(lateSpans.get(0).untilMs(), LOOP_STARTED_UNIX_MS + due + 100);
+        assertEquals(
+                lateSpans.get(1),
+                new LateSpan(
+                        LOOP_STARTED_UNIX_MS + due + 100, LOOP_STARTED_UNIX_MS + nowMs, 55, 0, 0));
     }
 
     /** A listener that takes long does not change what the line tells of the span before it. */
     @Test
-    public void theWorkOfTheListenerIsNotInTheLine() {
+    public void listenerWorkIsExcludedFromLine() {
         monitor.setListener(span -> runs(400));
-        becomesSteady();
+        finishStartUp();
         pass(100);
         timer(nowMs - 100);
         Map<String, Object> line = onlyLine("loop.timer_late");
@@ -407,12 +422,12 @@
     }
 
     @Test
-    public void aListenerThatFailsDoesNotEndTheTask() {
+    public void failingListenerDoesNotEndTask() {
         monitor.setListener(
                 span -> {
                     throw new IllegalStateException("of the test");
                 });
-        becomesSteady();
+        finishStartUp();
         pass(100);
         timer(nowMs - 100);
         assertEquals(log.lines("loop.task_failed").size(), 1);
@@ -420,7 +435,7 @@
     }
 
     @Test
-    public void theEndClosesTheReadings() {
+    public void closeClosesReadings() {
         monitor.close();
         assertTrue(system.isClosed);
     }
--- a/src/test/java/gingerspool/wire/MachinePressureTest.java
+++ b/src/test/java/gingerspool/wire/MachinePressureTest.java
@@ -39,19 +39,19 @@
     }
 
     @Test(dataProvider = "unreadable")
-    public void whatCannotBeReadIsNotKnown(String stat, String pressure) {
+    public void unreadableTextIsUnknown(String stat, String pressure) {
         assertEquals(
                 MachinePressure.parse(stat, pressure, pressure, pressure), MachinePressure.UNKNOWN);
     }
 
     /** A first line that is longer than what is read of the file still tells. */
     @Test
-    public void aTextWithoutAnEndOfLineIsRead() {
+    public void textWithoutLineEndIsRead() {
         assertEquals(MachinePressure.parse("cpu  1 2 3 4 5 6 7 8", "", "", "").stealMs(), 80.0);
     }
 
     @Test
-    public void aLineSaysWhatIsKnown() {
+    public void logLineHoldsKnownFigures() {
         RecordingLogger log = new RecordingLogger();
         var line = log.atWarn();
         new MachinePressure(10, Double.NaN, 0.6, Double.NaN).describe(line);
--- a/src/test/java/gingerspool/wire/ProcessorUseTest.java
+++ b/src/test/java/gingerspool/wire/ProcessorUseTest.java
@@ -9,7 +9,7 @@
 /** Guards the explanation of late answers: what the system tells of a thread is read right. */
 public class ProcessorUseTest {
     @Test
-    public void runningAndWaitingAreReadInNanoseconds() {
+    public void nanosecondsAreConvertedToMilliseconds() {
         ProcessorUse use = ProcessorUse.parse("1500000 2500000 7\n").orElseThrow();
         assertEquals(use.ranMs(), 1.5);
         assertEquals(use.waitedMs(), 2.5);
@@ -22,7 +22,7 @@
     }
 
     @Test(dataProvider = "unreadable")
-    public void whatCannotBeReadIsNotKnown(String line) {
+    public void unreadableLineIsEmpty(String line) {
         assertEquals(ProcessorUse.parse(line), Optional.empty());
     }
 }
--- a/src/test/java/gingerspool/wire/ReadingHistoryTest.java
+++ b/src/test/java/gingerspool/wire/ReadingHistoryTest.java
@@ -7,7 +7,7 @@
 /** A span begins at the reading before it. */
 public class ReadingHistoryTest {
     @Test
-    public void theLatestReadingNoLaterIsFound() {
+    public void findsLatestReadingNotAfterInstant() {
         ReadingHistory<String> history = new ReadingHistory<>(3, 100, "first");
         history.add(200, "second");
         history.add(300, "third");
@@ -19,7 +19,7 @@
     }
 
     @Test
-    public void theEarliestStandsForWhatIsNotKept() {
+    public void returnsEarliestKeptReadingForOlderInstants() {
         ReadingHistory<String> history = new ReadingHistory<>(2, 100, "first");
         history.add(200, "second");
         history.add(300, "third");
--- a/src/test/java/gingerspool/wire/SingleThreadEventLoopTest.java
+++ b/src/test/java/gingerspool/wire/SingleThreadEventLoopTest.java
@@ -16,16 +16,16 @@
     private static final long ANSWER_S = 20;
 
     @Test
-    public void aTaskThatHoldsTheLoopUpMakesItsTimersLate() throws Exception {
+    public void blockingTaskMakesTimersLate() throws Exception {
         SingleThreadEventLoop loop = new SingleThreadEventLoop();
         try {
-            List<LateSpan> told = new CopyOnWriteArrayList<>();
-            loop.setLatenessListener(told::add);
+            List<LateSpan> lateSpans = new CopyOnWriteArrayList<>();
+            loop.setLatenessListener(lateSpans::add);
             CompletableFuture<Double> fired = new CompletableFuture<>();
-            CompletableFuture<Double> set = new CompletableFuture<>();
+            CompletableFuture<Double> scheduledAt = new CompletableFuture<>();
             loop.submit(
                     () -> {
-                        set.complete(loop.now());
+                        scheduledAt.complete(loop.now());
                         loop.schedule(0, () -> fired.complete(loop.now()));
                         long until = System.nanoTime() + SPIN_NANOS;
                         while (System.nanoTime() < until) {
@@ -33,9 +33,9 @@
                         }
                     });
             double firedAt = fired.get(ANSWER_S, TimeUnit.SECONDS);
-            assertEquals(told.size(), 1, told + "");
-            LateSpan span = told.get(0);
-            assertTrue(span.fromMs() >= set.get(), span + " " + set.get());
+            assertEquals(lateSpans.size(), 1, lateSpans + "");
+            LateSpan span = lateSpans.get(0);
+            assertTrue(span.fromMs() >= scheduledAt.get(), span + " " + scheduledAt.get());
             assertTrue(span.untilMs() <= firedAt, span + " " + firedAt);
             assertTrue(span.untilMs() - span.fromMs() > 50, span + "");
             assertTrue(loop.takeLatestTimerMs() > 50);
@@ -46,13 +46,13 @@
 
     /** Nothing is left open by a loop that has ended, whichever readings it had taken. */
     @Test
-    public void aLoopThatNeverRanCanBeStopped() throws IOException {
+    public void unusedLoopCanBeStopped() throws IOException {
         new SingleThreadEventLoop().stop();
     }
 
     /** Timers that waited for the end of a stall still run in the order in which they were due. */
     @Test
-    public void timersThatWereHeldRunInTheirOrder() throws Exception {
+    public void heldTimersRunInDueOrder() throws Exception {
         SingleThreadEventLoop loop = new SingleThreadEventLoop();
         try {
             int many = 20;
--- a/src/test/java/gingerspool/wire/ThreadStallsTest.java
+++ b/src/test/java/gingerspool/wire/ThreadStallsTest.java
@@ -25,18 +25,18 @@
     }
 
     @Test(dataProvider = "unreadable")
-    public void whatCannotBeReadIsNotKnown(String line) {
+    public void unreadableLineIsUnknown(String line) {
         assertEquals(ThreadStalls.parse(line), ThreadStalls.UNKNOWN);
     }
 
     /** An older system tells the faults alone. */
     @Test
-    public void whatIsThereIsRead() {
+    public void shortLineGivesFaultsOnly() {
         assertEquals(ThreadStalls.parse(HEAD + "12 0 7"), new ThreadStalls(12, Double.NaN));
     }
 
     @Test
-    public void aLineSaysWhatIsKnown() {
+    public void logLineHoldsKnownFigures() {
         assertEquals(
                 fields(new ThreadStalls(3, 20)), Map.of("major_faults", 3L, "disk_wait_ms", 20L));
         assertEquals(fields(new ThreadStalls(0, 0)), Map.of("major_faults", 0L));
