--- a/src/main/java/gingerspool/wire/EventExecutor.java
+++ b/src/main/java/gingerspool/wire/EventExecutor.java
@@ -7,30 +7,33 @@
 import java.util.function.Predicate;
 
 /**
- * What a channel group hands the ends of operations to: passes them on to the loop's thread, and
- * notes when each was handed over. That is when the runtime's own thread, which waits for the
- * sockets, noticed the event; the loop may come to it much later.
+ * The executor of a channel group: passes completion handlers on to the loop's thread and records
+ * when each was submitted. That is when the runtime's poller thread, which waits for the sockets,
+ * noticed the event; the loop may handle it much later.
  *
- * <p>Thread: any; {@link #present} belongs to the loop's thread.
+ * <p>Threads: any, except {@link #currentNotice} and {@link #clearCurrentNotice}, which only the
+ * loop's thread calls.
  */
 final class EventExecutor extends AbstractExecutorService {
-    /**
-     * Events noticed with more than this between them were not noticed by one look at the sockets.
-     */
+    /** Events noticed further apart than this come from different polls of the sockets. */
     private static final long SAME_POLL_NANOS = 20_000_000;
 
     /**
-     * An event that the runtime waited for, in System.nanoTime().
+     * When an event that the runtime waited for was noticed, in System.nanoTime().
      *
-     * @param noticedAt when it was noticed
-     * @param lookedAt when an earlier look at all sockets noticed others: this one had not come yet
+     * @param noticedAt when the event was noticed
+     * @param lookedAt when an earlier poll of all sockets noticed other events: this event had not
+     *     arrived by then
      */
     record Notice(long noticedAt, long lookedAt) {}
 
-    /** Between two events, in System.nanoTime(). */
+    /** A period between two events, in System.nanoTime(). */
     record Quiet(long from, long until) {}
 
-    /** A span without an event is long where a timer that fires so late is late. */
+    /**
+     * Shorter periods without an event are not kept: they are needed only for timers that are late,
+     * and a timer is late by at least this.
+     */
     private static final long MIN_QUIET_NANOS = (long) (StallTracker.LATE_THRESHOLD_MS * 1e6);
 
     private static final int MAX_QUIET_SPANS = 16;
@@ -40,23 +43,28 @@
 
     private Notice latestNotice;
 
-    /** When the look began that the latest event may belong to. */
+    /** When the poll began that may have noticed the latest event. */
     private long pollStartedAt;
 
-    /** The last long spans without an event, the oldest overwritten first. */
+    /** The last long periods without an event, a ring that overwrites the oldest. */
     private final Quiet[] quietSpans = new Quiet[MAX_QUIET_SPANS];
 
     private int nextQuietIndex;
 
-    /** That of the loop's present task; null where nobody waited for its event. */
+    /** The notice of the loop's current task; null if it does not handle a noticed event. */
     private Notice currentNotice;
 
-    /** Passes events on to this executor, whose one thread the predicate knows. */
+    /**
+     * Creates an executor that passes handlers on to a loop.
+     *
+     * @param loop runs the handlers on its one thread
+     * @param isLoopThread whether a thread is that one
+     */
     EventExecutor(ExecutorService loop, Predicate<Thread> isLoopThread) {
         this(loop, isLoopThread, System.nanoTime());
     }
 
-    /** The same, begun at this instant of a clock that a test keeps. */
+    /** The same with an explicit start time on the clock of System.nanoTime(), for tests. */
     EventExecutor(ExecutorService loop, Predicate<Thread> isLoopThread, long now) {
         this.loop = loop;
         this.isLoopThread = isLoopThread;
@@ -67,7 +75,7 @@
     @Override
     public void execute(Runnable event) {
         if (isLoopThread.test(Thread.currentThread())) {
-            // Done at once: its end comes in the call that began it.
+            // The operation completed immediately, inside the call that started it.
             event.run();
         } else {
             Notice notice = notice(System.nanoTime());
@@ -75,7 +83,7 @@
         }
     }
 
-    /** An event is noticed. */
+    /** Records that an event was noticed at this time. */
     synchronized Notice notice(long at) {
         long previous = latestNotice.noticedAt;
         long lookedAt = latestNotice.lookedAt;
@@ -95,8 +103,8 @@
     }
 
     /**
-     * The long span without an event that this time lies in, by System.nanoTime(), up to now where
-     * it lasts; null where there is none. From any thread.
+     * The long period without an event that contains this time, in System.nanoTime(); it ends now
+     * if no event has come since. Null if there is none. Called from any thread.
      */
     synchronized Quiet quietAround(long time, long now) {
         if (time - latestNotice.noticedAt >= 0) {
@@ -121,12 +129,12 @@
         }
     }
 
-    /** Of the event that the loop's present task tells of; null where nobody waited for it. */
+    /** The notice of the event that the current task handles; null if it handles none. */
     Notice currentNotice() {
         return currentNotice;
     }
 
-    /** The present task no longer tells of an event. */
+    /** Called after the task that handled the event: the next tasks do not belong to it. */
     void clearCurrentNotice() {
         currentNotice = null;
     }
--- a/src/main/java/gingerspool/wire/EventLoop.java
+++ b/src/main/java/gingerspool/wire/EventLoop.java
@@ -7,31 +7,30 @@
 import java.util.concurrent.Future;
 
 /**
- * The one thread that owns a process's state, as connections and timers see it. Times are
+ * The single thread that owns a process's state, as seen by connections and timers. Times are in
  * milliseconds.
  */
 public interface EventLoop {
-    /**
-     * Runs a task after the one going on, never inside it; only for callers on the loop's thread.
-     */
+    /** Runs a task after the current one, never inside it. Called on the loop's thread only. */
     void execute(Runnable task);
 
-    /** Runs a task after a delay, unless cancelled; only for callers on the loop's thread. */
+    /** Runs a task after a delay, unless cancelled. Called on the loop's thread only. */
     Future<?> schedule(double delay, Runnable task);
 
-    /** Milliseconds of Unix time, never running backwards. */
+    /** Unix time in milliseconds; never runs backwards. */
     double now();
 
     /**
-     * The earliest time at which the event that the present task tells of may have come: when the
-     * runtime noticed it, or since when the process had stood still by then. Negative infinity
-     * where the operation was done at once, so that the event may have come at any time before.
+     * The earliest time at which the event that the current task handles may have arrived: when the
+     * runtime noticed it, or the start of the process stall that preceded that. Negative infinity
+     * if the operation completed immediately, since the event may then have arrived at any earlier
+     * time.
      */
     default double noticedAt() {
         return now();
     }
 
-    /** Since when the loop has been on time; what came before may not have been looked at. */
+    /** Since when the loop has been on time; events from before may not have been handled yet. */
     default double onTimeSince() {
         return Double.NEGATIVE_INFINITY;
     }
@@ -39,19 +38,19 @@
     /** The group whose completion handlers run on the loop's thread. */
     AsynchronousChannelGroup group();
 
-    /** A channel that is not connected yet. A test may hand out modelled ones. */
+    /** Opens a channel that is not connected yet. A test may return a simulated one. */
     default AsynchronousSocketChannel channel() throws IOException {
         return AsynchronousSocketChannel.open(group());
     }
 
-    /** A channel that does not listen yet. A test may hand out modelled ones. */
+    /** Opens a channel that does not listen yet. A test may return a simulated one. */
     default AsynchronousServerSocketChannel serverChannel() throws IOException {
         return AsynchronousServerSocketChannel.open(group());
     }
 
     /**
-     * Whether a safeguard is in place. No class of src/main overrides this (see ArchitectureTest):
-     * only a test's loop takes one out, to show what it is for.
+     * Whether a safeguard is enabled. No class of src/main overrides this (see ArchitectureTest):
+     * only the loop of a test disables one, to show which failure it prevents.
      */
     default boolean has(RequestSafeguard safeguard) {
         return true;
--- a/src/main/java/gingerspool/wire/KernelFigures.java
+++ b/src/main/java/gingerspool/wire/KernelFigures.java
@@ -2,13 +2,16 @@
 
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** Figures of the kernel's files; one that can't be read is NaN and does not appear in a line. */
+/**
+ * Parses figures from the kernel's files. A figure that can't be read is NaN and is left out of log
+ * lines.
+ */
 final class KernelFigures {
     private static final int BASE = 10;
 
     private KernelFigures() {}
 
-    /** The whole number at this place of a line of fields, counted from 0 at an index. */
+    /** The integer in a field of a line; fields are counted from 0, beginning at {@code start}. */
     static double field(String line, int start, int index) {
         int from = start;
         for (int i = 0; i < index; i++) {
@@ -22,8 +25,8 @@
     }
 
     /**
-     * The whole number from an index to the next blank, end of line or end of the text. Without the
-     * library's methods, which cost several times as much as long as they are not compiled.
+     * The integer from an index to the next blank, end of line or end of the text. Parsed by hand,
+     * because the library's methods cost several times as much until they are compiled.
      */
     static double numberAt(String text, int from) {
         long number = 0;
@@ -41,7 +44,7 @@
         return i == from ? Double.NaN : number;
     }
 
-    /** Adds a figure, rounded, if it is known. */
+    /** Adds a figure to a log line, rounded, if it is known. */
     static void add(LoggingEventBuilder line, String key, double figure) {
         if (!Double.isNaN(figure)) {
             line.addKeyValue(key, Math.round(figure));
--- a/src/main/java/gingerspool/wire/KernelFile.java
+++ b/src/main/java/gingerspool/wire/KernelFile.java
@@ -8,9 +8,12 @@
 import java.nio.file.Path;
 
 /**
- * The beginning of a file of the kernel, read anew each time. It is opened at the first reading and
- * kept open, so that a further one is a single system call. A path of the calling thread stays that
- * of the thread that read first. A file that could not be read once is not tried again.
+ * Reads the beginning of a kernel file such as /proc/stat, with its current content each time. The
+ * file is opened at the first reading and kept open, so that each later reading is a single system
+ * call. A path below /proc/thread-self therefore always refers to the thread that read first. A
+ * file that could not be read once is not tried again.
+ *
+ * <p>Threads: any.
  */
 final class KernelFile implements Closeable {
     private static final int MAX_BYTES = 1024;
@@ -24,7 +27,7 @@
         this.path = Path.of(path);
     }
 
-    /** The first bytes of the file as they are now; "" where the system has no such file. */
+    /** The first bytes of the current content; "" if the file can't be read or is closed. */
     synchronized String read() {
         if (!isUsable) {
             return "";
@@ -41,7 +44,7 @@
         }
     }
 
-    /** Nothing is read from here on. */
+    /** Closes the file; later readings return an empty text. */
     @Override
     public synchronized void close() {
         isUsable = false;
--- a/src/main/java/gingerspool/wire/KernelReadings.java
+++ b/src/main/java/gingerspool/wire/KernelReadings.java
@@ -2,7 +2,10 @@
 
 import java.util.Optional;
 
-/** Readings from the files of Linux; on another system, or where they are missing, none. */
+/**
+ * Readings from the files below /proc of Linux. They are empty or unknown on other systems and
+ * where a file is missing.
+ */
 final class KernelReadings implements LoopReadings {
     private final KernelFile processorUse = new KernelFile("/proc/thread-self/schedstat");
     private final KernelFile threadStalls = new KernelFile("/proc/thread-self/stat");
--- a/src/main/java/gingerspool/wire/LateSpan.java
+++ b/src/main/java/gingerspool/wire/LateSpan.java
@@ -1,13 +1,17 @@
 package gingerspool.wire;
 
 /**
- * A time in which an event loop did not run a timer that was due: its limits in Unix time as {@link
- * EventLoop#now} tells it, and how long in it the thread ran, was ready but waited for a processor,
- * and did neither. Times are milliseconds; the last three are NaN where the system does not tell.
- * The first two of them may hold some 20 ms of work before the span, which the third then lacks.
+ * A time in which an event loop did not run a timer that was due. Times are in milliseconds; {@code
+ * ranMs}, {@code waitedMs} and {@code blockedMs} are NaN if the system does not provide them.
+ * {@code ranMs} and {@code waitedMs} may include some 20 ms from before the span, by which {@code
+ * blockedMs} is then too low.
  *
- * @param blockedMs stopped by a signal, a safepoint, a lock, a page fault or a write that waits for
- *     the disk
+ * @param fromMs the start, in Unix time as returned by {@link EventLoop#now}
+ * @param untilMs the end, likewise
+ * @param ranMs how long the thread ran
+ * @param waitedMs how long the thread was ready but waited for a processor
+ * @param blockedMs how long the thread did neither: it was stopped by a signal, a safepoint, a
+ *     lock, a page fault or a write that waits for the disk
  */
 public record LateSpan(
         double fromMs, double untilMs, double ranMs, double waitedMs, double blockedMs) {}
--- a/src/main/java/gingerspool/wire/LatenessMonitor.java
+++ b/src/main/java/gingerspool/wire/LatenessMonitor.java
@@ -5,15 +5,17 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Logs a loop's late timers and slow tasks with what its thread did meanwhile, and tells a listener
- * of the time in which the loop was late. Used on the loop alone; instants are those of
- * System.nanoTime.
+ * Logs a loop's late timers and slow tasks together with what its thread did meanwhile, and
+ * notifies a listener of the spans in which the loop was late.
+ *
+ * <p>Called by {@link SingleThreadEventLoop} on the loop's thread, except {@link #setListener} and
+ * {@link #close}. Instants are those of System.nanoTime.
  */
 final class LatenessMonitor {
-    /** A timer that fires later, and a task that takes longer than this is logged. */
+    /** A timer that is later than this and a task that takes longer than this are logged. */
     static final long LATE_THRESHOLD_NANOS = 50_000_000;
 
-    /** Late timers are logged once in this time at the most, and so are slow tasks. */
+    /** Late timers are logged at most once per interval, and so are slow tasks. */
     static final long WARNING_INTERVAL_NANOS = 1_000_000_000;
 
     private static final double NANOS_PER_MS = 1e6;
@@ -27,10 +29,15 @@
     private long notifiedUntil;
     private double maxTimerLatenessMs;
 
-    /** Null as long as nobody listens; set from any thread. */
+    /** Null until a listener is set; set from any thread. */
     private volatile LatenessListener listener;
 
-    /** For a loop that began at this instant, and whose instants are told so in Unix time. */
+    /**
+     * Creates the monitor of a loop.
+     *
+     * @param beganAt when the loop began
+     * @param unixMs converts an instant to Unix time in milliseconds
+     */
     LatenessMonitor(Logger log, LoopUsage usage, long beganAt, LongToDoubleFunction unixMs) {
         this.log = log;
         this.usage = usage;
@@ -44,12 +51,12 @@
         this.listener = listener;
     }
 
-    /** The start-up has ended: from here on the thread's time is read. */
+    /** Ends the start-up: from here on the thread's usage is read regularly. */
     void startUpEnded(long now) {
         usage.startUpEnded(now);
     }
 
-    /** A timer that was due then fires now. */
+    /** Called when a timer fires, before its task runs. */
     void timerFired(long due, long now) {
         long late = now - due;
         maxTimerLatenessMs = Math.max(maxTimerLatenessMs, late / NANOS_PER_MS);
@@ -63,7 +70,7 @@
         }
     }
 
-    /** One stall makes many timers late: only the time that was not told yet is. */
+    /** One stall makes many timers late; only time that was not reported yet is reported. */
     private void notifyListener(long due, long now) {
         long from = due - notifiedUntil > 0 ? due : notifiedUntil;
         if (listener == null || now - from <= LATE_THRESHOLD_NANOS) {
@@ -84,7 +91,7 @@
         return new LateSpan(fromMs, untilMs, split.ranMs(), split.waitedMs(), split.blockedMs());
     }
 
-    /** A task that began then has ended now. */
+    /** Called when a task has ended. */
     void taskEnded(Runnable task, long began, long now) {
         if (now - began > LATE_THRESHOLD_NANOS && now - taskWarnedAt > WARNING_INTERVAL_NANOS) {
             taskWarnedAt = now;
@@ -96,7 +103,7 @@
         usage.taskEnded(began, now);
     }
 
-    /** The class that the task's code stands in: the part before the mark of a lambda's class. */
+    /** The class that contains the task's code; the suffix of a lambda's class is cut off. */
     private static String taskName(Runnable task) {
         String name = task.getClass().getName();
         int lambda = name.indexOf("$$");
@@ -112,14 +119,14 @@
         return line;
     }
 
-    /** The most that a timer was late by, in milliseconds, since this was last called. */
+    /** The largest lateness of a timer since the previous call, in milliseconds. */
     double takeMaxTimerLatenessMs() {
         double latest = maxTimerLatenessMs;
         maxTimerLatenessMs = 0;
         return latest;
     }
 
-    /** The thread is read no more; from any thread. */
+    /** Ends the readings. Called from any thread. */
     void close() {
         usage.close();
     }
--- a/src/main/java/gingerspool/wire/LoopReadings.java
+++ b/src/main/java/gingerspool/wire/LoopReadings.java
@@ -4,19 +4,20 @@
 import java.util.Optional;
 
 /**
- * What the system tells of a loop's thread and of the machine. Called on that thread; no call
- * throws.
+ * Readings that the operating system provides about a loop's thread and the machine. Called on that
+ * thread, except {@link #close}, which may be called from any thread; no call throws.
  */
 interface LoopReadings extends Closeable {
-    /** That of the calling thread since it began; empty where the system does not tell. */
+    /** The use of the calling thread since it began; empty if the system does not provide it. */
     Optional<ProcessorUse> processorUse();
 
-    /** Those of the calling thread since it began. */
+    /** The stalls of the calling thread since it began. */
     ThreadStalls threadStalls();
 
+    /** The pressure on the whole machine since it began. */
     MachinePressure machinePressure();
 
-    /** Nothing is told from here on. */
+    /** Ends the readings: later ones are empty or unknown. */
     @Override
     void close();
 }
--- a/src/main/java/gingerspool/wire/LoopTimer.java
+++ b/src/main/java/gingerspool/wire/LoopTimer.java
@@ -4,15 +4,15 @@
 import java.util.concurrent.Future;
 
 /**
- * The handle of a timer that may have to wait after it has fired: one that is cancelled before its
- * task runs never runs it.
+ * The handle of a timer whose task may be held back after the timer has fired. If it is cancelled
+ * before its task runs, the task never runs.
  *
  * <p>Thread: the event loop.
  */
 final class LoopTimer extends CompletableFuture<Void> {
     private Future<?> pending;
 
-    /** What fires it. */
+    /** Sets the scheduled future that fires this timer; it is cancelled with the timer. */
     void firedBy(Future<?> scheduled) {
         pending = scheduled;
     }
--- a/src/main/java/gingerspool/wire/LoopUsage.java
+++ b/src/main/java/gingerspool/wire/LoopUsage.java
@@ -5,50 +5,55 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * How a loop's thread spent its time, by readings that are taken as its tasks end. They wake nobody
- * up: a loop without tasks takes none, and needs none, since its thread neither runs nor waits for
- * a processor meanwhile. So a span begins at the reading before it however old that is, and shows
- * little work that is not its own. Instants are those of System.nanoTime.
+ * Measures how a loop's thread spends its time, from system readings taken when its tasks end. No
+ * timer is needed for them: a loop without tasks takes no readings, since its thread neither runs
+ * nor waits for a processor meanwhile. A span is therefore measured from the last reading before
+ * it, however old that is, and contains little work from before the span.
+ *
+ * <p>Called by {@link LatenessMonitor} on the loop's thread, except {@link #close}. Instants are
+ * those of System.nanoTime.
  */
 final class LoopUsage {
-    /** The processor use is read when a task ends and the last reading is so old, */
+    /** The processor use is read at the end of a task if the last reading is this old ... */
     static final long READING_INTERVAL_NANOS = 100_000_000;
 
-    /** or when tasks have taken so long since. */
+    /** ... or if tasks have taken this long in total since then. */
     static final long READING_WORK_NANOS = 20_000_000;
 
-    /** The same for the thread's stalls and the machine, which cost more to read. */
+    /** Interval of readings of the thread's stalls and of the machine, which cost more. */
     static final long ENVIRONMENT_INTERVAL_NANOS = 1_000_000_000;
 
-    /** Unless the start-up is said to have ended, it has after this time. */
+    /** The start-up counts as ended after this time at the latest. */
     static final long MAX_START_UP_NANOS = 10_000_000_000L;
 
-    /** So many readings reach back 5 s; longer spans in which tasks ended are cut to that. */
+    /**
+     * Under full load these readings cover 5 s; a longer span in which tasks ended is cut to that.
+     */
     private static final int MAX_USE_READINGS = 250;
 
     private static final int MAX_ENVIRONMENT_READINGS = 6;
 
     private static final double NANOS_PER_MS = 1e6;
 
-    /** What may hold a thread up beside its own work. */
+    /** What may delay a thread apart from its own work. */
     private record Environment(ThreadStalls thread, MachinePressure machine) {}
 
     private final LoopReadings source;
     private final ReadingHistory<ProcessorUse> useHistory;
     private final ReadingHistory<Environment> environmentHistory;
 
-    /** Before this nothing is read, unless a line asks for it. */
+    /** Before this instant, readings are taken only for a late span or a log line. */
     private long readingsFrom;
 
-    /** When the processor use was last asked for, whether or not the system told it. */
+    /** When the processor use was last queried, whether or not the system provided it. */
     private long useReadAt;
 
     private long workSinceReadingNanos;
 
-    /** The same for the surroundings; the end of the start-up puts their first reading off. */
+    /** When the environment was last read; the end of the start-up postpones the first reading. */
     private long environmentReadAt;
 
-    /** Of a thread that began at this instant. */
+    /** Measures a thread that began at this instant. */
     LoopUsage(LoopReadings source, long beganAt) {
         this.source = source;
         useReadAt = beganAt;
@@ -62,7 +67,7 @@
                         new Environment(ThreadStalls.NONE, MachinePressure.UNKNOWN));
     }
 
-    /** The start-up has ended: from here on readings are taken. */
+    /** Ends the start-up: from here on readings are taken regularly. */
     void startUpEnded(long now) {
         if (isStarting(now)) {
             readingsFrom = now;
@@ -74,7 +79,7 @@
         return now - readingsFrom < 0;
     }
 
-    /** A task that began then has ended now: reads what is due, one thing at a time. */
+    /** Called when a task has ended; takes at most one of the readings that are due. */
     void taskEnded(long began, long now) {
         workSinceReadingNanos += now - began;
         if (isStarting(now)) {
@@ -88,7 +93,7 @@
         }
     }
 
-    /** How the thread spent a span that ends now; empty where the system does not tell. */
+    /** How the thread spent a span that ends now; empty if the system does not provide it. */
     Optional<TimeSplit> split(long from, long now) {
         Reading<ProcessorUse> earlier = useHistory.latestUntil(from);
         readUse(now);
@@ -102,7 +107,10 @@
                 : Optional.empty();
     }
 
-    /** Reads once for an instant: later the figures would hold what was done about it. */
+    /**
+     * Reads the processor use, once per instant: a second reading for the same instant would
+     * include the work of reporting it.
+     */
     private void readUse(long now) {
         if (useReadAt == now) {
             return;
@@ -115,7 +123,7 @@
         }
     }
 
-    /** Adds to a line what is known of a span that ends now. */
+    /** Adds to a log line what is known about a span that ends now. */
     void describe(LoggingEventBuilder line, long from, long now) {
         Optional<TimeSplit> split = split(from, now);
         if (split.isPresent()) {
@@ -137,7 +145,7 @@
         return current;
     }
 
-    /** Nothing is read from here on; from any thread. */
+    /** Ends the readings. Called from any thread. */
     void close() {
         source.close();
     }
--- a/src/main/java/gingerspool/wire/MachinePressure.java
+++ b/src/main/java/gingerspool/wire/MachinePressure.java
@@ -3,13 +3,13 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * What has held up the machine as a whole, in milliseconds since it began. A figure that the system
- * does not tell is NaN.
+ * How long tasks of the whole machine were delayed, in milliseconds since it began or since an
+ * earlier reading. A figure that the system does not provide is NaN.
  *
- * @param stealMs time that the host did not give, of all processors together
- * @param processorMs time in which some task of the machine waited for a processor
- * @param diskMs the same for the disk
- * @param memoryMs the same for memory
+ * @param stealMs processor time that the host did not grant, summed over all processors
+ * @param processorMs time in which at least one task waited for a processor
+ * @param diskMs time in which at least one task waited for the disk
+ * @param memoryMs time in which at least one task waited for memory
  */
 record MachinePressure(double stealMs, double processorMs, double diskMs, double memoryMs) {
     static final MachinePressure UNKNOWN =
@@ -18,14 +18,14 @@
     private static final String ALL_PROCESSORS = "cpu  ";
     private static final String SOME = "some ";
 
-    /** Place of the field in the first line of stat, after the name. */
+    /** Index of the field in the first line of /proc/stat, after the name. */
     private static final int STEAL_TICKS = 7;
 
     private static final double MS_PER_TICK = 10;
     private static final String TOTAL = " total=";
     private static final double MICROS_PER_MS = 1e3;
 
-    /** Reads the machine's stat and the three files of pressure; an empty text is not known. */
+    /** Parses /proc/stat and the three files of /proc/pressure; an empty text gives NaN. */
     static MachinePressure parse(String stat, String processor, String disk, String memory) {
         return new MachinePressure(
                 steal(stat), pressure(processor), pressure(disk), pressure(memory));
@@ -37,7 +37,7 @@
                 : Double.NaN;
     }
 
-    /** Reads "some avg10=... total=MICROSECONDS" and not the line after it. */
+    /** Parses "some avg10=... total=MICROSECONDS"; the "full" line after it is not read. */
     private static double pressure(String text) {
         int total = text.indexOf(TOTAL);
         return text.startsWith(SOME) && total >= 0
@@ -45,7 +45,7 @@
                 : Double.NaN;
     }
 
-    /** What came on top of an earlier reading. */
+    /** The increase since an earlier reading. */
     MachinePressure since(MachinePressure earlier) {
         return new MachinePressure(
                 stealMs - earlier.stealMs,
@@ -54,7 +54,7 @@
                 memoryMs - earlier.memoryMs);
     }
 
-    /** Adds what is known. */
+    /** Adds the known figures to a log line. */
     void describe(LoggingEventBuilder line) {
         KernelFigures.add(line, "steal_ms", stealMs);
         KernelFigures.add(line, "cpu_pressure_ms", processorMs);
--- a/src/main/java/gingerspool/wire/QuietSpan.java
+++ b/src/main/java/gingerspool/wire/QuietSpan.java
@@ -1,10 +1,10 @@
 package gingerspool.wire;
 
 /**
- * A time between two events that the runtime noticed one after the other, or since the last one:
- * nothing came in it, or nobody looked.
+ * A period in which the runtime noticed no event: either none arrived, or the runtime did not get
+ * to poll. Times are in milliseconds on the loop's clock.
  *
- * @param from when the event before it was noticed
- * @param until when the event after it was noticed, or now where there is none yet
+ * @param from when the last event before the period was noticed
+ * @param until when the first event after the period was noticed, or now if there is none yet
  */
 record QuietSpan(double from, double until) {}
--- a/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
+++ b/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
@@ -11,9 +11,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The event loop of a process: one thread on which completion handlers and timers end. It owns
- * whatever state its tasks touch; a task that is handed over on the thread runs after the one going
- * on, never inside it.
+ * The event loop of a process: one thread on which completion handlers and timers run. It owns the
+ * state that its tasks touch; a task submitted on the thread runs after the current one, never
+ * inside it.
+ *
+ * <p>Threads: {@link #submit}, {@link #setLatenessListener} and {@link #now} from any thread;
+ * {@link #execute}, {@link #schedule} and {@link #earliest} on the loop's thread only.
  */
 public final class SingleThreadEventLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(SingleThreadEventLoop.class);
@@ -26,14 +29,14 @@
     private final StallTracker stallTracker = new StallTracker();
     private final TimerGate timerGate = new TimerGate(new GateLoop(), stallTracker);
 
-    /** Tasks that wait for the one going on. */
+    /** Tasks to run after the current one. */
     private final ArrayDeque<Runnable> queuedTasks = new ArrayDeque<>();
 
     private final double startedAt = System.currentTimeMillis();
     private final long startedAtNanos = System.nanoTime();
     private boolean isRunningTasks;
 
-    /** Null before the first task; replaced where an error ended it. */
+    /** Null before the first task; replaced by a new thread if an error ended the old one. */
     private volatile Thread loopThread;
 
     private final LatenessMonitor latenessMonitor =
@@ -81,7 +84,7 @@
         }
     }
 
-    /** Guards the loop: whatever breaks, the other tasks go on. */
+    /** Runs a task; a failure is logged and does not affect the other tasks. */
     private static void run(Runnable task) {
         try {
             task.run();
@@ -90,7 +93,7 @@
         }
     }
 
-    /** Runs a task on the loop; from any thread. After stop() it is dropped. */
+    /** Runs a task on the loop. Called from any thread; after stop() the task is dropped. */
     public void submit(Runnable task) {
         executor.execute(() -> execute(task));
     }
@@ -113,7 +116,7 @@
         timerGate.fired(timer, toUnixMs(dueNanos), task);
     }
 
-    /** What the gate of the timers needs of this loop. */
+    /** The services that the timer gate needs from this loop. */
     private final class GateLoop implements TimerGate.Loop {
         @Override
         public double now() {
@@ -140,20 +143,20 @@
     }
 
     /**
-     * The program has started: lines on lateness tell of the late time alone from here on, which
-     * takes some readings of the system. Without this call they begin after 10 s, or with a
-     * listener. Only on the loop.
+     * Called on the loop's thread when the program has started. From here on system readings are
+     * taken regularly, so that log lines on lateness cover the late time only. Without this call
+     * the readings begin after 10 s, or once a listener is set.
      */
     public void startUpEnded() {
         latenessMonitor.startUpEnded(System.nanoTime());
     }
 
-    /** Tells a listener of each late span from here on; from any thread. */
+    /** Notifies a listener of each late span from here on. Called from any thread. */
     public void setLatenessListener(LatenessListener listener) {
         latenessMonitor.setListener(listener);
     }
 
-    /** The most that a timer was late by, in milliseconds, since this was last called. */
+    /** The largest lateness of a timer since the previous call, in milliseconds. */
     public double takeLatestTimerMs() {
         return latenessMonitor.takeMaxTimerLatenessMs();
     }
@@ -185,8 +188,8 @@
     }
 
     /**
-     * The earliest time at which something may have come that another thread, which waited for
-     * nothing else, noticed at this time; only for callers on the loop's thread.
+     * The earliest time at which something, such as a signal, may have arrived that a dedicated
+     * waiting thread noticed at the given time. Called on the loop's thread only.
      */
     public double earliest(double noticedAt) {
         return stallTracker.earliest(noticedAt);
@@ -197,7 +200,7 @@
         return group;
     }
 
-    /** Ends the thread and closes all channels of the group. */
+    /** Stops the thread and closes all channels of the group. */
     public void stop() {
         try {
             group.shutdownNow();
--- a/src/main/java/gingerspool/wire/StallTracker.java
+++ b/src/main/java/gingerspool/wire/StallTracker.java
@@ -1,53 +1,58 @@
 package gingerspool.wire;
 
 /**
- * Knows from the loop's timers when the whole process stood still, stopped or without a processor.
- * What came meanwhile is noticed only after that: it may have come at any time of the stall, and
- * timers that came due meanwhile must not run before it is looked at.
+ * Detects from the loop's timers when the whole process stalled, because it was stopped or got no
+ * processor. Events that arrive during a stall are noticed only after it: they may have arrived at
+ * any time during the stall, and timers that came due meanwhile must not run before these events
+ * are handled.
  *
- * <p>A stall is seen by a timer that fires late while no event was noticed around the time at which
- * it was due; where events were, the loop alone was held up. It began no earlier than the last
- * timer before it, so it is known as closely as timers follow each other. Stalls between which
- * nothing was noticed count as one.
+ * <p>A stall is detected when a timer fires late and no event was noticed around the time at which
+ * it was due; if events were noticed, only the loop was delayed. The stall began no earlier than
+ * the last timer before it fired, so the interval between timers bounds the accuracy of its start.
+ * Stalls between which no event was noticed count as one.
  *
- * <p>Thread: the event loop. Times are milliseconds on any one clock.
+ * <p>Thread: the event loop. Times are in milliseconds, all on the same clock.
  */
 final class StallTracker {
-    /** A timer that fires later than this was held up. */
+    /** A timer that fires later than this was delayed by a stall or a slow task. */
     static final double LATE_THRESHOLD_MS = 50;
 
-    /** After a stall all that came meanwhile has been noticed within this. */
+    /** All events that arrived during a stall have been noticed this long after it. */
     static final double CATCH_UP_MS = 50;
 
-    /** After a stall the runtime gets so long to look at the sockets before any timer runs. */
+    /** After a stall timers are held this long, so that the runtime polls the sockets first. */
     static final double TIMER_HOLD_MS = 20;
 
     private double lastTimerAt = Double.NEGATIVE_INFINITY;
 
-    /** When the loop was last seen to be late, whatever held it up. */
+    /** When the loop was last found late, for whatever reason. */
     private double lastLateAt = Double.NEGATIVE_INFINITY;
 
     private double stallStart = Double.NaN;
     private double stallEnd = Double.NEGATIVE_INFINITY;
 
-    /** When the first event after the stall was noticed, as far as known at its end. */
+    /** When the first event after the stall was noticed, as known at the end of the stall. */
     private double quietUntil = Double.NEGATIVE_INFINITY;
 
-    /** When the last one of the stalls that count as one began. */
+    /** When the last of the stalls that count as one began. */
     private double lastStallStart = Double.NaN;
 
-    /** Until then timers wait for what came in a stall of the whole process. */
+    /** Timers are held until this time, so that events from the stall are handled first. */
     private double timersHeldUntil = Double.NEGATIVE_INFINITY;
 
     /**
-     * A timer that was due at one time fires at another. The span is the one of over LATE without
-     * an event in which it was due; null where events were noticed around that time. Returns for
-     * how long the timer is to wait.
+     * Called when a timer fires.
+     *
+     * @param due when the timer was due
+     * @param at when it fired
+     * @param quiet the period without an event, longer than {@link #LATE_THRESHOLD_MS}, in which
+     *     the timer was due; null if events were noticed around that time
+     * @return how long the timer is to be held
      */
     double timerFired(double due, double at, QuietSpan quiet) {
         if (at > due + LATE_THRESHOLD_MS) {
             lastLateAt = at;
-            // Others that were due in the same stall tell nothing new.
+            // Further timers that were due in the same stall add no information.
             if (quiet != null && due > stallEnd) {
                 recordStall(due, at, quiet);
             }
@@ -70,22 +75,25 @@
         return stallEnd > Double.NEGATIVE_INFINITY;
     }
 
-    /** Since when the loop has been on time; negative infinity where it always was. */
+    /** Since when the loop has been on time; negative infinity if it was never late. */
     double onTimeSince() {
         return lastLateAt;
     }
 
     /**
-     * The earliest time at which something may have come that a thread noticed at this time which
-     * waits for nothing else, as for a signal: in the last stall, since it ran before that.
+     * The earliest time at which something, such as a signal, may have arrived that a dedicated
+     * waiting thread noticed at this time. This reaches back to the last stall only: the thread ran
+     * before that stall and would have noticed it.
      */
     double earliest(double noticedAt) {
         return isAfterStall(noticedAt) ? Math.min(noticedAt, lastStallStart) : noticedAt;
     }
 
     /**
-     * The earliest time at which an event may have come that was noticed at this time, where others
-     * had been noticed before by another look at the sockets.
+     * The earliest time at which a socket event may have arrived.
+     *
+     * @param noticedAt when it was noticed
+     * @param lookedAt when an earlier poll of the sockets noticed other events, but not this one
      */
     double earliest(double noticedAt, double lookedAt) {
         return isAfterStall(noticedAt)
--- a/src/main/java/gingerspool/wire/TimerGate.java
+++ b/src/main/java/gingerspool/wire/TimerGate.java
@@ -3,26 +3,32 @@
 import java.util.ArrayDeque;
 
 /**
- * Through which the loop's timers go as they fire: after a stall of the whole process they wait, in
- * their order, until what came meanwhile has been looked at.
+ * Holds back the loop's fired timers after a stall of the whole process, in their order, until the
+ * events that arrived during the stall have been handled.
  *
- * <p>Thread: the event loop. Times are milliseconds on its clock.
+ * <p>Thread: the event loop. Times are in milliseconds on its clock.
  */
 final class TimerGate {
-    /** Timers wait for so many stalls in a row; a process that is always late still runs them. */
+    /**
+     * Timers are held for at most this many stalls in a row, so that a process that is always late
+     * still runs them.
+     */
     private static final int MAX_CONSECUTIVE_HOLDS = 3;
 
-    /** The loop behind it. */
+    /** The services that the gate needs from the loop. */
     interface Loop {
         double now();
 
-        /** The span of over {@link StallTracker#LATE} without an event that this time lies in. */
+        /**
+         * The period without an event, longer than {@link StallTracker#LATE_THRESHOLD_MS}, that
+         * contains this time; null if there is none.
+         */
         QuietSpan quietAround(double time);
 
-        /** Runs this after so long. */
+        /** Runs a step after a delay, without passing the gate. */
         void after(double delay, Runnable step);
 
-        /** Runs a task as a turn of its own. */
+        /** Runs a task after the current one. */
         void execute(Runnable task);
     }
 
@@ -38,7 +44,7 @@
         this.stalls = stalls;
     }
 
-    /** A timer that was due then fires; its task runs now or after the others that wait. */
+    /** Called when a timer fires; runs its task now, or later if timers are held back. */
     void fired(LoopTimer timer, double due, Runnable task) {
         double wait = holdTime(due);
         if (wait == 0 && heldTimers.isEmpty()) {
@@ -62,7 +68,7 @@
         loop.after(wait, () -> release(due));
     }
 
-    /** Unless the process stood still once more. */
+    /** Runs the held timers, unless the process has stalled again. */
     private void release(double due) {
         double wait = holdTime(due);
         if (wait > 0 && ++consecutiveHolds < MAX_CONSECUTIVE_HOLDS) {
