--- a/src/main/java/gingerspool/wire/KernelFigures.java
+++ b/src/main/java/gingerspool/wire/KernelFigures.java
@@ -45,7 +45,7 @@
     }
 
     /** Adds a figure to a log line, rounded, if it is known. */
-    static void add(LoggingEventBuilder line, String key, double figure) {
+    static void addIfKnown(LoggingEventBuilder line, String key, double figure) {
         if (!Double.isNaN(figure)) {
             line.addKeyValue(key, Math.round(figure));
         }
--- a/src/main/java/gingerspool/wire/KernelReadings.java
+++ b/src/main/java/gingerspool/wire/KernelReadings.java
@@ -9,7 +9,7 @@
 final class KernelReadings implements LoopReadings {
     private final KernelFile processorUse = new KernelFile("/proc/thread-self/schedstat");
     private final KernelFile threadStalls = new KernelFile("/proc/thread-self/stat");
-    private final KernelFile machine = new KernelFile("/proc/stat");
+    private final KernelFile machineStat = new KernelFile("/proc/stat");
     private final KernelFile processorPressure = new KernelFile("/proc/pressure/cpu");
     private final KernelFile diskPressure = new KernelFile("/proc/pressure/io");
     private final KernelFile memoryPressure = new KernelFile("/proc/pressure/memory");
@@ -28,7 +28,7 @@
     @Override
     public MachinePressure machinePressure() {
         return MachinePressure.parse(
-                machine.read(),
+                machineStat.read(),
                 processorPressure.read(),
                 diskPressure.read(),
                 memoryPressure.read());
@@ -38,7 +38,7 @@
     public void close() {
         processorUse.close();
         threadStalls.close();
-        machine.close();
+        machineStat.close();
         processorPressure.close();
         diskPressure.close();
         memoryPressure.close();
--- a/src/main/java/gingerspool/wire/LatenessListener.java
+++ b/src/main/java/gingerspool/wire/LatenessListener.java
@@ -4,5 +4,5 @@
 @FunctionalInterface
 public interface LatenessListener {
     /** Called on the loop's thread before the late timer runs; spans do not overlap. */
-    void late(LateSpan span);
+    void onLateSpan(LateSpan span);
 }
--- a/src/main/java/gingerspool/wire/LatenessMonitor.java
+++ b/src/main/java/gingerspool/wire/LatenessMonitor.java
@@ -78,7 +78,7 @@
         }
         notifiedUntil = now;
         try {
-            listener.late(span(from, now));
+            listener.onLateSpan(span(from, now));
         } catch (RuntimeException e) {
             log.atError().setCause(e).log("loop.task_failed");
         }
--- a/src/main/java/gingerspool/wire/MachinePressure.java
+++ b/src/main/java/gingerspool/wire/MachinePressure.java
@@ -15,14 +15,14 @@
     static final MachinePressure UNKNOWN =
             new MachinePressure(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
-    private static final String ALL_PROCESSORS = "cpu  ";
-    private static final String SOME = "some ";
+    private static final String ALL_PROCESSORS_PREFIX = "cpu  ";
+    private static final String SOME_PREFIX = "some ";
 
     /** Index of the field in the first line of /proc/stat, after the name. */
-    private static final int STEAL_TICKS = 7;
+    private static final int STEAL_TICKS_FIELD = 7;
 
     private static final double MS_PER_TICK = 10;
-    private static final String TOTAL = " total=";
+    private static final String TOTAL_KEY = " total=";
     private static final double MICROS_PER_MS = 1e3;
 
     /** Parses /proc/stat and the three files of /proc/pressure; an empty text gives NaN. */
@@ -32,16 +32,17 @@
     }
 
     private static double steal(String stat) {
-        return stat.startsWith(ALL_PROCESSORS)
-                ? KernelFigures.field(stat, ALL_PROCESSORS.length(), STEAL_TICKS) * MS_PER_TICK
+        return stat.startsWith(ALL_PROCESSORS_PREFIX)
+                ? KernelFigures.field(stat, ALL_PROCESSORS_PREFIX.length(), STEAL_TICKS_FIELD)
+                        * MS_PER_TICK
                 : Double.NaN;
     }
 
     /** Parses "some avg10=... total=MICROSECONDS"; the "full" line after it is not read. */
     private static double pressure(String text) {
-        int total = text.indexOf(TOTAL);
-        return text.startsWith(SOME) && total >= 0
-                ? KernelFigures.numberAt(text, total + TOTAL.length()) / MICROS_PER_MS
+        int total = text.indexOf(TOTAL_KEY);
+        return text.startsWith(SOME_PREFIX) && total >= 0
+                ? KernelFigures.numberAt(text, total + TOTAL_KEY.length()) / MICROS_PER_MS
                 : Double.NaN;
     }
 
@@ -56,9 +57,9 @@
 
     /** Adds the known figures to a log line. */
     void describe(LoggingEventBuilder line) {
-        KernelFigures.add(line, "steal_ms", stealMs);
-        KernelFigures.add(line, "cpu_pressure_ms", processorMs);
-        KernelFigures.add(line, "disk_pressure_ms", diskMs);
-        KernelFigures.add(line, "memory_pressure_ms", memoryMs);
+        KernelFigures.addIfKnown(line, "steal_ms", stealMs);
+        KernelFigures.addIfKnown(line, "cpu_pressure_ms", processorMs);
+        KernelFigures.addIfKnown(line, "disk_pressure_ms", diskMs);
+        KernelFigures.addIfKnown(line, "memory_pressure_ms", memoryMs);
     }
 }
--- a/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
+++ b/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
@@ -27,7 +27,7 @@
     private final EventExecutor eventExecutor;
     private final AsynchronousChannelGroup group;
     private final StallTracker stallTracker = new StallTracker();
-    private final TimerGate timerGate = new TimerGate(new GateLoop(), stallTracker);
+    private final TimerGate timerGate = new TimerGate(new TimerGateLoop(), stallTracker);
 
     /** Tasks to run after the current one. */
     private final ArrayDeque<Runnable> queuedTasks = new ArrayDeque<>();
@@ -117,7 +117,7 @@
     }
 
     /** The services that the timer gate needs from this loop. */
-    private final class GateLoop implements TimerGate.Loop {
+    private final class TimerGateLoop implements TimerGate.Loop {
         @Override
         public double now() {
             return SingleThreadEventLoop.this.now();
--- a/src/main/java/gingerspool/wire/StallTracker.java
+++ b/src/main/java/gingerspool/wire/StallTracker.java
@@ -44,31 +44,31 @@
      * Called when a timer fires.
      *
      * @param due when the timer was due
-     * @param at when it fired
+     * @param firedAt when it fired
      * @param quiet the period without an event, longer than {@link #LATE_THRESHOLD_MS}, in which
      *     the timer was due; null if events were noticed around that time
      * @return how long the timer is to be held
      */
-    double timerFired(double due, double at, QuietSpan quiet) {
-        if (at > due + LATE_THRESHOLD_MS) {
-            lastLateAt = at;
+    double timerFired(double due, double firedAt, QuietSpan quiet) {
+        if (firedAt > due + LATE_THRESHOLD_MS) {
+            lastLateAt = firedAt;
             // Further timers that were due in the same stall add no information.
             if (quiet != null && due > stallEnd) {
-                recordStall(due, at, quiet);
+                recordStall(due, firedAt, quiet);
             }
         }
-        lastTimerAt = at;
-        return Math.max(0, timersHeldUntil - at);
+        lastTimerAt = firedAt;
+        return Math.max(0, timersHeldUntil - firedAt);
     }
 
-    private void recordStall(double due, double at, QuietSpan quiet) {
+    private void recordStall(double due, double firedAt, QuietSpan quiet) {
         boolean continuesPrevious =
                 hasStalled() && lastTimerAt <= stallEnd + CATCH_UP_MS && quiet.from() < quietUntil;
         lastStallStart = Math.min(due, Math.max(lastTimerAt, due - LATE_THRESHOLD_MS));
         stallStart = continuesPrevious ? stallStart : lastStallStart;
-        stallEnd = at;
+        stallEnd = firedAt;
         quietUntil = quiet.until();
-        timersHeldUntil = at + TIMER_HOLD_MS;
+        timersHeldUntil = firedAt + TIMER_HOLD_MS;
     }
 
     private boolean hasStalled() {
--- a/src/main/java/gingerspool/wire/ThreadStalls.java
+++ b/src/main/java/gingerspool/wire/ThreadStalls.java
@@ -19,9 +19,9 @@
     private static final String END_OF_NAME = ") ";
 
     /** Indexes of fields, counted after the thread's name, since the name may contain blanks. */
-    private static final int MAJOR_FAULTS = 9;
+    private static final int MAJOR_FAULTS_FIELD = 9;
 
-    private static final int DISK_WAIT_TICKS = 39;
+    private static final int DISK_WAIT_TICKS_FIELD = 39;
 
     private static final double MS_PER_TICK = 10;
 
@@ -33,8 +33,8 @@
         }
         int start = endOfName + END_OF_NAME.length();
         return new ThreadStalls(
-                KernelFigures.field(line, start, MAJOR_FAULTS),
-                KernelFigures.field(line, start, DISK_WAIT_TICKS) * MS_PER_TICK);
+                KernelFigures.field(line, start, MAJOR_FAULTS_FIELD),
+                KernelFigures.field(line, start, DISK_WAIT_TICKS_FIELD) * MS_PER_TICK);
     }
 
     /** The increase since an earlier reading of the same thread. */
@@ -44,9 +44,9 @@
 
     /** Adds the known figures to a log line; no disk_wait_ms of 0, since it may not be counted. */
     void describe(LoggingEventBuilder line) {
-        KernelFigures.add(line, "major_faults", majorFaults);
+        KernelFigures.addIfKnown(line, "major_faults", majorFaults);
         if (diskWaitMs > 0) {
-            KernelFigures.add(line, "disk_wait_ms", diskWaitMs);
+            KernelFigures.addIfKnown(line, "disk_wait_ms", diskWaitMs);
         }
     }
 }
--- a/src/main/java/gingerspool/wire/TimerGate.java
+++ b/src/main/java/gingerspool/wire/TimerGate.java
@@ -35,13 +35,13 @@
     private record HeldTimer(LoopTimer timer, Runnable task) {}
 
     private final Loop loop;
-    private final StallTracker stalls;
+    private final StallTracker stallTracker;
     private final ArrayDeque<HeldTimer> heldTimers = new ArrayDeque<>();
     private int consecutiveHolds;
 
     TimerGate(Loop loop, StallTracker stalls) {
         this.loop = loop;
-        this.stalls = stalls;
+        this.stallTracker = stalls;
     }
 
     /** Called when a timer fires; runs its task now, or later if timers are held back. */
@@ -60,7 +60,7 @@
     private double holdTime(double due) {
         double now = loop.now();
         QuietSpan quiet = now > due + StallTracker.LATE_THRESHOLD_MS ? loop.quietAround(due) : null;
-        return stalls.timerFired(due, now, quiet);
+        return stallTracker.timerFired(due, now, quiet);
     }
 
     private void releaseAfter(double wait) {
--- a/src/test/java/gingerspool/wire/EventExecutorTest.java
+++ b/src/test/java/gingerspool/wire/EventExecutorTest.java
@@ -8,16 +8,16 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** An event that a look at the sockets did not show came after that look. */
+/** An event that a poll of the sockets did not return arrived after that poll. */
 public class EventExecutorTest {
-    private static final long MS = 1_000_000;
-    private static final long LOAD_NANOS = 400 * MS;
-    private static final long BETWEEN_NANOS = MS;
-    private static final long ANSWER_S = 20;
+    private static final long NANOS_PER_MS = 1_000_000;
+    private static final long LOAD_NANOS = 400 * NANOS_PER_MS;
+    private static final long EVENT_INTERVAL_NANOS = NANOS_PER_MS;
+    private static final long RESULT_TIMEOUT_S = 20;
 
     /**
-     * Under load events follow each other within milliseconds for as long as it lasts; the last
-     * look at the sockets is not as old as the load is.
+     * Under load, events follow each other within milliseconds. They must not all count as one
+     * poll: the previous poll would then date from before the load.
      */
     @Test
     public void closelySpacedEventsAreSplitIntoPolls() throws Exception {
@@ -27,13 +27,15 @@
             long end = System.nanoTime() + LOAD_NANOS;
             while (System.nanoTime() < end) {
                 events.execute(() -> {});
-                spin(BETWEEN_NANOS);
+                spin(EVENT_INTERVAL_NANOS);
             }
             CompletableFuture<EventExecutor.Notice> last = new CompletableFuture<>();
             events.execute(() -> last.complete(events.currentNotice()));
-            EventExecutor.Notice notice = last.get(ANSWER_S, TimeUnit.SECONDS);
-            long age = (notice.noticedAt() - notice.lookedAt()) / MS;
-            assertTrue(age < LOAD_NANOS / MS / 2, "the last look was " + age + " ms before");
+            EventExecutor.Notice notice = last.get(RESULT_TIMEOUT_S, TimeUnit.SECONDS);
+            long age = (notice.noticedAt() - notice.lookedAt()) / NANOS_PER_MS;
+            assertTrue(
+                    age < LOAD_NANOS / NANOS_PER_MS / 2,
+                    "the previous poll was " + age + " ms before");
         } finally {
             loop.shutdownNow();
         }
--- a/src/test/java/gingerspool/wire/KernelFileTest.java
+++ b/src/test/java/gingerspool/wire/KernelFileTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A file of the kernel is read anew each time; one that is missing costs a single attempt. */
+/** A kernel file is read again each time; a missing file is tried only once. */
 public class KernelFileTest {
     private static final int MAX_BYTES = 1024;
 
@@ -57,8 +57,8 @@
 
     @Test
     public void unreadablePathReturnsEmptyText() {
-        try (KernelFile folder = new KernelFile("target")) {
-            assertEquals(folder.read(), "");
+        try (KernelFile directory = new KernelFile("target")) {
+            assertEquals(directory.read(), "");
         }
     }
 
--- a/src/test/java/gingerspool/wire/KernelReadingsTest.java
+++ b/src/test/java/gingerspool/wire/KernelReadingsTest.java
@@ -6,11 +6,11 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** What this system tells of a thread fits what the thread does. */
+/** The readings that this system provides are consistent with what the thread does. */
 public class KernelReadingsTest {
     private static final long SPIN_NANOS = 20_000_000;
 
-    /** A thread that works is seen to have run, where the system tells. */
+    /** A busy thread has run or waited, if the system provides the figures. */
     @Test
     public void busyThreadHasProcessorUse() {
         try (KernelReadings readings = new KernelReadings()) {
@@ -29,7 +29,7 @@
         }
     }
 
-    /** No figure ever falls, so that a difference of two readings is never negative. */
+    /** No figure ever decreases, so the difference of two readings is never negative. */
     @Test
     public void figuresNeverDecrease() {
         try (KernelReadings readings = new KernelReadings()) {
--- a/src/test/java/gingerspool/wire/LatenessMonitorTest.java
+++ b/src/test/java/gingerspool/wire/LatenessMonitorTest.java
@@ -11,11 +11,14 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A line on a late loop tells the cause of that lateness alone, by modelled time and readings. */
+/**
+ * A log line on a late loop covers the cause of that lateness only. Time and readings are
+ * simulated.
+ */
 public class LatenessMonitorTest {
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** The start-up takes so long here, and the first readings then so long. */
+    /** The duration of the simulated start-up, and the time from then to the first readings. */
     private static final long START_UP_MS = 2_000;
 
     private static final long FIRST_READINGS_MS = 1_000;
@@ -50,28 +53,28 @@
         return LOOP_STARTED_AT + ms * NANOS_PER_MS;
     }
 
-    /** Time in which the thread does nothing, or cannot. */
-    private void pass(long ms) {
+    /** Lets time pass in which the thread neither runs nor waits for a processor. */
+    private void passTime(long ms) {
         nowMs += ms;
     }
 
-    private void runs(long ms) {
+    private void runFor(long ms) {
         system.ranMs += ms;
         nowMs += ms;
     }
 
-    private void waits(long ms) {
+    private void waitForProcessor(long ms) {
         system.waitedMs += ms;
         nowMs += ms;
     }
 
-    private void task(Runnable what) {
+    private void runTask(Runnable body) {
         long began = nowMs;
-        what.run();
+        body.run();
         monitor.taskEnded(TASK, nanos(began), nanos(nowMs));
     }
 
-    private void timer(long dueMs) {
+    private void fireTimer(long dueMs) {
         monitor.timerFired(nanos(dueMs), nanos(nowMs));
     }
 
@@ -81,25 +84,25 @@
     }
 
     private void finishStartUp() {
-        pass(START_UP_MS);
+        passTime(START_UP_MS);
         monitor.startUpEnded(nanos(nowMs));
-        pass(FIRST_READINGS_MS);
-        task(() -> {});
-        task(() -> {});
+        passTime(FIRST_READINGS_MS);
+        runTask(() -> {});
+        runTask(() -> {});
     }
 
     @Test
     public void timerOnTimeIsNotLogged() {
         finishStartUp();
-        timer(nowMs - 50);
+        fireTimer(nowMs - 50);
         assertEquals(log.lines(), List.of());
     }
 
     @Test
     public void stoppedLoopIsReportedBlocked() {
         finishStartUp();
-        pass(300);
-        timer(nowMs - 200);
+        passTime(300);
+        fireTimer(nowMs - 200);
         Map<String, Object> line = onlyLine("loop.timer_late");
         assertEquals(line.get("ms"), 200L);
         assertEquals(line.get("within_ms"), 300L);
@@ -111,59 +114,59 @@
     @Test
     public void processorWaitIsNotReportedBlocked() {
         finishStartUp();
-        pass(10);
-        waits(180);
-        runs(20);
-        timer(nowMs - 200);
+        passTime(10);
+        waitForProcessor(180);
+        runFor(20);
+        fireTimer(nowMs - 200);
         Map<String, Object> line = onlyLine("loop.timer_late");
         assertEquals(line.get("waited_ms"), 180L);
         assertEquals(line.get("ran_ms"), 20L);
         assertEquals(line.get("blocked_ms"), 0L);
     }
 
-    /** What the thread did more than one reading before the late span is not in the line. */
+    /** Work from before the last reading that precedes the late span is not in the line. */
     @Test
     public void earlierSlowTasksAreExcluded() {
         finishStartUp();
-        task(() -> waits(49));
-        task(() -> waits(49));
-        task(() -> waits(49));
-        task(() -> runs(2));
-        pass(5_000);
-        runs(70);
-        timer(nowMs - 70);
+        runTask(() -> waitForProcessor(49));
+        runTask(() -> waitForProcessor(49));
+        runTask(() -> waitForProcessor(49));
+        runTask(() -> runFor(2));
+        passTime(5_000);
+        runFor(70);
+        fireTimer(nowMs - 70);
         Map<String, Object> line = onlyLine("loop.timer_late");
         assertEquals(line.get("waited_ms"), 0L);
         assertTrue((Long) line.get("ran_ms") <= 72, line + "");
         assertEquals(line.get("blocked_ms"), 0L);
     }
 
-    /** The same without a line on the wait: it is the readings that divide, not the lines. */
+    /** The same without an earlier log line: the readings delimit the span, not the log lines. */
     @Test
     public void earlierUnloggedWaitIsExcluded() {
         finishStartUp();
-        waits(1_500);
-        task(() -> runs(1));
-        pass(100);
-        timer(nowMs - 60);
+        waitForProcessor(1_500);
+        runTask(() -> runFor(1));
+        passTime(100);
+        fireTimer(nowMs - 60);
         Map<String, Object> line = onlyLine("loop.timer_late");
         assertEquals(line.get("waited_ms"), 0L);
         assertEquals(line.get("within_ms"), 100L);
         assertEquals(line.get("blocked_ms"), 60L);
     }
 
-    /** Tasks that end in the late span, with readings, do not shorten what the line covers. */
+    /** Readings at the end of tasks within the late span do not shorten what the line covers. */
     @Test
     public void readingsWithinSpanDoNotShortenIt() {
         finishStartUp();
-        pass(100);
-        task(() -> runs(1));
+        passTime(100);
+        runTask(() -> runFor(1));
         long due = nowMs;
         for (int i = 0; i < 20; i++) {
-            task(() -> runs(40));
+            runTask(() -> runFor(40));
         }
-        pass(200);
-        timer(due);
+        passTime(200);
+        fireTimer(due);
         Map<String, Object> line = onlyLine("loop.timer_late");
         assertEquals(line.get("ms"), 1_000L);
         assertEquals(line.get("within_ms"), 1_000L);
@@ -171,15 +174,15 @@
         assertEquals(line.get("blocked_ms"), 200L);
     }
 
-    /** Of a span longer than all readings that are kept no more is said than they cover. */
+    /** For a span longer than the kept readings, the line covers only the time of these. */
     @Test
     public void blockedTimeIsLimitedToCoveredTime() {
         finishStartUp();
         long due = nowMs;
         for (int i = 0; i < 400; i++) {
-            task(() -> runs(50));
+            runTask(() -> runFor(50));
         }
-        timer(due);
+        fireTimer(due);
         Map<String, Object> line = onlyLine("loop.timer_late");
         assertEquals(line.get("ms"), 20_000L);
         assertTrue((Long) line.get("within_ms") < 20_000, line + "");
@@ -194,8 +197,8 @@
         finishStartUp();
         system.majorFaults += 3;
         system.diskMs += 250;
-        pass(300);
-        timer(nowMs - 300);
+        passTime(300);
+        fireTimer(nowMs - 300);
         Map<String, Object> line = onlyLine("loop.timer_late");
         assertEquals(line.get("around_ms"), 300L);
         assertEquals(line.get("major_faults"), 3L);
@@ -208,14 +211,14 @@
     @Test
     public void lateTimersAreLoggedOncePerSecond() {
         finishStartUp();
-        pass(100);
-        timer(nowMs - 100);
-        timer(nowMs - 90);
-        pass(1_000);
-        timer(nowMs - 60);
+        passTime(100);
+        fireTimer(nowMs - 100);
+        fireTimer(nowMs - 90);
+        passTime(1_000);
+        fireTimer(nowMs - 60);
         assertEquals(log.lines("loop.timer_late").size(), 1);
-        pass(1);
-        timer(nowMs - 60);
+        passTime(1);
+        fireTimer(nowMs - 60);
         assertEquals(log.lines("loop.timer_late").size(), 2);
         assertEquals(monitor.takeMaxTimerLatenessMs(), 100.0);
         assertEquals(monitor.takeMaxTimerLatenessMs(), 0.0);
@@ -224,13 +227,13 @@
     @Test
     public void slowTaskIsLoggedWithTimeSplit() {
         finishStartUp();
-        task(() -> runs(50));
+        runTask(() -> runFor(50));
         assertEquals(log.lines(), List.of());
-        task(
+        runTask(
                 () -> {
-                    runs(10);
-                    waits(20);
-                    pass(30);
+                    runFor(10);
+                    waitForProcessor(20);
+                    passTime(30);
                 });
         Map<String, Object> line = onlyLine("loop.task_slow");
         assertEquals(line.get("ms"), 60L);
@@ -239,13 +242,13 @@
         assertEquals(line.get("waited_ms"), 20L);
         assertEquals(line.get("blocked_ms"), 30L);
         assertEquals(line.get("task"), "LatenessMonitorTest");
-        task(() -> pass(500));
+        runTask(() -> passTime(500));
         assertEquals(log.lines("loop.task_slow").size(), 1);
-        task(() -> pass(501));
+        runTask(() -> passTime(501));
         assertEquals(log.lines("loop.task_slow").size(), 2);
     }
 
-    /** A named class stands for itself. */
+    /** A task that is no lambda is logged with its class name. */
     @Test
     public void taskOfNamedClassIsLoggedByName() {
         class Sweep implements Runnable {
@@ -257,84 +260,84 @@
         assertEquals(onlyLine("loop.task_slow").get("task"), "LatenessMonitorTest$1Sweep");
     }
 
-    /** Tasks of one millisecond, so many in each ten. */
-    private void work(long ms, int tasks) {
+    /** Runs tasks of 1 ms for a time, {@code tasks} of them in each 10 ms. */
+    private void runShortTasks(long ms, int tasks) {
         for (long i = 0; i < ms; i++) {
             if (i % 10 < tasks) {
-                task(() -> runs(1));
+                runTask(() -> runFor(1));
             } else {
-                pass(1);
+                passTime(1);
             }
         }
     }
 
-    /** Readings cost system calls: none while a process starts, and few later. */
+    /** Readings cost system calls: there are none while a process starts, and few later. */
     @Test
     public void readingsAreRare() {
-        work(9_999, 10);
+        runShortTasks(9_999, 10);
         assertEquals(system.useReadings + system.stallReadings + system.machineReadings, 0);
-        work(1, 10);
+        runShortTasks(1, 10);
         assertEquals(system.useReadings, 1);
-        work(2_000, 1);
+        runShortTasks(2_000, 1);
         assertEquals(system.useReadings, 20);
         assertEquals(system.stallReadings, 2);
         assertEquals(system.machineReadings, 2);
     }
 
-    /** A loop that works all the time is read more often: what each task did is to be told. */
+    /** A busy loop is read more often, so that the use of each task can be reported. */
     @Test
     public void busyLoopIsReadMoreOften() {
         monitor.startUpEnded(nanos(nowMs));
-        work(2_000, 10);
+        runShortTasks(2_000, 10);
         assertEquals(system.useReadings, 100);
         assertEquals(system.stallReadings, 1);
         assertEquals(system.machineReadings, 1);
     }
 
-    /** The program says when it has started; the dearer readings begin a second after that. */
+    /** The program reports the end of its start-up; the costlier readings begin 1 s after that. */
     @Test
     public void readingsBeginAtEndOfStartUp() {
-        work(500, 10);
+        runShortTasks(500, 10);
         monitor.startUpEnded(nanos(nowMs));
-        work(1, 10);
+        runShortTasks(1, 10);
         assertEquals(system.useReadings, 1);
-        work(999, 1);
+        runShortTasks(999, 1);
         assertEquals(system.stallReadings + system.machineReadings, 0);
-        work(20, 1);
+        runShortTasks(20, 1);
         assertEquals(system.useReadings, 11);
         assertEquals(system.stallReadings, 1);
         assertEquals(system.machineReadings, 1);
     }
 
-    /** Who listens wants the late time alone from the first task on. */
+    /** With a listener, spans must be measured accurately from the first task on. */
     @Test
     public void readingsBeginWithListener() {
         monitor.setListener(lateSpans::add);
-        pass(300);
-        task(() -> runs(1));
+        passTime(300);
+        runTask(() -> runFor(1));
         assertEquals(system.useReadings, 1);
-        pass(100);
-        timer(nowMs - 60);
+        passTime(100);
+        fireTimer(nowMs - 60);
         assertEquals(onlyLine("loop.timer_late").get("within_ms"), 100L);
     }
 
-    /** A system that tells nothing is not asked more often than another. */
+    /** A system that provides no readings is not queried more often than others. */
     @Test
     public void systemWithoutReadingsIsNotPolledMoreOften() {
         system.isSilent = true;
         monitor.startUpEnded(nanos(nowMs));
-        work(2_000, 1);
+        runShortTasks(2_000, 1);
         assertEquals(system.useReadings, 19);
         assertEquals(system.machineReadings, 1);
     }
 
-    /** A line of the start-up counts from the thread's beginning, and leaves the machine out. */
+    /** A line during start-up counts from the thread's start and omits the machine's figures. */
     @Test
     public void startUpLineCountsFromThreadStart() {
         system.majorFaults = 4;
-        runs(400);
-        waits(200);
-        timer(nowMs - 100);
+        runFor(400);
+        waitForProcessor(200);
+        fireTimer(nowMs - 100);
         Map<String, Object> line = onlyLine("loop.timer_late");
         assertEquals(line.get("within_ms"), 600L);
         assertEquals(line.get("ran_ms"), 400L);
@@ -349,8 +352,8 @@
         system.isSilent = true;
         monitor.setListener(lateSpans::add);
         finishStartUp();
-        pass(300);
-        timer(nowMs - 200);
+        passTime(300);
+        fireTimer(nowMs - 200);
         Map<String, Object> line = onlyLine("loop.timer_late");
         assertEquals(line.keySet(), Set.of("ms", "around_ms"));
         assertEquals(lateSpans.size(), 1);
@@ -365,11 +368,11 @@
         monitor.setListener(lateSpans::add);
         finishStartUp();
         long due = nowMs;
-        waits(30);
-        pass(70);
-        timer(due);
-        pass(60);
-        timer(nowMs - 60);
+        waitForProcessor(30);
+        passTime(70);
+        fireTimer(due);
+        passTime(60);
+        fireTimer(nowMs - 60);
         assertEquals(
                 lateSpans,
                 List.of(
@@ -388,19 +391,19 @@
         assertEquals(log.lines("loop.timer_late").size(), 1);
     }
 
-    /** Many timers that one stall makes late are one span; what goes on after it is told too. */
+    /** Timers made late by one stall give one span; lateness that continues is reported too. */
     @Test
     public void spansDoNotOverlap() {
         monitor.setListener(lateSpans::add);
         finishStartUp();
         long due = nowMs;
-        pass(100);
-        timer(due);
-        runs(10);
-        timer(due + 1);
-        timer(due + 2);
-        runs(45);
-        timer(due + 50);
+        passTime(100);
+        fireTimer(due);
+        runFor(10);
+        fireTimer(due + 1);
+        fireTimer(due + 2);
+        runFor(45);
+        fireTimer(due + 50);
         assertEquals(lateSpans.size(), 2, lateSpans + "");
         assertEquals(lateSpans.get(0).untilMs(), LOOP_STARTED_UNIX_MS + due + 100);
         assertEquals(
@@ -409,13 +412,13 @@
                         LOOP_STARTED_UNIX_MS + due + 100, LOOP_STARTED_UNIX_MS + nowMs, 55, 0, 0));
     }
 
-    /** A listener that takes long does not change what the line tells of the span before it. */
+    /** A slow listener does not change what the line reports about the span before it. */
     @Test
     public void listenerWorkIsExcludedFromLine() {
-        monitor.setListener(span -> runs(400));
+        monitor.setListener(span -> runFor(400));
         finishStartUp();
-        pass(100);
-        timer(nowMs - 100);
+        passTime(100);
+        fireTimer(nowMs - 100);
         Map<String, Object> line = onlyLine("loop.timer_late");
         assertEquals(line.get("ran_ms"), 0L);
         assertEquals(line.get("blocked_ms"), 100L);
@@ -425,11 +428,11 @@
     public void failingListenerDoesNotEndTask() {
         monitor.setListener(
                 span -> {
-                    throw new IllegalStateException("of the test");
+                    throw new IllegalStateException("thrown by the test");
                 });
         finishStartUp();
-        pass(100);
-        timer(nowMs - 100);
+        passTime(100);
+        fireTimer(nowMs - 100);
         assertEquals(log.lines("loop.task_failed").size(), 1);
         assertEquals(log.lines("loop.timer_late").size(), 1);
     }
--- a/src/test/java/gingerspool/wire/MachinePressureTest.java
+++ b/src/test/java/gingerspool/wire/MachinePressureTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What held up the machine is read from the kernel's files, each of which may be missing. */
+/** The machine's pressure is parsed from the kernel's files, each of which may be missing. */
 public class MachinePressureTest {
     private static final String STAT = "cpu  102878 0 4033 413964 980 0 1125 1376 0 0\ncpu0 1 2\n";
 
@@ -44,7 +44,7 @@
                 MachinePressure.parse(stat, pressure, pressure, pressure), MachinePressure.UNKNOWN);
     }
 
-    /** A first line that is longer than what is read of the file still tells. */
+    /** A first line that was cut off, because only the beginning of the file is read, is parsed. */
     @Test
     public void textWithoutLineEndIsRead() {
         assertEquals(MachinePressure.parse("cpu  1 2 3 4 5 6 7 8", "", "", "").stealMs(), 80.0);
--- a/src/test/java/gingerspool/wire/ProcessorUseTest.java
+++ b/src/test/java/gingerspool/wire/ProcessorUseTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Guards the explanation of late answers: what the system tells of a thread is read right. */
+/** Guards the explanation of late answers: a thread's processor use is parsed correctly. */
 public class ProcessorUseTest {
     @Test
     public void nanosecondsAreConvertedToMilliseconds() {
--- a/src/test/java/gingerspool/wire/ReadingHistoryTest.java
+++ b/src/test/java/gingerspool/wire/ReadingHistoryTest.java
@@ -4,7 +4,7 @@
 
 import org.testng.annotations.Test;
 
-/** A span begins at the reading before it. */
+/** The reading from which a span is measured is the last one before it. */
 public class ReadingHistoryTest {
     @Test
     public void findsLatestReadingNotAfterInstant() {
@@ -26,7 +26,7 @@
         assertEquals(history.latestUntil(150).value(), "second");
     }
 
-    /** The system's nanoseconds may begin anywhere and pass the end of their range. */
+    /** System.nanoTime() may start at any value and overflow. */
     @Test
     public void instantsMayOverflow() {
         ReadingHistory<String> history = new ReadingHistory<>(2, Long.MAX_VALUE, "first");
--- a/src/test/java/gingerspool/wire/SingleThreadEventLoopTest.java
+++ b/src/test/java/gingerspool/wire/SingleThreadEventLoopTest.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** The loop of the programs tells of its lateness. */
+/** The production event loop reports its lateness and runs held timers in order. */
 public class SingleThreadEventLoopTest {
     private static final long SPIN_NANOS = 60_000_000;
-    private static final long ANSWER_S = 20;
+    private static final long RESULT_TIMEOUT_S = 20;
 
     @Test
     public void blockingTaskMakesTimersLate() throws Exception {
@@ -32,7 +32,7 @@
                             Thread.onSpinWait();
                         }
                     });
-            double firedAt = fired.get(ANSWER_S, TimeUnit.SECONDS);
+            double firedAt = fired.get(RESULT_TIMEOUT_S, TimeUnit.SECONDS);
             assertEquals(lateSpans.size(), 1, lateSpans + "");
             LateSpan span = lateSpans.get(0);
             assertTrue(span.fromMs() >= scheduledAt.get(), span + " " + scheduledAt.get());
@@ -44,32 +44,32 @@
         }
     }
 
-    /** Nothing is left open by a loop that has ended, whichever readings it had taken. */
+    /** Stopping must also work for a loop that has taken no readings. */
     @Test
     public void unusedLoopCanBeStopped() throws IOException {
         new SingleThreadEventLoop().stop();
     }
 
-    /** Timers that waited for the end of a stall still run in the order in which they were due. */
+    /** Timers held back until after a stall still run in the order in which they were due. */
     @Test
     public void heldTimersRunInDueOrder() throws Exception {
         SingleThreadEventLoop loop = new SingleThreadEventLoop();
         try {
-            int many = 20;
+            int timerCount = 20;
             List<Integer> ran = new CopyOnWriteArrayList<>();
-            List<Integer> order = new CopyOnWriteArrayList<>();
-            CompletableFuture<Void> all = new CompletableFuture<>();
+            List<Integer> dueOrder = new CopyOnWriteArrayList<>();
+            CompletableFuture<Void> allRan = new CompletableFuture<>();
             loop.submit(
                     () -> {
-                        for (int i = 0; i < many; i++) {
+                        for (int i = 0; i < timerCount; i++) {
                             int number = i;
-                            order.add(number);
+                            dueOrder.add(number);
                             loop.schedule(
                                     number,
                                     () -> {
                                         ran.add(number);
-                                        if (ran.size() == many) {
-                                            all.complete(null);
+                                        if (ran.size() == timerCount) {
+                                            allRan.complete(null);
                                         }
                                     });
                         }
@@ -78,8 +78,8 @@
                             Thread.onSpinWait();
                         }
                     });
-            all.get(ANSWER_S, TimeUnit.SECONDS);
-            assertEquals(ran, order);
+            allRan.get(RESULT_TIMEOUT_S, TimeUnit.SECONDS);
+            assertEquals(ran, dueOrder);
         } finally {
             loop.stop();
         }
--- a/src/test/java/gingerspool/wire/ThreadStallsTest.java
+++ b/src/test/java/gingerspool/wire/ThreadStallsTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Page faults and waits for the disk are read from the right places of the thread's line. */
+/** Page faults and disk waits are parsed from the right fields of the thread's stat line. */
 public class ThreadStallsTest {
     private static final String HEAD = "9146 (a loop) R) S 9144 9144 8119 0 -1 4194304 105 0 ";
     private static final String BETWEEN =
@@ -29,7 +29,7 @@
         assertEquals(ThreadStalls.parse(line), ThreadStalls.UNKNOWN);
     }
 
-    /** An older system tells the faults alone. */
+    /** An older system provides the faults only. */
     @Test
     public void shortLineGivesFaultsOnly() {
         assertEquals(ThreadStalls.parse(HEAD + "12 0 7"), new ThreadStalls(12, Double.NaN));
