--- a/src/main/java/gingerspool/wire/EventExecutor.java
+++ b/src/main/java/gingerspool/wire/EventExecutor.java
@@ -22,8 +22,8 @@
      * When an event that the runtime waited for was noticed, in System.nanoTime().
      *
      * @param noticedAt when the event was noticed
-     * @param lookedAt when an earlier poll of all sockets noticed other events: this event had not
-     *     arrived by then
+     * @param previousPollAt when an earlier poll of all sockets noticed other events: this event
+     *     had not arrived by then
      */
     record Notice(long noticedAt, long lookedAt) {}
 
@@ -86,19 +86,19 @@
     /** Records that an event was noticed at this time. */
     synchronized Notice notice(long at) {
         long previous = latestNotice.noticedAt;
-        long lookedAt = latestNotice.lookedAt;
+        long previousPollAt = latestNotice.lookedAt;
         if (at - previous > SAME_POLL_NANOS) {
-            lookedAt = previous;
+            previousPollAt = previous;
             pollStartedAt = at;
         } else if (at - pollStartedAt > SAME_POLL_NANOS) {
-            lookedAt = pollStartedAt;
+            previousPollAt = pollStartedAt;
             pollStartedAt = at;
         }
         if (at - previous > MIN_QUIET_NANOS) {
             quietSpans[nextQuietIndex] = new Quiet(previous, at);
             nextQuietIndex = (nextQuietIndex + 1) % MAX_QUIET_SPANS;
         }
-        latestNotice = new Notice(at, lookedAt);
+        latestNotice = new Notice(at, previousPollAt);
         return latestNotice;
     }
 
--- a/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
+++ b/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
@@ -16,7 +16,7 @@
  * inside it.
  *
  * <p>Threads: {@link #submit}, {@link #setLatenessListener} and {@link #now} from any thread;
- * {@link #execute}, {@link #schedule} and {@link #earliest} on the loop's thread only.
+ * {@link #execute}, {@link #schedule} and {@link #earliestArrival} on the loop's thread only.
  */
 public final class SingleThreadEventLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(SingleThreadEventLoop.class);
--- a/src/main/java/gingerspool/wire/StallTracker.java
+++ b/src/main/java/gingerspool/wire/StallTracker.java
@@ -93,11 +93,12 @@
      * The earliest time at which a socket event may have arrived.
      *
      * @param noticedAt when it was noticed
-     * @param lookedAt when an earlier poll of the sockets noticed other events, but not this one
+     * @param previousPollAt when an earlier poll of the sockets noticed other events, but not this
+     *     one
      */
-    double earliest(double noticedAt, double lookedAt) {
+    double earliest(double noticedAt, double previousPollAt) {
         return isAfterStall(noticedAt)
-                ? Math.min(noticedAt, Math.max(stallStart, lookedAt))
+                ? Math.min(noticedAt, Math.max(stallStart, previousPollAt))
                 : noticedAt;
     }
 
--- a/src/main/java/gingerspool/wire/TimerGate.java
+++ b/src/main/java/gingerspool/wire/TimerGate.java
@@ -39,9 +39,9 @@
     private final ArrayDeque<HeldTimer> heldTimers = new ArrayDeque<>();
     private int consecutiveHolds;
 
-    TimerGate(Loop loop, StallTracker stalls) {
+    TimerGate(Loop loop, StallTracker stallTracker) {
         this.loop = loop;
-        this.stallTracker = stalls;
+        this.stallTracker = stallTracker;
     }
 
     /** Called when a timer fires; runs its task now, or later if timers are held back. */
