--- a/src/main/java/gingerspool/wire/EventExecutor.java
+++ b/src/main/java/gingerspool/wire/EventExecutor.java
@@ -7,67 +7,75 @@
 import java.util.function.Predicate;
 
 /**
- * What a channel group hands the ends of operations to: passes them on to the loop's thread, and
- * notes when each was handed over. That is when the runtime's own thread, which waits for the
- * sockets, noticed the event; the loop may come to it much later.
+ * The executor of a channel group: passes completion handlers on to the loop's thread and records
+ * when each was submitted. That is when the runtime's poller thread, which waits for the sockets,
+ * noticed the event; the loop may handle it much later.
  *
- * <p>Thread: any; {@link #present} belongs to the loop's thread.
+ * <p>Threads: any, except {@link #currentNotice} and {@link #clearCurrentNotice}, which only the
+ * loop's thread calls.
  */
 final class EventExecutor extends AbstractExecutorService {
-    /**
-     * Events noticed with more than this between them were not noticed by one look at the sockets.
-     */
-    private static final long SAME_LOOK_NANOS = 20_000_000;
+    /** Events noticed further apart than this come from different polls of the sockets. */
+    private static final long SAME_POLL_NANOS = 20_000_000;
 
     /**
-     * An event that the runtime waited for, in System.nanoTime().
+     * When an event that the runtime waited for was noticed, in System.nanoTime().
      *
-     * @param noticedAt when it was noticed
-     * @param lookedAt when an earlier look at all sockets noticed others: this one had not come yet
+     * @param noticedAt when the event was noticed
+     * @param previousPollAt when an earlier poll of all sockets noticed other events: this event
+     *     had not arrived by then
      */
     record Notice(long noticedAt, long lookedAt) {}
 
-    /** Between two events, in System.nanoTime(). */
+    /** A period between two events, in System.nanoTime(). */
     record Quiet(long from, long until) {}
 
-    /** A span without an event is long where a timer that fires so late is late. */
-    private static final long LONG_QUIET_NANOS = (long) (StallTracker.LATE * 1e6);
+    /**
+     * Shorter periods without an event are not kept: they are needed only for timers that are late,
+     * and a timer is late by at least this.
+     */
+    private static final long MIN_QUIET_NANOS = (long) (StallTracker.LATE_THRESHOLD_MS * 1e6);
 
-    private static final int QUIETS_KEPT = 16;
+    private static final int MAX_QUIET_SPANS = 16;
 
     private final ExecutorService loop;
-    private final Predicate<Thread> isLoop;
+    private final Predicate<Thread> isLoopThread;
 
-    private Notice latest;
+    private Notice latestNotice;
 
-    /** When the look began that the latest event may belong to. */
-    private long lookBegan;
+    /** When the poll began that may have noticed the latest event. */
+    private long pollStartedAt;
 
-    /** The last long spans without an event, the oldest overwritten first. */
-    private final Quiet[] quiets = new Quiet[QUIETS_KEPT];
+    /** The last long periods without an event, a ring that overwrites the oldest. */
+    private final Quiet[] quietSpans = new Quiet[MAX_QUIET_SPANS];
 
-    private int nextQuiet;
+    private int nextQuietIndex;
 
-    /** That of the loop's present task; null where nobody waited for its event. */
-    private Notice present;
+    /** The notice of the loop's current task; null if it does not handle a noticed event. */
+    private Notice currentNotice;
 
-    /** Passes events on to this executor, whose one thread the predicate knows. */
-    EventExecutor(ExecutorService loop, Predicate<Thread> isLoop) {
-        this(loop, isLoop, System.nanoTime());
+    /**
+     * Creates an executor that passes handlers on to a loop.
+     *
+     * @param loop runs the handlers on its one thread
+     * @param isLoopThread whether a thread is that one
+     */
+    EventExecutor(ExecutorService loop, Predicate<Thread> isLoopThread) {
+        this(loop, isLoopThread, System.nanoTime());
     }
 
-    /** The same, begun at this instant of a clock that a test keeps. */
-    EventExecutor(ExecutorService loop, Predicate<Thread> isLoop, long now) {
+    /** The same with an explicit start time on the clock of System.nanoTime(), for tests. */
+    EventExecutor(ExecutorService loop, Predicate<Thread> isLoopThread, long now) {
         this.loop = loop;
-        this.isLoop = isLoop;
-        latest = new Notice(now, now);
-        lookBegan = now;
+        this.isLoopThread = isLoopThread;
+        latestNotice = new Notice(now, now);
+        pollStartedAt = now;
     }
 
     @Override
     public void execute(Runnable event) {
-        if (isLoop.test(Thread.currentThread())) {
-            // Done at once: its end comes in the call that began it.
+        if (isLoopThread.test(Thread.currentThread())) {
+            // The operation completed immediately, inside the call that started it.
             event.run();
         } else {
             Notice notice = notice(System.nanoTime());
@@ -75,36 +83,36 @@
         }
     }
 
-    /** An event is noticed. */
+    /** Records that an event was noticed at this time. */
     synchronized Notice notice(long at) {
-        long previous = latest.noticedAt;
-        long lookedAt = latest.lookedAt;
-        if (at - previous > SAME_LOOK_NANOS) {
-            lookedAt = previous;
-            lookBegan = at;
-        } else if (at - lookBegan > SAME_LOOK_NANOS) {
-            lookedAt = lookBegan;
-            lookBegan = at;
+        long previous = latestNotice.noticedAt;
+        long previousPollAt = latestNotice.lookedAt;
+        if (at - previous > SAME_POLL_NANOS) {
+            previousPollAt = previous;
+            pollStartedAt = at;
+        } else if (at - pollStartedAt > SAME_POLL_NANOS) {
+            previousPollAt = pollStartedAt;
+            pollStartedAt = at;
         }
-        if (at - previous > LONG_QUIET_NANOS) {
-            quiets[nextQuiet] = new Quiet(previous, at);
-            nextQuiet = (nextQuiet + 1) % QUIETS_KEPT;
+        if (at - previous > MIN_QUIET_NANOS) {
+            quietSpans[nextQuietIndex] = new Quiet(previous, at);
+            nextQuietIndex = (nextQuietIndex + 1) % MAX_QUIET_SPANS;
         }
-        latest = new Notice(at, lookedAt);
-        return latest;
+        latestNotice = new Notice(at, previousPollAt);
+        return latestNotice;
     }
 
     /**
-     * The long span without an event that this time lies in, by System.nanoTime(), up to now where
-     * it lasts; null where there is none. From any thread.
+     * The long period without an event that contains this time, in System.nanoTime(); it ends now
+     * if no event has come since. Null if there is none. Called from any thread.
      */
     synchronized Quiet quietAround(long time, long now) {
-        if (time - latest.noticedAt >= 0) {
-            return now - latest.noticedAt > LONG_QUIET_NANOS
-                    ? new Quiet(latest.noticedAt, now)
+        if (time - latestNotice.noticedAt >= 0) {
+            return now - latestNotice.noticedAt > MIN_QUIET_NANOS
+                    ? new Quiet(latestNotice.noticedAt, now)
                     : null;
         }
-        for (Quiet quiet : quiets) {
+        for (Quiet quiet : quietSpans) {
             if (quiet != null && time - quiet.from >= 0 && quiet.until - time >= 0) {
                 return quiet;
             }
@@ -113,22 +121,22 @@
     }
 
     private void run(Runnable event, Notice notice) {
-        present = notice;
+        currentNotice = notice;
         try {
             event.run();
         } finally {
-            present = null;
+            currentNotice = null;
         }
     }
 
-    /** Of the event that the loop's present task tells of; null where nobody waited for it. */
-    Notice present() {
-        return present;
+    /** The notice of the event that the current task handles; null if it handles none. */
+    Notice currentNotice() {
+        return currentNotice;
     }
 
-    /** The present task no longer tells of an event. */
-    void eventHandled() {
-        present = null;
+    /** Called after the task that handled the event: the next tasks do not belong to it. */
+    void clearCurrentNotice() {
+        currentNotice = null;
     }
 
     @Override
--- a/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
+++ b/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
@@ -11,47 +11,50 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The event loop of a process: one thread on which completion handlers and timers end. It owns
- * whatever state its tasks touch; a task that is handed over on the thread runs after the one going
- * on, never inside it.
+ * The event loop of a process: one thread on which completion handlers and timers run. It owns the
+ * state that its tasks touch; a task submitted on the thread runs after the current one, never
+ * inside it.
+ *
+ * <p>Threads: {@link #submit}, {@link #setLatenessListener} and {@link #now} from any thread;
+ * {@link #execute}, {@link #schedule} and {@link #earliestArrival} on the loop's thread only.
  */
 public final class SingleThreadEventLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(SingleThreadEventLoop.class);
 
     private static final double NANOS_PER_MS = 1e6;
 
-    private final ScheduledThreadPoolExecutor thread;
-    private final EventExecutor events;
+    private final ScheduledThreadPoolExecutor executor;
+    private final EventExecutor eventExecutor;
     private final AsynchronousChannelGroup group;
-    private final StallTracker stalls = new StallTracker();
-    private final TimerGate timers = new TimerGate(new GateLoop(), stalls);
+    private final StallTracker stallTracker = new StallTracker();
+    private final TimerGate timerGate = new TimerGate(new TimerGateLoop(), stallTracker);
 
-    /** Tasks that wait for the one going on. */
-    private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
+    /** Tasks to run after the current one. */
+    private final ArrayDeque<Runnable> queuedTasks = new ArrayDeque<>();
 
     private final double startedAt = System.currentTimeMillis();
     private final long startedAtNanos = System.nanoTime();
-    private boolean isRunning;
+    private boolean isRunningTasks;
 
-    /** Null before the first task; replaced where an error ended it. */
+    /** Null before the first task; replaced by a new thread if an error ended the old one. */
     private volatile Thread loopThread;
 
-    private final LatenessMonitor lateness =
+    private final LatenessMonitor latenessMonitor =
             new LatenessMonitor(
                     LOG,
-                    new LoopUse(new KernelReadings(), startedAtNanos),
+                    new LoopUsage(new KernelReadings(), startedAtNanos),
                     startedAtNanos,
-                    this::unixMs);
+                    this::toUnixMs);
 
     public SingleThreadEventLoop() throws IOException {
-        thread = new ScheduledThreadPoolExecutor(1, this::newThread);
-        thread.setRemoveOnCancelPolicy(true);
-        thread.setRejectedExecutionHandler(new ThreadPoolExecutor.DiscardPolicy());
-        events = new EventExecutor(thread, this::isLoop);
-        group = AsynchronousChannelGroup.withThreadPool(events);
+        executor = new ScheduledThreadPoolExecutor(1, this::newThread);
+        executor.setRemoveOnCancelPolicy(true);
+        executor.setRejectedExecutionHandler(new ThreadPoolExecutor.DiscardPolicy());
+        eventExecutor = new EventExecutor(executor, this::isLoopThread);
+        group = AsynchronousChannelGroup.withThreadPool(eventExecutor);
     }
 
-    private boolean isLoop(Thread candidate) {
+    private boolean isLoopThread(Thread candidate) {
         return candidate == loopThread;
     }
 
@@ -62,26 +65,26 @@
 
     @Override
     public void execute(Runnable task) {
-        tasks.add(task);
-        if (isRunning) {
+        queuedTasks.add(task);
+        if (isRunningTasks) {
             return;
         }
-        isRunning = true;
+        isRunningTasks = true;
         try {
             long began = System.nanoTime();
-            for (Runnable next = tasks.poll(); next != null; next = tasks.poll()) {
+            for (Runnable next = queuedTasks.poll(); next != null; next = queuedTasks.poll()) {
                 run(next);
-                events.eventHandled();
+                eventExecutor.clearCurrentNotice();
                 long ended = System.nanoTime();
-                lateness.taskEnded(next, began, ended);
+                latenessMonitor.taskEnded(next, began, ended);
                 began = ended;
             }
         } finally {
-            isRunning = false;
+            isRunningTasks = false;
         }
     }
 
-    /** Guards the loop: whatever breaks, the other tasks go on. */
+    /** Runs a task; a failure is logged and does not affect the other tasks. */
     private static void run(Runnable task) {
         try {
             task.run();
@@ -90,9 +93,9 @@
         }
     }
 
-    /** Runs a task on the loop; from any thread. After stop() it is dropped. */
+    /** Runs a task on the loop. Called from any thread; after stop() the task is dropped. */
     public void submit(Runnable task) {
-        thread.execute(() -> execute(task));
+        executor.execute(() -> execute(task));
     }
 
     @Override
@@ -100,21 +103,21 @@
         long delayNanos = (long) (delay * NANOS_PER_MS);
         long dueNanos = System.nanoTime() + delayNanos;
         LoopTimer timer = new LoopTimer();
-        timer.firedBy(after(delayNanos, () -> fire(timer, dueNanos, task)));
+        timer.firedBy(scheduleNanos(delayNanos, () -> fire(timer, dueNanos, task)));
         return timer;
     }
 
-    private Future<?> after(long delayNanos, Runnable task) {
-        return thread.schedule(task, delayNanos, TimeUnit.NANOSECONDS);
+    private Future<?> scheduleNanos(long delayNanos, Runnable task) {
+        return executor.schedule(task, delayNanos, TimeUnit.NANOSECONDS);
     }
 
     private void fire(LoopTimer timer, long dueNanos, Runnable task) {
-        lateness.timerFired(dueNanos, System.nanoTime());
-        timers.fired(timer, unixMs(dueNanos), task);
+        latenessMonitor.timerFired(dueNanos, System.nanoTime());
+        timerGate.fired(timer, toUnixMs(dueNanos), task);
     }
 
-    /** What the gate of the timers needs of this loop. */
-    private final class GateLoop implements TimerGate.Loop {
+    /** The services that the timer gate needs from this loop. */
+    private final class TimerGateLoop implements TimerGate.Loop {
         @Override
         public double now() {
             return SingleThreadEventLoop.this.now();
@@ -122,15 +125,15 @@
 
         @Override
         public QuietSpan quietAround(double time) {
-            EventExecutor.Quiet quiet = events.quietAround(nanos(time), System.nanoTime());
+            EventExecutor.Quiet quiet = eventExecutor.quietAround(toNanos(time), System.nanoTime());
             return quiet == null
                     ? null
-                    : new QuietSpan(unixMs(quiet.from()), unixMs(quiet.until()));
+                    : new QuietSpan(toUnixMs(quiet.from()), toUnixMs(quiet.until()));
         }
 
         @Override
         public void after(double delay, Runnable step) {
-            SingleThreadEventLoop.this.after((long) (delay * NANOS_PER_MS), step);
+            SingleThreadEventLoop.this.scheduleNanos((long) (delay * NANOS_PER_MS), step);
         }
 
         @Override
@@ -140,56 +143,56 @@
     }
 
     /**
-     * The program has started: lines on lateness tell of the late time alone from here on, which
-     * takes some readings of the system. Without this call they begin after 10 s, or with a
-     * listener. Only on the loop.
+     * Called on the loop's thread when the program has started. From here on system readings are
+     * taken regularly, so that log lines on lateness cover the late time only. Without this call
+     * the readings begin after 10 s, or once a listener is set.
      */
     public void startUpEnded() {
-        lateness.startUpEnded(System.nanoTime());
+        latenessMonitor.startUpEnded(System.nanoTime());
     }
 
-    /** Tells a listener of each late span from here on; from any thread. */
+    /** Notifies a listener of each late span from here on. Called from any thread. */
     public void setLatenessListener(LatenessListener listener) {
-        lateness.setListener(listener);
+        latenessMonitor.setListener(listener);
     }
 
-    /** The most that a timer was late by, in milliseconds, since this was last called. */
+    /** The largest lateness of a timer since the previous call, in milliseconds. */
     public double takeLatestTimerMs() {
-        return lateness.takeLatestTimerMs();
+        return latenessMonitor.takeMaxTimerLatenessMs();
     }
 
     @Override
     public double now() {
-        return unixMs(System.nanoTime());
+        return toUnixMs(System.nanoTime());
     }
 
-    private long nanos(double unixMs) {
+    private long toNanos(double unixMs) {
         return startedAtNanos + (long) ((unixMs - startedAt) * NANOS_PER_MS);
     }
 
-    private double unixMs(long nanos) {
+    private double toUnixMs(long nanos) {
         return startedAt + (nanos - startedAtNanos) / NANOS_PER_MS;
     }
 
     @Override
     public double noticedAt() {
-        EventExecutor.Notice notice = events.present();
+        EventExecutor.Notice notice = eventExecutor.currentNotice();
         return notice == null
                 ? Double.NEGATIVE_INFINITY
-                : stalls.earliest(unixMs(notice.noticedAt()), unixMs(notice.lookedAt()));
+                : stallTracker.earliest(toUnixMs(notice.noticedAt()), toUnixMs(notice.lookedAt()));
     }
 
     @Override
     public double onTimeSince() {
-        return stalls.onTimeSince();
+        return stallTracker.onTimeSince();
     }
 
     /**
-     * The earliest time at which something may have come that another thread, which waited for
-     * nothing else, noticed at this time; only for callers on the loop's thread.
+     * The earliest time at which something, such as a signal, may have arrived that a dedicated
+     * waiting thread noticed at the given time. Called on the loop's thread only.
      */
     public double earliest(double noticedAt) {
-        return stalls.earliest(noticedAt);
+        return stallTracker.earliest(noticedAt);
     }
 
     @Override
@@ -197,14 +200,14 @@
         return group;
     }
 
-    /** Ends the thread and closes all channels of the group. */
+    /** Stops the thread and closes all channels of the group. */
     public void stop() {
         try {
             group.shutdownNow();
         } catch (IOException e) {
             LOG.atWarn().addKeyValue("why", e.getMessage()).log("loop.close_failed");
         }
-        thread.shutdownNow();
-        lateness.close();
+        executor.shutdownNow();
+        latenessMonitor.close();
     }
 }
--- a/src/main/java/gingerspool/wire/TimerGate.java
+++ b/src/main/java/gingerspool/wire/TimerGate.java
@@ -3,58 +3,64 @@
 import java.util.ArrayDeque;
 
 /**
- * Through which the loop's timers go as they fire: after a stall of the whole process they wait, in
- * their order, until what came meanwhile has been looked at.
+ * Holds back the loop's fired timers after a stall of the whole process, in their order, until the
+ * events that arrived during the stall have been handled.
  *
- * <p>Thread: the event loop. Times are milliseconds on its clock.
+ * <p>Thread: the event loop. Times are in milliseconds on its clock.
  */
 final class TimerGate {
-    /** Timers wait for so many stalls in a row; a process that is always late still runs them. */
-    private static final int MOST_WAITS = 3;
+    /**
+     * Timers are held for at most this many stalls in a row, so that a process that is always late
+     * still runs them.
+     */
+    private static final int MAX_CONSECUTIVE_HOLDS = 3;
 
-    /** The loop behind it. */
+    /** The services that the gate needs from the loop. */
     interface Loop {
         double now();
 
-        /** The span of over {@link StallTracker#LATE} without an event that this time lies in. */
+        /**
+         * The period without an event, longer than {@link StallTracker#LATE_THRESHOLD_MS}, that
+         * contains this time; null if there is none.
+         */
         QuietSpan quietAround(double time);
 
-        /** Runs this after so long. */
+        /** Runs a step after a delay, without passing the gate. */
         void after(double delay, Runnable step);
 
-        /** Runs a task as a turn of its own. */
+        /** Runs a task after the current one. */
         void execute(Runnable task);
     }
 
-    private record Held(LoopTimer timer, Runnable task) {}
+    private record HeldTimer(LoopTimer timer, Runnable task) {}
 
     private final Loop loop;
-    private final StallTracker stalls;
-    private final ArrayDeque<Held> held = new ArrayDeque<>();
-    private int waits;
+    private final StallTracker stallTracker;
+    private final ArrayDeque<HeldTimer> heldTimers = new ArrayDeque<>();
+    private int consecutiveHolds;
 
-    TimerGate(Loop loop, StallTracker stalls) {
+    TimerGate(Loop loop, StallTracker stallTracker) {
         this.loop = loop;
-        this.stalls = stalls;
+        this.stallTracker = stallTracker;
     }
 
-    /** A timer that was due then fires; its task runs now or after the others that wait. */
+    /** Called when a timer fires; runs its task now, or later if timers are held back. */
     void fired(LoopTimer timer, double due, Runnable task) {
-        double wait = waitFor(due);
-        if (wait == 0 && held.isEmpty()) {
+        double wait = holdTime(due);
+        if (wait == 0 && heldTimers.isEmpty()) {
             run(timer, task);
             return;
         }
-        held.add(new Held(timer, task));
-        if (held.size() == 1) {
+        heldTimers.add(new HeldTimer(timer, task));
+        if (heldTimers.size() == 1) {
             releaseAfter(wait);
         }
     }
 
-    private double waitFor(double due) {
+    private double holdTime(double due) {
         double now = loop.now();
-        QuietSpan quiet = now > due + StallTracker.LATE ? loop.quietAround(due) : null;
-        return stalls.fired(due, now, quiet);
+        QuietSpan quiet = now > due + StallTracker.LATE_THRESHOLD_MS ? loop.quietAround(due) : null;
+        return stallTracker.timerFired(due, now, quiet);
     }
 
     private void releaseAfter(double wait) {
@@ -62,15 +68,15 @@
         loop.after(wait, () -> release(due));
     }
 
-    /** Unless the process stood still once more. */
+    /** Runs the held timers, unless the process has stalled again. */
     private void release(double due) {
-        double wait = waitFor(due);
-        if (wait > 0 && ++waits < MOST_WAITS) {
+        double wait = holdTime(due);
+        if (wait > 0 && ++consecutiveHolds < MAX_CONSECUTIVE_HOLDS) {
             releaseAfter(wait);
             return;
         }
-        waits = 0;
-        for (Held next = held.poll(); next != null; next = held.poll()) {
+        consecutiveHolds = 0;
+        for (HeldTimer next = heldTimers.poll(); next != null; next = heldTimers.poll()) {
             run(next.timer, next.task);
         }
     }
--- a/src/test/java/gingerspool/wire/KernelReadingsTest.java
+++ b/src/test/java/gingerspool/wire/KernelReadingsTest.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** What this system tells of a thread fits what the thread does. */
+/** The readings that this system provides are consistent with what the thread does. */
 public class KernelReadingsTest {
     private static final long SPIN_NANOS = 20_000_000;
 
-    /** A thread that works is seen to have run, where the system tells. */
+    /** A busy thread has run or waited, if the system provides the figures. */
     @Test
-    public void aThreadThatWorksIsSeenToRun() {
+    public void busyThreadHasProcessorUse() {
         try (KernelReadings readings = new KernelReadings()) {
             Optional<ProcessorUse> before = readings.processorUse();
             long until = System.nanoTime() + SPIN_NANOS;
@@ -29,9 +29,9 @@
         }
     }
 
-    /** No figure ever falls, so that a difference of two readings is never negative. */
+    /** No figure ever decreases, so the difference of two readings is never negative. */
     @Test
-    public void figuresOnlyGrow() {
+    public void figuresNeverDecrease() {
         try (KernelReadings readings = new KernelReadings()) {
             ThreadStalls stalls = readings.threadStalls();
             MachinePressure machine = readings.machinePressure();
@@ -47,7 +47,7 @@
     }
 
     @Test
-    public void afterTheEndNothingIsTold() {
+    public void closedReadingsAreUnknown() {
         KernelReadings readings = new KernelReadings();
         readings.close();
         assertEquals(readings.processorUse(), Optional.empty());
--- a/src/test/java/gingerspool/wire/ReadingHistoryTest.java
+++ b/src/test/java/gingerspool/wire/ReadingHistoryTest.java
@@ -4,10 +4,10 @@
 
 import org.testng.annotations.Test;
 
-/** A span begins at the reading before it. */
+/** The reading from which a span is measured is the last one before it. */
 public class ReadingHistoryTest {
     @Test
-    public void theLatestReadingNoLaterIsFound() {
+    public void findsLatestReadingNotAfterInstant() {
         ReadingHistory<String> history = new ReadingHistory<>(3, 100, "first");
         history.add(200, "second");
         history.add(300, "third");
@@ -19,14 +19,14 @@
     }
 
     @Test
-    public void theEarliestStandsForWhatIsNotKept() {
+    public void returnsEarliestKeptReadingForOlderInstants() {
         ReadingHistory<String> history = new ReadingHistory<>(2, 100, "first");
         history.add(200, "second");
         history.add(300, "third");
         assertEquals(history.latestUntil(150).value(), "second");
     }
 
-    /** The system's nanoseconds may begin anywhere and pass the end of their range. */
+    /** System.nanoTime() may start at any value and overflow. */
     @Test
     public void instantsMayOverflow() {
         ReadingHistory<String> history = new ReadingHistory<>(2, Long.MAX_VALUE, "first");
