--- a/src/test/java/gingerspool/dataplane/ControlLinksTest.java
+++ b/src/test/java/gingerspool/dataplane/ControlLinksTest.java
@@ -21,38 +21,39 @@
 
 /** Messages of an old leader, or of an old registration, are not taken for the new one's. */
 public class ControlLinksTest {
-    private static final double BEAT = 1000;
+    private static final double HEARTBEAT_MS = 1000;
     private static final List<String> MEMBERS = List.of("10.0.0.1", "10.0.0.2");
     private ModelNetwork network;
     private ControlLinks links;
     private List<Object> received;
-    private Member first;
-    private Member second;
+    private ControlNode firstNode;
+    private ControlNode secondNode;
 
     /** A member of the core, as far as a scheduler sees it: the newest link counts. */
-    private final class Member implements ModelNetwork.Acceptor {
+    private final class ControlNode implements ModelNetwork.Acceptor {
         private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
         ModelNetwork.Channel channel;
-        int accepted;
-        int registrations;
+        int acceptedConnections;
+        int receivedRegistrations;
 
         @Override
-        public ModelNetwork.Remote accept(ModelNetwork.Channel by) {
-            channel = by;
-            accepted++;
+        public ModelNetwork.Remote accept(ModelNetwork.Channel accepted) {
+            channel = accepted;
+            acceptedConnections++;
             return new ModelNetwork.Remote() {
-                private ByteBuffer held = ByteBuffer.allocate(0);
+                private ByteBuffer unparsed = ByteBuffer.allocate(0);
 
                 @Override
                 public void received(byte[] bytes) {
-                    ByteBuffer all = ByteBuffer.allocate(held.remaining() + bytes.length);
-                    held = all.put(held).put(bytes).flip();
-                    while (held.remaining() >= 4
-                            && held.remaining() >= 4 + held.getInt(held.position())) {
-                        byte[] frame = new byte[held.getInt()];
-                        held.get(frame);
+                    ByteBuffer combined = ByteBuffer.allocate(unparsed.remaining() + bytes.length);
+                    unparsed = combined.put(unparsed).put(bytes).flip();
+                    while (unparsed.remaining() >= 4
+                            && unparsed.remaining() >= 4 + unparsed.getInt(unparsed.position())) {
+                        byte[] frame = new byte[unparsed.getInt()];
+                        unparsed.get(frame);
                         try {
-                            registrations += codec.read(frame) instanceof Messages.Register ? 1 : 0;
+                            receivedRegistrations +=
+                                    codec.read(frame) instanceof Messages.Register ? 1 : 0;
                         } catch (gingerspool.codec.MalformedMessageException e) {
                             throw new IllegalStateException(e);
                         }
@@ -64,14 +65,14 @@
             };
         }
 
-        void say(Object message) {
+        void send(Object message) {
             byte[] bytes = codec.write(message);
             channel.send(
                     ByteBuffer.allocate(4 + bytes.length).putInt(bytes.length).put(bytes).array());
         }
 
-        void announces(long term, String leader) {
-            say(new Messages.LeaderAnnouncement(term, leader, MEMBERS));
+        void announce(long term, String leader) {
+            send(new Messages.LeaderAnnouncement(term, leader, MEMBERS));
         }
     }
 
@@ -92,8 +93,8 @@
             """);
         network = new ModelNetwork(1, Set.of());
         received = new ArrayList<>();
-        first = member(MEMBERS.get(0));
-        second = member(MEMBERS.get(1));
+        firstNode = startNode(MEMBERS.get(0));
+        secondNode = startNode(MEMBERS.get(1));
         links =
                 new ControlLinks(
                         network,
@@ -102,23 +103,23 @@
                         received::add);
         network.execute(links::start);
         run(50);
-        first.announces(5, "10.0.0.1");
+        firstNode.announce(5, "10.0.0.1");
         run(20);
-        first.say(new Messages.Registered(5));
+        firstNode.send(new Messages.Registered(5));
         run(20);
         assertTrue(links.hasLeader());
         received.clear();
     }
 
-    private Member member(String ip) {
-        Member made = new Member();
-        network.listen(new InetSocketAddress(ip, 7400), made);
-        return made;
+    private ControlNode startNode(String ip) {
+        ControlNode node = new ControlNode();
+        network.listen(new InetSocketAddress(ip, 7400), node);
+        return node;
     }
 
-    private void run(double span) {
-        network.run(network.now() + span);
-        assertEquals(network.fault(), null);
+    private void run(double duration) {
+        network.runUntil(network.now() + duration);
+        assertEquals(network.violation(), null);
     }
 
     private static Messages.SlotRecall recall(int slots) {
@@ -126,26 +127,26 @@
     }
 
     @Test
-    public void nothingCountsBetweenAnAnnouncementAndTheRegistration() {
-        second.announces(6, "10.0.0.2");
+    public void messagesBetweenAnnouncementAndRegistrationAreIgnored() {
+        secondNode.announce(6, "10.0.0.2");
         run(20);
         assertFalse(links.hasLeader());
-        second.say(recall(1));
-        first.say(recall(2));
+        secondNode.send(recall(1));
+        firstNode.send(recall(2));
         run(20);
         assertEquals(received.toString(), "[]");
-        second.say(new Messages.Registered(6));
-        second.say(recall(3));
+        secondNode.send(new Messages.Registered(6));
+        secondNode.send(recall(3));
         run(20);
         assertEquals(received, List.of(new Messages.Registered(6), recall(3)));
     }
 
     @Test
-    public void whoIsNoLongerLeaderByAnothersWordIsNotFollowed() {
-        second.announces(6, "10.0.0.3");
-        first.say(recall(1));
+    public void aDeposedLeaderIsNotFollowedOnceAnotherNodeAnnouncesANewerTerm() {
+        secondNode.announce(6, "10.0.0.3");
+        firstNode.send(recall(1));
         run(20);
-        first.say(recall(2));
+        firstNode.send(recall(2));
         run(20);
         assertFalse(received.contains(recall(2)), "the leader of term 5 was deposed");
         assertFalse(links.hasLeader());
@@ -153,26 +154,27 @@
 
     /** The leader may have answered the first registration: its counts must not mix with these. */
     @Test
-    public void aRegistrationIsSaidAgainOnANewLinkOnly() {
-        second.announces(6, "10.0.0.2");
+    public void aRegistrationIsRepeatedOnlyOnANewLink() {
+        secondNode.announce(6, "10.0.0.2");
         run(20);
-        ModelNetwork.Channel old = second.channel;
+        ModelNetwork.Channel previousChannel = secondNode.channel;
         for (int i = 0; i < 4; i++) {
-            run(0.5 * BEAT);
-            second.announces(6, "10.0.0.2");
+            run(0.5 * HEARTBEAT_MS);
+            secondNode.announce(6, "10.0.0.2");
         }
-        run(0.5 * BEAT);
-        assertTrue(second.registrations > 1, "it asks again");
-        assertTrue(second.channel != old, "on a new link");
+        run(0.5 * HEARTBEAT_MS);
+        assertTrue(secondNode.receivedRegistrations > 1, "it asks again");
+        assertTrue(secondNode.channel != previousChannel, "on a new link");
         assertTrue(
-                second.registrations <= second.accepted, "one registration for each link at most");
+                secondNode.receivedRegistrations <= secondNode.acceptedConnections,
+                "one registration for each link at most");
     }
 
     @Test
-    public void anAnnouncementOfAnOlderTermChangesNothing() {
-        second.announces(4, "10.0.0.2");
+    public void anAnnouncementOfAnOlderTermIsIgnored() {
+        secondNode.announce(4, "10.0.0.2");
         run(20);
         assertTrue(links.hasLeader());
-        assertEquals(second.registrations, 0);
+        assertEquals(secondNode.receivedRegistrations, 0);
     }
 }
--- a/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
+++ b/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
@@ -28,13 +28,13 @@
  * The record of who ran what and who got what is its own.
  */
 final class DataPlaneSimulation implements RequestRouter.ControlPlane {
-    private static final double SPAN = 6000;
-    private static final double QUIET = 4000;
-    private static final int CALLERS = 6;
-    private static final int ADDRESSES = 4;
-    private static final int SLOTS = 2;
-    private static final double PAUSE = 60;
-    private static final long TIMEOUT = 1200;
+    private static final double ACTIVE_PHASE_MS = 6000;
+    private static final double SETTLING_PHASE_MS = 4000;
+    private static final int CLIENT_COUNT = 6;
+    private static final int ADDRESS_COUNT = 4;
+    private static final int SLOTS_PER_INSTANCE = 2;
+    private static final double MAX_PAUSE_MS = 60;
+    private static final long ROUTE_TIMEOUT_MS = 1200;
     static final String FUNCTION = "f";
     private static final String OTHER_FUNCTION = "g";
     private static final String ZONE = "a";
@@ -43,39 +43,40 @@
     private final ModelRecord record;
     private final NodeSettings settings;
     private final RequestRouter router;
-    private final double trouble;
+    private final double workerFaultRate;
     private final Map<String, ModelWorker> workers = new LinkedHashMap<>();
-    private final Map<Integer, ModelWorker> byPort = new LinkedHashMap<>();
+    private final Map<Integer, ModelWorker> workersByPort = new LinkedHashMap<>();
     private SlotAllocator allocator;
     private long term;
-    private boolean led;
-    private double lostAt;
-    private double lastTold;
-    private int requests;
-    private int instances;
-    private boolean calm;
-    private boolean leaves;
+    private boolean hasLeader;
+    private double leaderLostAt;
+    private double lastDeliveryAt;
+    private int requestCount;
+    private int instanceCount;
+    private boolean isSettling;
+    private boolean mayDrain;
 
     /** Null unless traced. */
     private DecisionTrace trace;
 
-    DataPlaneSimulation(NodeSettings settings, long seed, Set<RequestSafeguard> without) {
+    DataPlaneSimulation(
+            NodeSettings settings, long seed, Set<RequestSafeguard> disabledSafeguards) {
         this.settings = settings;
-        network = new ModelNetwork(seed, without);
+        network = new ModelNetwork(seed, disabledSafeguards);
         record =
                 new ModelRecord(
                         network,
                         settings.retryBudgetRatio,
                         settings.retryBudgetSlack,
                         settings.retryBudgetWindow);
-        trouble = network.chance.nextInt(4) * 0.3;
+        workerFaultRate = network.random.nextInt(4) * 0.3;
         ConnectionPool pool = new ConnectionPool(network, settings.heartbeatInterval / 4, 5000, 40);
         router = new RequestRouter(network, settings, pool, this, () -> {});
         router.configure(configuration());
     }
 
     private static Configuration configuration() {
-        Configuration.Builder all =
+        Configuration.Builder builder =
                 Configuration.newBuilder()
                         .setVersion(1)
                         .setLimits(
@@ -88,23 +89,23 @@
                                 Service.newBuilder()
                                         .setName(FUNCTION)
                                         .setBoot(100)
-                                        .setConcurrency(SLOTS)
+                                        .setConcurrency(SLOTS_PER_INSTANCE)
                                         .setMemory(128));
         for (String kind : List.of("safe", "unsafe")) {
             for (int attempts = 1; attempts <= 3; attempts++) {
-                all.addRoutes(
+                builder.addRoutes(
                         Route.newBuilder()
                                 .setName(kind + attempts)
                                 .setHost("h.example")
                                 .setPrefix("/" + kind + attempts + "/")
                                 .setKind(kind)
                                 .setAttempts(attempts)
-                                .setTimeout(TIMEOUT)
+                                .setTimeout(ROUTE_TIMEOUT_MS)
                                 .setAim(150)
                                 .setService(FUNCTION));
             }
         }
-        return all.build();
+        return builder.build();
     }
 
     // ---- Instances and the leader ----
@@ -114,22 +115,22 @@
     }
 
     /** A new instance of this function gets the port, whoever had it before. */
-    private void begins(int port, String function) {
-        String id = "i-" + instances++;
-        ModelWorker worker = new ModelWorker(network, record, id, function, trouble);
+    private void startInstance(int port, String function) {
+        String id = "i-" + instanceCount++;
+        ModelWorker worker = new ModelWorker(network, record, id, function, workerFaultRate);
         workers.put(id, worker);
-        byPort.put(port, worker);
+        workersByPort.put(port, worker);
         network.listen(address(port), worker);
         if (allocator != null) {
-            add(port, worker);
+            addToAllocator(port, worker);
         }
     }
 
-    private String drawnFunction() {
-        return network.chance.nextInt(3) == 0 ? OTHER_FUNCTION : FUNCTION;
+    private String randomFunction() {
+        return network.random.nextInt(3) == 0 ? OTHER_FUNCTION : FUNCTION;
     }
 
-    private void add(int port, ModelWorker worker) {
+    private void addToAllocator(int port, ModelWorker worker) {
         allocator.addInstance(
                 network.now(),
                 worker.id,
@@ -137,78 +138,82 @@
                 "127.0.0.1:" + port,
                 ZONE,
                 "host",
-                SLOTS,
+                SLOTS_PER_INSTANCE,
                 Instance.State.READY);
     }
 
     /** An instance goes, with or without a word; its address goes to another. */
-    private void replaced(int port) {
-        ModelWorker old = byPort.get(port);
-        if (network.chance.nextBoolean()) {
-            old.die();
+    private void replaceInstance(int port) {
+        ModelWorker worker = workersByPort.get(port);
+        if (network.random.nextBoolean()) {
+            worker.crash();
         }
-        Instance known = allocator == null ? null : allocator.instance(old.id);
-        if (known != null && network.chance.nextBoolean()) {
-            allocator.removeInstance(network.now(), known);
-            toScheduler(term, () -> withdrawn(old.id));
+        Instance instance = allocator == null ? null : allocator.instance(worker.id);
+        if (instance != null && network.random.nextBoolean()) {
+            allocator.removeInstance(network.now(), instance);
+            deliverToScheduler(term, () -> withdraw(worker.id));
         }
-        network.deafen(address(port));
-        network.at(
-                network.now() + network.chance.nextInt(200), () -> begins(port, drawnFunction()));
+        network.stopListening(address(port));
+        network.runAt(
+                network.now() + network.random.nextInt(200),
+                () -> startInstance(port, randomFunction()));
     }
 
-    private void withdrawn(String id) {
-        router.queues().forEach(queue -> queue.withdraw(id));
+    private void withdraw(String instanceId) {
+        router.queues().forEach(queue -> queue.withdraw(instanceId));
     }
 
-    private void toScheduler(long of, Runnable what) {
-        lastTold = Math.max(lastTold, network.now() + 2 * network.chance.nextDouble());
-        network.at(
-                lastTold,
+    private void deliverToScheduler(long senderTerm, Runnable task) {
+        lastDeliveryAt = Math.max(lastDeliveryAt, network.now() + 2 * network.random.nextDouble());
+        network.runAt(
+                lastDeliveryAt,
                 () -> {
-                    if (of == term) {
-                        network.execute(what);
+                    if (senderTerm == term) {
+                        network.execute(task);
                     }
                 });
     }
 
-    private void toLeader(Runnable what) {
-        long of = term;
-        lastTold = Math.max(lastTold, network.now() + 2 * network.chance.nextDouble());
-        network.at(
-                lastTold,
+    private void deliverToLeader(Runnable task) {
+        long senderTerm = term;
+        lastDeliveryAt = Math.max(lastDeliveryAt, network.now() + 2 * network.random.nextDouble());
+        network.runAt(
+                lastDeliveryAt,
                 () -> {
-                    if (of == term && allocator != null) {
-                        what.run();
+                    if (senderTerm == term && allocator != null) {
+                        task.run();
                     }
                 });
     }
 
-    private void leads() {
-        long of = ++term;
+    private void startLeader() {
+        long ownTerm = ++term;
         allocator =
                 new SlotAllocator(
                         settings.heartbeatInterval,
                         network.now(),
-                        (front, message) -> toScheduler(of, () -> receive(message)));
+                        (schedulerId, message) ->
+                                deliverToScheduler(ownTerm, () -> receive(message)));
         allocator.configure(configuration());
-        byPort.forEach(this::add);
-        Map<String, Integer> held = router.heldSlots();
+        workersByPort.forEach(this::addToAllocator);
+        Map<String, Integer> heldSlots = router.heldSlots();
         allocator.onRegister(
-                network.now(), "front", new Messages.Register("front", ZONE, 1, Map.copyOf(held)));
-        toScheduler(
-                of,
+                network.now(),
+                "front",
+                new Messages.Register("front", ZONE, 1, Map.copyOf(heldSlots)));
+        deliverToScheduler(
+                ownTerm,
                 () -> {
-                    led = true;
+                    hasLeader = true;
                     router.queues().forEach(FunctionQueue::onRegistered);
                 });
-        ticks(of);
+        tickAllocator(ownTerm);
     }
 
-    private void ticks(long of) {
-        if (of == term && allocator != null) {
+    private void tickAllocator(long leaderTerm) {
+        if (leaderTerm == term && allocator != null) {
             allocator.tick(network.now());
-            network.at(network.now() + 20, () -> ticks(of));
+            network.runAt(network.now() + 20, () -> tickAllocator(leaderTerm));
         }
     }
 
@@ -227,29 +232,29 @@
     }
 
     /** All that the scheduler says to the leader and to callers from now on. */
-    DecisionTrace traced() {
+    DecisionTrace startTrace() {
         trace = new DecisionTrace();
         return trace;
     }
 
-    private void decided(String what, Object... values) {
+    private void traceDecision(String kind, Object... values) {
         if (trace != null) {
-            trace.add(network.now(), what, values);
+            trace.add(network.now(), kind, values);
         }
     }
 
     @Override
     public boolean sendToLeader(Object message) {
-        if (!led) {
+        if (!hasLeader) {
             return false;
         }
-        decided(message.getClass().getSimpleName(), message);
-        toLeader(
+        traceDecision(message.getClass().getSimpleName(), message);
+        deliverToLeader(
                 () -> {
                     if (message instanceof Messages.SlotDemand demand) {
                         allocator.onDemand(network.now(), "front", demand);
-                    } else if (message instanceof Messages.SlotReturn back) {
-                        allocator.onReturn(network.now(), "front", back);
+                    } else if (message instanceof Messages.SlotReturn slotReturn) {
+                        allocator.onReturn(network.now(), "front", slotReturn);
                     }
                 });
         return true;
@@ -257,77 +262,78 @@
 
     @Override
     public double leaderlessFor() {
-        return led ? 0 : network.now() - lostAt;
+        return hasLeader ? 0 : network.now() - leaderLostAt;
     }
 
-    private void trouble() {
-        if (calm) {
+    private void injectFault() {
+        if (isSettling) {
             return;
         }
-        switch (network.chance.nextInt(5)) {
+        switch (network.random.nextInt(5)) {
             case 0 -> {
                 term++;
                 allocator = null;
-                led = false;
-                lostAt = network.now();
-                network.at(network.now() + network.chance.nextInt(1500), this::leads);
+                hasLeader = false;
+                leaderLostAt = network.now();
+                network.runAt(network.now() + network.random.nextInt(1500), this::startLeader);
             }
-            case 1 -> toScheduler(term, () -> receive(new Messages.SlotRecall(FUNCTION, 1)));
-            case 2 -> router.setSchedulerCount(1 + network.chance.nextInt(4));
+            case 1 -> deliverToScheduler(term, () -> receive(new Messages.SlotRecall(FUNCTION, 1)));
+            case 2 -> router.setSchedulerCount(1 + network.random.nextInt(4));
             case 3 -> {
-                if (leaves && network.now() > 1_000_000 + SPAN * 0.7) {
+                if (mayDrain && network.now() > 1_000_000 + ACTIVE_PHASE_MS * 0.7) {
                     router.startDraining();
                 }
             }
-            default -> replaced(1 + network.chance.nextInt(ADDRESSES));
+            default -> replaceInstance(1 + network.random.nextInt(ADDRESS_COUNT));
         }
-        network.at(network.now() + 200 + network.chance.nextInt(1500), this::trouble);
+        network.runAt(network.now() + 200 + network.random.nextInt(1500), this::injectFault);
     }
 
     // ---- Callers ----
 
     /** One caller: a connection at a time, a request at a time on it. */
-    private final class Caller {
+    private final class Client {
         private ModelNetwork.Channel channel;
-        private Message answer;
-        private ModelRecord.Sent asked;
-        private byte[] held = new byte[0];
+        private Message response;
+        private ModelRecord.ClientRequest pending;
+        private byte[] unparsed = new byte[0];
 
-        void next() {
-            if (calm) {
+        void sendNextRequest() {
+            if (isSettling) {
                 return;
             }
             if (channel == null) {
                 channel = network.channel();
-                channel.join(new Line(channel));
+                channel.setRemote(new ClientConnection(channel));
                 network.execute(() -> router.accept(channel, network.noticedAt()));
             }
-            ask();
+            sendRequest();
         }
 
-        private void later(double span) {
-            network.at(network.now() + span * network.chance.nextDouble(), this::next);
+        private void scheduleNextRequest(double maxDelay) {
+            network.runAt(
+                    network.now() + maxDelay * network.random.nextDouble(), this::sendNextRequest);
         }
 
-        private void ask() {
-            boolean safe = network.chance.nextBoolean();
-            int attempts = 1 + network.chance.nextInt(3);
-            String id = "r" + requests++;
-            double waits = 100 + network.chance.nextInt(1500);
-            byte[] body = new byte[network.chance.nextBoolean() ? 0 : network.chance.nextInt(9000)];
-            java.util.Arrays.fill(body, (byte) ('a' + requests % 26));
+        private void sendRequest() {
+            boolean safe = network.random.nextBoolean();
+            int attempts = 1 + network.random.nextInt(3);
+            String id = "r" + requestCount++;
+            double remaining = 100 + network.random.nextInt(1500);
+            byte[] body = new byte[network.random.nextBoolean() ? 0 : network.random.nextInt(9000)];
+            java.util.Arrays.fill(body, (byte) ('a' + requestCount % 26));
             String target = "/" + (safe ? "safe" : "unsafe") + attempts + "/" + id;
-            asked =
-                    record.sent(
-                            new ModelRecord.Sent(
+            pending =
+                    record.add(
+                            new ModelRecord.ClientRequest(
                                     id,
                                     safe,
                                     attempts,
                                     network.now(),
-                                    network.now() + Math.min(waits, TIMEOUT),
+                                    network.now() + Math.min(remaining, ROUTE_TIMEOUT_MS),
                                     target,
                                     body));
-            answer = Message.answer(null, 1 << 20);
+            response = Message.answer(null, 1 << 20);
             channel.send(
                     Inbound.joined(
                             (body.length > 0 ? "POST " : "GET ")
@@ -335,113 +341,115 @@
                                     + " HTTP/1.1\r\nHost: h.example\r\nRequest-Id: "
                                     + id
                                     + "\r\nRemaining-Milliseconds: "
-                                    + Math.round(waits)
+                                    + Math.round(remaining)
                                     + "\r\nContent-Length: "
                                     + body.length
                                     + "\r\n\r\n",
                             body));
-            if (network.chance.nextInt(8) == 0) {
-                ModelRecord.Sent mine = asked;
-                network.at(network.now() + network.chance.nextInt(400), () -> leave(mine));
+            if (network.random.nextInt(8) == 0) {
+                ModelRecord.ClientRequest request = pending;
+                network.runAt(network.now() + network.random.nextInt(400), () -> abandon(request));
             }
         }
 
         /** The caller loses patience with this request. */
-        private void leave(ModelRecord.Sent mine) {
-            if (asked != mine || channel == null) {
+        private void abandon(ModelRecord.ClientRequest request) {
+            if (pending != request || channel == null) {
                 return;
             }
-            asked.gone = true;
-            asked.goneAt = network.now();
-            if (network.chance.nextBoolean()) {
-                channel.end();
+            pending.isAbandoned = true;
+            pending.abandonedAt = network.now();
+            if (network.random.nextBoolean()) {
+                channel.closeOutput();
             } else {
                 channel.reset();
             }
-            drop();
+            leaveConnection();
         }
 
-        private void drop() {
+        private void leaveConnection() {
             channel = null;
-            asked = null;
-            held = new byte[0];
-            later(PAUSE);
+            pending = null;
+            unparsed = new byte[0];
+            scheduleNextRequest(MAX_PAUSE_MS);
         }
 
         /** The caller's end of one connection: what comes on one that it left is lost. */
-        private final class Line implements ModelNetwork.Remote {
-            private final ModelNetwork.Channel mine;
+        private final class ClientConnection implements ModelNetwork.Remote {
+            private final ModelNetwork.Channel ownChannel;
 
-            Line(ModelNetwork.Channel mine) {
-                this.mine = mine;
+            ClientConnection(ModelNetwork.Channel connection) {
+                this.ownChannel = connection;
             }
 
             @Override
             public void received(byte[] bytes) {
-                if (channel == mine) {
-                    Caller.this.received(bytes);
+                if (channel == ownChannel) {
+                    Client.this.received(bytes);
                 }
             }
 
             @Override
             public void closed() {
-                if (channel == mine && asked == null) {
+                if (channel == ownChannel && pending == null) {
                     channel = null;
                 }
             }
         }
 
         private void received(byte[] bytes) {
-            network.check(asked != null, "bytes on a connection where no request waits");
-            if (asked == null) {
+            network.check(pending != null, "bytes on a connection where no request waits");
+            if (pending == null) {
                 return;
             }
-            byte[] all = Inbound.joined(new String(held, StandardCharsets.ISO_8859_1), bytes);
+            byte[] bytesSoFar =
+                    Inbound.joined(new String(unparsed, StandardCharsets.ISO_8859_1), bytes);
             try {
-                int taken = answer.take(all, 0, all.length);
-                held = java.util.Arrays.copyOfRange(all, taken, all.length);
+                int consumed = response.take(bytesSoFar, 0, bytesSoFar.length);
+                unparsed = java.util.Arrays.copyOfRange(bytesSoFar, consumed, bytesSoFar.length);
             } catch (BadMessage e) {
                 network.check(false, "MIXED: what came is no answer: " + e.getMessage());
                 return;
             }
-            if (answer.done()) {
-                network.check(held.length == 0, "bytes behind an answer");
-                ModelRecord.Sent done = asked;
-                boolean keeps = answer.keepsAlive();
-                asked = null;
-                decided("answer", done.id, answer.status(), answer.field("retry-after"));
-                record.answered(done, answer);
-                if (!keeps || network.chance.nextInt(4) == 0) {
-                    channel.end();
-                    drop();
+            if (response.done()) {
+                network.check(unparsed.length == 0, "bytes behind an answer");
+                ModelRecord.ClientRequest request = pending;
+                boolean keepsAlive = response.keepsAlive();
+                pending = null;
+                traceDecision(
+                        "answer", request.id, response.status(), response.field("retry-after"));
+                record.onResponse(request, response);
+                if (!keepsAlive || network.random.nextInt(4) == 0) {
+                    channel.closeOutput();
+                    leaveConnection();
                 } else {
-                    later(PAUSE);
+                    scheduleNextRequest(MAX_PAUSE_MS);
                 }
             }
         }
     }
 
     /** Plays one history and tells what is wrong with it, or null. */
-    String play() {
-        for (int port = 1; port <= ADDRESSES; port++) {
-            begins(port, FUNCTION);
+    String run() {
+        for (int port = 1; port <= ADDRESS_COUNT; port++) {
+            startInstance(port, FUNCTION);
         }
-        leads();
-        List<Caller> callers = new ArrayList<>();
-        for (int i = 0; i < CALLERS; i++) {
-            Caller caller = new Caller();
-            callers.add(caller);
-            caller.later(PAUSE);
+        startLeader();
+        List<Client> clients = new ArrayList<>();
+        for (int i = 0; i < CLIENT_COUNT; i++) {
+            Client client = new Client();
+            clients.add(client);
+            client.scheduleNextRequest(MAX_PAUSE_MS);
         }
-        leaves = network.chance.nextInt(4) == 0;
-        network.at(network.now() + 500, this::trouble);
-        network.run(1_000_000 + SPAN);
-        calm = true;
-        network.run(1_000_000 + SPAN + QUIET);
-        if (network.fault() == null) {
-            record.end();
+        mayDrain = network.random.nextInt(4) == 0;
+        network.runAt(network.now() + 500, this::injectFault);
+        network.runUntil(1_000_000 + ACTIVE_PHASE_MS);
+        isSettling = true;
+        network.runUntil(1_000_000 + ACTIVE_PHASE_MS + SETTLING_PHASE_MS);
+        if (network.violation() == null) {
+            record.checkCompletedHistory();
         }
-        return network.fault();
+        return network.violation();
     }
 
     int served() {
--- a/src/test/java/gingerspool/dataplane/DataPlaneSimulationTest.java
+++ b/src/test/java/gingerspool/dataplane/DataPlaneSimulationTest.java
@@ -49,64 +49,73 @@
     }
 
     /** Each sort of fault with its first seed and how many histories had it; empty if none had. */
-    private Map<String, String> found(int histories, Set<RequestSafeguard> without) {
-        Map<String, List<String>> all = new ConcurrentSkipListMap<>();
+    private Map<String, String> violations(
+            int histories, Set<RequestSafeguard> disabledSafeguards) {
+        Map<String, List<String>> violationsByKind = new ConcurrentSkipListMap<>();
         LongStream.rangeClosed(1, histories)
                 .parallel()
                 .forEach(
                         seed -> {
-                            String wrong = new DataPlaneSimulation(settings, seed, without).play();
-                            if (wrong != null) {
-                                all.computeIfAbsent(
-                                                wrong.replaceAll("\\d+", "#"),
-                                                k -> new CopyOnWriteArrayList<>())
-                                        .add(String.format("%06d %s", seed, wrong));
+                            String violation =
+                                    new DataPlaneSimulation(settings, seed, disabledSafeguards)
+                                            .run();
+                            if (violation != null) {
+                                violationsByKind
+                                        .computeIfAbsent(
+                                                violation.replaceAll("\\d+", "#"),
+                                                kind -> new CopyOnWriteArrayList<>())
+                                        .add(String.format("%06d %s", seed, violation));
                             }
                         });
-        Map<String, String> found = new TreeMap<>();
-        all.forEach(
-                (sort, seeds) ->
-                        found.put(
-                                sort,
-                                seeds.size() + " of " + histories + ", first " + first(seeds)));
-        return found;
+        Map<String, String> summary = new TreeMap<>();
+        violationsByKind.forEach(
+                (kind, examples) ->
+                        summary.put(
+                                kind,
+                                examples.size()
+                                        + " of "
+                                        + histories
+                                        + ", first "
+                                        + first(examples)));
+        return summary;
     }
 
-    private static String first(List<String> seeds) {
-        return seeds.stream().sorted().findFirst().orElse("");
+    private static String first(List<String> examples) {
+        return examples.stream().sorted().findFirst().orElse("");
     }
 
     /** What the scheduler says to the leader and to callers is what was recorded, to the bit. */
     @Test
-    public void decisionsAreThoseRecorded() {
-        Map<String, String> found = new TreeMap<>();
+    public void decisionsMatchTheRecordedTrace() {
+        Map<String, String> digests = new TreeMap<>();
         for (long seed = 1; seed <= 12; seed++) {
             DataPlaneSimulation history =
                     new DataPlaneSimulation(settings, seed, EnumSet.noneOf(RequestSafeguard.class));
-            DecisionTrace trace = history.traced();
-            history.play();
-            found.put("seed " + seed, trace.end());
+            DecisionTrace trace = history.startTrace();
+            history.run();
+            digests.put("seed " + seed, trace.end());
         }
-        assertEquals(found, DecisionTrace.recorded("dataplane", found));
+        assertEquals(digests, DecisionTrace.recorded("dataplane", digests));
     }
 
     @Test
-    public void histories() {
-        Map<String, String> found = found(HISTORIES, EnumSet.noneOf(RequestSafeguard.class));
+    public void guaranteesHoldInAllHistories() {
+        Map<String, String> found = violations(HISTORIES, EnumSet.noneOf(RequestSafeguard.class));
         assertEquals(found.toString(), "{}");
     }
 
     /** What each guard is for: histories without it that the record calls wrong. */
     @Test
-    public void eachGuardThatIsTakenOutIsMissed() {
-        List<String> needless = new ArrayList<>();
-        for (RequestSafeguard guard : RequestSafeguard.values()) {
-            Map<String, String> found = found(Math.max(1, HISTORIES / 4), EnumSet.of(guard));
-            Reporter.log(guard + " " + found, Boolean.getBoolean("guards"));
+    public void everySafeguardIsNeeded() {
+        List<String> unneeded = new ArrayList<>();
+        for (RequestSafeguard safeguard : RequestSafeguard.values()) {
+            Map<String, String> found =
+                    violations(Math.max(1, HISTORIES / 4), EnumSet.of(safeguard));
+            Reporter.log(safeguard + " " + found, Boolean.getBoolean("guards"));
             if (found.isEmpty()) {
-                needless.add(guard.name());
+                unneeded.add(safeguard.name());
             }
         }
-        assertEquals(needless, List.of());
+        assertEquals(unneeded, List.of());
     }
 }
--- a/src/test/java/gingerspool/dataplane/DeposedLeaderTest.java
+++ b/src/test/java/gingerspool/dataplane/DeposedLeaderTest.java
@@ -24,30 +24,30 @@
 
 /** A scheduler's links to members of the core that say different things. */
 public class DeposedLeaderTest {
-    private static final int PATIENCE_MS = 10_000;
-    private static final String OLD = "127.0.11.1";
+    private static final int TIMEOUT_MS = 10_000;
+    private static final String OLD_LEADER = "127.0.11.1";
     private static final String FOLLOWER = "127.0.11.2";
-    private static final String NEXT = "127.0.11.3";
+    private static final String NEW_LEADER = "127.0.11.3";
 
     private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
 
     private static ServerSocket listen(String ip, int port) throws IOException {
-        ServerSocket made = new ServerSocket(port, 10, InetAddress.getByName(ip));
-        made.setSoTimeout(PATIENCE_MS);
-        return made;
+        ServerSocket socket = new ServerSocket(port, 10, InetAddress.getByName(ip));
+        socket.setSoTimeout(TIMEOUT_MS);
+        return socket;
     }
 
-    private void send(Socket to, Object message) throws IOException {
+    private void send(Socket socket, Object message) throws IOException {
         byte[] bytes = codec.write(message);
-        DataOutputStream out = new DataOutputStream(to.getOutputStream());
+        DataOutputStream out = new DataOutputStream(socket.getOutputStream());
         out.writeInt(bytes.length);
         out.write(bytes);
         out.flush();
     }
 
-    private void await(Socket from, Class<?> type) throws Exception {
-        from.setSoTimeout(PATIENCE_MS);
-        DataInputStream in = new DataInputStream(from.getInputStream());
+    private void await(Socket socket, Class<?> type) throws Exception {
+        socket.setSoTimeout(TIMEOUT_MS);
+        DataInputStream in = new DataInputStream(socket.getInputStream());
         Object message;
         do {
             byte[] bytes = new byte[in.readInt()];
@@ -72,14 +72,15 @@
                 [ListenAddresses]
                 FrontAddress = "127.0.11.9:1"
                 """
-                        .formatted(port, port, OLD, FOLLOWER));
+                        .formatted(port, port, OLD_LEADER, FOLLOWER));
         return NodeSettings.read(file);
     }
 
-    private static boolean isLed(SingleThreadEventLoop loop, ControlLinks links) throws Exception {
-        CompletableFuture<Boolean> led = new CompletableFuture<>();
-        loop.submit(() -> led.complete(links.hasLeader()));
-        return led.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+    private static boolean hasLeader(SingleThreadEventLoop loop, ControlLinks links)
+            throws Exception {
+        CompletableFuture<Boolean> result = new CompletableFuture<>();
+        loop.submit(() -> result.complete(links.hasLeader()));
+        return result.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -87,62 +88,63 @@
      * no more, in its old term: the scheduler waits for it no longer.
      */
     @Test
-    public void anOldLeaderThatStepsDownIsBelievedThoughANewTermWasHeardOf() throws Exception {
+    public void anOldLeadersResignationIsAcceptedAfterANewTermWasAnnounced() throws Exception {
         SingleThreadEventLoop loop = new SingleThreadEventLoop();
-        try (ServerSocket old = listen(OLD, 0);
-                ServerSocket follower = listen(FOLLOWER, old.getLocalPort());
-                ServerSocket next = listen(NEXT, old.getLocalPort())) {
+        try (ServerSocket oldLeader = listen(OLD_LEADER, 0);
+                ServerSocket follower = listen(FOLLOWER, oldLeader.getLocalPort());
+                ServerSocket newLeader = listen(NEW_LEADER, oldLeader.getLocalPort())) {
             CompletableFuture<Void> registered = new CompletableFuture<>();
-            CompletableFuture<Void> told = new CompletableFuture<>();
+            CompletableFuture<Void> otherMessage = new CompletableFuture<>();
             ControlLinks links =
                     new ControlLinks(
                             loop,
-                            settings(old.getLocalPort()),
+                            settings(oldLeader.getLocalPort()),
                             () -> new Messages.Register("front-1", "a", 0, Map.of()),
                             message -> {
                                 if (message instanceof Messages.Registered) {
                                     registered.complete(null);
                                 } else {
-                                    told.complete(null);
+                                    otherMessage.complete(null);
                                 }
                             });
             loop.submit(links::start);
-            Socket toOld = old.accept();
-            Socket toFollower = follower.accept();
-            List<String> members = List.of(OLD, FOLLOWER);
-            send(toOld, new Messages.LeaderAnnouncement(1, OLD, members));
-            await(toOld, Messages.Register.class);
-            send(toOld, new Messages.Registered(1));
-            registered.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+            Socket oldLeaderLink = oldLeader.accept();
+            Socket followerLink = follower.accept();
+            List<String> members = List.of(OLD_LEADER, FOLLOWER);
+            send(oldLeaderLink, new Messages.LeaderAnnouncement(1, OLD_LEADER, members));
+            await(oldLeaderLink, Messages.Register.class);
+            send(oldLeaderLink, new Messages.Registered(1));
+            registered.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
             send(
-                    toFollower,
-                    new Messages.LeaderAnnouncement(2, NEXT, List.of(OLD, FOLLOWER, NEXT)));
-            assertNotNull(next.accept(), "it heard of the new leader");
-            send(toOld, new Messages.LeaderAnnouncement(1, "", members));
+                    followerLink,
+                    new Messages.LeaderAnnouncement(
+                            2, NEW_LEADER, List.of(OLD_LEADER, FOLLOWER, NEW_LEADER)));
+            assertNotNull(newLeader.accept(), "it heard of the new leader");
+            send(oldLeaderLink, new Messages.LeaderAnnouncement(1, "", members));
             // What comes after the announcement is passed on only by one that still believes it.
-            send(toOld, new Messages.SchedulerCount(1));
-            send(toOld, new Messages.LeaderAnnouncement(1, "", members));
-            awaitUnled(loop, links);
-            assertFalse(told.isDone(), "a message of one that stepped down was taken");
+            send(oldLeaderLink, new Messages.SchedulerCount(1));
+            send(oldLeaderLink, new Messages.LeaderAnnouncement(1, "", members));
+            awaitNoLeader(loop, links);
+            assertFalse(otherMessage.isDone(), "a message of one that stepped down was taken");
         } finally {
             loop.stop();
         }
     }
 
-    private static void awaitUnled(SingleThreadEventLoop loop, ControlLinks links)
+    private static void awaitNoLeader(SingleThreadEventLoop loop, ControlLinks links)
             throws Exception {
-        CompletableFuture<Void> unled = new CompletableFuture<>();
-        loop.submit(() -> check(loop, links, unled));
-        unled.get(PATIENCE_MS / 5, TimeUnit.MILLISECONDS);
-        assertFalse(isLed(loop, links));
+        CompletableFuture<Void> noLeader = new CompletableFuture<>();
+        loop.submit(() -> pollLeader(loop, links, noLeader));
+        noLeader.get(TIMEOUT_MS / 5, TimeUnit.MILLISECONDS);
+        assertFalse(hasLeader(loop, links));
     }
 
-    private static void check(
-            SingleThreadEventLoop loop, ControlLinks links, CompletableFuture<Void> unled) {
+    private static void pollLeader(
+            SingleThreadEventLoop loop, ControlLinks links, CompletableFuture<Void> noLeader) {
         if (!links.hasLeader()) {
-            unled.complete(null);
+            noLeader.complete(null);
         } else {
-            loop.schedule(10, () -> check(loop, links, unled));
+            loop.schedule(10, () -> pollLeader(loop, links, noLeader));
         }
     }
 }
--- a/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
+++ b/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
@@ -38,21 +38,21 @@
 
 /** One function's desk against instances of the stand-in; what it tells the leader is kept. */
 public class FunctionQueueTest implements FunctionQueue.Environment {
-    private static final double BEAT = 400;
+    private static final double HEARTBEAT_MS = 400;
     private SingleThreadEventLoop loop;
     private Cloud cloud;
     private ConnectionPool pool;
     private NodeSettings settings;
     private FunctionQueue queue;
     private BlockingQueue<Object> sentMessages;
-    private BlockingQueue<String> answers;
+    private BlockingQueue<String> responses;
     private int poolIndexes;
 
     @BeforeMethod
     public void open() throws Exception {
         loop = new SingleThreadEventLoop();
         sentMessages = new LinkedBlockingQueue<>();
-        answers = new LinkedBlockingQueue<>();
+        responses = new LinkedBlockingQueue<>();
         poolIndexes = 0;
         cloud = new Cloud(loop, "127.0.7.2", Map.of("h1", "a"), 1, 20, 0, 2);
         Path file = Files.createTempFile("desk", ".toml");
@@ -69,27 +69,27 @@
             [Bounds]
             RetryBudgetSlack = 10
             """
-                        .formatted((int) BEAT));
+                        .formatted((int) HEARTBEAT_MS));
         settings = NodeSettings.read(file);
         pool = new ConnectionPool(loop, 500, 5000, 20);
         queue =
-                on(
+                callOnLoop(
                         () -> {
-                            FunctionQueue d = new FunctionQueue(this, "f");
-                            d.onConfiguration(
+                            FunctionQueue created = new FunctionQueue(this, "f");
+                            created.onConfiguration(
                                     Service.newBuilder()
                                             .setName("f")
                                             .setBoot(50)
                                             .setConcurrency(2)
                                             .build(),
                                     List.of(route("safe", 1)));
-                            return d;
+                            return created;
                         });
     }
 
     @AfterMethod
-    public void end() throws Exception {
-        on(
+    public void close() throws Exception {
+        callOnLoop(
                 () -> {
                     cloud.close();
                     return null;
@@ -97,17 +97,17 @@
         loop.stop();
     }
 
-    private <T> T on(Callable<T> what) throws Exception {
-        CompletableFuture<T> done = new CompletableFuture<>();
+    private <T> T callOnLoop(Callable<T> task) throws Exception {
+        CompletableFuture<T> result = new CompletableFuture<>();
         loop.submit(
                 () -> {
                     try {
-                        done.complete(what.call());
+                        result.complete(task.call());
                     } catch (Exception e) {
-                        done.completeExceptionally(e);
+                        result.completeExceptionally(e);
                     }
                 });
-        return done.get(5, TimeUnit.SECONDS);
+        return result.get(5, TimeUnit.SECONDS);
     }
 
     private static Route route(String kind, int attempts) {
@@ -123,40 +123,40 @@
 
     /** A request comes; returns its id. */
     private String request(String id, Route route) throws Exception {
-        on(
+        callOnLoop(
                 () -> {
-                    byte[] b =
+                    byte[] bytes =
                             ("GET /x HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\n\r\n")
                                     .getBytes(StandardCharsets.ISO_8859_1);
-                    Message m = Message.request();
-                    m.take(b, 0, b.length);
-                    PendingRequest v =
+                    Message message = Message.request();
+                    message.take(bytes, 0, bytes.length);
+                    PendingRequest pending =
                             new PendingRequest(
                                     id,
                                     null,
-                                    m,
+                                    message,
                                     route,
                                     loop.now(),
                                     loop.now() + route.getAim(),
                                     loop.now() + route.getAim(),
                                     true);
-                    v.expiry = loop.now() + route.getTimeout();
-                    queue.enqueue(v);
+                    pending.expiry = loop.now() + route.getTimeout();
+                    queue.enqueue(pending);
                     return null;
                 });
         return id;
     }
 
     private void grant(String instance, String address) throws Exception {
-        on(
+        callOnLoop(
                 () -> {
                     queue.onGrant(new Messages.SlotGrant("f", instance, address, "a", 2, 1, 0, 1));
                     return null;
                 });
     }
 
-    private void begin(String nonce) throws Exception {
-        HttpResponse<String> a =
+    private void startInstance(String nonce) throws Exception {
+        HttpResponse<String> response =
                 HttpClient.newHttpClient()
                         .send(
                                 HttpRequest.newBuilder(
@@ -171,110 +171,113 @@
                                                                 + "\"}"))
                                         .build(),
                                 HttpResponse.BodyHandlers.ofString());
-        Object tree = Json.read(a.body());
-        String address = JsonTree.text("", tree, "Address");
+        Object body = Json.read(response.body());
+        String address = JsonTree.text("", body, "Address");
         // It starts after a millisecond on the same loop; a knock would wait for it as well.
-        on(() -> null);
-        CompletableFuture<Void> later = new CompletableFuture<>();
-        loop.submit(() -> loop.schedule(20, () -> later.complete(null)));
-        later.get(5, TimeUnit.SECONDS);
-        grant(JsonTree.text("", tree, "Identifier"), address);
+        callOnLoop(() -> null);
+        CompletableFuture<Void> started = new CompletableFuture<>();
+        loop.submit(() -> loop.schedule(20, () -> started.complete(null)));
+        started.get(5, TimeUnit.SECONDS);
+        grant(JsonTree.text("", body, "Identifier"), address);
     }
 
-    private static String closedPort() throws Exception {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.7.2"))) {
-            return "127.0.7.2:" + free.getLocalPort();
+    private static String unusedAddress() throws Exception {
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.7.2"))) {
+            return "127.0.7.2:" + socket.getLocalPort();
         }
     }
 
     /** The first word of this kind that the leader is told from now on. */
-    private <T> T next(Class<T> kind) throws Exception {
+    private <T> T awaitMessage(Class<T> type) throws Exception {
         for (Object message = sentMessages.poll(5, TimeUnit.SECONDS);
                 message != null;
                 message = sentMessages.poll(5, TimeUnit.SECONDS)) {
-            if (kind.isInstance(message)) {
-                return kind.cast(message);
+            if (type.isInstance(message)) {
+                return type.cast(message);
             }
         }
-        throw new AssertionError("no " + kind.getSimpleName() + " was said");
+        throw new AssertionError("no " + type.getSimpleName() + " was said");
     }
 
-    private String answer() throws Exception {
-        return answers.poll(5, TimeUnit.SECONDS);
+    private String awaitResponse() throws Exception {
+        return responses.poll(5, TimeUnit.SECONDS);
     }
 
     @Test
-    public void anInstanceOutOfReachIsNoAttemptForWhatMayRunOnceOnly() throws Exception {
+    public void anUnreachableInstanceDoesNotCountAsAnAttempt() throws Exception {
         for (String kind : List.of("safe", "unsafe")) {
             request(kind, route(kind, 1));
-            grant("gone-" + kind, closedPort());
+            grant("gone-" + kind, unusedAddress());
             assertEquals(
-                    next(Messages.SlotReturn.class).condition(),
+                    awaitMessage(Messages.SlotReturn.class).condition(),
                     Messages.InstanceCondition.UNREACHABLE);
-            begin(kind);
-            assertEquals(answer(), "200 " + kind, "its one attempt was still to come");
+            startInstance(kind);
+            assertEquals(awaitResponse(), "200 " + kind, "its one attempt was still to come");
             assertEquals(
-                    next(Messages.SlotReturn.class).condition(),
+                    awaitMessage(Messages.SlotReturn.class).condition(),
                     Messages.InstanceCondition.HEALTHY,
                     "before the next comes");
         }
     }
 
     @Test
-    public void whatMayNotRunTwiceIsNotSentAgainAfterAByteWentOut() throws Exception {
-        try (ServerSocket cuts = new ServerSocket(0, 5, InetAddress.getByName("127.0.7.2"))) {
+    public void anUnsafeRequestIsNotRetriedOnceAByteWasSent() throws Exception {
+        try (ServerSocket breakingInstance =
+                new ServerSocket(0, 5, InetAddress.getByName("127.0.7.2"))) {
             Thread reader =
                     new Thread(
                             () -> {
                                 try {
-                                    var s = cuts.accept();
-                                    s.getInputStream().read();
-                                    s.close();
+                                    var socket = breakingInstance.accept();
+                                    socket.getInputStream().read();
+                                    socket.close();
                                 } catch (java.io.IOException e) {
-                                    answers.add(e.toString());
+                                    responses.add(e.toString());
                                 }
                             });
             reader.start();
             request("once", route("unsafe", 2));
-            grant("cuts", "127.0.7.2:" + cuts.getLocalPort());
-            assertEquals(answer(), "502 once", "no promise, as it may have run");
+            grant("cuts", "127.0.7.2:" + breakingInstance.getLocalPort());
+            assertEquals(awaitResponse(), "502 once", "no promise, as it may have run");
             reader.join(5000);
-            begin("b");
-            assertEquals(on(() -> cloud.ran).intValue(), 0);
+            startInstance("b");
+            assertEquals(callOnLoop(() -> cloud.ran).intValue(), 0);
         }
     }
 
     @Test
-    public void aSlotIsKeptWhereTheNextRequestIsNearAndElseGoesBackAtOnce() throws Exception {
+    public void aSlotIsKeptOnlyIfTheNextRequestIsExpectedSoon() throws Exception {
         request("first", route("safe", 1));
-        begin("a");
-        assertEquals(answer(), "200 first");
-        double served = on(loop::now);
-        assertEquals(next(Messages.SlotReturn.class).slots(), 1);
-        assertTrue(on(loop::now) < served + BEAT / 4, "nothing says that another request is near");
+        startInstance("a");
+        assertEquals(awaitResponse(), "200 first");
+        double servedAt = callOnLoop(loop::now);
+        assertEquals(awaitMessage(Messages.SlotReturn.class).slots(), 1);
+        assertTrue(
+                callOnLoop(loop::now) < servedAt + HEARTBEAT_MS / 4,
+                "nothing says that another request is near");
         for (int i = 0; i < 40; i++) {
             request("n" + i, route("safe", 1));
             if (i < 20) {
-                begin("b");
+                startInstance("b");
             } else if (i == 20) {
                 sentMessages.clear();
             }
-            assertEquals(answer(), "200 n" + i);
+            assertEquals(awaitResponse(), "200 n" + i);
         }
         assertNull(
                 sentMessages.stream()
-                        .filter(w -> w instanceof Messages.SlotReturn)
+                        .filter(message -> message instanceof Messages.SlotReturn)
                         .findFirst()
                         .orElse(null),
                 "requests come every 20 ms: the slot stays");
     }
 
     @Test
-    public void withoutAnInstanceInSightARequestIsToldWhenToComeBack() throws Exception {
-        double came = on(loop::now);
+    public void withoutAnInstanceARequestIsRejectedWithARetryTime() throws Exception {
+        double arrivedAt = callOnLoop(loop::now);
         request("lost", route("safe", 1));
-        assertEquals(answer(), "503 lost Retry-After: 0.05");
-        assertTrue(on(loop::now) < came + 1500, "long before its deadline");
+        assertEquals(awaitResponse(), "503 lost Retry-After: 0.05");
+        assertTrue(callOnLoop(loop::now) < arrivedAt + 1500, "long before its deadline");
     }
 
     // ---- The environment ----
@@ -319,9 +322,12 @@
     public void releasePoolIndex(int poolIndex) {}
 
     @Override
-    public void answer(PendingRequest v, int status, List<String> fields, byte[] body) {
-        String back =
-                fields.stream().filter(f -> f.startsWith("Retry-After")).findFirst().orElse(null);
-        answers.add(status + " " + v.id + (back == null ? "" : " " + back));
+    public void answer(PendingRequest request, int status, List<String> fields, byte[] body) {
+        String retryAfter =
+                fields.stream()
+                        .filter(field -> field.startsWith("Retry-After"))
+                        .findFirst()
+                        .orElse(null);
+        responses.add(status + " " + request.id + (retryAfter == null ? "" : " " + retryAfter));
     }
 }
--- a/src/test/java/gingerspool/dataplane/InstanceProtocolTest.java
+++ b/src/test/java/gingerspool/dataplane/InstanceProtocolTest.java
@@ -12,21 +12,21 @@
 import org.testng.annotations.Test;
 
 public class InstanceProtocolTest {
-    private static Message read(Message m, String text) throws BadMessage {
-        byte[] b = text.getBytes(StandardCharsets.ISO_8859_1);
-        m.take(b, 0, b.length);
-        assertTrue(m.done());
-        return m;
+    private static Message parse(Message message, String text) throws BadMessage {
+        byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
+        message.take(bytes, 0, bytes.length);
+        assertTrue(message.done());
+        return message;
     }
 
-    private static Message answer(String status, String fields) throws BadMessage {
-        return read(
+    private static Message response(String status, String fields) throws BadMessage {
+        return parse(
                 Message.answer(null),
                 "HTTP/1.1 " + status + " X\r\n" + fields + "Content-Length: 0\r\n\r\n");
     }
 
     @DataProvider
-    Object[][] answers() {
+    Object[][] responses() {
         String id = "Request-Id: a\r\n";
         String stamp = id + "Server-Stamp: s\r\n";
         return new Object[][] {
@@ -52,35 +52,38 @@
      * Only an instance's own word says that it did not run; a failure passed on promises nothing
      * untrue.
      */
-    @Test(dataProvider = "answers")
-    public void whatAnAnswerMeans(String status, String fields, Outcome how, boolean mayPass)
-            throws BadMessage {
-        Message m = answer(status, fields);
-        assertEquals(InstanceProtocol.outcome(m, "a", guard -> true), how);
-        assertEquals(InstanceProtocol.mayForward(m, "a", guard -> true), mayPass);
+    @Test(dataProvider = "responses")
+    public void responsesAreClassified(
+            String status, String fields, Outcome outcome, boolean mayForward) throws BadMessage {
+        Message response = response(status, fields);
+        assertEquals(InstanceProtocol.outcome(response, "a", guard -> true), outcome);
+        assertEquals(InstanceProtocol.mayForward(response, "a", guard -> true), mayForward);
     }
 
     @Test
-    public void aRequestGoesOnWithoutWhatConcernsOneConnection() throws BadMessage {
-        Message m =
-                read(
+    public void aForwardedRequestOmitsConnectionSpecificFields() throws BadMessage {
+        Message request =
+                parse(
                         Message.request(),
                         "POST /a/b?c HTTP/1.1\r\nHost: h.example\r\nRequest-Id: a\r\nX-Odd: 1\r\n"
                                 + "Remaining-Milliseconds: 900\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\n"
                                 + "Keep-Alive: timeout=5\r\n"
                                 + "Transfer-Encoding: chunked\r\nExpected-Instance: other\r\n\r\n2\r\nok\r\n0\r\n\r\n");
-        String sent =
+        String forwarded =
                 new String(
-                        InstanceProtocol.encodeRequest(m, "i-1", 650.7),
+                        InstanceProtocol.encodeRequest(request, "i-1", 650.7),
                         StandardCharsets.ISO_8859_1);
         assertTrue(
-                sent.startsWith("POST /a/b?c HTTP/1.1\r\n")
-                        && sent.endsWith("\r\nContent-Length: 2\r\n\r\nok"),
-                sent);
-        assertTrue(sent.contains("Host: h.example\r\nRequest-Id: a\r\nX-Odd: 1\r\n"), sent);
-        assertTrue(sent.contains("Remaining-Milliseconds: 650\r\nExpected-Instance: i-1"), sent);
-        for (String gone : new String[] {"X-Hop", "Keep-Alive", "chunked", "other", "900"}) {
-            assertFalse(sent.contains(gone), gone + " in " + sent);
+                forwarded.startsWith("POST /a/b?c HTTP/1.1\r\n")
+                        && forwarded.endsWith("\r\nContent-Length: 2\r\n\r\nok"),
+                forwarded);
+        assertTrue(
+                forwarded.contains("Host: h.example\r\nRequest-Id: a\r\nX-Odd: 1\r\n"), forwarded);
+        assertTrue(
+                forwarded.contains("Remaining-Milliseconds: 650\r\nExpected-Instance: i-1"),
+                forwarded);
+        for (String removed : new String[] {"X-Hop", "Keep-Alive", "chunked", "other", "900"}) {
+            assertFalse(forwarded.contains(removed), removed + " in " + forwarded);
         }
     }
 }
--- a/src/test/java/gingerspool/dataplane/ModelNetwork.java
+++ b/src/test/java/gingerspool/dataplane/ModelNetwork.java
@@ -42,68 +42,72 @@
         Remote accept(Channel channel);
     }
 
-    private record Event(double at, long serial, Runnable what) {}
+    private record Event(double at, long serial, Runnable task) {}
 
-    final SplittableRandom chance;
-    private final Set<RequestSafeguard> without;
+    final SplittableRandom random;
+    private final Set<RequestSafeguard> disabledSafeguards;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
                     Comparator.comparingDouble(Event::at).thenComparingLong(Event::serial));
     private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
     private final Map<SocketAddress, Acceptor> acceptors = new HashMap<>();
     private boolean isRunning;
-    private long serial;
+    private long nextSerial;
     private double now = 1_000_000;
-    private String fault;
+    private String violation;
 
     /** The loop comes to each event so much later than the runtime noticed it. */
-    double noticedEarlierBy;
+    double loopDelay;
 
-    ModelNetwork(long seed, Set<RequestSafeguard> without) {
-        chance = new SplittableRandom(seed);
-        this.without = without.isEmpty() ? EnumSet.noneOf(RequestSafeguard.class) : without;
+    ModelNetwork(long seed, Set<RequestSafeguard> disabled) {
+        random = new SplittableRandom(seed);
+        this.disabledSafeguards =
+                disabled.isEmpty() ? EnumSet.noneOf(RequestSafeguard.class) : disabled;
     }
 
-    void listen(SocketAddress at, Acceptor who) {
-        acceptors.put(at, who);
+    void listen(SocketAddress address, Acceptor acceptor) {
+        acceptors.put(address, acceptor);
     }
 
     /** Whoever connects there hears nothing. */
-    void listenSilently(SocketAddress at) {
-        acceptors.put(at, null);
+    void listenSilently(SocketAddress address) {
+        acceptors.put(address, null);
     }
 
-    void deafen(SocketAddress at) {
-        acceptors.remove(at);
+    void stopListening(SocketAddress address) {
+        acceptors.remove(address);
     }
 
     /** Notes the first thing that went wrong. */
-    void check(boolean holds, String otherwise) {
-        fault = holds || fault != null ? fault : otherwise + " at " + Math.round(now - 1_000_000);
+    void check(boolean condition, String message) {
+        violation =
+                condition || violation != null
+                        ? violation
+                        : message + " at " + Math.round(now - 1_000_000);
     }
 
-    String fault() {
-        return fault;
+    String violation() {
+        return violation;
     }
 
     // ---- Time ----
 
-    void at(double when, Runnable what) {
-        events.add(new Event(Math.max(now, when), serial++, what));
+    void runAt(double time, Runnable task) {
+        events.add(new Event(Math.max(now, time), nextSerial++, task));
     }
 
-    void run(double until) {
-        while (!events.isEmpty() && events.peek().at <= until && fault == null) {
+    void runUntil(double end) {
+        while (!events.isEmpty() && events.peek().at <= end && violation == null) {
             Event next = events.poll();
             now = next.at;
-            next.what.run();
+            next.task.run();
         }
-        now = Math.max(now, until);
+        now = Math.max(now, end);
     }
 
     @Override
-    public void execute(Runnable what) {
-        tasks.add(what);
+    public void execute(Runnable task) {
+        tasks.add(task);
         if (isRunning) {
             return;
         }
@@ -119,16 +123,16 @@
     }
 
     @Override
-    public Future<?> schedule(double span, Runnable what) {
-        CompletableFuture<Void> done = new CompletableFuture<>();
-        at(
-                now + span,
+    public Future<?> schedule(double delay, Runnable task) {
+        CompletableFuture<Void> timer = new CompletableFuture<>();
+        runAt(
+                now + delay,
                 () -> {
-                    if (done.complete(null)) {
-                        execute(what);
+                    if (timer.complete(null)) {
+                        execute(task);
                     }
                 });
-        return done;
+        return timer;
     }
 
     @Override
@@ -138,7 +142,7 @@
 
     @Override
     public double noticedAt() {
-        return now - noticedEarlierBy;
+        return now - loopDelay;
     }
 
     @Override
@@ -152,36 +156,36 @@
     }
 
     @Override
-    public boolean has(RequestSafeguard guard) {
-        return !without.contains(guard);
+    public boolean has(RequestSafeguard safeguard) {
+        return !disabledSafeguards.contains(safeguard);
     }
 
-    private double shortly() {
-        return now + 0.05 + 2 * chance.nextDouble();
+    private double randomDeliveryTime() {
+        return now + 0.05 + 2 * random.nextDouble();
     }
 
-    private record Piece(byte[] bytes, BooleanSupplier doubtful) {}
+    private record Segment(byte[] bytes, BooleanSupplier preventsReuse) {}
 
     /** Our end of a connection; the other end sends, ends and resets by calls. */
     final class Channel extends AsynchronousSocketChannel {
         private Remote remote;
-        private final ArrayDeque<Piece> incoming = new ArrayDeque<>();
-        private double lastSent;
-        private double lastWritten;
+        private final ArrayDeque<Segment> incoming = new ArrayDeque<>();
+        private double lastDeliveryAt;
+        private double lastPeerDeliveryAt;
         private boolean open = true;
-        private boolean ended;
-        private boolean reset;
-        private boolean reading;
+        private boolean atEndOfStream;
+        private boolean isReset;
+        private boolean isReading;
         private Runnable failRead = () -> {};
         private Runnable tryRead = () -> {};
 
         /** Bytes that belong to no request were read here. */
-        private boolean doubted;
+        private boolean mustNotBeReused;
 
-        private boolean writing;
+        private boolean isWriting;
 
         /** Writes take so long each, at the most. */
-        double slowness = 1;
+        double maxWriteTime = 1;
 
         private Channel() {
             super(null);
@@ -189,56 +193,56 @@
 
         // ---- The far end ----
 
-        void join(Remote who) {
-            remote = who;
+        void setRemote(Remote peer) {
+            remote = peer;
         }
 
         void send(byte[] bytes) {
             send(bytes, () -> false);
         }
 
-        void sendDoubtful(byte[] bytes) {
+        void sendPreventingReuse(byte[] bytes) {
             send(bytes, () -> true);
         }
 
         /** An answer before the request was read whole: doubtful if it isn't written when read. */
         void sendEarly(byte[] bytes) {
-            send(bytes, () -> writing);
+            send(bytes, () -> isWriting);
         }
 
         /** Bytes come in the order sent; as they are read it is asked whether they are doubtful. */
-        private void send(byte[] bytes, BooleanSupplier doubtful) {
-            lastSent = Math.max(lastSent, shortly());
-            at(
-                    lastSent,
+        private void send(byte[] bytes, BooleanSupplier preventsReuse) {
+            lastDeliveryAt = Math.max(lastDeliveryAt, randomDeliveryTime());
+            runAt(
+                    lastDeliveryAt,
                     () -> {
-                        if (open && !reset && bytes.length > 0) {
-                            incoming.add(new Piece(bytes, doubtful));
+                        if (open && !isReset && bytes.length > 0) {
+                            incoming.add(new Segment(bytes, preventsReuse));
                             tryRead.run();
                         }
                     });
         }
 
-        void end() {
-            lastSent = Math.max(lastSent, shortly());
-            at(
-                    lastSent,
+        void closeOutput() {
+            lastDeliveryAt = Math.max(lastDeliveryAt, randomDeliveryTime());
+            runAt(
+                    lastDeliveryAt,
                     () -> {
-                        ended = true;
+                        atEndOfStream = true;
                         tryRead.run();
                     });
         }
 
         /** What was sent and not read yet may be lost with it. */
         void reset() {
-            if (chance.nextBoolean()) {
-                lastSent = Math.max(lastSent, shortly());
+            if (random.nextBoolean()) {
+                lastDeliveryAt = Math.max(lastDeliveryAt, randomDeliveryTime());
             }
-            at(
-                    Math.max(now, lastSent),
+            runAt(
+                    Math.max(now, lastDeliveryAt),
                     () -> {
-                        reset = true;
-                        if (chance.nextBoolean()) {
+                        isReset = true;
+                        if (random.nextBoolean()) {
                             incoming.clear();
                         }
                         tryRead.run();
@@ -248,97 +252,100 @@
         // ---- Our end ----
 
         @Override
-        public <A> void connect(SocketAddress to, A with, CompletionHandler<Void, ? super A> then) {
-            Acceptor acceptor = acceptors.get(to);
-            if (acceptor == null && acceptors.containsKey(to)) {
+        public <A> void connect(
+                SocketAddress address, A attachment, CompletionHandler<Void, ? super A> handler) {
+            Acceptor acceptor = acceptors.get(address);
+            if (acceptor == null && acceptors.containsKey(address)) {
                 return;
             }
-            at(
-                    shortly(),
+            runAt(
+                    randomDeliveryTime(),
                     () -> {
-                        if (open && acceptor != null && acceptors.get(to) == acceptor) {
+                        if (open && acceptor != null && acceptors.get(address) == acceptor) {
                             remote = acceptor.accept(this);
-                            then.completed(null, with);
+                            handler.completed(null, attachment);
                         } else {
-                            then.failed(new ConnectException("refused"), with);
+                            handler.failed(new ConnectException("refused"), attachment);
                         }
                     });
         }
 
         @Override
         public <A> void read(
-                ByteBuffer into,
-                long span,
+                ByteBuffer buffer,
+                long timeout,
                 TimeUnit unit,
-                A with,
-                CompletionHandler<Integer, ? super A> then) {
-            reading = true;
+                A attachment,
+                CompletionHandler<Integer, ? super A> handler) {
+            isReading = true;
             failRead =
                     () -> {
-                        reading = false;
-                        then.failed(new AsynchronousCloseException(), with);
+                        isReading = false;
+                        handler.failed(new AsynchronousCloseException(), attachment);
                     };
             tryRead =
                     () -> {
-                        if (!reading || !open) {
+                        if (!isReading || !open) {
                             return;
                         }
                         if (!incoming.isEmpty()) {
-                            reading = false;
-                            then.completed(fill(into), with);
-                        } else if (reset) {
+                            isReading = false;
+                            handler.completed(fill(buffer), attachment);
+                        } else if (isReset) {
                             failRead.run();
-                        } else if (ended) {
-                            reading = false;
-                            then.completed(-1, with);
+                        } else if (atEndOfStream) {
+                            isReading = false;
+                            handler.completed(-1, attachment);
                         }
                     };
-            at(now, tryRead);
+            runAt(now, tryRead);
         }
 
         /** Takes some of what came: pieces run together or come apart. */
-        private int fill(ByteBuffer into) {
-            int most = Math.min(into.remaining(), 1 + chance.nextInt(4000));
-            int taken = 0;
-            while (!incoming.isEmpty() && taken < most) {
-                Piece piece = incoming.poll();
-                int n = Math.min(most - taken, piece.bytes.length);
-                into.put(piece.bytes, 0, n);
-                taken += n;
-                doubted |= piece.doubtful.getAsBoolean();
-                if (n < piece.bytes.length) {
-                    byte[] rest = java.util.Arrays.copyOfRange(piece.bytes, n, piece.bytes.length);
-                    incoming.addFirst(new Piece(rest, piece.doubtful));
+        private int fill(ByteBuffer buffer) {
+            int limit = Math.min(buffer.remaining(), 1 + random.nextInt(4000));
+            int copied = 0;
+            while (!incoming.isEmpty() && copied < limit) {
+                Segment segment = incoming.poll();
+                int length = Math.min(limit - copied, segment.bytes.length);
+                buffer.put(segment.bytes, 0, length);
+                copied += length;
+                mustNotBeReused |= segment.preventsReuse.getAsBoolean();
+                if (length < segment.bytes.length) {
+                    byte[] remainder =
+                            java.util.Arrays.copyOfRange(
+                                    segment.bytes, length, segment.bytes.length);
+                    incoming.addFirst(new Segment(remainder, segment.preventsReuse));
                 }
             }
-            return taken;
+            return copied;
         }
 
         @Override
         public <A> void write(
-                ByteBuffer from,
-                long span,
+                ByteBuffer buffer,
+                long timeout,
                 TimeUnit unit,
-                A with,
-                CompletionHandler<Integer, ? super A> then) {
+                A attachment,
+                CompletionHandler<Integer, ? super A> handler) {
             check(
-                    from.position() > 0 || !doubted,
+                    buffer.position() > 0 || !mustNotBeReused,
                     "a request goes out on a connection on which a doubtful answer came");
-            writing = true;
-            at(
-                    now + slowness * chance.nextDouble(),
+            isWriting = true;
+            runAt(
+                    now + maxWriteTime * random.nextDouble(),
                     () -> {
-                        if (!open || reset) {
-                            then.failed(new IOException("reset"), with);
+                        if (!open || isReset) {
+                            handler.failed(new IOException("reset"), attachment);
                             return;
                         }
-                        int n = Math.min(from.remaining(), 1 + chance.nextInt(3000));
-                        byte[] bytes = new byte[n];
-                        from.get(bytes);
-                        writing = from.hasRemaining();
-                        lastWritten = Math.max(lastWritten, shortly());
-                        at(lastWritten, () -> remote.received(bytes));
-                        then.completed(n, with);
+                        int length = Math.min(buffer.remaining(), 1 + random.nextInt(3000));
+                        byte[] bytes = new byte[length];
+                        buffer.get(bytes);
+                        isWriting = buffer.hasRemaining();
+                        lastPeerDeliveryAt = Math.max(lastPeerDeliveryAt, randomDeliveryTime());
+                        runAt(lastPeerDeliveryAt, () -> remote.received(bytes));
+                        handler.completed(length, attachment);
                     });
         }
 
@@ -348,12 +355,12 @@
                 return;
             }
             open = false;
-            if (reading) {
-                at(now, failRead);
+            if (isReading) {
+                runAt(now, failRead);
             }
             if (remote != null) {
-                lastWritten = Math.max(lastWritten, shortly());
-                at(lastWritten, remote::closed);
+                lastPeerDeliveryAt = Math.max(lastPeerDeliveryAt, randomDeliveryTime());
+                runAt(lastPeerDeliveryAt, remote::closed);
             }
         }
 
@@ -364,8 +371,8 @@
 
         @Override
         public AsynchronousSocketChannel shutdownOutput() {
-            lastWritten = Math.max(lastWritten, shortly());
-            at(lastWritten, remote::closed);
+            lastPeerDeliveryAt = Math.max(lastPeerDeliveryAt, randomDeliveryTime());
+            runAt(lastPeerDeliveryAt, remote::closed);
             return this;
         }
 
--- a/src/test/java/gingerspool/dataplane/ModelRecord.java
+++ b/src/test/java/gingerspool/dataplane/ModelRecord.java
@@ -16,40 +16,40 @@
  */
 final class ModelRecord {
     /** How long after its caller's close a request may still come to a worker, or run there. */
-    private static final double GONE_MS = 500;
+    private static final double MAX_CANCELLATION_DELAY_MS = 500;
 
-    private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
+    private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, 421, 429, 503);
 
     /** One request as a caller sent it. */
-    static final class Sent {
+    static final class ClientRequest {
         final String id;
         final boolean safe;
         final int attempts;
-        final double at;
+        final double sentAt;
         final double expiry;
         final String target;
         final byte[] body;
-        int ran;
+        int executionCount;
         final List<Arrival> arrivals = new ArrayList<>();
-        int answered;
-        int promised;
-        boolean gone;
+        int responseCount;
+        int notExecutedResponseCount;
+        boolean isAbandoned;
 
         /** When its caller closed the connection; NaN while it waits. */
-        double goneAt = Double.NaN;
+        double abandonedAt = Double.NaN;
 
-        Sent(
+        ClientRequest(
                 String id,
                 boolean safe,
                 int attempts,
-                double at,
+                double sentAt,
                 double expiry,
                 String target,
                 byte[] body) {
             this.id = id;
             this.safe = safe;
             this.attempts = attempts;
-            this.at = at;
+            this.sentAt = sentAt;
             this.expiry = expiry;
             this.target = target;
             this.body = body;
@@ -58,169 +58,187 @@
 
     /** The head of a request came to a worker. */
     static final class Arrival {
-        final double at;
-        final String worker;
+        final double arrivedAt;
+        final String workerId;
 
         /** The worker has said, under the request's id, that it did not and will not run it. */
-        boolean refused;
+        boolean isRejected;
 
-        Arrival(double at, String worker) {
-            this.at = at;
-            this.worker = worker;
+        Arrival(double arrivedAt, String workerId) {
+            this.arrivedAt = arrivedAt;
+            this.workerId = workerId;
         }
     }
 
     /** An answer that a worker formed for a request. */
-    private record Answer(String id, int status, byte[] body) {}
+    private record WorkerResponse(String requestId, int status, byte[] body) {}
 
     private final ModelNetwork network;
-    private final double ratio;
-    private final double slack;
-    private final double window;
-    private final Map<String, Sent> all = new LinkedHashMap<>();
-    private final Map<String, Answer> byStamp = new HashMap<>();
-    private int stamps;
-
-    ModelRecord(ModelNetwork network, double ratio, double slack, double window) {
+    private final double retryRatio;
+    private final double retrySlack;
+    private final double retryWindow;
+    private final Map<String, ClientRequest> requests = new LinkedHashMap<>();
+    private final Map<String, WorkerResponse> responsesByStamp = new HashMap<>();
+    private int stampCount;
+
+    ModelRecord(ModelNetwork network, double retryRatio, double retrySlack, double retryWindow) {
         this.network = network;
-        this.ratio = ratio;
-        this.slack = slack;
-        this.window = window;
+        this.retryRatio = retryRatio;
+        this.retrySlack = retrySlack;
+        this.retryWindow = retryWindow;
     }
 
-    Sent sent(Sent request) {
-        all.put(request.id, request);
+    ClientRequest add(ClientRequest request) {
+        requests.put(request.id, request);
         return request;
     }
 
-    Sent find(String id) {
-        return all.get(id);
+    ClientRequest find(String id) {
+        return requests.get(id);
     }
 
     /** Some other request that is, or was, under way. */
-    String otherThan(String id) {
-        List<String> ids = new ArrayList<>(all.keySet());
-        String other = ids.get(network.chance.nextInt(ids.size()));
-        return other.equals(id) ? "stranger" : other;
+    String otherRequestId(String excludedId) {
+        List<String> ids = new ArrayList<>(requests.keySet());
+        String other = ids.get(network.random.nextInt(ids.size()));
+        return other.equals(excludedId) ? "stranger" : other;
     }
 
     // ---- What workers see ----
 
-    Arrival arrived(String id, String worker) {
-        Sent request = all.get(id);
+    Arrival onArrival(String id, String workerId) {
+        ClientRequest request = requests.get(id);
         network.check(request != null, "UNASKED: a worker got " + id);
-        Arrival arrival = new Arrival(network.now(), worker);
+        Arrival arrival = new Arrival(network.now(), workerId);
         if (request == null) {
             return arrival;
         }
-        network.check(!isLongGone(request), "GONE: " + id + " goes out after its caller's close");
-        for (Arrival before : request.arrivals) {
+        network.check(
+                !isCancellationOverdue(request),
+                "GONE: " + id + " goes out after its caller's close");
+        for (Arrival earlier : request.arrivals) {
             network.check(
-                    request.safe || before.refused,
+                    request.safe || earlier.isRejected,
                     "TWICE: unsafe " + id + " goes out again without Not-Executed");
         }
-        network.check(request.promised == 0, "REFUSED: " + id + " goes out after a promise");
+        network.check(
+                request.notExecutedResponseCount == 0,
+                "REFUSED: " + id + " goes out after a promise");
         request.arrivals.add(arrival);
         Set<String> workers = new HashSet<>();
-        request.arrivals.forEach(a -> workers.add(a.worker));
+        request.arrivals.forEach(each -> workers.add(each.workerId));
         network.check(
                 workers.size() <= Math.max(1, request.attempts),
                 "MaxAttempts: " + id + " came to " + workers.size() + " workers");
         return arrival;
     }
 
-    void ran(Message asked, String function) {
-        Sent request = all.get(asked.field("request-id"));
+    void onExecution(Message received, String function) {
+        ClientRequest request = requests.get(received.field("request-id"));
         if (request == null) {
             return;
         }
-        request.ran++;
+        request.executionCount++;
         network.check(
                 function.equals(DataPlaneSimulation.FUNCTION),
                 "ROUTE: a worker of " + function + " ran " + request.id);
-        network.check(request.safe || request.ran == 1, "TWICE: unsafe " + request.id + " ran");
         network.check(
-                request.safe || request.promised == 0,
+                request.safe || request.executionCount == 1,
+                "TWICE: unsafe " + request.id + " ran");
+        network.check(
+                request.safe || request.notExecutedResponseCount == 0,
                 "REFUSED: unsafe " + request.id + " ran after a promise");
         network.check(
-                request.target.equals(asked.target()) && Arrays.equals(request.body, asked.body()),
+                request.target.equals(received.target())
+                        && Arrays.equals(request.body, received.body()),
                 "UNASKED: " + request.id + " was changed");
     }
 
-    private boolean isLongGone(Sent request) {
-        return network.now() > request.goneAt + GONE_MS;
+    private boolean isCancellationOverdue(ClientRequest request) {
+        return network.now() > request.abandonedAt + MAX_CANCELLATION_DELAY_MS;
     }
 
     /** A worker is still at work on it, on a connection that was not closed. */
-    void stillRuns(String id) {
-        Sent request = all.get(id);
+    void onStillRunning(String id) {
+        ClientRequest request = requests.get(id);
         network.check(
-                request == null || !request.safe || !isLongGone(request),
+                request == null || !request.safe || !isCancellationOverdue(request),
                 "GONE: a worker is at work on " + id + ", which may be repeated");
     }
 
     /** The stamp of an answer that a worker forms for this request. */
-    String stamp(String id, int status, byte[] body) {
-        String stamp = "stamp-" + stamps++;
-        byStamp.put(stamp, new Answer(id, status, body));
+    String newStamp(String id, int status, byte[] body) {
+        String stamp = "stamp-" + stampCount++;
+        responsesByStamp.put(stamp, new WorkerResponse(id, status, body));
         return stamp;
     }
 
     // ---- What callers see ----
 
-    void answered(Sent request, Message answer) {
-        int status = answer.status();
-        request.answered++;
-        network.check(request.answered == 1, "two answers to " + request.id);
+    void onResponse(ClientRequest request, Message response) {
+        int status = response.status();
+        request.responseCount++;
+        network.check(request.responseCount == 1, "two answers to " + request.id);
         network.check(
                 network.now() < request.expiry + 100, "answered after its deadline: " + request.id);
-        String stamp = answer.field("server-stamp");
-        Answer formed = stamp == null ? null : byStamp.get(stamp);
-        network.check(status >= 300 || formed != null, "MIXED: a success without a worker's stamp");
-        if (formed != null) {
+        String stamp = response.field("server-stamp");
+        WorkerResponse workerResponse = stamp == null ? null : responsesByStamp.get(stamp);
+        network.check(
+                status >= 300 || workerResponse != null,
+                "MIXED: a success without a worker's stamp");
+        if (workerResponse != null) {
             network.check(
-                    formed.id.equals(request.id),
-                    "MIXED: " + request.id + " got the answer of " + formed.id);
+                    workerResponse.requestId.equals(request.id),
+                    "MIXED: " + request.id + " got the answer of " + workerResponse.requestId);
             network.check(
-                    formed.status == status,
-                    "MIXED: " + status + " where the worker said " + formed.status);
+                    workerResponse.status == status,
+                    "MIXED: " + status + " where the worker said " + workerResponse.status);
             network.check(
-                    Arrays.equals(formed.body, answer.body()),
+                    Arrays.equals(workerResponse.body, response.body()),
                     "MIXED: the body of " + request.id + " is not the worker's");
-            network.check(answer.field("content-encoding") == null, "MIXED: encoded " + request.id);
+            network.check(
+                    response.field("content-encoding") == null, "MIXED: encoded " + request.id);
         }
-        if (PROMISES.contains(status)) {
-            request.promised++;
+        if (NOT_EXECUTED_STATUSES.contains(status)) {
+            request.notExecutedResponseCount++;
             network.check(
-                    request.safe || request.ran == 0,
+                    request.safe || request.executionCount == 0,
                     "REFUSED: " + status + " for unsafe " + request.id + ", which ran");
         }
     }
 
     /** At the end of a history. */
-    void end() {
-        List<Double> repeats = new ArrayList<>();
-        for (Sent request : all.values()) {
+    void checkCompletedHistory() {
+        List<Double> retryTimes = new ArrayList<>();
+        for (ClientRequest request : requests.values()) {
             network.check(
-                    request.answered == 1 || request.gone,
-                    request.id + " has " + request.answered + " answers");
-            request.arrivals.stream().skip(1).forEach(a -> repeats.add(a.at));
+                    request.responseCount == 1 || request.isAbandoned,
+                    request.id + " has " + request.responseCount + " answers");
+            request.arrivals.stream().skip(1).forEach(each -> retryTimes.add(each.arrivedAt));
         }
-        repeats.sort(null);
-        for (int first = 0, last = 0; last < repeats.size(); last++) {
-            double to = repeats.get(last);
-            while (repeats.get(first) < to - window) {
+        retryTimes.sort(null);
+        for (int first = 0, last = 0; last < retryTimes.size(); last++) {
+            double windowEnd = retryTimes.get(last);
+            while (retryTimes.get(first) < windowEnd - retryWindow) {
                 first++;
             }
-            long asked =
-                    all.values().stream().filter(r -> r.at > to - window && r.at <= to).count();
+            long requestCount =
+                    requests.values().stream()
+                            .filter(
+                                    each ->
+                                            each.sentAt > windowEnd - retryWindow
+                                                    && each.sentAt <= windowEnd)
+                            .count();
             network.check(
-                    last - first + 1 <= ratio * asked + slack,
-                    "BUDGET: " + (last - first + 1) + " repeats of " + asked + " requests");
+                    last - first + 1 <= retryRatio * requestCount + retrySlack,
+                    "BUDGET: " + (last - first + 1) + " repeats of " + requestCount + " requests");
         }
     }
 
     int served() {
-        return (int) all.values().stream().filter(r -> r.ran > 0 && r.answered == 1).count();
+        return (int)
+                requests.values().stream()
+                        .filter(each -> each.executionCount > 0 && each.responseCount == 1)
+                        .count();
     }
 }
--- a/src/test/java/gingerspool/dataplane/ModelWorker.java
+++ b/src/test/java/gingerspool/dataplane/ModelWorker.java
@@ -13,36 +13,36 @@
 final class ModelWorker implements ModelNetwork.Acceptor {
     /** What a worker does with one request. */
     enum Behaviour {
-        WELL,
-        CHUNKED,
-        CLOSES_AFTER,
-        FULL,
-        FULL_429,
-        FAILS_500,
-        FAILS_504,
-        RAN_503,
-        RAN_429,
-        RAN_408,
-        OTHERS_ANSWER_FIRST,
-        OTHERS_REFUSAL_FIRST,
-        OTHERS_ANSWER_TO_THE_END,
-        ANSWER_WITHOUT_ID,
-        REFUSAL_WITHOUT_ID,
-        TWICE,
-        TWICE_LATER,
-        BYTES_BEHIND,
+        SUCCESS,
+        SUCCESS_CHUNKED,
+        SUCCESS_THEN_CLOSE,
+        REJECTED_503,
+        REJECTED_429,
+        FAILED_500,
+        FAILED_504,
+        RUN_THEN_503,
+        RUN_THEN_429,
+        RUN_THEN_408,
+        OTHER_RESPONSE_FIRST,
+        OTHER_REJECTION_FIRST,
+        OTHER_RESPONSE_UNTIL_CLOSE,
+        RESPONSE_WITHOUT_ID,
+        REJECTION_WITHOUT_ID,
+        RESPONSE_TWICE,
+        RESPONSE_TWICE_DELAYED,
+        TRAILING_BYTES,
         GARBAGE,
-        CUT,
-        CUT_WITHOUT_LENGTH,
-        WHOLE_WITHOUT_LENGTH,
+        TRUNCATED,
+        TRUNCATED_WITHOUT_LENGTH,
+        COMPLETE_WITHOUT_LENGTH,
         ENCODED,
         WITHOUT_STAMP,
-        EARLY_REFUSAL,
+        EARLY_REJECTION,
         EARLY_RESET,
         RESET_THEN_RUN,
         RESET_AFTER_RUN,
         CLOSE_AFTER_RUN,
-        SILENT,
+        NO_RESPONSE,
         SLOW
     }
 
@@ -50,272 +50,288 @@
     private final ModelRecord record;
     final String id;
     final String function;
-    private final double trouble;
-    private boolean dead;
+    private final double faultRate;
+    private boolean isCrashed;
 
     /** The part of requests that end in another way than well is the trouble. */
     ModelWorker(
-            ModelNetwork network, ModelRecord record, String id, String function, double trouble) {
+            ModelNetwork network,
+            ModelRecord record,
+            String id,
+            String function,
+            double faultRate) {
         this.network = network;
         this.record = record;
         this.id = id;
         this.function = function;
-        this.trouble = trouble;
+        this.faultRate = faultRate;
     }
 
     /** It has crashed: what runs is lost, and connections say nothing more. */
-    void die() {
-        dead = true;
+    void crash() {
+        isCrashed = true;
     }
 
     @Override
     public ModelNetwork.Remote accept(ModelNetwork.Channel channel) {
-        return new Conversation(channel);
+        return new Connection(channel);
     }
 
     /** One connection. */
-    private final class Conversation implements ModelNetwork.Remote {
+    private final class Connection implements ModelNetwork.Remote {
         private final ModelNetwork.Channel channel;
-        private final ByteArrayOutputStream held = new ByteArrayOutputStream();
-        private boolean closed;
-        private Message request = Message.request(16_384, 1 << 20);
-        private Behaviour behaviour;
-        private ModelRecord.Arrival arrival;
+        private final ByteArrayOutputStream unparsed = new ByteArrayOutputStream();
+        private boolean isClosed;
+        private Message currentRequest = Message.request(16_384, 1 << 20);
+        private Behaviour currentBehaviour;
+        private ModelRecord.Arrival currentArrival;
 
-        Conversation(ModelNetwork.Channel channel) {
+        Connection(ModelNetwork.Channel channel) {
             this.channel = channel;
-            channel.slowness = network.chance.nextInt(5) == 0 ? 30 : 1;
+            channel.maxWriteTime = network.random.nextInt(5) == 0 ? 30 : 1;
         }
 
         @Override
         public void received(byte[] bytes) {
-            if (closed || dead) {
+            if (isClosed || isCrashed) {
                 return;
             }
-            held.writeBytes(bytes);
-            byte[] all = held.toByteArray();
-            held.reset();
+            unparsed.writeBytes(bytes);
+            byte[] bytesSoFar = unparsed.toByteArray();
+            unparsed.reset();
             try {
-                int taken = request.take(all, 0, all.length);
-                held.write(all, taken, all.length - taken);
+                int consumed = currentRequest.take(bytesSoFar, 0, bytesSoFar.length);
+                unparsed.write(bytesSoFar, consumed, bytesSoFar.length - consumed);
             } catch (BadMessage e) {
                 network.check(false, "UNASKED: a worker got what is no request: " + e.getMessage());
             }
-            if (request.headRead() && behaviour == null) {
-                begin();
+            if (currentRequest.headRead() && currentBehaviour == null) {
+                onHead();
             }
-            if (request.done() && !closed) {
-                Message asked = request;
-                Behaviour as = behaviour;
-                ModelRecord.Arrival came = arrival;
-                request = Message.request(16_384, 1 << 20);
-                behaviour = null;
-                network.at(network.now(), () -> whole(asked, as, came));
+            if (currentRequest.done() && !isClosed) {
+                Message request = currentRequest;
+                Behaviour behaviour = currentBehaviour;
+                ModelRecord.Arrival arrival = currentArrival;
+                currentRequest = Message.request(16_384, 1 << 20);
+                currentBehaviour = null;
+                network.runAt(network.now(), () -> onRequest(request, behaviour, arrival));
             }
         }
 
         @Override
         public void closed() {
-            closed = true;
+            isClosed = true;
         }
 
-        private void begin() {
-            behaviour = drawn();
-            arrival = record.arrived(request.field("request-id"), id);
-            String expected = request.field("expected-instance");
-            if (expected != null && !expected.equals(id)) {
+        private void onHead() {
+            currentBehaviour = randomBehaviour();
+            currentArrival = record.onArrival(currentRequest.field("request-id"), id);
+            String expectedInstance = currentRequest.field("expected-instance");
+            if (expectedInstance != null && !expectedInstance.equals(id)) {
                 // It does not run it, whatever else it does; at times it says so.
-                behaviour = null;
-                arrival.refused = true;
-                channel.send(refusal(request, "421", ""));
-                channel.end();
-                closed = true;
-            } else if (behaviour == Behaviour.EARLY_RESET) {
+                currentBehaviour = null;
+                currentArrival.isRejected = true;
+                channel.send(rejection(currentRequest, "421", ""));
+                channel.closeOutput();
+                isClosed = true;
+            } else if (currentBehaviour == Behaviour.EARLY_RESET) {
                 channel.reset();
-                closed = true;
-            } else if (behaviour == Behaviour.EARLY_REFUSAL) {
-                arrival.refused = true;
-                channel.sendEarly(refusal(request, "503", "Not-Executed: 1\r\n"));
+                isClosed = true;
+            } else if (currentBehaviour == Behaviour.EARLY_REJECTION) {
+                currentArrival.isRejected = true;
+                channel.sendEarly(rejection(currentRequest, "503", "Not-Executed: 1\r\n"));
             }
         }
 
-        private Behaviour drawn() {
-            Behaviour[] all = Behaviour.values();
-            return network.chance.nextDouble() < trouble
-                    ? all[network.chance.nextInt(all.length)]
-                    : Behaviour.WELL;
+        private Behaviour randomBehaviour() {
+            Behaviour[] values = Behaviour.values();
+            return network.random.nextDouble() < faultRate
+                    ? values[network.random.nextInt(values.length)]
+                    : Behaviour.SUCCESS;
         }
 
-        private void whole(Message asked, Behaviour as, ModelRecord.Arrival came) {
-            if (as == null || as == Behaviour.EARLY_REFUSAL || closed || dead) {
+        private void onRequest(Message request, Behaviour behaviour, ModelRecord.Arrival arrival) {
+            if (behaviour == null
+                    || behaviour == Behaviour.EARLY_REJECTION
+                    || isClosed
+                    || isCrashed) {
                 return;
             }
-            if (as == Behaviour.FULL || as == Behaviour.FULL_429) {
-                came.refused = true;
+            if (behaviour == Behaviour.REJECTED_503 || behaviour == Behaviour.REJECTED_429) {
+                arrival.isRejected = true;
                 channel.send(
-                        refusal(
-                                asked,
-                                as == Behaviour.FULL ? "503" : "429",
+                        rejection(
+                                request,
+                                behaviour == Behaviour.REJECTED_503 ? "503" : "429",
                                 "Not-Executed: 1\r\n"));
                 return;
             }
-            if (as == Behaviour.RESET_THEN_RUN) {
-                closed = true;
+            if (behaviour == Behaviour.RESET_THEN_RUN) {
+                isClosed = true;
                 channel.reset();
-                network.at(network.now() + network.chance.nextInt(100), () -> run(asked));
+                network.runAt(network.now() + network.random.nextInt(100), () -> run(request));
                 return;
             }
-            run(asked);
-            double span =
-                    as == Behaviour.SLOW
-                            ? 200 + network.chance.nextInt(600)
-                            : network.chance.nextInt(40);
-            network.at(network.now() + span, () -> answer(asked, as));
+            run(request);
+            double serviceTime =
+                    behaviour == Behaviour.SLOW
+                            ? 200 + network.random.nextInt(600)
+                            : network.random.nextInt(40);
+            network.runAt(network.now() + serviceTime, () -> respond(request, behaviour));
         }
 
-        private void run(Message asked) {
-            if (!dead) {
-                record.ran(asked, function);
+        private void run(Message request) {
+            if (!isCrashed) {
+                record.onExecution(request, function);
             }
         }
 
-        private void answer(Message asked, Behaviour as) {
-            if (closed || dead) {
+        private void respond(Message request, Behaviour behaviour) {
+            if (isClosed || isCrashed) {
                 return;
             }
-            String own = asked.field("request-id");
-            record.stillRuns(own);
-            switch (as) {
-                case SILENT, EARLY_RESET -> {}
-                case CHUNKED -> channel.send(success(own, Framing.CHUNKS, ""));
-                case CLOSES_AFTER -> {
-                    channel.send(success(own, Framing.LENGTH, "Connection: close\r\n"));
-                    channel.end();
-                    closed = true;
+            String requestId = request.field("request-id");
+            record.onStillRunning(requestId);
+            switch (behaviour) {
+                case NO_RESPONSE, EARLY_RESET -> {}
+                case SUCCESS_CHUNKED -> channel.send(success(requestId, Framing.CHUNKED, ""));
+                case SUCCESS_THEN_CLOSE -> {
+                    channel.send(
+                            success(requestId, Framing.CONTENT_LENGTH, "Connection: close\r\n"));
+                    channel.closeOutput();
+                    isClosed = true;
                 }
-                case FAILS_500 -> channel.send(failure(own, 500));
-                case FAILS_504 -> channel.send(failure(own, 504));
-                case RAN_503 -> channel.send(failure(own, 503));
-                case RAN_429 -> channel.send(failure(own, 429));
-                case RAN_408 -> channel.send(failure(own, 408));
-                case OTHERS_ANSWER_FIRST -> {
-                    channel.sendDoubtful(success(record.otherThan(own), Framing.LENGTH, ""));
-                    channel.send(success(own, Framing.LENGTH, ""));
+                case FAILED_500 -> channel.send(failure(requestId, 500));
+                case FAILED_504 -> channel.send(failure(requestId, 504));
+                case RUN_THEN_503 -> channel.send(failure(requestId, 503));
+                case RUN_THEN_429 -> channel.send(failure(requestId, 429));
+                case RUN_THEN_408 -> channel.send(failure(requestId, 408));
+                case OTHER_RESPONSE_FIRST -> {
+                    channel.sendPreventingReuse(
+                            success(record.otherRequestId(requestId), Framing.CONTENT_LENGTH, ""));
+                    channel.send(success(requestId, Framing.CONTENT_LENGTH, ""));
                 }
-                case OTHERS_REFUSAL_FIRST -> {
-                    channel.sendDoubtful(
-                            text(
+                case OTHER_REJECTION_FIRST -> {
+                    channel.sendPreventingReuse(
+                            latin1(
                                     "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n"
                                             + "Request-Id: "
-                                            + record.otherThan(own)
+                                            + record.otherRequestId(requestId)
                                             + "\r\n\r\n"));
-                    channel.send(success(own, Framing.LENGTH, ""));
+                    channel.send(success(requestId, Framing.CONTENT_LENGTH, ""));
                 }
-                case OTHERS_ANSWER_TO_THE_END -> {
-                    channel.sendDoubtful(success(record.otherThan(own), Framing.NONE, ""));
-                    channel.end();
-                    closed = true;
+                case OTHER_RESPONSE_UNTIL_CLOSE -> {
+                    channel.sendPreventingReuse(
+                            success(record.otherRequestId(requestId), Framing.UNTIL_CLOSE, ""));
+                    channel.closeOutput();
+                    isClosed = true;
                 }
-                case ANSWER_WITHOUT_ID -> channel.sendDoubtful(success(null, Framing.LENGTH, ""));
-                case REFUSAL_WITHOUT_ID ->
-                        channel.sendDoubtful(
-                                text(
+                case RESPONSE_WITHOUT_ID ->
+                        channel.sendPreventingReuse(success(null, Framing.CONTENT_LENGTH, ""));
+                case REJECTION_WITHOUT_ID ->
+                        channel.sendPreventingReuse(
+                                latin1(
                                         "HTTP/1.1 "
-                                                + (network.chance.nextBoolean() ? 503 : 421)
+                                                + (network.random.nextBoolean() ? 503 : 421)
                                                 + " Full\r\nNot-Executed: 1\r\n"
                                                 + "Content-Length: 0\r\n\r\n"));
-                case TWICE, TWICE_LATER -> {
-                    byte[] answer = success(own, Framing.LENGTH, "");
-                    channel.send(answer);
-                    double pause = as == Behaviour.TWICE ? 0 : network.chance.nextInt(30);
-                    network.at(network.now() + pause, () -> channel.sendDoubtful(answer));
+                case RESPONSE_TWICE, RESPONSE_TWICE_DELAYED -> {
+                    byte[] response = success(requestId, Framing.CONTENT_LENGTH, "");
+                    channel.send(response);
+                    double pause =
+                            behaviour == Behaviour.RESPONSE_TWICE ? 0 : network.random.nextInt(30);
+                    network.runAt(
+                            network.now() + pause, () -> channel.sendPreventingReuse(response));
                 }
-                case BYTES_BEHIND -> {
-                    channel.send(success(own, Framing.LENGTH, ""));
-                    channel.sendDoubtful(text("xyz"));
+                case TRAILING_BYTES -> {
+                    channel.send(success(requestId, Framing.CONTENT_LENGTH, ""));
+                    channel.sendPreventingReuse(latin1("xyz"));
                 }
                 case GARBAGE -> {
-                    byte[] bytes = new byte[1 + network.chance.nextInt(200)];
+                    byte[] bytes = new byte[1 + network.random.nextInt(200)];
                     for (int i = 0; i < bytes.length; i++) {
-                        bytes[i] = (byte) network.chance.nextInt(256);
+                        bytes[i] = (byte) network.random.nextInt(256);
                     }
-                    channel.sendDoubtful(bytes);
-                    channel.sendDoubtful(text("\r\n\r\n"));
+                    channel.sendPreventingReuse(bytes);
+                    channel.sendPreventingReuse(latin1("\r\n\r\n"));
                 }
-                case CUT, CUT_WITHOUT_LENGTH -> {
+                case TRUNCATED, TRUNCATED_WITHOUT_LENGTH -> {
                     Framing framing =
-                            as == Behaviour.CUT_WITHOUT_LENGTH
-                                    ? Framing.NONE
-                                    : network.chance.nextBoolean()
-                                            ? Framing.LENGTH
-                                            : Framing.CHUNKS;
-                    byte[] answer = success(own, framing, "");
-                    int kept = network.chance.nextInt(answer.length);
-                    channel.send(java.util.Arrays.copyOf(answer, kept));
-                    if (network.chance.nextBoolean()) {
-                        channel.end();
+                            behaviour == Behaviour.TRUNCATED_WITHOUT_LENGTH
+                                    ? Framing.UNTIL_CLOSE
+                                    : network.random.nextBoolean()
+                                            ? Framing.CONTENT_LENGTH
+                                            : Framing.CHUNKED;
+                    byte[] response = success(requestId, framing, "");
+                    int keptLength = network.random.nextInt(response.length);
+                    channel.send(java.util.Arrays.copyOf(response, keptLength));
+                    if (network.random.nextBoolean()) {
+                        channel.closeOutput();
                     } else {
                         channel.reset();
                     }
-                    closed = true;
+                    isClosed = true;
                 }
-                case WHOLE_WITHOUT_LENGTH -> {
-                    channel.send(success(own, Framing.NONE, ""));
-                    channel.end();
-                    closed = true;
+                case COMPLETE_WITHOUT_LENGTH -> {
+                    channel.send(success(requestId, Framing.UNTIL_CLOSE, ""));
+                    channel.closeOutput();
+                    isClosed = true;
                 }
                 case ENCODED ->
-                        channel.sendDoubtful(
-                                success(own, Framing.LENGTH, "Content-Encoding: gzip\r\n"));
+                        channel.sendPreventingReuse(
+                                success(
+                                        requestId,
+                                        Framing.CONTENT_LENGTH,
+                                        "Content-Encoding: gzip\r\n"));
                 case WITHOUT_STAMP ->
-                        channel.sendDoubtful(
-                                text(
+                        channel.sendPreventingReuse(
+                                latin1(
                                         "HTTP/1.1 200 OK\r\nRequest-Id: "
-                                                + own
+                                                + requestId
                                                 + "\r\nContent-Length: 2\r\n\r\nhm"));
                 case RESET_AFTER_RUN -> {
                     channel.reset();
-                    closed = true;
+                    isClosed = true;
                 }
                 case CLOSE_AFTER_RUN -> {
-                    channel.end();
-                    closed = true;
+                    channel.closeOutput();
+                    isClosed = true;
                 }
-                default -> channel.send(success(own, Framing.LENGTH, ""));
+                default -> channel.send(success(requestId, Framing.CONTENT_LENGTH, ""));
             }
         }
     }
 
     private enum Framing {
-        LENGTH,
-        CHUNKS,
-        NONE
+        CONTENT_LENGTH,
+        CHUNKED,
+        UNTIL_CLOSE
     }
 
-    private static byte[] text(String all) {
-        return all.getBytes(StandardCharsets.ISO_8859_1);
+    private static byte[] latin1(String text) {
+        return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static byte[] refusal(Message asked, String status, String fields) {
-        return text(
+    private static byte[] rejection(Message request, String status, String extraFields) {
+        return latin1(
                 "HTTP/1.1 "
                         + status
                         + " No\r\nRequest-Id: "
-                        + asked.field("request-id")
+                        + request.field("request-id")
                         + "\r\n"
-                        + fields
+                        + extraFields
                         + "Content-Length: 0\r\n\r\n");
     }
 
-    private byte[] failure(String of, int status) {
-        byte[] body = text("failed " + of);
+    private byte[] failure(String requestId, int status) {
+        byte[] body = latin1("failed " + requestId);
         return Inbound.joined(
                 "HTTP/1.1 "
                         + status
                         + " No\r\nRequest-Id: "
-                        + of
+                        + requestId
                         + "\r\nServer-Stamp: "
-                        + record.stamp(of, status, body)
+                        + record.newStamp(requestId, status, body)
                         + "\r\nContent-Length: "
                         + body.length
                         + "\r\n\r\n",
@@ -323,24 +339,24 @@
     }
 
     /** An answer of 200, under this id or under none. */
-    private byte[] success(String of, Framing framing, String fields) {
-        StringBuilder body = new StringBuilder("done ").append(of);
-        int length = network.chance.nextInt(3000);
+    private byte[] success(String requestId, Framing framing, String extraFields) {
+        StringBuilder body = new StringBuilder("done ").append(requestId);
+        int length = network.random.nextInt(3000);
         while (body.length() < length) {
             body.append('.');
         }
-        byte[] bytes = text(body.toString());
+        byte[] bytes = latin1(body.toString());
         String head =
                 "HTTP/1.1 200 OK\r\n"
-                        + (of == null ? "" : "Request-Id: " + of + "\r\n")
+                        + (requestId == null ? "" : "Request-Id: " + requestId + "\r\n")
                         + "Server-Stamp: "
-                        + record.stamp(of == null ? "" : of, 200, bytes)
+                        + record.newStamp(requestId == null ? "" : requestId, 200, bytes)
                         + "\r\n"
-                        + fields;
+                        + extraFields;
         return switch (framing) {
-            case LENGTH ->
+            case CONTENT_LENGTH ->
                     Inbound.joined(head + "Content-Length: " + bytes.length + "\r\n\r\n", bytes);
-            case CHUNKS ->
+            case CHUNKED ->
                     Inbound.joined(
                             head
                                     + "Transfer-Encoding: chunked\r\n\r\n"
@@ -349,7 +365,7 @@
                                     + body
                                     + "\r\n0\r\n\r\n",
                             new byte[0]);
-            case NONE -> Inbound.joined(head + "\r\n", bytes);
+            case UNTIL_CLOSE -> Inbound.joined(head + "\r\n", bytes);
         };
     }
 }
--- a/src/test/java/gingerspool/dataplane/RequestRouterTest.java
+++ b/src/test/java/gingerspool/dataplane/RequestRouterTest.java
@@ -23,47 +23,47 @@
 
 /** What one caller sees of the router, on modelled connections and in modelled time. */
 public class RequestRouterTest implements RequestRouter.ControlPlane {
-    private static final double BEAT = 400;
+    private static final double HEARTBEAT_MS = 400;
     private ModelNetwork network;
     private RequestRouter router;
-    private List<Object> told;
+    private List<Object> messagesToLeader;
 
     /** What came on a connection, and when it was closed. */
-    private final class Line implements ModelNetwork.Remote {
+    private final class ClientConnection implements ModelNetwork.Remote {
         final ModelNetwork.Channel channel = network.channel();
-        final StringBuilder came = new StringBuilder();
-        double cameAt = Double.NaN;
+        final StringBuilder receivedText = new StringBuilder();
+        double receivedAt = Double.NaN;
         double closedAt = Double.NaN;
 
-        Line() {
-            channel.join(this);
+        ClientConnection() {
+            channel.setRemote(this);
             network.execute(() -> router.accept(channel, network.noticedAt()));
         }
 
-        Line send(String text) {
+        ClientConnection send(String text) {
             channel.send(text.getBytes(StandardCharsets.ISO_8859_1));
             return this;
         }
 
-        Line ask(String id, String kind, int deadline) {
+        ClientConnection request(String id, String kind, int remaining) {
             return send(
                     "GET /"
                             + kind
                             + "/ HTTP/1.1\r\nHost: h.example\r\nRequest-Id: "
                             + id
                             + "\r\nRemaining-Milliseconds: "
-                            + deadline
+                            + remaining
                             + "\r\n\r\n");
         }
 
         String status() {
-            return came.length() < 12 ? "" : came.substring(9, 12);
+            return receivedText.length() < 12 ? "" : receivedText.substring(9, 12);
         }
 
         @Override
         public void received(byte[] bytes) {
-            came.append(new String(bytes, StandardCharsets.ISO_8859_1));
-            cameAt = network.now();
+            receivedText.append(new String(bytes, StandardCharsets.ISO_8859_1));
+            receivedAt = network.now();
         }
 
         @Override
@@ -88,26 +88,26 @@
             """);
         NodeSettings settings = NodeSettings.read(file);
         network = new ModelNetwork(1, Set.of());
-        told = new ArrayList<>();
-        ConnectionPool pool = new ConnectionPool(network, 10 * BEAT, 5000, 40);
+        messagesToLeader = new ArrayList<>();
+        ConnectionPool pool = new ConnectionPool(network, 10 * HEARTBEAT_MS, 5000, 40);
         router = new RequestRouter(network, settings, pool, this, () -> {});
         router.configure(configuration(1, 3000, 15_000));
     }
 
-    private static Configuration configuration(long version, long header, long idle) {
-        Configuration.Builder all =
+    private static Configuration configuration(long version, long headerTimeout, long idleTimeout) {
+        Configuration.Builder builder =
                 Configuration.newBuilder()
                         .setVersion(version)
                         .setLimits(
                                 Limits.newBuilder()
                                         .setHeaderBytes(1000)
                                         .setBodyBytes(2000)
-                                        .setHeaderTimeout(header)
-                                        .setIdleTimeout(idle))
+                                        .setHeaderTimeout(headerTimeout)
+                                        .setIdleTimeout(idleTimeout))
                         .addServices(
                                 Service.newBuilder().setName("f").setBoot(100).setConcurrency(2));
         for (String kind : List.of("safe", "unsafe")) {
-            all.addRoutes(
+            builder.addRoutes(
                     Route.newBuilder()
                             .setName(kind)
                             .setHost("h.example")
@@ -118,12 +118,12 @@
                             .setAim(300)
                             .setService("f"));
         }
-        return all.build();
+        return builder.build();
     }
 
-    private void run(double span) {
-        network.run(network.now() + span);
-        assertEquals(network.fault(), null);
+    private void run(double duration) {
+        network.runUntil(network.now() + duration);
+        assertEquals(network.violation(), null);
     }
 
     private void grant(String instance, int port, int slots) {
@@ -143,28 +143,31 @@
     }
 
     @Test
-    public void aHeadThatTakesTooLongIsAnswered408() {
-        double began = network.now();
-        Line slow = new Line().send("GET /safe/ HTTP/1.1\r\nHost");
+    public void aSlowRequestHeadIsAnswered408() {
+        double startedAt = network.now();
+        ClientConnection slow = new ClientConnection().send("GET /safe/ HTTP/1.1\r\nHost");
         run(2900);
         assertEquals(slow.status(), "");
         run(300);
         assertEquals(slow.status(), "408");
-        assertTrue(slow.cameAt < began + 3100 && slow.closedAt > 0, "the limit is 3000");
+        assertTrue(slow.receivedAt < startedAt + 3100 && slow.closedAt > 0, "the limit is 3000");
     }
 
     @Test
-    public void limitsOfHeadAndBodyAreTheOperators() {
-        Line head = new Line().send("GET / HTTP/1.1\r\nX: " + "x".repeat(1000) + "\r\n\r\n");
-        Line body = new Line().send("POST /safe/ HTTP/1.1\r\nContent-Length: 2001\r\n\r\n");
+    public void headAndBodyLimitsComeFromTheConfiguration() {
+        ClientConnection head =
+                new ClientConnection()
+                        .send("GET / HTTP/1.1\r\nX: " + "x".repeat(1000) + "\r\n\r\n");
+        ClientConnection body =
+                new ClientConnection().send("POST /safe/ HTTP/1.1\r\nContent-Length: 2001\r\n\r\n");
         run(100);
         assertEquals(head.status(), "431");
         assertEquals(body.status(), "413");
     }
 
     @Test
-    public void newLimitsHoldForConnectionsThatAreOpen() {
-        Line idle = new Line();
+    public void newLimitsApplyToOpenConnections() {
+        ClientConnection idle = new ClientConnection();
         run(10_000);
         router.configure(configuration(2, 3000, 30_000));
         run(19_000);
@@ -175,10 +178,10 @@
 
     /** A 504 would leave the caller in doubt, and a 5xx without an offer costs half. */
     @Test
-    public void whatWasNeverSentIsPromisedNotToHaveRun() {
+    public void anUnsentRequestIsReportedAsNotExecuted() {
         InetSocketAddress silent = new InetSocketAddress("127.0.0.1", 9);
         network.listenSilently(silent);
-        Line line = new Line().ask("a", "unsafe", 900);
+        ClientConnection line = new ClientConnection().request("a", "unsafe", 900);
         run(20);
         grant("i-1", 9, 1);
         run(700);
@@ -189,11 +192,11 @@
 
     /** A loop that was late gave a request its whole time from when it read it. */
     @Test
-    public void aRequestThatIsReadLateIsAnsweredBeforeItsClientsDeadline() {
+    public void aRequestThatIsReadLateIsAnsweredBeforeItsDeadline() {
         InetSocketAddress silent = new InetSocketAddress("127.0.0.1", 9);
         network.listenSilently(silent);
-        network.noticedEarlierBy = 400;
-        Line line = new Line().ask("a", "unsafe", 900);
+        network.loopDelay = 400;
+        ClientConnection line = new ClientConnection().request("a", "unsafe", 900);
         run(20);
         grant("i-1", 9, 1);
         run(450);
@@ -203,20 +206,22 @@
     }
 
     @Test
-    public void atTheEndOfAProcessWhoeverWaitsGetsAnAnswer() {
-        Line line = new Line().ask("a", "safe", 900);
+    public void pendingRequestsAreAnsweredAtShutdown() {
+        ClientConnection line = new ClientConnection().request("a", "safe", 900);
         run(20);
         router.startDraining();
         network.execute(router::abortAll);
         run(20);
         assertEquals(line.status(), "503");
-        assertTrue(line.came.toString().contains("Connection: close"), line.came.toString());
+        assertTrue(
+                line.receivedText.toString().contains("Connection: close"),
+                line.receivedText.toString());
         assertEquals(router.inFlight(), 0);
     }
 
     /** A call keeps a slot of its caller busy; who was refused once must not be refused twice. */
     @Test
-    public void whoCameWithLessTimeThanItsRouteGivesIsServedFirst() {
+    public void aRequestWithReducedRemainingTimeIsServedFirst() {
         List<String> order = new ArrayList<>();
         network.listen(
                 new InetSocketAddress("127.0.0.1", 8),
@@ -237,9 +242,9 @@
                             @Override
                             public void closed() {}
                         });
-        new Line().ask("first", "safe", 1000);
+        new ClientConnection().request("first", "safe", 1000);
         run(20);
-        new Line().ask("call", "safe", 600);
+        new ClientConnection().request("call", "safe", 600);
         run(20);
         grant("i-1", 8, 1);
         run(100);
@@ -247,7 +252,7 @@
     }
 
     @Test
-    public void theMostSchedulersWithinAWindowShareTheBudget() {
+    public void theLargestRecentSchedulerCountIsUsed() {
         SchedulerCount count = new SchedulerCount(10_000);
         assertEquals(count.max(0), 1);
         count.report(0, 8);
@@ -262,7 +267,7 @@
 
     @Override
     public boolean sendToLeader(Object message) {
-        return told.add(message);
+        return messagesToLeader.add(message);
     }
 
     @Override
--- a/src/test/java/gingerspool/dataplane/UnassignedSlotsTest.java
+++ b/src/test/java/gingerspool/dataplane/UnassignedSlotsTest.java
@@ -10,8 +10,8 @@
 
 /** All schedulers without a leader, each with a stream of requests for one function of one slot. */
 public class UnassignedSlotsTest {
-    private static final double SPAN = 120_000;
-    private static final double RUN = 100;
+    private static final double DURATION_MS = 120_000;
+    private static final double SERVICE_TIME_MS = 100;
 
     @DataProvider
     Object[][] sizes() {
@@ -23,63 +23,65 @@
 
     /** The most refusals within any window, and how many were served, over many seeds. */
     @Test(dataProvider = "sizes")
-    public void refusalsStayWithinWhatIsAllowed(int schedulers, int allowed, double pause) {
+    public void rejectionsStayWithinTheAllowance(int schedulers, int allowed, double meanPause) {
         int worst = 0;
         int served = 0;
         for (long seed = 1; seed <= 40; seed++) {
-            int[] result = play(seed, schedulers, allowed, pause, true);
-            worst = Math.max(worst, result[0]);
-            served += result[1];
+            int[] counts = simulate(seed, schedulers, allowed, meanPause, true);
+            worst = Math.max(worst, counts[0]);
+            served += counts[1];
         }
         assertTrue(worst <= allowed, worst + " refusals in a window, allowed " + allowed);
         assertTrue(served > 0, "nobody was served");
     }
 
     @Test
-    public void withoutTheLimitRefusalsGoFarBeyond() {
-        assertTrue(play(1, 8, 10, 50, false)[0] > 100, "the count of refusals is useUnassigned");
+    public void withoutTheLimitRejectionsExceedTheAllowance() {
+        assertTrue(
+                simulate(1, 8, 10, 50, false)[0] > 100, "the count of refusals is useUnassigned");
     }
 
-    private static int[] play(
-            long seed, int schedulers, int allowed, double pause, boolean limited) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        List<UnassignedSlots> all = new ArrayList<>();
-        double[] next = new double[schedulers];
+    private static int[] simulate(
+            long seed, int schedulers, int allowed, double meanPause, boolean isLimited) {
+        SplittableRandom random = new SplittableRandom(seed);
+        List<UnassignedSlots> limiters = new ArrayList<>();
+        double[] nextArrivalAt = new double[schedulers];
         double[] busyUntil = new double[schedulers];
         for (int i = 0; i < schedulers; i++) {
-            all.add(new UnassignedSlots(allowed, seed * 1000 + i));
-            next[i] = pause * chance.nextDouble();
+            limiters.add(new UnassignedSlots(allowed, seed * 1000 + i));
+            nextArrivalAt[i] = meanPause * random.nextDouble();
             // Each knew a stream of requests before the leader went.
-            for (double t = -30_000; t < 0; t += pause) {
-                all.get(i).onArrival(t);
+            for (double time = -30_000; time < 0; time += meanPause) {
+                limiters.get(i).onArrival(time);
             }
         }
-        List<Double> refused = new ArrayList<>();
+        List<Double> rejectedAt = new ArrayList<>();
         double slotFreeAt = 0;
         int served = 0;
-        for (double now = 0; now < SPAN; now += 5) {
+        for (double now = 0; now < DURATION_MS; now += 5) {
             for (int i = 0; i < schedulers; i++) {
-                if (now < next[i] || now < busyUntil[i]) {
+                if (now < nextArrivalAt[i] || now < busyUntil[i]) {
                     continue;
                 }
-                next[i] = now - pause * Math.log(1 - chance.nextDouble());
-                all.get(i).onArrival(now);
-                if (limited && !all.get(i).allows(now, schedulers)) {
+                nextArrivalAt[i] = now - meanPause * Math.log(1 - random.nextDouble());
+                limiters.get(i).onArrival(now);
+                if (isLimited && !limiters.get(i).allows(now, schedulers)) {
                     continue;
                 }
                 if (now < slotFreeAt) {
-                    refused.add(now);
-                    all.get(i).onRejected(now, schedulers);
+                    rejectedAt.add(now);
+                    limiters.get(i).onRejected(now, schedulers);
                 } else {
                     served++;
-                    slotFreeAt = now + RUN;
+                    slotFreeAt = now + SERVICE_TIME_MS;
                     busyUntil[i] = slotFreeAt;
                 }
             }
         }
         int worst = 0;
-        for (int first = 0, last = 0; last < refused.size(); last++) {
-            while (refused.get(first) < refused.get(last) - UnassignedSlots.REJECTION_WINDOW_MS) {
+        for (int first = 0, last = 0; last < rejectedAt.size(); last++) {
+            while (rejectedAt.get(first)
+                    < rejectedAt.get(last) - UnassignedSlots.REJECTION_WINDOW_MS) {
                 first++;
             }
             worst = Math.max(worst, last - first + 1);
