--- a/src/test/java/gingerspool/dataplane/ControlLinksTest.java
+++ b/src/test/java/gingerspool/dataplane/ControlLinksTest.java
@@ -19,7 +19,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Messages of an old leader, or of an old registration, are not taken for the new one's. */
+/**
+ * Messages of a previous leader, or for a previous registration, must not be taken for those of the
+ * current one.
+ */
 public class ControlLinksTest {
     private static final double HEARTBEAT_MS = 1000;
     private static final List<String> MEMBERS = List.of("10.0.0.1", "10.0.0.2");
@@ -29,7 +32,7 @@
     private ControlNode firstNode;
     private ControlNode secondNode;
 
-    /** A member of the core, as far as a scheduler sees it: the newest link counts. */
+    /** A simulated control node that uses the latest link of the scheduler. */
     private final class ControlNode implements ModelNetwork.Acceptor {
         private final KryoCodec codec = new KryoCodec(MessageTypes.ALL);
         ModelNetwork.Channel channel;
@@ -152,7 +155,10 @@
         assertFalse(links.hasLeader());
     }
 
-    /** The leader may have answered the first registration: its counts must not mix with these. */
+    /**
+     * The leader may have answered the first registration, whose slot counts must not be mixed with
+     * those of the second.
+     */
     @Test
     public void aRegistrationIsRepeatedOnlyOnANewLink() {
         secondNode.announce(6, "10.0.0.2");
@@ -163,11 +169,11 @@
             secondNode.announce(6, "10.0.0.2");
         }
         run(0.5 * HEARTBEAT_MS);
-        assertTrue(secondNode.receivedRegistrations > 1, "it asks again");
+        assertTrue(secondNode.receivedRegistrations > 1, "the registration is repeated");
         assertTrue(secondNode.channel != previousChannel, "on a new link");
         assertTrue(
                 secondNode.receivedRegistrations <= secondNode.acceptedConnections,
-                "one registration for each link at most");
+                "at most one registration for each link");
     }
 
     @Test
--- a/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
+++ b/src/test/java/gingerspool/dataplane/DataPlaneSimulation.java
@@ -23,17 +23,28 @@
 import java.util.Set;
 
 /**
- * One scheduler's path of requests in memory, by seed: callers that leave, workers that say
- * anything, a leader that comes and goes and takes slots back, addresses that other instances get.
- * The record of who ran what and who got what is its own.
+ * A seeded, single-threaded simulation of one scheduler's data plane in memory. A {@link
+ * RequestRouter} serves modelled clients that may abandon requests and forwards to modelled workers
+ * that may respond wrongly. The leader is lost and replaced, recalls slots, and instances are
+ * replaced by others at the same address. {@link ModelRecord} keeps an independent account of what
+ * was run and answered and checks it.
+ *
+ * <p>Run by {@link DataPlaneSimulationTest}; times are in milliseconds.
  */
 final class DataPlaneSimulation implements RequestRouter.ControlPlane {
+    /** How long clients send requests and faults are injected. */
     private static final double ACTIVE_PHASE_MS = 6000;
+
+    /** How long pending requests may complete afterwards, without new requests or faults. */
     private static final double SETTLING_PHASE_MS = 4000;
+
     private static final int CLIENT_COUNT = 6;
     private static final int ADDRESS_COUNT = 4;
     private static final int SLOTS_PER_INSTANCE = 2;
+
+    /** The longest pause of a client between two requests. */
     private static final double MAX_PAUSE_MS = 60;
+
     private static final long ROUTE_TIMEOUT_MS = 1200;
     static final String FUNCTION = "f";
     private static final String OTHER_FUNCTION = "g";
@@ -43,20 +54,32 @@
     private final ModelRecord record;
     private final NodeSettings settings;
     private final RequestRouter router;
+
+    /** The fraction of requests to which workers respond with a random behaviour. */
     private final double workerFaultRate;
+
     private final Map<String, ModelWorker> workers = new LinkedHashMap<>();
     private final Map<Integer, ModelWorker> workersByPort = new LinkedHashMap<>();
+
+    /** The allocator of the current leader; null while there is none. */
     private SlotAllocator allocator;
+
     private long term;
+
+    /** Whether the scheduler is registered with the current leader. */
     private boolean hasLeader;
+
     private double leaderLostAt;
+
+    /** When the latest message between scheduler and leader arrives: they arrive in order. */
     private double lastDeliveryAt;
+
     private int requestCount;
     private int instanceCount;
     private boolean isSettling;
     private boolean mayDrain;
 
-    /** Null unless traced. */
+    /** The trace of decisions; null unless requested. */
     private DecisionTrace trace;
 
     DataPlaneSimulation(
@@ -114,7 +137,7 @@
         return new InetSocketAddress("127.0.0.1", port);
     }
 
-    /** A new instance of this function gets the port, whoever had it before. */
+    /** Starts an instance of a function at a port, whichever instance used it before. */
     private void startInstance(int port, String function) {
         String id = "i-" + instanceCount++;
         ModelWorker worker = new ModelWorker(network, record, id, function, workerFaultRate);
@@ -142,7 +165,10 @@
                 Instance.State.READY);
     }
 
-    /** An instance goes, with or without a word; its address goes to another. */
+    /**
+     * Replaces the instance at a port by another, possibly of another function. The old one may
+     * keep running its requests, and the scheduler may not be notified.
+     */
     private void replaceInstance(int port) {
         ModelWorker worker = workersByPort.get(port);
         if (network.random.nextBoolean()) {
@@ -163,6 +189,7 @@
         router.queues().forEach(queue -> queue.withdraw(instanceId));
     }
 
+    /** Runs a task at the scheduler after a delay, unless the leader has changed by then. */
     private void deliverToScheduler(long senderTerm, Runnable task) {
         lastDeliveryAt = Math.max(lastDeliveryAt, network.now() + 2 * network.random.nextDouble());
         network.runAt(
@@ -174,6 +201,7 @@
                 });
     }
 
+    /** Runs a task at the leader after a delay, unless the leader has changed by then. */
     private void deliverToLeader(Runnable task) {
         long senderTerm = term;
         lastDeliveryAt = Math.max(lastDeliveryAt, network.now() + 2 * network.random.nextDouble());
@@ -186,6 +214,7 @@
                 });
     }
 
+    /** Starts the leader of a new term, with which the scheduler registers. */
     private void startLeader() {
         long ownTerm = ++term;
         allocator =
@@ -231,7 +260,7 @@
         }
     }
 
-    /** All that the scheduler says to the leader and to callers from now on. */
+    /** Traces all messages to the leader and all responses to clients from now on. */
     DecisionTrace startTrace() {
         trace = new DecisionTrace();
         return trace;
@@ -265,6 +294,7 @@
         return hasLeader ? 0 : network.now() - leaderLostAt;
     }
 
+    /** Injects one random fault and schedules the next. */
     private void injectFault() {
         if (isSettling) {
             return;
@@ -289,13 +319,16 @@
         network.runAt(network.now() + 200 + network.random.nextInt(1500), this::injectFault);
     }
 
-    // ---- Callers ----
+    // ---- Clients ----
 
-    /** One caller: a connection at a time, a request at a time on it. */
+    /** A client that uses one connection at a time, for one request at a time. */
     private final class Client {
         private ModelNetwork.Channel channel;
         private Message response;
+
+        /** The request that waits for its response; null if there is none. */
         private ModelRecord.ClientRequest pending;
+
         private byte[] unparsed = new byte[0];
 
         void sendNextRequest() {
@@ -352,7 +385,7 @@
             }
         }
 
-        /** The caller loses patience with this request. */
+        /** Closes the connection if this request still waits for its response. */
         private void abandon(ModelRecord.ClientRequest request) {
             if (pending != request || channel == null) {
                 return;
@@ -367,6 +400,7 @@
             leaveConnection();
         }
 
+        /** Continues on a new connection after a pause. */
         private void leaveConnection() {
             channel = null;
             pending = null;
@@ -374,7 +408,7 @@
             scheduleNextRequest(MAX_PAUSE_MS);
         }
 
-        /** The caller's end of one connection: what comes on one that it left is lost. */
+        /** The client's end of one connection; discards what arrives after the client left it. */
         private final class ClientConnection implements ModelNetwork.Remote {
             private final ModelNetwork.Channel ownChannel;
 
@@ -398,7 +432,7 @@
         }
 
         private void received(byte[] bytes) {
-            network.check(pending != null, "bytes on a connection where no request waits");
+            network.check(pending != null, "bytes received by a client without a pending request");
             if (pending == null) {
                 return;
             }
@@ -408,11 +442,11 @@
                 int consumed = response.take(bytesSoFar, 0, bytesSoFar.length);
                 unparsed = java.util.Arrays.copyOfRange(bytesSoFar, consumed, bytesSoFar.length);
             } catch (BadMessage e) {
-                network.check(false, "MIXED: what came is no answer: " + e.getMessage());
+                network.check(false, "MISMATCH: malformed response: " + e.getMessage());
                 return;
             }
             if (response.done()) {
-                network.check(unparsed.length == 0, "bytes behind an answer");
+                network.check(unparsed.length == 0, "trailing bytes after a response");
                 ModelRecord.ClientRequest request = pending;
                 boolean keepsAlive = response.keepsAlive();
                 pending = null;
@@ -429,7 +463,7 @@
         }
     }
 
-    /** Plays one history and tells what is wrong with it, or null. */
+    /** Runs the simulation and returns the first violation, or null if there is none. */
     String run() {
         for (int port = 1; port <= ADDRESS_COUNT; port++) {
             startInstance(port, FUNCTION);
--- a/src/test/java/gingerspool/dataplane/DataPlaneSimulationTest.java
+++ b/src/test/java/gingerspool/dataplane/DataPlaneSimulationTest.java
@@ -21,11 +21,13 @@
 import org.testng.annotations.Test;
 
 /**
- * Histories of requests, by seed: every answer belongs to its request, nothing unsafe runs twice,
- * nothing that ran is promised not to have.
+ * Runs many seeded simulations of the data plane. Guards against responses that are returned for
+ * another request, unsafe requests that run twice, and requests reported as not executed that ran.
  */
 public class DataPlaneSimulationTest {
+    /** The number of simulated histories, each with its own seed. */
     private static final int HISTORIES = Integer.getInteger("histories", 400);
+
     private NodeSettings settings;
 
     @BeforeClass
@@ -48,7 +50,7 @@
         settings = NodeSettings.read(file);
     }
 
-    /** Each sort of fault with its first seed and how many histories had it; empty if none had. */
+    /** Each kind of violation, with its first seed and the number of histories that had it. */
     private Map<String, String> violations(
             int histories, Set<RequestSafeguard> disabledSafeguards) {
         Map<String, List<String>> violationsByKind = new ConcurrentSkipListMap<>();
@@ -84,7 +86,7 @@
         return examples.stream().sorted().findFirst().orElse("");
     }
 
-    /** What the scheduler says to the leader and to callers is what was recorded, to the bit. */
+    /** Messages to the leader and responses to clients must match the recorded trace exactly. */
     @Test
     public void decisionsMatchTheRecordedTrace() {
         Map<String, String> digests = new TreeMap<>();
@@ -104,7 +106,7 @@
         assertEquals(found.toString(), "{}");
     }
 
-    /** What each guard is for: histories without it that the record calls wrong. */
+    /** Each safeguard must be necessary: without it, some history has a violation. */
     @Test
     public void everySafeguardIsNeeded() {
         List<String> unneeded = new ArrayList<>();
--- a/src/test/java/gingerspool/dataplane/DeposedLeaderTest.java
+++ b/src/test/java/gingerspool/dataplane/DeposedLeaderTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** A scheduler's links to members of the core that say different things. */
+/** A scheduler's links to control nodes that disagree about the leader, over real sockets. */
 public class DeposedLeaderTest {
     private static final int TIMEOUT_MS = 10_000;
     private static final String OLD_LEADER = "127.0.11.1";
@@ -84,8 +84,9 @@
     }
 
     /**
-     * A follower tells of a new leader, which can't be reached; the old one then says that it leads
-     * no more, in its old term: the scheduler waits for it no longer.
+     * A follower announces a new leader, which does not respond. The old leader then announces,
+     * still in its old term, that it no longer leads. The scheduler must no longer regard it as its
+     * leader.
      */
     @Test
     public void anOldLeadersResignationIsAcceptedAfterANewTermWasAnnounced() throws Exception {
@@ -119,13 +120,15 @@
                     followerLink,
                     new Messages.LeaderAnnouncement(
                             2, NEW_LEADER, List.of(OLD_LEADER, FOLLOWER, NEW_LEADER)));
-            assertNotNull(newLeader.accept(), "it heard of the new leader");
+            assertNotNull(newLeader.accept(), "no connection to the announced leader");
             send(oldLeaderLink, new Messages.LeaderAnnouncement(1, "", members));
-            // What comes after the announcement is passed on only by one that still believes it.
+            // This message is passed on only if the scheduler still follows the old leader.
             send(oldLeaderLink, new Messages.SchedulerCount(1));
             send(oldLeaderLink, new Messages.LeaderAnnouncement(1, "", members));
             awaitNoLeader(loop, links);
-            assertFalse(otherMessage.isDone(), "a message of one that stepped down was taken");
+            assertFalse(
+                    otherMessage.isDone(),
+                    "a message of a leader that had stepped down was passed on");
         } finally {
             loop.stop();
         }
--- a/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
+++ b/src/test/java/gingerspool/dataplane/FunctionQueueTest.java
@@ -36,7 +36,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** One function's desk against instances of the stand-in; what it tells the leader is kept. */
+/**
+ * A {@link FunctionQueue} with instances of the simulated platform. The test is the queue's
+ * environment and keeps its messages to the leader and its responses.
+ */
 public class FunctionQueueTest implements FunctionQueue.Environment {
     private static final double HEARTBEAT_MS = 400;
     private SingleThreadEventLoop loop;
@@ -55,7 +58,7 @@
         responses = new LinkedBlockingQueue<>();
         poolIndexes = 0;
         cloud = new Cloud(loop, "127.0.7.2", Map.of("h1", "a"), 1, 20, 0, 2);
-        Path file = Files.createTempFile("desk", ".toml");
+        Path file = Files.createTempFile("queue", ".toml");
         Files.writeString(
                 file,
                 """
@@ -121,7 +124,7 @@
                 .build();
     }
 
-    /** A request comes; returns its id. */
+    /** Enqueues a request and returns its id. */
     private String request(String id, Route route) throws Exception {
         callOnLoop(
                 () -> {
@@ -155,6 +158,7 @@
                 });
     }
 
+    /** Starts an instance on the simulated platform and grants the queue a slot of it. */
     private void startInstance(String nonce) throws Exception {
         HttpResponse<String> response =
                 HttpClient.newHttpClient()
@@ -173,7 +177,7 @@
                                 HttpResponse.BodyHandlers.ofString());
         Object body = Json.read(response.body());
         String address = JsonTree.text("", body, "Address");
-        // It starts after a millisecond on the same loop; a knock would wait for it as well.
+        // The instance starts after 1 ms on the same loop; a connection attempt would also wait.
         callOnLoop(() -> null);
         CompletableFuture<Void> started = new CompletableFuture<>();
         loop.submit(() -> loop.schedule(20, () -> started.complete(null)));
@@ -181,13 +185,14 @@
         grant(JsonTree.text("", body, "Identifier"), address);
     }
 
+    /** An address at which nothing listens. */
     private static String unusedAddress() throws Exception {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.7.2"))) {
             return "127.0.7.2:" + socket.getLocalPort();
         }
     }
 
-    /** The first word of this kind that the leader is told from now on. */
+    /** Waits for the next message of this type to the leader, skipping others. */
     private <T> T awaitMessage(Class<T> type) throws Exception {
         for (Object message = sentMessages.poll(5, TimeUnit.SECONDS);
                 message != null;
@@ -196,7 +201,7 @@
                 return type.cast(message);
             }
         }
-        throw new AssertionError("no " + type.getSimpleName() + " was said");
+        throw new AssertionError("no " + type.getSimpleName() + " was sent");
     }
 
     private String awaitResponse() throws Exception {
@@ -212,11 +217,11 @@
                     awaitMessage(Messages.SlotReturn.class).condition(),
                     Messages.InstanceCondition.UNREACHABLE);
             startInstance(kind);
-            assertEquals(awaitResponse(), "200 " + kind, "its one attempt was still to come");
+            assertEquals(awaitResponse(), "200 " + kind, "the unreachable instance is no attempt");
             assertEquals(
                     awaitMessage(Messages.SlotReturn.class).condition(),
                     Messages.InstanceCondition.HEALTHY,
-                    "before the next comes");
+                    "the slot is returned before the next request");
         }
     }
 
@@ -238,7 +243,10 @@
             reader.start();
             request("once", route("unsafe", 2));
             grant("cuts", "127.0.7.2:" + breakingInstance.getLocalPort());
-            assertEquals(awaitResponse(), "502 once", "no promise, as it may have run");
+            assertEquals(
+                    awaitResponse(),
+                    "502 once",
+                    "not reported as not executed, as it may have run");
             reader.join(5000);
             startInstance("b");
             assertEquals(callOnLoop(() -> cloud.ran).intValue(), 0);
@@ -254,7 +262,7 @@
         assertEquals(awaitMessage(Messages.SlotReturn.class).slots(), 1);
         assertTrue(
                 callOnLoop(loop::now) < servedAt + HEARTBEAT_MS / 4,
-                "nothing says that another request is near");
+                "no other request is expected soon");
         for (int i = 0; i < 40; i++) {
             request("n" + i, route("safe", 1));
             if (i < 20) {
@@ -269,7 +277,7 @@
                         .filter(message -> message instanceof Messages.SlotReturn)
                         .findFirst()
                         .orElse(null),
-                "requests come every 20 ms: the slot stays");
+                "requests arrive every 20 ms: the slot is kept");
     }
 
     @Test
--- a/src/test/java/gingerspool/dataplane/InstanceProtocolTest.java
+++ b/src/test/java/gingerspool/dataplane/InstanceProtocolTest.java
@@ -11,6 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Forwarded requests and the classification of instances' responses. */
 public class InstanceProtocolTest {
     private static Message parse(Message message, String text) throws BadMessage {
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
@@ -49,8 +50,8 @@
     }
 
     /**
-     * Only an instance's own word says that it did not run; a failure passed on promises nothing
-     * untrue.
+     * Only a response that names the request shows that it was not executed. A failure may be
+     * forwarded only if it doesn't falsely state that the request was not executed.
      */
     @Test(dataProvider = "responses")
     public void responsesAreClassified(
--- a/src/test/java/gingerspool/dataplane/ModelNetwork.java
+++ b/src/test/java/gingerspool/dataplane/ModelNetwork.java
@@ -25,38 +25,48 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A network and a clock in memory: the channels that connections of the real code are given, with
- * pieces of any size, resets and delays by seed. Time passes only from event to event.
+ * A simulated network, clock and event loop in memory, driven by a seed. Its channels deliver bytes
+ * in random segments with random delays and resets. Time advances only from event to event.
+ *
+ * <p>Single-threaded; times are in milliseconds, and the clock starts at 1,000,000.
  */
 final class ModelNetwork implements EventLoop {
-    /** The far end of a channel. */
+    /** The simulated far end of a channel. */
     interface Remote {
         void received(byte[] bytes);
 
-        /** Our side has closed. */
+        /** The code under test has closed its end. */
         void closed();
     }
 
-    /** Who takes connections at an address. */
+    /** Accepts connections at an address. */
     interface Acceptor {
         Remote accept(Channel channel);
     }
 
+    /** A task to run at a time; events at the same time run in the order of their numbers. */
     private record Event(double at, long serial, Runnable task) {}
 
+    /** The only source of randomness, so that a seed determines a whole run. */
     final SplittableRandom random;
+
     private final Set<RequestSafeguard> disabledSafeguards;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
                     Comparator.comparingDouble(Event::at).thenComparingLong(Event::serial));
     private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
+
+    /** The listeners; null for an address that never completes connections. */
     private final Map<SocketAddress, Acceptor> acceptors = new HashMap<>();
+
     private boolean isRunning;
     private long nextSerial;
     private double now = 1_000_000;
+
+    /** The first failed check; null if there is none. */
     private String violation;
 
-    /** The loop comes to each event so much later than the runtime noticed it. */
+    /** How long after the runtime has noticed an event the loop handles it. */
     double loopDelay;
 
     ModelNetwork(long seed, Set<RequestSafeguard> disabled) {
@@ -69,7 +79,7 @@
         acceptors.put(address, acceptor);
     }
 
-    /** Whoever connects there hears nothing. */
+    /** Lets connection attempts to this address neither succeed nor fail. */
     void listenSilently(SocketAddress address) {
         acceptors.put(address, null);
     }
@@ -78,7 +88,7 @@
         acceptors.remove(address);
     }
 
-    /** Notes the first thing that went wrong. */
+    /** Records a violation if the condition doesn't hold; only the first one is kept. */
     void check(boolean condition, String message) {
         violation =
                 condition || violation != null
@@ -92,10 +102,12 @@
 
     // ---- Time ----
 
+    /** Schedules a task of the simulation itself. */
     void runAt(double time, Runnable task) {
         events.add(new Event(Math.max(now, time), nextSerial++, task));
     }
 
+    /** Runs the events until a time, or until the first violation. */
     void runUntil(double end) {
         while (!events.isEmpty() && events.peek().at <= end && violation == null) {
             Event next = events.poll();
@@ -116,7 +128,7 @@
             try {
                 next.run();
             } catch (RuntimeException e) {
-                check(false, "a task broke: " + e);
+                check(false, "a task failed: " + e);
             }
         }
         isRunning = false;
@@ -164,14 +176,26 @@
         return now + 0.05 + 2 * random.nextDouble();
     }
 
+    /**
+     * Bytes in transit. Whether they forbid reuse of the connection is determined when they are
+     * read.
+     */
     private record Segment(byte[] bytes, BooleanSupplier preventsReuse) {}
 
-    /** Our end of a connection; the other end sends, ends and resets by calls. */
+    /**
+     * The end of a connection that the code under test uses. The far end acts on it by {@link
+     * #send}, {@link #closeOutput} and {@link #reset}.
+     */
     final class Channel extends AsynchronousSocketChannel {
         private Remote remote;
         private final ArrayDeque<Segment> incoming = new ArrayDeque<>();
+
+        /** When the latest bytes for the code under test arrive: bytes arrive in order. */
         private double lastDeliveryAt;
+
+        /** The same for the far end. */
         private double lastPeerDeliveryAt;
+
         private boolean open = true;
         private boolean atEndOfStream;
         private boolean isReset;
@@ -179,12 +203,12 @@
         private Runnable failRead = () -> {};
         private Runnable tryRead = () -> {};
 
-        /** Bytes that belong to no request were read here. */
+        /** Whether bytes were read here after which no other request may use the connection. */
         private boolean mustNotBeReused;
 
         private boolean isWriting;
 
-        /** Writes take so long each, at the most. */
+        /** The maximum duration of one write. */
         double maxWriteTime = 1;
 
         private Channel() {
@@ -201,16 +225,20 @@
             send(bytes, () -> false);
         }
 
+        /** Sends bytes after which no other request may use the connection. */
         void sendPreventingReuse(byte[] bytes) {
             send(bytes, () -> true);
         }
 
-        /** An answer before the request was read whole: doubtful if it isn't written when read. */
+        /**
+         * Sends a response early. The connection must not be reused if the request is still being
+         * written when the response is read.
+         */
         void sendEarly(byte[] bytes) {
             send(bytes, () -> isWriting);
         }
 
-        /** Bytes come in the order sent; as they are read it is asked whether they are doubtful. */
+        /** Sends bytes, which arrive in order. */
         private void send(byte[] bytes, BooleanSupplier preventsReuse) {
             lastDeliveryAt = Math.max(lastDeliveryAt, randomDeliveryTime());
             runAt(
@@ -233,7 +261,7 @@
                     });
         }
 
-        /** What was sent and not read yet may be lost with it. */
+        /** Resets the connection; bytes sent but not yet read may be lost. */
         void reset() {
             if (random.nextBoolean()) {
                 lastDeliveryAt = Math.max(lastDeliveryAt, randomDeliveryTime());
@@ -249,7 +277,7 @@
                     });
         }
 
-        // ---- Our end ----
+        // ---- The end under test ----
 
         @Override
         public <A> void connect(
@@ -301,7 +329,7 @@
             runAt(now, tryRead);
         }
 
-        /** Takes some of what came: pieces run together or come apart. */
+        /** Copies some of the received bytes, across segment borders or only part of a segment. */
         private int fill(ByteBuffer buffer) {
             int limit = Math.min(buffer.remaining(), 1 + random.nextInt(4000));
             int copied = 0;
@@ -330,7 +358,7 @@
                 CompletionHandler<Integer, ? super A> handler) {
             check(
                     buffer.position() > 0 || !mustNotBeReused,
-                    "a request goes out on a connection on which a doubtful answer came");
+                    "a request is sent on a connection that must not be reused");
             isWriting = true;
             runAt(
                     now + maxWriteTime * random.nextDouble(),
@@ -376,7 +404,7 @@
             return this;
         }
 
-        // ---- What connections never ask for ----
+        // ---- Not used by connections ----
 
         @Override
         public AsynchronousSocketChannel bind(SocketAddress local) {
--- a/src/test/java/gingerspool/dataplane/ModelRecord.java
+++ b/src/test/java/gingerspool/dataplane/ModelRecord.java
@@ -11,16 +11,21 @@
 import java.util.Set;
 
 /**
- * What was sent, what workers ran and what callers got, noted apart from the code under test; says
- * at once what may not be.
+ * An account of all requests sent, executions on workers and responses to clients, independent of
+ * the code under test. Reports violations of the guarantees to {@link ModelNetwork#check} as they
+ * occur. Called by the simulated clients and workers; times are in milliseconds.
  */
 final class ModelRecord {
-    /** How long after its caller's close a request may still come to a worker, or run there. */
+    /**
+     * How long after its client closed the connection a request may still reach a worker, or run
+     * there.
+     */
     private static final double MAX_CANCELLATION_DELAY_MS = 500;
 
+    /** Statuses by which the scheduler promises the client that the request was not executed. */
     private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(408, 421, 429, 503);
 
-    /** One request as a caller sent it. */
+    /** A request as a client sent it, and what became of it. */
     static final class ClientRequest {
         final String id;
         final boolean safe;
@@ -35,7 +40,7 @@
         int notExecutedResponseCount;
         boolean isAbandoned;
 
-        /** When its caller closed the connection; NaN while it waits. */
+        /** When its client closed the connection; NaN until then. */
         double abandonedAt = Double.NaN;
 
         ClientRequest(
@@ -56,12 +61,12 @@
         }
     }
 
-    /** The head of a request came to a worker. */
+    /** The arrival of a request's head at a worker. */
     static final class Arrival {
         final double arrivedAt;
         final String workerId;
 
-        /** The worker has said, under the request's id, that it did not and will not run it. */
+        /** Whether the worker has responded, with the request's id, that it won't execute it. */
         boolean isRejected;
 
         Arrival(double arrivedAt, String workerId) {
@@ -70,7 +75,7 @@
         }
     }
 
-    /** An answer that a worker formed for a request. */
+    /** A response that a worker created for a request. */
     private record WorkerResponse(String requestId, int status, byte[] body) {}
 
     private final ModelNetwork network;
@@ -97,39 +102,39 @@
         return requests.get(id);
     }
 
-    /** Some other request that is, or was, under way. */
+    /** The id of some other request, sent at any time, or of none. */
     String otherRequestId(String excludedId) {
         List<String> ids = new ArrayList<>(requests.keySet());
         String other = ids.get(network.random.nextInt(ids.size()));
         return other.equals(excludedId) ? "stranger" : other;
     }
 
-    // ---- What workers see ----
+    // ---- Workers ----
 
     Arrival onArrival(String id, String workerId) {
         ClientRequest request = requests.get(id);
-        network.check(request != null, "UNASKED: a worker got " + id);
+        network.check(request != null, "UNREQUESTED: a worker received " + id);
         Arrival arrival = new Arrival(network.now(), workerId);
         if (request == null) {
             return arrival;
         }
         network.check(
                 !isCancellationOverdue(request),
-                "GONE: " + id + " goes out after its caller's close");
+                "ABANDONED: " + id + " is sent after its client closed the connection");
         for (Arrival earlier : request.arrivals) {
             network.check(
                     request.safe || earlier.isRejected,
-                    "TWICE: unsafe " + id + " goes out again without Not-Executed");
+                    "TWICE: unsafe " + id + " is sent again without Not-Executed");
         }
         network.check(
                 request.notExecutedResponseCount == 0,
-                "REFUSED: " + id + " goes out after a promise");
+                "NOT EXECUTED: " + id + " is sent after the client got a rejection");
         request.arrivals.add(arrival);
         Set<String> workers = new HashSet<>();
         request.arrivals.forEach(each -> workers.add(each.workerId));
         network.check(
                 workers.size() <= Math.max(1, request.attempts),
-                "MaxAttempts: " + id + " came to " + workers.size() + " workers");
+                "MaxAttempts: " + id + " reached " + workers.size() + " workers");
         return arrival;
     }
 
@@ -147,73 +152,77 @@
                 "TWICE: unsafe " + request.id + " ran");
         network.check(
                 request.safe || request.notExecutedResponseCount == 0,
-                "REFUSED: unsafe " + request.id + " ran after a promise");
+                "NOT EXECUTED: unsafe " + request.id + " ran after the client got a rejection");
         network.check(
                 request.target.equals(received.target())
                         && Arrays.equals(request.body, received.body()),
-                "UNASKED: " + request.id + " was changed");
+                "UNREQUESTED: " + request.id + " was changed");
     }
 
     private boolean isCancellationOverdue(ClientRequest request) {
         return network.now() > request.abandonedAt + MAX_CANCELLATION_DELAY_MS;
     }
 
-    /** A worker is still at work on it, on a connection that was not closed. */
+    /** A worker still executes a request on a connection that was not closed. */
     void onStillRunning(String id) {
         ClientRequest request = requests.get(id);
         network.check(
                 request == null || !request.safe || !isCancellationOverdue(request),
-                "GONE: a worker is at work on " + id + ", which may be repeated");
+                "ABANDONED: a worker still runs " + id + ", which is safe to cancel");
     }
 
-    /** The stamp of an answer that a worker forms for this request. */
+    /** Records a worker's response and returns its unique stamp. */
     String newStamp(String id, int status, byte[] body) {
         String stamp = "stamp-" + stampCount++;
         responsesByStamp.put(stamp, new WorkerResponse(id, status, body));
         return stamp;
     }
 
-    // ---- What callers see ----
+    // ---- Clients ----
 
     void onResponse(ClientRequest request, Message response) {
         int status = response.status();
         request.responseCount++;
-        network.check(request.responseCount == 1, "two answers to " + request.id);
+        network.check(request.responseCount == 1, "two responses to " + request.id);
         network.check(
                 network.now() < request.expiry + 100, "answered after its deadline: " + request.id);
         String stamp = response.field("server-stamp");
         WorkerResponse workerResponse = stamp == null ? null : responsesByStamp.get(stamp);
         network.check(
                 status >= 300 || workerResponse != null,
-                "MIXED: a success without a worker's stamp");
+                "MISMATCH: a success without a worker's stamp");
         if (workerResponse != null) {
             network.check(
                     workerResponse.requestId.equals(request.id),
-                    "MIXED: " + request.id + " got the answer of " + workerResponse.requestId);
+                    "MISMATCH: " + request.id + " got the response to " + workerResponse.requestId);
             network.check(
                     workerResponse.status == status,
-                    "MIXED: " + status + " where the worker said " + workerResponse.status);
+                    "MISMATCH: " + status + " but the worker sent " + workerResponse.status);
             network.check(
                     Arrays.equals(workerResponse.body, response.body()),
-                    "MIXED: the body of " + request.id + " is not the worker's");
+                    "MISMATCH: the body of " + request.id + " is not the worker's");
             network.check(
-                    response.field("content-encoding") == null, "MIXED: encoded " + request.id);
+                    response.field("content-encoding") == null,
+                    "MISMATCH: encoded response to " + request.id);
         }
         if (NOT_EXECUTED_STATUSES.contains(status)) {
             request.notExecutedResponseCount++;
             network.check(
                     request.safe || request.executionCount == 0,
-                    "REFUSED: " + status + " for unsafe " + request.id + ", which ran");
+                    "NOT EXECUTED: " + status + " for unsafe " + request.id + ", which ran");
         }
     }
 
-    /** At the end of a history. */
+    /**
+     * Checks at the end of a run that each request was answered once and that retries stayed within
+     * the budget in every window.
+     */
     void checkCompletedHistory() {
         List<Double> retryTimes = new ArrayList<>();
         for (ClientRequest request : requests.values()) {
             network.check(
                     request.responseCount == 1 || request.isAbandoned,
-                    request.id + " has " + request.responseCount + " answers");
+                    request.id + " has " + request.responseCount + " responses");
             request.arrivals.stream().skip(1).forEach(each -> retryTimes.add(each.arrivedAt));
         }
         retryTimes.sort(null);
@@ -231,10 +240,11 @@
                             .count();
             network.check(
                     last - first + 1 <= retryRatio * requestCount + retrySlack,
-                    "BUDGET: " + (last - first + 1) + " repeats of " + requestCount + " requests");
+                    "BUDGET: " + (last - first + 1) + " retries for " + requestCount + " requests");
         }
     }
 
+    /** The number of requests that were executed and answered. */
     int served() {
         return (int)
                 requests.values().stream()
--- a/src/test/java/gingerspool/dataplane/ModelWorker.java
+++ b/src/test/java/gingerspool/dataplane/ModelWorker.java
@@ -7,11 +7,16 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A worker that says anything at any byte. What it runs goes into the record at the moment when it
- * begins.
+ * A simulated instance of a function that may respond in any correct or faulty way. It records each
+ * execution when the execution starts. Created by {@link DataPlaneSimulation}; times are in
+ * milliseconds.
  */
 final class ModelWorker implements ModelNetwork.Acceptor {
-    /** What a worker does with one request. */
+    /**
+     * How a worker handles one request. RUN_THEN_ constants execute the request and respond with a
+     * status that could be mistaken for a rejection; OTHER_ constants respond with the id of
+     * another request.
+     */
     enum Behaviour {
         SUCCESS,
         SUCCESS_CHUNKED,
@@ -28,6 +33,7 @@
         OTHER_RESPONSE_UNTIL_CLOSE,
         RESPONSE_WITHOUT_ID,
         REJECTION_WITHOUT_ID,
+        /** Sends the same response twice, the second at once or after a delay. */
         RESPONSE_TWICE,
         RESPONSE_TWICE_DELAYED,
         TRAILING_BYTES,
@@ -37,9 +43,15 @@
         COMPLETE_WITHOUT_LENGTH,
         ENCODED,
         WITHOUT_STAMP,
+        /** Responds before the request body has arrived. */
         EARLY_REJECTION,
+
+        /** Resets before the request body has arrived. */
         EARLY_RESET,
+
+        /** Resets the connection and executes the request nevertheless. */
         RESET_THEN_RUN,
+
         RESET_AFTER_RUN,
         CLOSE_AFTER_RUN,
         NO_RESPONSE,
@@ -53,7 +65,9 @@
     private final double faultRate;
     private boolean isCrashed;
 
-    /** The part of requests that end in another way than well is the trouble. */
+    /**
+     * Creates a worker that handles the fraction `faultRate` of requests with a random behaviour.
+     */
     ModelWorker(
             ModelNetwork network,
             ModelRecord record,
@@ -67,7 +81,7 @@
         this.faultRate = faultRate;
     }
 
-    /** It has crashed: what runs is lost, and connections say nothing more. */
+    /** Crashes the worker: running requests are lost, and its connections stay silent. */
     void crash() {
         isCrashed = true;
     }
@@ -77,7 +91,7 @@
         return new Connection(channel);
     }
 
-    /** One connection. */
+    /** The worker's end of one connection. */
     private final class Connection implements ModelNetwork.Remote {
         private final ModelNetwork.Channel channel;
         private final ByteArrayOutputStream unparsed = new ByteArrayOutputStream();
@@ -103,7 +117,9 @@
                 int consumed = currentRequest.take(bytesSoFar, 0, bytesSoFar.length);
                 unparsed.write(bytesSoFar, consumed, bytesSoFar.length - consumed);
             } catch (BadMessage e) {
-                network.check(false, "UNASKED: a worker got what is no request: " + e.getMessage());
+                network.check(
+                        false,
+                        "UNREQUESTED: a worker received a malformed request: " + e.getMessage());
             }
             if (currentRequest.headRead() && currentBehaviour == null) {
                 onHead();
@@ -123,12 +139,13 @@
             isClosed = true;
         }
 
+        /** Handles the head of a request, before its body has arrived. */
         private void onHead() {
             currentBehaviour = randomBehaviour();
             currentArrival = record.onArrival(currentRequest.field("request-id"), id);
             String expectedInstance = currentRequest.field("expected-instance");
             if (expectedInstance != null && !expectedInstance.equals(id)) {
-                // It does not run it, whatever else it does; at times it says so.
+                // Another instance was meant: rejects the request without executing it.
                 currentBehaviour = null;
                 currentArrival.isRejected = true;
                 channel.send(rejection(currentRequest, "421", ""));
@@ -150,6 +167,7 @@
                     : Behaviour.SUCCESS;
         }
 
+        /** Handles a request whose body has arrived. */
         private void onRequest(Message request, Behaviour behaviour, ModelRecord.Arrival arrival) {
             if (behaviour == null
                     || behaviour == Behaviour.EARLY_REJECTION
@@ -302,6 +320,7 @@
         }
     }
 
+    /** How the end of a response body is marked. */
     private enum Framing {
         CONTENT_LENGTH,
         CHUNKED,
@@ -338,7 +357,7 @@
                 body);
     }
 
-    /** An answer of 200, under this id or under none. */
+    /** A response of status 200 with this request id, or without an id if null. */
     private byte[] success(String requestId, Framing framing, String extraFields) {
         StringBuilder body = new StringBuilder("done ").append(requestId);
         int length = network.random.nextInt(3000);
--- a/src/test/java/gingerspool/dataplane/RequestRouterTest.java
+++ b/src/test/java/gingerspool/dataplane/RequestRouterTest.java
@@ -21,14 +21,14 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What one caller sees of the router, on modelled connections and in modelled time. */
+/** What a client of the router sees, with a simulated network and clock. */
 public class RequestRouterTest implements RequestRouter.ControlPlane {
     private static final double HEARTBEAT_MS = 400;
     private ModelNetwork network;
     private RequestRouter router;
     private List<Object> messagesToLeader;
 
-    /** What came on a connection, and when it was closed. */
+    /** A client's connection, with what it received and when it was closed. */
     private final class ClientConnection implements ModelNetwork.Remote {
         final ModelNetwork.Channel channel = network.channel();
         final StringBuilder receivedText = new StringBuilder();
@@ -171,12 +171,15 @@
         run(10_000);
         router.configure(configuration(2, 3000, 30_000));
         run(19_000);
-        assertTrue(Double.isNaN(idle.closedAt), "it may rest 30 s now");
+        assertTrue(Double.isNaN(idle.closedAt), "the idle time-out is 30 s now");
         run(2000);
-        assertFalse(Double.isNaN(idle.closedAt), "and no longer");
+        assertFalse(Double.isNaN(idle.closedAt), "the idle time-out has passed");
     }
 
-    /** A 504 would leave the caller in doubt, and a 5xx without an offer costs half. */
+    /**
+     * A 504 would leave open whether the request ran, and a 5xx response without a retry offer
+     * costs half.
+     */
     @Test
     public void anUnsentRequestIsReportedAsNotExecuted() {
         InetSocketAddress silent = new InetSocketAddress("127.0.0.1", 9);
@@ -185,12 +188,15 @@
         run(20);
         grant("i-1", 9, 1);
         run(700);
-        assertEquals(line.status(), "", "it connects still");
+        assertEquals(line.status(), "", "still connecting");
         run(300);
         assertEquals(line.status(), "503");
     }
 
-    /** A loop that was late gave a request its whole time from when it read it. */
+    /**
+     * Guards against measuring the remaining time from when a late event loop reads the request,
+     * which extends its deadline by the delay.
+     */
     @Test
     public void aRequestThatIsReadLateIsAnsweredBeforeItsDeadline() {
         InetSocketAddress silent = new InetSocketAddress("127.0.0.1", 9);
@@ -200,7 +206,7 @@
         run(20);
         grant("i-1", 9, 1);
         run(450);
-        assertEquals(line.status(), "", "it connects still");
+        assertEquals(line.status(), "", "still connecting");
         run(50);
         assertEquals(line.status(), "503");
     }
@@ -219,7 +225,10 @@
         assertEquals(router.inFlight(), 0);
     }
 
-    /** A call keeps a slot of its caller busy; who was refused once must not be refused twice. */
+    /**
+     * A nested call keeps a slot of its caller busy, and a request that was rejected once must not
+     * be rejected again.
+     */
     @Test
     public void aRequestWithReducedRemainingTimeIsServedFirst() {
         List<String> order = new ArrayList<>();
@@ -258,8 +267,11 @@
         count.report(0, 8);
         count.report(1000, 1);
         count.report(1010, 2);
-        assertEquals(count.max(10_900), 8, "a new leader counts them one by one");
-        assertEquals(count.max(11_100), 2, "it stays at two");
+        assertEquals(
+                count.max(10_900),
+                8,
+                "the count is low while schedulers register with a new leader");
+        assertEquals(count.max(11_100), 2, "the larger count is outside the window");
         count.report(12_000, 5);
         assertEquals(count.max(12_000), 5);
         assertEquals(count.max(90_000), 5);
--- a/src/test/java/gingerspool/dataplane/UnassignedSlotsTest.java
+++ b/src/test/java/gingerspool/dataplane/UnassignedSlotsTest.java
@@ -8,20 +8,25 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** All schedulers without a leader, each with a stream of requests for one function of one slot. */
+/**
+ * Simulates schedulers without a leader that compete for one slot of a function, each with its own
+ * stream of requests. Times are in milliseconds.
+ */
 public class UnassignedSlotsTest {
     private static final double DURATION_MS = 120_000;
     private static final double SERVICE_TIME_MS = 100;
 
     @DataProvider
     Object[][] sizes() {
-        // Schedulers, refusals allowed, mean pause between requests at one scheduler.
+        // Schedulers, rejections allowed, mean time between requests at one scheduler.
         return new Object[][] {
             {6, 10, 50}, {8, 10, 50}, {8, 10, 5000}, {61, 16, 200}, {89, 18, 50}, {89, 18, 2000}
         };
     }
 
-    /** The most refusals within any window, and how many were served, over many seeds. */
+    /**
+     * The largest number of rejections in a window must not exceed the allowance, over many seeds.
+     */
     @Test(dataProvider = "sizes")
     public void rejectionsStayWithinTheAllowance(int schedulers, int allowed, double meanPause) {
         int worst = 0;
@@ -31,16 +36,18 @@
             worst = Math.max(worst, counts[0]);
             served += counts[1];
         }
-        assertTrue(worst <= allowed, worst + " refusals in a window, allowed " + allowed);
-        assertTrue(served > 0, "nobody was served");
+        assertTrue(worst <= allowed, worst + " rejections in a window, allowed " + allowed);
+        assertTrue(served > 0, "no request was served");
     }
 
     @Test
     public void withoutTheLimitRejectionsExceedTheAllowance() {
         assertTrue(
-                simulate(1, 8, 10, 50, false)[0] > 100, "the count of refusals is useUnassigned");
+                simulate(1, 8, 10, 50, false)[0] > 100,
+                "rejections exceed the allowance without the limit");
     }
 
+    /** Returns the largest number of rejections in a window and the number of requests served. */
     private static int[] simulate(
             long seed, int schedulers, int allowed, double meanPause, boolean isLimited) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -50,7 +57,7 @@
         for (int i = 0; i < schedulers; i++) {
             limiters.add(new UnassignedSlots(allowed, seed * 1000 + i));
             nextArrivalAt[i] = meanPause * random.nextDouble();
-            // Each knew a stream of requests before the leader went.
+            // Each had received requests at this rate before the leader was lost.
             for (double time = -30_000; time < 0; time += meanPause) {
                 limiters.get(i).onArrival(time);
             }
