--- a/src/test/java/gingerspool/dataplane/DataPlaneSimulationTest.java
+++ b/src/test/java/gingerspool/dataplane/DataPlaneSimulationTest.java
@@ -102,8 +102,8 @@
 
     @Test
     public void guaranteesHoldInAllHistories() {
-        Map<String, String> found = violations(HISTORIES, EnumSet.noneOf(RequestSafeguard.class));
-        assertEquals(found.toString(), "{}");
+        Map<String, String> summary = violations(HISTORIES, EnumSet.noneOf(RequestSafeguard.class));
+        assertEquals(summary.toString(), "{}");
     }
 
     /** Each safeguard must be necessary: without it, some history has a violation. */
@@ -111,10 +111,10 @@
     public void everySafeguardIsNeeded() {
         List<String> unneeded = new ArrayList<>();
         for (RequestSafeguard safeguard : RequestSafeguard.values()) {
-            Map<String, String> found =
+            Map<String, String> summary =
                     violations(Math.max(1, HISTORIES / 4), EnumSet.of(safeguard));
-            Reporter.log(safeguard + " " + found, Boolean.getBoolean("guards"));
-            if (found.isEmpty()) {
+            Reporter.log(safeguard + " " + summary, Boolean.getBoolean("guards"));
+            if (summary.isEmpty()) {
                 unneeded.add(safeguard.name());
             }
         }
--- a/src/test/java/gingerspool/dataplane/ModelRecord.java
+++ b/src/test/java/gingerspool/dataplane/ModelRecord.java
@@ -102,7 +102,7 @@
         return requests.get(id);
     }
 
-    /** The id of some other request, sent at any time, or of none. */
+    /** The id of some other request, or an id that no request has. */
     String otherRequestId(String excludedId) {
         List<String> ids = new ArrayList<>(requests.keySet());
         String other = ids.get(network.random.nextInt(ids.size()));
@@ -168,7 +168,7 @@
         ClientRequest request = requests.get(id);
         network.check(
                 request == null || !request.safe || !isCancellationOverdue(request),
-                "ABANDONED: a worker still runs " + id + ", which is safe to cancel");
+                "ABANDONED: a worker still runs " + id + ", which is safe to repeat");
     }
 
     /** Records a worker's response and returns its unique stamp. */
--- a/src/test/java/gingerspool/dataplane/ModelWorker.java
+++ b/src/test/java/gingerspool/dataplane/ModelWorker.java
@@ -15,7 +15,7 @@
     /**
      * How a worker handles one request. RUN_THEN_ constants execute the request and respond with a
      * status that could be mistaken for a rejection; OTHER_ constants respond with the id of
-     * another request.
+     * another request. RESPONSE_TWICE sends the second response at once.
      */
     enum Behaviour {
         SUCCESS,
@@ -33,7 +33,6 @@
         OTHER_RESPONSE_UNTIL_CLOSE,
         RESPONSE_WITHOUT_ID,
         REJECTION_WITHOUT_ID,
-        /** Sends the same response twice, the second at once or after a delay. */
         RESPONSE_TWICE,
         RESPONSE_TWICE_DELAYED,
         TRAILING_BYTES,
--- a/src/test/java/gingerspool/dataplane/RequestRouterTest.java
+++ b/src/test/java/gingerspool/dataplane/RequestRouterTest.java
@@ -150,7 +150,9 @@
         assertEquals(slow.status(), "");
         run(300);
         assertEquals(slow.status(), "408");
-        assertTrue(slow.receivedAt < startedAt + 3100 && slow.closedAt > 0, "the limit is 3000");
+        assertTrue(
+                slow.receivedAt < startedAt + 3100 && slow.closedAt > 0,
+                "the header time-out is 3000 ms");
     }
 
     @Test
@@ -184,13 +186,13 @@
     public void anUnsentRequestIsReportedAsNotExecuted() {
         InetSocketAddress silent = new InetSocketAddress("127.0.0.1", 9);
         network.listenSilently(silent);
-        ClientConnection line = new ClientConnection().request("a", "unsafe", 900);
+        ClientConnection connection = new ClientConnection().request("a", "unsafe", 900);
         run(20);
         grant("i-1", 9, 1);
         run(700);
-        assertEquals(line.status(), "", "still connecting");
+        assertEquals(connection.status(), "", "still connecting");
         run(300);
-        assertEquals(line.status(), "503");
+        assertEquals(connection.status(), "503");
     }
 
     /**
@@ -202,26 +204,26 @@
         InetSocketAddress silent = new InetSocketAddress("127.0.0.1", 9);
         network.listenSilently(silent);
         network.loopDelay = 400;
-        ClientConnection line = new ClientConnection().request("a", "unsafe", 900);
+        ClientConnection connection = new ClientConnection().request("a", "unsafe", 900);
         run(20);
         grant("i-1", 9, 1);
         run(450);
-        assertEquals(line.status(), "", "still connecting");
+        assertEquals(connection.status(), "", "still connecting");
         run(50);
-        assertEquals(line.status(), "503");
+        assertEquals(connection.status(), "503");
     }
 
     @Test
     public void pendingRequestsAreAnsweredAtShutdown() {
-        ClientConnection line = new ClientConnection().request("a", "safe", 900);
+        ClientConnection connection = new ClientConnection().request("a", "safe", 900);
         run(20);
         router.startDraining();
         network.execute(router::abortAll);
         run(20);
-        assertEquals(line.status(), "503");
+        assertEquals(connection.status(), "503");
         assertTrue(
-                line.receivedText.toString().contains("Connection: close"),
-                line.receivedText.toString());
+                connection.receivedText.toString().contains("Connection: close"),
+                connection.receivedText.toString());
         assertEquals(router.inFlight(), 0);
     }
 
