--- a/src/test/java/gingerspool/dataplane/DataPlaneSimulationTest.java
+++ b/src/test/java/gingerspool/dataplane/DataPlaneSimulationTest.java
@@ -21,11 +21,13 @@
 import org.testng.annotations.Test;
 
 /**
- * Histories of requests, by seed: every answer belongs to its request, nothing unsafe runs twice,
- * nothing that ran is promised not to have.
+ * Runs many seeded simulations of the data plane. Guards against responses that are returned for
+ * another request, unsafe requests that run twice, and requests reported as not executed that ran.
  */
 public class DataPlaneSimulationTest {
+    /** The number of simulated histories, each with its own seed. */
     private static final int HISTORIES = Integer.getInteger("histories", 400);
+
     private NodeSettings settings;
 
     @BeforeClass
@@ -48,65 +50,74 @@
         settings = NodeSettings.read(file);
     }
 
-    /** Each sort of fault with its first seed and how many histories had it; empty if none had. */
-    private Map<String, String> found(int histories, Set<RequestSafeguard> without) {
-        Map<String, List<String>> all = new ConcurrentSkipListMap<>();
+    /** Each kind of violation, with its first seed and the number of histories that had it. */
+    private Map<String, String> violations(
+            int histories, Set<RequestSafeguard> disabledSafeguards) {
+        Map<String, List<String>> violationsByKind = new ConcurrentSkipListMap<>();
         LongStream.rangeClosed(1, histories)
                 .parallel()
                 .forEach(
                         seed -> {
-                            String wrong = new DataPlaneSimulation(settings, seed, without).play();
-                            if (wrong != null) {
-                                all.computeIfAbsent(
-                                                wrong.replaceAll("\\d+", "#"),
-                                                k -> new CopyOnWriteArrayList<>())
-                                        .add(String.format("%06d %s", seed, wrong));
+                            String violation =
+                                    new DataPlaneSimulation(settings, seed, disabledSafeguards)
+                                            .run();
+                            if (violation != null) {
+                                violationsByKind
+                                        .computeIfAbsent(
+                                                violation.replaceAll("\\d+", "#"),
+                                                kind -> new CopyOnWriteArrayList<>())
+                                        .add(String.format("%06d %s", seed, violation));
                             }
                         });
-        Map<String, String> found = new TreeMap<>();
-        all.forEach(
-                (sort, seeds) ->
-                        found.put(
-                                sort,
-                                seeds.size() + " of " + histories + ", first " + first(seeds)));
-        return found;
+        Map<String, String> summary = new TreeMap<>();
+        violationsByKind.forEach(
+                (kind, examples) ->
+                        summary.put(
+                                kind,
+                                examples.size()
+                                        + " of "
+                                        + histories
+                                        + ", first "
+                                        + first(examples)));
+        return summary;
     }
 
-    private static String first(List<String> seeds) {
-        return seeds.stream().sorted().findFirst().orElse("");
+    private static String first(List<String> examples) {
+        return examples.stream().sorted().findFirst().orElse("");
     }
 
-    /** What the scheduler says to the leader and to callers is what was recorded, to the bit. */
+    /** Messages to the leader and responses to clients must match the recorded trace exactly. */
     @Test
-    public void decisionsAreThoseRecorded() {
-        Map<String, String> found = new TreeMap<>();
+    public void decisionsMatchTheRecordedTrace() {
+        Map<String, String> digests = new TreeMap<>();
         for (long seed = 1; seed <= 12; seed++) {
             DataPlaneSimulation history =
                     new DataPlaneSimulation(settings, seed, EnumSet.noneOf(RequestSafeguard.class));
-            DecisionTrace trace = history.traced();
-            history.play();
-            found.put("seed " + seed, trace.end());
+            DecisionTrace trace = history.startTrace();
+            history.run();
+            digests.put("seed " + seed, trace.end());
         }
-        assertEquals(found, DecisionTrace.recorded("dataplane", found));
+        assertEquals(digests, DecisionTrace.recorded("dataplane", digests));
     }
 
     @Test
-    public void histories() {
-        Map<String, String> found = found(HISTORIES, EnumSet.noneOf(RequestSafeguard.class));
-        assertEquals(found.toString(), "{}");
+    public void guaranteesHoldInAllHistories() {
+        Map<String, String> summary = violations(HISTORIES, EnumSet.noneOf(RequestSafeguard.class));
+        assertEquals(summary.toString(), "{}");
     }
 
-    /** What each guard is for: histories without it that the record calls wrong. */
+    /** Each safeguard must be necessary: without it, some history has a violation. */
     @Test
-    public void eachGuardThatIsTakenOutIsMissed() {
-        List<String> needless = new ArrayList<>();
-        for (RequestSafeguard guard : RequestSafeguard.values()) {
-            Map<String, String> found = found(Math.max(1, HISTORIES / 4), EnumSet.of(guard));
-            Reporter.log(guard + " " + found, Boolean.getBoolean("guards"));
-            if (found.isEmpty()) {
-                needless.add(guard.name());
+    public void everySafeguardIsNeeded() {
+        List<String> unneeded = new ArrayList<>();
+        for (RequestSafeguard safeguard : RequestSafeguard.values()) {
+            Map<String, String> summary =
+                    violations(Math.max(1, HISTORIES / 4), EnumSet.of(safeguard));
+            Reporter.log(safeguard + " " + summary, Boolean.getBoolean("guards"));
+            if (summary.isEmpty()) {
+                unneeded.add(safeguard.name());
             }
         }
-        assertEquals(needless, List.of());
+        assertEquals(unneeded, List.of());
     }
 }
