--- a/src/main/java/gingerspool/store/ClientTask.java
+++ b/src/main/java/gingerspool/store/ClientTask.java
@@ -7,17 +7,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A task in hand, with its client's connection, its request and its errands. */
+/**
+ * A task held by the daemon's scheduler, with the connection of its client, its request and its
+ * assignments to workers. Used on the scheduler's event loop thread.
+ */
 public final class ClientTask extends Task {
     public final Message request;
 
-    /** Null once the client has its answer or has gone. */
+    /** The client's connection; null once the client has been answered or has disconnected. */
     public Inbound client;
 
-    /** What it holds of the operator's limits, or null. */
+    /** The task's place within the limits that the operator set for its route, or null. */
     public Routes.Stay stay;
 
-    /** By number of the assignment. */
+    /** All attempts so far, indexed by the number of the assignment. */
     public final List<WorkerAttempt> attempts = new ArrayList<>(1);
 
     public ClientTask(String id, Inbound client, Message request) {
@@ -26,7 +29,8 @@
         this.request = request;
     }
 
-    public int size() {
+    /** Returns the size of the request body in bytes. */
+    public int bodyBytes() {
         return request.body().length;
     }
 }
--- a/src/main/java/gingerspool/store/ConnectionPool.java
+++ b/src/main/java/gingerspool/store/ConnectionPool.java
@@ -15,71 +15,95 @@
 import java.util.function.Consumer;
 
 /**
- * Our connections to workers: those at rest are kept by worker for a while, the latest is used
- * first.
+ * A bounded pool of connections to workers. Idle connections are kept per worker for a limited time
+ * and reused, the most recently used first. When the bound is reached, the connection that has been
+ * idle longest is closed to make room. Workers are identified by an index chosen by the caller.
+ *
+ * <p>Used by the schedulers and the platform client, each with its own pool. Thread: the event
+ * loop's. Times and spans are milliseconds.
  */
 public final class ConnectionPool {
-    /** A resting connection is closed after this part of the time that workers allow. */
-    private static final double IDLE_PART = 0.6;
+    /**
+     * The fraction of a worker's idle timeout after which we close an idle connection, so that we
+     * close it before the worker does.
+     */
+    private static final double IDLE_TIMEOUT_FRACTION = 0.6;
 
     private final EventLoop loop;
-    private final double connectWithin;
-    private final IdleTimeout rest;
-    private int most;
+    private final double connectTimeoutMs;
+    private final IdleTimeout idleTimeout;
+    private int maxConnections;
     private final List<WorkerConnections> byWorker = new ArrayList<>();
 
-    /** The longest at rest first. */
-    private final Set<Outbound> resting = new LinkedHashSet<>();
+    /** The idle connections to all workers, the longest idle first. */
+    private final Set<Outbound> idleConnections = new LinkedHashSet<>();
 
+    /** Callbacks of {@link #tryConnect} by connection. */
     private final Map<Outbound, Consumer<Boolean>> connectCallbacks = new HashMap<>();
+
+    /** Open connections, including those being established. */
     private int count;
 
-    public ConnectionPool(EventLoop loop, double connectWithin, double idleMost, int most) {
+    /**
+     * Creates an empty pool.
+     *
+     * @param workerIdleTimeoutMs how long workers keep an idle connection open
+     */
+    public ConnectionPool(
+            EventLoop loop,
+            double connectTimeoutMs,
+            double workerIdleTimeoutMs,
+            int maxConnections) {
         this.loop = loop;
-        this.connectWithin = connectWithin;
-        rest = new IdleTimeout(IDLE_PART * idleMost);
-        this.most = most;
+        this.connectTimeoutMs = connectTimeoutMs;
+        idleTimeout = new IdleTimeout(IDLE_TIMEOUT_FRACTION * workerIdleTimeoutMs);
+        this.maxConnections = maxConnections;
     }
 
-    /** The connections to one worker. */
+    /** The idle connections to one worker, the most recently used on top. */
     private final class WorkerConnections implements Outbound.Owner {
-        private final Deque<Outbound> free = new ArrayDeque<>();
-        private boolean kept = true;
+        private final Deque<Outbound> idle = new ArrayDeque<>();
+
+        /** Whether connections are kept for reuse; otherwise they are closed after each use. */
+        private boolean keepIdle = true;
 
         @Override
         public void free(Outbound connection) {
-            double span = Math.min(rest.span(loop.now()), IDLE_PART * connection.keptFor());
-            if (kept && span > 0) {
-                free.push(connection);
-                resting.add(connection);
-                connection.closeAfter(span);
+            double timeoutMs =
+                    Math.min(
+                            idleTimeout.currentMs(loop.now()),
+                            IDLE_TIMEOUT_FRACTION * connection.keptFor());
+            if (keepIdle && timeoutMs > 0) {
+                idle.push(connection);
+                idleConnections.add(connection);
+                connection.closeAfter(timeoutMs);
             } else {
                 connection.close();
             }
         }
 
         @Override
-        public void brokeAfterRest(double rested) {
-            rest.broke(loop.now(), rested);
+        public void brokeAfterRest(double idleMs) {
+            idleTimeout.reuseFailed(loop.now(), idleMs);
         }
 
         @Override
         public void up(Outbound connection) {
-            Consumer<Boolean> tryConnect = connectCallbacks.remove(connection);
-            if (tryConnect != null) {
+            Consumer<Boolean> callback = connectCallbacks.remove(connection);
+            if (callback != null) {
                 free(connection);
-                tryConnect.accept(true);
+                callback.accept(true);
             }
         }
 
         @Override
         public void closed(Outbound connection) {
             count--;
-            free.remove(connection);
-            resting.remove(connection);
-            Consumer<Boolean> tryConnect = connectCallbacks.remove(connection);
-            if (tryConnect != null) {
-                tryConnect.accept(false);
+            idle.remove(connection);
+            idleConnections.remove(connection);
+            Consumer<Boolean> callback = connectCallbacks.remove(connection);
+            if (callback != null) {
+                callback.accept(false);
             }
         }
     }
@@ -92,69 +116,82 @@
     }
 
     /**
-     * Opens one to a worker that may not be up yet; tells whether it came up, and is kept at rest
-     * then.
+     * Opens a connection to a worker that may not be listening yet. If it is established, it is
+     * kept as an idle connection.
+     *
+     * @param callback receives whether the connection was established, on the event loop's thread
+     * @throws IOException if the pool is at its bound or the process is out of descriptors
      */
-    public void tryConnect(int worker, InetSocketAddress address, Consumer<Boolean> then)
+    public void tryConnect(int worker, InetSocketAddress address, Consumer<Boolean> callback)
             throws IOException {
-        if (count >= most) {
-            throw new IOException("all " + most + " connections to workers are in use");
+        if (count >= maxConnections) {
+            throw new IOException("all " + maxConnections + " connections to workers are in use");
         }
-        WorkerConnections connectionsOf = connectionsOf(worker);
-        connectCallbacks.put(Outbound.open(loop, address, connectWithin, connectionsOf), then);
+        WorkerConnections connections = connectionsOf(worker);
+        connectCallbacks.put(Outbound.open(loop, address, connectTimeoutMs, connections), callback);
         count++;
     }
 
-    /** A connection to this worker, at rest or new; it must be used at once. */
+    /**
+     * Returns a connection to this worker, an idle one or else a new one. The caller must send a
+     * request on it at once.
+     *
+     * @throws IOException if all connections are busy or the process is out of descriptors
+     */
     public Outbound take(int worker, InetSocketAddress address) throws IOException {
-        WorkerConnections connectionsOf = connectionsOf(worker);
-        // The latest one is on top: if it has rested too long, so have the others.
-        double span = rest.span(loop.now());
-        while (!connectionsOf.free.isEmpty() && connectionsOf.free.peek().restedFor() > span) {
-            // Taken out first: one that still writes is told closed only later.
-            Outbound old = connectionsOf.free.poll();
-            resting.remove(old);
-            old.close();
+        WorkerConnections connections = connectionsOf(worker);
+        // The top one was used last: if it has been idle for too long, so have the others.
+        double timeoutMs = idleTimeout.currentMs(loop.now());
+        while (!connections.idle.isEmpty() && connections.idle.peek().restedFor() > timeoutMs) {
+            // Removed first: closed() is called only later if the connection is still writing.
+            Outbound expired = connections.idle.poll();
+            idleConnections.remove(expired);
+            expired.close();
         }
-        Outbound connection = connectionsOf.free.poll();
+        Outbound connection = connections.idle.poll();
         if (connection != null) {
-            resting.remove(connection);
+            idleConnections.remove(connection);
             return connection;
         }
-        if (count >= most && !resting.isEmpty()) {
-            resting.iterator().next().close();
+        if (count >= maxConnections && !idleConnections.isEmpty()) {
+            idleConnections.iterator().next().close();
         }
-        if (count >= most) {
-            throw new IOException("all " + most + " connections to workers are busy");
+        if (count >= maxConnections) {
+            throw new IOException("all " + maxConnections + " connections to workers are busy");
         }
-        connection = Outbound.open(loop, address, connectWithin, connectionsOf);
+        connection = Outbound.open(loop, address, connectTimeoutMs, connections);
         count++;
         return connection;
     }
 
-    /** Holds so many connections at the most from now on. */
-    public void most(int connections) {
-        most = connections;
+    /** Changes the bound; open connections beyond a lower bound stay open. */
+    public void most(int newMaximum) {
+        maxConnections = newMaximum;
     }
 
-    /** Whether connections to this worker are kept at rest; if not, those that are get closed. */
-    public void keep(int worker, boolean kept) {
+    /**
+     * Sets whether connections to this worker are kept for reuse. If not, its idle connections are
+     * closed now and the busy ones after their request. Has no effect on a worker whose
+     * index is above the highest one connected to so far.
+     */
+    public void keep(int worker, boolean keepIdle) {
         if (worker >= byWorker.size()) {
             return;
         }
-        byWorker.get(worker).kept = kept;
-        if (!kept) {
+        byWorker.get(worker).keepIdle = keepIdle;
+        if (!keepIdle) {
             empty(worker);
         }
     }
 
-    /** Closes the connections to this worker that are at rest. */
+    /** Closes the idle connections to this worker. */
     public void empty(int worker) {
         if (worker < byWorker.size()) {
-            List.copyOf(byWorker.get(worker).free).forEach(Outbound::close);
+            List.copyOf(byWorker.get(worker).idle).forEach(Outbound::close);
         }
     }
 
+    /** Returns the number of open connections, including those being established. */
     public int size() {
         return count;
     }
--- a/src/main/java/gingerspool/store/IdleTimeout.java
+++ b/src/main/java/gingerspool/store/IdleTimeout.java
@@ -1,31 +1,42 @@
 package gingerspool.store;
 
 /**
- * How long a connection may rest and be used again. Workers, and what stands between, may drop
- * connections at rest sooner than they say, and without a word: one that breaks as it is used again
- * tells so.
+ * An adaptive limit on how long a connection may be idle and still be reused. Workers and network
+ * devices on the way to them may drop idle connections earlier than announced, without notifying
+ * us; this shows only when a connection breaks on reuse. Each such failure reduces the timeout to
+ * at most half of the idle time seen; it then recovers exponentially to its maximum.
+ *
+ * <p>Used by one {@link ConnectionPool}, on its thread. Times are milliseconds.
  */
 final class IdleTimeout {
-    /** The shortest span, in parts of the longest, from where it can grow again. */
-    private static final double LEAST = 1.0 / 1024;
+    /** The lowest timeout as a fraction of the maximum; above zero so that it can recover. */
+    private static final double MIN_FRACTION = 1.0 / 1024;
 
-    private final double most;
-    private double span;
-    private double since;
+    private final double maxMs;
 
-    IdleTimeout(double most) {
-        this.most = most;
-        span = most;
+    /** The timeout set by the last failure, and the time of that failure. */
+    private double reducedToMs;
+
+    private double reducedAtMs;
+
+    IdleTimeout(double maxMs) {
+        this.maxMs = maxMs;
+        reducedToMs = maxMs;
     }
 
-    /** The span that is held safe now: it doubles in the time of the longest one. */
-    double span(double now) {
-        return span < most ? Math.min(most, span * Math.pow(2, (now - since) / most)) : most;
+    /**
+     * Returns the current timeout. After a reduction it doubles every {@code maxMs} milliseconds
+     * until it reaches the maximum.
+     */
+    double currentMs(double nowMs) {
+        return reducedToMs < maxMs
+                ? Math.min(maxMs, reducedToMs * Math.pow(2, (nowMs - reducedAtMs) / maxMs))
+                : maxMs;
     }
 
-    /** One that had rested so long broke when it was used again. */
-    void broke(double now, double rested) {
-        span = Math.max(Math.min(span(now), rested) / 2, most * LEAST);
-        since = now;
+    /** Reduces the timeout after a connection broke on reuse. */
+    void reuseFailed(double nowMs, double idleMs) {
+        reducedToMs = Math.max(Math.min(currentMs(nowMs), idleMs) / 2, maxMs * MIN_FRACTION);
+        reducedAtMs = nowMs;
     }
 }
--- a/src/main/java/gingerspool/store/TaskRegistry.java
+++ b/src/main/java/gingerspool/store/TaskRegistry.java
@@ -5,38 +5,52 @@
 import java.util.List;
 import java.util.Map;
 
-/** The tasks in hand, by the id that clients and workers call them. */
+/**
+ * The tasks that the scheduler currently holds, by the identifier that clients and workers use.
+ * Bounded in the number of tasks and in the total size of their request bodies; callers check
+ * {@link #hasRoomFor} before they add a task.
+ *
+ * <p>Used by the daemon's scheduler. Not thread-safe.
+ */
 public final class TaskRegistry {
     private final Map<String, ClientTask> tasks = new HashMap<>();
-    private final int most;
-    private final long mostBytes;
-    private long bytes;
+    private final int maxTasks;
+    private final long maxBodyBytes;
 
-    public TaskRegistry(int most, long mostBytes) {
-        this.most = most;
-        this.mostBytes = mostBytes;
+    /** The total size of the request bodies held. */
+    private long bodyBytes;
+
+    public TaskRegistry(int maxTasks, long maxBodyBytes) {
+        this.maxTasks = maxTasks;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
-    public boolean hasRoomFor(int more) {
-        return tasks.size() < most && bytes + more <= mostBytes;
+    /** Whether another task with a body of this many bytes fits within both bounds. */
+    public boolean hasRoomFor(int additionalBytes) {
+        return tasks.size() < maxTasks && bodyBytes + additionalBytes <= maxBodyBytes;
     }
 
+    /** Returns the task with this identifier, or null. */
     public ClientTask find(String id) {
         return tasks.get(id);
     }
 
-    public void add(ClientTask t) {
-        tasks.put(t.id, t);
-        bytes += t.size();
+    public void add(ClientTask task) {
+        tasks.put(task.id, task);
+        bodyBytes += task.bodyBytes();
     }
 
-    /** Lets a task go once it has its answer and nothing of it is out. */
-    public void release(ClientTask t) {
-        if (t.ended() && t.outstanding() == 0 && tasks.remove(t.id, t)) {
-            bytes -= t.size();
+    /**
+     * Removes the task if it has ended and none of its assignments is in flight; otherwise does
+     * nothing.
+     */
+    public void release(ClientTask task) {
+        if (task.ended() && task.outstanding() == 0 && tasks.remove(task.id, task)) {
+            bodyBytes -= task.bodyBytes();
         }
     }
 
+    /** Returns a copy, so that tasks may be removed while it is iterated. */
     public List<ClientTask> all() {
         return new ArrayList<>(tasks.values());
     }
--- a/src/main/java/gingerspool/store/WorkerAttempt.java
+++ b/src/main/java/gingerspool/store/WorkerAttempt.java
@@ -9,95 +9,110 @@
 import java.util.concurrent.Future;
 
 /**
- * One assignment under way. Every race between its possible ends is decided in end(): the first
- * counts.
+ * One assignment of a task to a worker, from sending its request to its outcome. The outcome may
+ * come from the worker's response, a callback, a broken connection, a timeout or a cancellation;
+ * the first of them counts, and {@link #end} ignores all others.
+ *
+ * <p>Created by the daemon's scheduler for each assignment. Called on the scheduler's event loop
+ * thread: by the connection that carries the request, by the timeout timer and by the scheduler.
  */
 public final class WorkerAttempt implements Outbound.Caller {
-    /** Who is told how it ended. */
+    /** Receives the outcome of an attempt; implemented by the scheduler. */
     public interface Owner {
-        void ended(WorkerAttempt attempt, Outcome how, double[] report);
-
-        /** The worker has the task and is to be told to let it go. */
+        /**
+         * Called once per attempt, when its outcome is decided.
+         *
+         * @param report the worker's load report, or null
+         */
+        void ended(WorkerAttempt attempt, Outcome outcome, double[] report);
+
+        /** Asks the worker, which has accepted the task, to cancel it. */
         void giveUp(WorkerAttempt attempt);
     }
 
     public final Assignment assignment;
     public final ClientTask task;
-    private final LoadReport reports;
+    private final LoadReport loadReport;
     private final Owner owner;
 
-    /** Carries the request until the worker has answered it. */
+    /** The connection that carries the request; null before that and after the response. */
     private Outbound connection;
 
-    private Future<?> alarm;
-    private boolean taken;
+    private Future<?> timeoutTimer;
+
+    /** Whether the worker's response accepted the task, so that its outcome comes by callback. */
+    private boolean accepted;
+
+    /** Whether the attempt has its outcome. */
     private boolean over;
-    private boolean byCallBack;
 
-    public WorkerAttempt(Assignment assignment, LoadReport reports, Owner owner) {
+    private boolean endedByCallback;
+
+    public WorkerAttempt(Assignment assignment, LoadReport loadReport, Owner owner) {
         this.assignment = assignment;
-        this.reports = reports;
+        this.loadReport = loadReport;
         this.owner = owner;
         task = (ClientTask) assignment.task;
     }
 
-    /** Begins: the connection may be null where there was none to be had. */
-    public void begin(Outbound connection, Future<?> alarm) {
+    /** Sets the timer and the request's connection, which is null if none was available. */
+    public void begin(Outbound connection, Future<?> timeoutTimer) {
         this.connection = connection;
-        this.alarm = alarm;
+        this.timeoutTimer = timeoutTimer;
     }
 
     public boolean isOver() {
         return over;
     }
 
-    /** Whether it ended by a call-back, of which repeats may still come. */
+    /** Whether the outcome came by callback, so that repeats of that callback may still arrive. */
     public boolean endedByCallBack() {
-        return byCallBack;
+        return endedByCallback;
     }
 
     @Override
     public void answered(Message answer) {
         connection = null;
-        Outcome how = WorkerProtocol.outcome(answer);
-        if (how == null) {
-            taken = true;
+        Outcome outcome = WorkerProtocol.outcome(answer);
+        if (outcome == null) {
+            accepted = true;
         } else {
-            end(how, reports.read(WorkerProtocol.load(answer)));
+            end(outcome, loadReport.read(WorkerProtocol.load(answer)));
         }
     }
 
     @Override
     public void broke(boolean allWritten) {
         connection = null;
-        if (!taken) {
+        if (!accepted) {
             end(allWritten ? Outcome.RESET : Outcome.UNREACHABLE, null);
         }
     }
 
-    /** A call-back told its end. */
-    public void told(Outcome how, double[] report) {
-        byCallBack = !over;
-        end(how, report);
+    /** Ends the attempt with the outcome that the worker's callback reports. */
+    public void told(Outcome outcome, double[] report) {
+        endedByCallback = !over;
+        end(outcome, report);
     }
 
     /**
-     * The wait is over, by the clock or by decision: gives it up on the wire before anything else.
+     * Ends the attempt after a timeout or a cancellation. First drops the request's connection or,
+     * if the worker has accepted the task, asks the worker to cancel it.
      */
-    public void giveUp(Outcome how) {
+    public void giveUp(Outcome outcome) {
         if (over) {
             return;
         }
         if (connection != null) {
             connection.drop();
             connection = null;
-        } else if (taken) {
+        } else if (accepted) {
             owner.giveUp(this);
         }
-        end(how, null);
+        end(outcome, null);
     }
 
-    /** Takes it back if the worker has not got its first byte: then it never ran. */
+    /** Withdraws the request if none of it has been sent: then the task never ran. */
     public void takeBack() {
         if (!over && connection != null && !connection.hasBegun()) {
             connection.drop();
@@ -106,19 +121,19 @@
         }
     }
 
-    /** It could not even begin. */
-    public void fail(Outcome how) {
-        end(how, null);
+    /** Ends an attempt whose request could not be sent. */
+    public void fail(Outcome outcome) {
+        end(outcome, null);
     }
 
-    private void end(Outcome how, double[] report) {
+    private void end(Outcome outcome, double[] report) {
         if (over) {
             return;
         }
         over = true;
-        if (alarm != null) {
-            alarm.cancel(false);
+        if (timeoutTimer != null) {
+            timeoutTimer.cancel(false);
         }
-        owner.ended(this, how, report);
+        owner.ended(this, outcome, report);
     }
 }
--- a/src/main/java/gingerspool/store/WorkerDirectory.java
+++ b/src/main/java/gingerspool/store/WorkerDirectory.java
@@ -6,22 +6,30 @@
 import java.util.List;
 import java.util.Map;
 
-/** The workers that the list has named, under the dense index that the Dispatcher knows them by. */
+/**
+ * All workers ever listed by discovery, under the dense index by which the Dispatcher identifies
+ * them. Workers are never removed, so an index stays valid.
+ *
+ * <p>Used by the daemon's scheduler. Not thread-safe.
+ */
 public final class WorkerDirectory {
     private final Map<String, Integer> indexes = new HashMap<>();
     private final List<String> names = new ArrayList<>();
     private final List<InetSocketAddress> addresses = new ArrayList<>();
+
+    /** The state that discovery last listed for each worker, a constant of the Dispatcher. */
     private final List<Integer> states = new ArrayList<>();
+
     private final List<Entry> entries = new ArrayList<>();
 
-    /** What the list last said of a worker besides, in its own words; a start at Unix time. */
+    /** Further properties that discovery last listed for a worker; started is Unix time. */
     public record Entry(String zone, String kind, int cell, double size, double started) {}
 
-    /** The index of this worker, a new one if it has none. */
+    /** Returns the index of this worker; adds the worker if it is unknown. */
     public int index(String name) {
-        Integer known = indexes.putIfAbsent(name, names.size());
-        if (known != null) {
-            return known;
+        Integer existing = indexes.putIfAbsent(name, names.size());
+        if (existing != null) {
+            return existing;
         }
         names.add(name);
         addresses.add(null);
@@ -30,7 +38,7 @@
         return names.size() - 1;
     }
 
-    /** The index of this worker, or -1. */
+    /** Returns the index of this worker, or -1 if it is unknown. */
     public int find(String name) {
         return indexes.getOrDefault(name, -1);
     }
@@ -39,26 +47,27 @@
         return names.get(worker);
     }
 
-    /** Where it listens, or null if that was never told. */
+    /** Returns the address that the worker listens on, or null if none was ever listed. */
     public InetSocketAddress address(int worker) {
         return addresses.get(worker);
     }
 
-    /** Notes the state that it is listed in; tells whether that has changed. */
+    /** Records the state that the worker is listed in. Returns whether it has changed. */
     public boolean setState(int worker, int state) {
         return states.set(worker, state) != state;
     }
 
-    /** The state that it is listed in, -1 if none yet. */
+    /** Returns the state that the worker is listed in, or -1 if none has been recorded. */
     public int state(int worker) {
         return states.get(worker);
     }
 
-    /** Notes what the list says of it besides. */
+    /** Records the further properties that the worker is listed with. */
     public void setEntry(int worker, Entry entry) {
         entries.set(worker, entry);
     }
 
+    /** Returns the worker's further properties, or null if none have been recorded. */
     public Entry entry(int worker) {
         return entries.get(worker);
     }
@@ -67,7 +76,10 @@
         return names.size();
     }
 
-    /** Notes where it listens; tells whether that has changed. */
+    /**
+     * Records the address that the worker listens on. Returns whether it has changed; null is
+     * ignored.
+     */
     public boolean setAddress(int worker, InetSocketAddress address) {
         return address != null && !address.equals(addresses.set(worker, address));
     }
--- a/src/test/java/gingerspool/store/StoreTest.java
+++ b/src/test/java/gingerspool/store/StoreTest.java
@@ -17,13 +17,14 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/** Tests how attempts end, and the bookkeeping of tasks, workers and idle timeouts. */
 public class StoreTest implements WorkerAttempt.Owner {
-    private final List<String> heard = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private WorkerAttempt attempt;
 
     @BeforeMethod
     public void begin() throws BadMessage {
-        heard.clear();
+        events.clear();
         attempt =
                 new WorkerAttempt(
                         Bench.assignment(task("t1", ""), 0, 0), new LoadReport("", ""), this);
@@ -42,70 +43,70 @@
                                 + body));
     }
 
-    private static Message read(Message m, String text) throws BadMessage {
-        m.take(text.getBytes(StandardCharsets.ISO_8859_1), 0, text.length());
-        return m;
+    private static Message read(Message message, String text) throws BadMessage {
+        message.take(text.getBytes(StandardCharsets.ISO_8859_1), 0, text.length());
+        return message;
     }
 
-    private static Message answer(int status) throws BadMessage {
+    private static Message response(int status) throws BadMessage {
         return read(Message.answer(null), "HTTP/1.1 " + status + " X\r\nContent-Length: 0\r\n\r\n");
     }
 
     @Override
-    public void ended(WorkerAttempt e, Outcome how, double[] report) {
-        heard.add(how.toString());
+    public void ended(WorkerAttempt ended, Outcome outcome, double[] report) {
+        events.add(outcome.toString());
     }
 
     @Override
-    public void giveUp(WorkerAttempt e) {
-        heard.add("give up");
+    public void giveUp(WorkerAttempt abandoned) {
+        events.add("cancel on worker");
     }
 
     @Test
-    public void aCallBackBeforeTheAnswerCounts() throws BadMessage {
+    public void callbackBeforeResponseDecidesTheOutcome() throws BadMessage {
         attempt.told(Outcome.OK, null);
-        attempt.answered(answer(202));
+        attempt.answered(response(202));
         attempt.broke(true);
-        assertEquals(heard, List.of("OK"));
+        assertEquals(events, List.of("OK"));
     }
 
     @Test
-    public void aLostAnswerIsAResetWhateverACallBackSaysLater() {
+    public void callbackAfterLostResponseIsIgnored() {
         attempt.broke(true);
         attempt.told(Outcome.OK, null);
-        assertEquals(heard, List.of("RESET"));
+        assertEquals(events, List.of("RESET"));
     }
 
     /**
-     * Guards rule two: what broke before its last byte was written never ran, what broke after may
-     * have.
+     * Guards rule two: a request whose connection broke before its last byte was written never ran;
+     * one whose connection broke later may have run.
      */
     @Test
-    public void aRequestThatWasNotWrittenWholeNeverRan() {
+    public void partiallyWrittenRequestIsUnreachable() {
         attempt.broke(false);
-        assertEquals(heard, List.of("UNREACHABLE"));
+        assertEquals(events, List.of("UNREACHABLE"));
     }
 
     @Test
-    public void onceTakenTheConnectionNoLongerMatters() throws BadMessage {
-        attempt.answered(answer(202));
+    public void brokenConnectionAfterAcceptanceIsIgnored() throws BadMessage {
+        attempt.answered(response(202));
         attempt.broke(true);
         attempt.told(Outcome.ERROR, null);
         attempt.told(Outcome.OK, null);
-        assertEquals(heard, List.of("ERROR"));
+        assertEquals(events, List.of("ERROR"));
     }
 
     @Test
-    public void aTimeOutAfterTheAnswerIsGivenUpOnTheWireFirst() throws BadMessage {
-        attempt.answered(answer(202));
+    public void timeoutAfterAcceptanceCancelsOnWorkerFirst() throws BadMessage {
+        attempt.answered(response(202));
         attempt.giveUp(Outcome.TIMEOUT);
         attempt.told(Outcome.OK, null);
         attempt.giveUp(Outcome.CANCELLED);
-        assertEquals(heard, List.of("give up", "TIMEOUT"));
+        assertEquals(events, List.of("cancel on worker", "TIMEOUT"));
     }
 
     @Test
-    public void aHandHasRoomForSoManyTasksAndBytes() throws BadMessage {
+    public void registryIsBoundedInTasksAndBytes() throws BadMessage {
         TaskRegistry tasks = new TaskRegistry(2, 10);
         tasks.add(task("a", "12345678"));
         assertTrue(tasks.hasRoomFor(2));
@@ -115,36 +116,36 @@
     }
 
     @Test
-    public void aTaskIsLetGoOnlyOnceItHasItsAnswer() throws BadMessage {
+    public void taskIsReleasedOnlyOnceEnded() throws BadMessage {
         TaskRegistry tasks = new TaskRegistry(1, 10);
-        ClientTask t = task("a", "12345678");
-        tasks.add(t);
-        tasks.release(t);
-        assertEquals(tasks.find("a"), t);
-        Bench.end(t);
-        tasks.release(t);
+        ClientTask task = task("a", "12345678");
+        tasks.add(task);
+        tasks.release(task);
+        assertEquals(tasks.find("a"), task);
+        Bench.end(task);
+        tasks.release(task);
         assertNull(tasks.find("a"));
         assertTrue(tasks.hasRoomFor(10));
     }
 
     /**
-     * Found on service days: a quarter of the connections that had rested 0.1 s broke when used
-     * again.
+     * Guards against reusing connections that workers have dropped early: on service days, a quarter
+     * of the connections that had been idle for 0.1 s broke on reuse.
      */
     @Test
-    public void whatBreaksAfterARestShortensIt() {
-        IdleTimeout rest = new IdleTimeout(3000);
-        assertEquals(rest.span(9000), 3000.0);
-        rest.broke(9000, 200);
-        assertEquals(rest.span(9000), 100.0);
-        rest.broke(9000, 0);
-        assertTrue(rest.span(9000) > 0, "it can grow again");
-        rest.broke(9000, 1);
-        assertEquals(rest.span(9000 + 10 * 3000), 3000.0);
+    public void failedReuseReducesIdleTimeout() {
+        IdleTimeout idleTimeout = new IdleTimeout(3000);
+        assertEquals(idleTimeout.currentMs(9000), 3000.0);
+        idleTimeout.reuseFailed(9000, 200);
+        assertEquals(idleTimeout.currentMs(9000), 100.0);
+        idleTimeout.reuseFailed(9000, 0);
+        assertTrue(idleTimeout.currentMs(9000) > 0, "a timeout of 0 could not recover");
+        idleTimeout.reuseFailed(9000, 1);
+        assertEquals(idleTimeout.currentMs(9000 + 10 * 3000), 3000.0);
     }
 
     @Test
-    public void aWorkerKeepsItsIndexAndMayMove() throws BadMessage {
+    public void workerKeepsItsIndexWhenItsAddressChanges() throws BadMessage {
         WorkerDirectory workers = new WorkerDirectory();
         assertEquals(workers.index("a"), 0);
         assertEquals(workers.index("b"), 1);
