--- a/src/main/java/gingerspool/logging/AsynchronousLogOutput.java
+++ b/src/main/java/gingerspool/logging/AsynchronousLogOutput.java
@@ -9,51 +9,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Standard error for processes whose event loop must not wait for whoever reads the log. Each write
- * is added to a bounded buffer or dropped and counted; one daemon thread writes the buffer to the
- * descriptor. No lock is held during a write to the descriptor.
+ * Non-blocking standard error for processes whose event loop must not wait for the reader of the
+ * log. Each write is added to a bounded buffer, or dropped and counted if it does not fit; one
+ * daemon thread writes the buffer to the descriptor. No lock is held during a write to the
+ * descriptor.
  *
- * <p>Thread: any. A write that is a whole line stays whole or is dropped as a whole.
+ * <p>Thread: any. A write of a whole line is buffered or dropped as a whole.
  */
 public final class AsynchronousLogOutput extends OutputStream {
-    /** What is held at the most while the descriptor takes nothing, in bytes. */
+    /** The maximum number of bytes buffered while writes to the descriptor block. */
     static final int CAPACITY_BYTES = 256 * 1024;
 
-    /** The part of it that only the line about dropped lines may use. */
+    /** The part of the capacity reserved for the log line that reports dropped lines. */
     static final int NOTICE_BYTES = 1024;
 
-    /** Bytes per write: what a pipe takes without another process's bytes between (PIPE_BUF). */
+    /**
+     * The maximum number of bytes per write: PIPE_BUF, up to which a pipe never interleaves a write
+     * with those of other processes.
+     */
     static final int WRITE_BYTES = 4096;
 
-    /** The end of the process waits so long at the most for what is buffered. */
-    static final long END_TIMEOUT_MS = 200;
+    /** The maximum time that the shutdown of the process waits for buffered bytes. */
+    static final long SHUTDOWN_TIMEOUT_MS = 200;
 
     private static final int STACK_BYTES = 128 * 1024;
 
-    /** What the process writes to; null where it writes to standard error directly. */
+    /** The output installed in this process; null if it writes to standard error directly. */
     private static volatile AsynchronousLogOutput installed;
 
     private final OutputStream descriptor;
-    private final LongConsumer whenDropped;
+    private final LongConsumer onDropped;
 
-    /** Also the lock of all fields below. */
+    /** Also the lock that guards all fields below. */
     private final LogBuffer buffer = new LogBuffer();
 
     private final Thread writer =
             new Thread(null, this::writeForever, "log-output", STACK_BYTES, false);
+
+    /** Lines dropped since the last report. */
     private long dropped;
+
     private boolean writerIsIdle;
     private boolean isWriting;
     private long writingSinceNanos;
 
-    /** The consumer is told on the writing thread how many lines were dropped, and may log it. */
-    AsynchronousLogOutput(OutputStream descriptor, LongConsumer whenDropped) {
+    /**
+     * Creates an output whose thread is not started yet.
+     *
+     * @param onDropped receives the number of dropped lines on the writer thread, and may log it
+     */
+    AsynchronousLogOutput(OutputStream descriptor, LongConsumer onDropped) {
         this.descriptor = descriptor;
-        this.whenDropped = whenDropped;
+        this.onDropped = onDropped;
         writer.setDaemon(true);
     }
 
-    /** Standard error's own, with its thread started; its end is part of the process's. */
+    /**
+     * Creates the output for standard error, starts its thread and registers a shutdown hook that
+     * waits for buffered bytes.
+     */
     public static OutputStream install() {
         AsynchronousLogOutput output =
                 new AsynchronousLogOutput(
@@ -67,8 +81,8 @@
     }
 
     /**
-     * Waits, in a bounded time, until all that was logged is written. Shutdown hooks run beside
-     * each other: one that logs calls this last.
+     * Waits for a bounded time until everything logged is written. Shutdown hooks run concurrently,
+     * so a hook that logs must call this last.
      */
     public static void awaitInstalled() {
         AsynchronousLogOutput output = installed;
@@ -77,7 +91,7 @@
         }
     }
 
-    /** Looks its logger up late: the form of the log is chosen after this output was made. */
+    /** Looks up the logger late: the log format is chosen after this output is created. */
     private static void logDropped(long lines) {
         LoggerFactory.getLogger(AsynchronousLogOutput.class)
                 .atWarn()
@@ -109,17 +123,17 @@
     }
 
     /**
-     * Waits until all is written, at the most {@link #END_TIMEOUT_MS}. A write that has been held
-     * up for that long already is not waited for.
+     * Waits until everything is written, at most {@link #SHUTDOWN_TIMEOUT_MS}. Does not wait for a
+     * write that has already been blocked for that long.
      */
     void awaitWritten() {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(END_TIMEOUT_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SHUTDOWN_TIMEOUT_MS);
         synchronized (buffer) {
             try {
-                long leftNanos = untilGivenUp(end);
-                while ((isWriting || !buffer.isEmpty()) && leftNanos > 0) {
-                    TimeUnit.NANOSECONDS.timedWait(buffer, leftNanos);
-                    leftNanos = untilGivenUp(end);
+                long remainingNanos = remainingWaitNanos(deadlineNanos);
+                while ((isWriting || !buffer.isEmpty()) && remainingNanos > 0) {
+                    TimeUnit.NANOSECONDS.timedWait(buffer, remainingNanos);
+                    remainingNanos = remainingWaitNanos(deadlineNanos);
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -127,14 +141,14 @@
         }
     }
 
-    private long untilGivenUp(long endNanos) {
+    private long remainingWaitNanos(long deadlineNanos) {
         long now = System.nanoTime();
-        long left = endNanos - now;
+        long remaining = deadlineNanos - now;
         if (!isWriting) {
-            return left;
+            return remaining;
         }
-        long allowed = TimeUnit.MILLISECONDS.toNanos(END_TIMEOUT_MS);
-        return Math.min(left, writingSinceNanos + allowed - now);
+        long allowed = TimeUnit.MILLISECONDS.toNanos(SHUTDOWN_TIMEOUT_MS);
+        return Math.min(remaining, writingSinceNanos + allowed - now);
     }
 
     private void writeForever() {
@@ -143,9 +157,9 @@
             while (true) {
                 int length = takeNext(chunk);
                 boolean isWritten = tryWrite(chunk, length);
-                long lost = written(chunk, length, isWritten);
-                if (lost > 0) {
-                    whenDropped.accept(lost);
+                long reportable = finishWrite(chunk, length, isWritten);
+                if (reportable > 0) {
+                    onDropped.accept(reportable);
                 }
             }
         } catch (InterruptedException e) {
@@ -166,7 +180,7 @@
         }
     }
 
-    /** The one place that may block. */
+    /** The only call that may block on the descriptor. Returns whether the write succeeded. */
     private boolean tryWrite(byte[] chunk, int length) {
         try {
             descriptor.write(chunk, 0, length);
@@ -176,24 +190,24 @@
         }
     }
 
-    /** Returns how many dropped lines are to be told of now. */
-    private long written(byte[] chunk, int length, boolean isWritten) {
+    /** Returns the number of dropped lines to report now; 0 while no report would fit. */
+    private long finishWrite(byte[] chunk, int length, boolean isWritten) {
         synchronized (buffer) {
             isWriting = false;
             if (buffer.isEmpty()) {
                 buffer.notifyAll();
             }
             if (!isWritten) {
-                // Not told of before a write succeeds: the line about it would fail as well.
+                // Reported only once a write succeeds: until then the report would fail as well.
                 dropped += lineEnds(chunk, length);
                 return 0;
             }
             if (buffer.size() > CAPACITY_BYTES - NOTICE_BYTES) {
                 return 0;
             }
-            long lost = dropped;
+            long reportable = dropped;
             dropped = 0;
-            return lost;
+            return reportable;
         }
     }
 
--- a/src/main/java/gingerspool/logging/LogBuffer.java
+++ b/src/main/java/gingerspool/logging/LogBuffer.java
@@ -1,8 +1,8 @@
 package gingerspool.logging;
 
 /**
- * Bytes of the log in the order in which they came, up to a bound. The memory grows with what is
- * held. Not safe for use by several threads without a lock.
+ * A bounded FIFO ring buffer of log bytes that grows on demand. Not thread-safe: {@link
+ * AsynchronousLogOutput} uses it under a lock.
  */
 final class LogBuffer {
     private static final int INITIAL_BYTES = 8 * 1024;
@@ -19,7 +19,7 @@
         return size == 0;
     }
 
-    /** Adds all of these bytes, or none where more than the limit would then be held. */
+    /** Adds all of these bytes, or none if the buffer would then exceed the limit. */
     boolean add(byte[] bytes, int offset, int length, int limitBytes) {
         if (length > limitBytes - size) {
             return false;
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Moves the oldest bytes to the target and returns their number. Where not all of them fit and
-     * a line ends among those that do, nothing after that end is moved.
+     * Moves the oldest bytes to the target and returns their number. If not all bytes fit, moves
+     * whole lines only, unless the first line alone is longer than the target.
      */
     int take(byte[] target) {
         int count = Math.min(size, target.length);
@@ -48,6 +48,7 @@
         return count;
     }
 
+    /** Returns the length of the whole lines in these bytes, or the count if no line ends there. */
     private static int wholeLines(byte[] bytes, int count) {
         int end = count;
         while (end > 0 && bytes[end - 1] != '\n') {
@@ -56,11 +57,14 @@
         return end == 0 ? count : end;
     }
 
-    private void reserve(int bytes, int limitBytes) {
-        if (bytes <= ring.length && ring.length > 0) {
+    private void reserve(int requiredBytes, int limitBytes) {
+        if (requiredBytes <= ring.length && ring.length > 0) {
             return;
         }
-        int capacity = Math.max(INITIAL_BYTES, Math.max(bytes, Math.min(2 * bytes, limitBytes)));
+        int capacity =
+                Math.max(
+                        INITIAL_BYTES,
+                        Math.max(requiredBytes, Math.min(2 * requiredBytes, limitBytes)));
         byte[] larger = new byte[capacity];
         copyTo(larger, size);
         ring = larger;
--- a/src/main/java/gingerspool/logging/package-info.java
+++ b/src/main/java/gingerspool/logging/package-info.java
@@ -1,2 +1,2 @@
-/** How the log reaches standard error without any thread that logs waiting for its reader. */
+/** Asynchronous log output to standard error: threads that log never wait for the reader. */
 package gingerspool.logging;
--- a/src/main/java/gingerspool/store/ConnectionPool.java
+++ b/src/main/java/gingerspool/store/ConnectionPool.java
@@ -171,8 +171,8 @@
 
     /**
      * Sets whether connections to this worker are kept for reuse. If not, its idle connections are
-     * closed now and the busy ones after their request. Has no effect on a worker whose
-     * index is above the highest one connected to so far.
+     * closed now and the busy ones after their request. Has no effect on a worker whose index is
+     * above the highest one connected to so far.
      */
     public void keep(int worker, boolean keepIdle) {
         if (worker >= byWorker.size()) {
--- a/src/main/java/gingerspool/store/IdleTimeout.java
+++ b/src/main/java/gingerspool/store/IdleTimeout.java
@@ -3,8 +3,9 @@
 /**
  * An adaptive limit on how long a connection may be idle and still be reused. Workers and network
  * devices on the way to them may drop idle connections earlier than announced, without notifying
- * us; this shows only when a connection breaks on reuse. Each such failure reduces the timeout to
- * at most half of the idle time seen; it then recovers exponentially to its maximum.
+ * us; this shows only when a connection breaks on reuse. Each such failure sets the timeout to half
+ * of the idle time seen or of the current timeout, whichever is shorter, down to a lower bound. The
+ * timeout then recovers exponentially to its maximum.
  *
  * <p>Used by one {@link ConnectionPool}, on its thread. Times are milliseconds.
  */
@@ -14,9 +15,10 @@
 
     private final double maxMs;
 
-    /** The timeout set by the last failure, and the time of that failure. */
+    /** The timeout set by the last failure; the maximum if there was none. */
     private double reducedToMs;
 
+    /** The time of the last failure. */
     private double reducedAtMs;
 
     IdleTimeout(double maxMs) {
--- a/src/test/java/gingerspool/logging/AsynchronousLogOutputTest.java
+++ b/src/test/java/gingerspool/logging/AsynchronousLogOutputTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A descriptor that takes nothing for a while holds no thread that logs. */
+/** Tests that a descriptor whose writes block never blocks the threads that log. */
 public class AsynchronousLogOutputTest {
     private static final int TEST_TIMEOUT_MS = 20_000;
     private static final int LINE_BYTES = 100;
@@ -49,38 +49,39 @@
         return String.format("%0" + (LINE_BYTES - 1) + "d", number);
     }
 
-    /** The first line is on its way and not told written; what comes after it is buffered. */
+    /** Blocks the writer thread in the write of a first line; later lines are buffered. */
     private void stall() throws InterruptedException {
         log("first");
         descriptor.awaitWrite();
     }
 
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void whatDoesNotFitIsDroppedAndCounted() throws InterruptedException {
+    public void linesBeyondTheCapacityAreDroppedAndCounted() throws InterruptedException {
         stall();
         int fitting =
                 (AsynchronousLogOutput.CAPACITY_BYTES - AsynchronousLogOutput.NOTICE_BYTES)
                         / LINE_BYTES;
-        int over = 17;
-        for (int i = 0; i < fitting + over; i++) {
+        int excess = 17;
+        for (int i = 0; i < fitting + excess; i++) {
             log(numbered(i));
         }
         descriptor.unblock();
         reported.await();
         output.awaitWritten();
-        assertEquals(lost, over);
+        assertEquals(lost, excess);
         String text = descriptor.text();
         StringBuilder kept = new StringBuilder("first\n");
         for (int i = 0; i < fitting; i++) {
             kept.append(numbered(i)).append('\n');
         }
-        assertEquals(text.replace("lost " + over + "\n", ""), kept.toString());
-        assertTrue(text.contains("\nlost " + over + "\n"), "not told in the log itself");
+        assertEquals(text.replace("lost " + excess + "\n", ""), kept.toString());
+        assertTrue(
+                text.contains("\nlost " + excess + "\n"), "dropped lines not reported in the log");
     }
 
-    /** Once there is room again lines are taken, and what was dropped is told once. */
+    /** Once there is room again, lines are accepted, and dropped lines are reported only once. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void linesAreTakenAgainAfterwards() throws InterruptedException {
+    public void linesAreAcceptedAgainAfterDrops() throws InterruptedException {
         stall();
         int tooMany = AsynchronousLogOutput.CAPACITY_BYTES / LINE_BYTES + 1;
         for (int i = 0; i < tooMany; i++) {
@@ -97,7 +98,7 @@
     }
 
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void whatCameMeanwhileGoesIntoOneWrite() throws InterruptedException {
+    public void bufferedLinesAreWrittenTogether() throws InterruptedException {
         stall();
         for (int i = 0; i < 10; i++) {
             log(numbered(i));
@@ -108,7 +109,7 @@
     }
 
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void theEndWaitsForWhatIsBuffered() throws InterruptedException {
+    public void shutdownWaitsForBufferedLines() throws InterruptedException {
         stall();
         log("last");
         Thread later = new Thread(descriptor::unblock);
@@ -118,22 +119,22 @@
         assertEquals(descriptor.text(), "first\nlast\n");
     }
 
-    /** Each of these calls would take 0.2 s if a write that hangs were waited for again. */
+    /** Each of these calls would take 0.2 s if each waited again for a blocked write. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void theEndDoesNotWaitForADescriptorThatHangs() throws InterruptedException {
+    public void shutdownDoesNotWaitForABlockedDescriptor() throws InterruptedException {
         stall();
         log("last");
         int calls = 1000;
-        assertTrue(calls * AsynchronousLogOutput.END_TIMEOUT_MS > 5 * TEST_TIMEOUT_MS);
+        assertTrue(calls * AsynchronousLogOutput.SHUTDOWN_TIMEOUT_MS > 5 * TEST_TIMEOUT_MS);
         for (int i = 0; i < calls; i++) {
             output.awaitWritten();
         }
         assertEquals(descriptor.text(), "");
     }
 
-    /** A reader that is slow and not gone holds the end up no longer than the bound either. */
+    /** The wait at shutdown is bounded also if the reader is slow but not blocked. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void theEndIsBoundedWhereWritesGoOnSlowly() throws InterruptedException {
+    public void shutdownWaitIsBoundedWithASlowReader() throws InterruptedException {
         stall();
         int chunks = 50;
         for (int i = 0; i < chunks * AsynchronousLogOutput.WRITE_BYTES / LINE_BYTES; i++) {
@@ -147,19 +148,19 @@
                             ended.countDown();
                         });
         end.start();
-        // One write at a time, each after a quarter of the bound: all of them would take 50
-        // quarters.
+        // One write at a time, each after a quarter of the timeout: writing all of them would take
+        // 50 quarters.
         int allowed = 0;
-        while (!ended.await(AsynchronousLogOutput.END_TIMEOUT_MS / 4, TimeUnit.MILLISECONDS)) {
+        while (!ended.await(AsynchronousLogOutput.SHUTDOWN_TIMEOUT_MS / 4, TimeUnit.MILLISECONDS)) {
             descriptor.allow(1);
             allowed++;
         }
         assertTrue(allowed < chunks / 2, allowed + " writes were waited for");
     }
 
-    /** Bytes that the descriptor refuses are lost; that is told once it takes some again. */
+    /** Lines of failed writes are lost, and reported once a write succeeds again. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void linesOfAFailedWriteAreCounted() throws InterruptedException {
+    public void linesOfFailedWritesAreCounted() throws InterruptedException {
         stall();
         log("second");
         log("third");
@@ -178,7 +179,7 @@
     }
 
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void aWriteEndsWithALine() throws InterruptedException {
+    public void writesContainWholeLines() throws InterruptedException {
         stall();
         String longLine = "x".repeat(AsynchronousLogOutput.WRITE_BYTES - 10);
         log(longLine);
--- a/src/test/java/gingerspool/logging/ModelDescriptor.java
+++ b/src/test/java/gingerspool/logging/ModelDescriptor.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.Semaphore;
 
-/** A descriptor whose writes block until the test lets them go on, and fail where it says so. */
+/** A descriptor whose writes block until the test allows them, and fail if the test says so. */
 final class ModelDescriptor extends OutputStream {
     private final ByteArrayOutputStream written = new ByteArrayOutputStream();
     private final Semaphore begun = new Semaphore(0);
@@ -32,16 +32,17 @@
         }
     }
 
-    /** Waits until one more write has begun. */
+    /** Waits until another write has begun. */
     void awaitWrite() throws InterruptedException {
         begun.acquire();
     }
 
+    /** Unblocks this many writes. */
     void allow(int count) {
         allowed.release(count);
     }
 
-    /** Lets all writes to come go on. */
+    /** Unblocks all writes, including future ones. */
     void unblock() {
         allowed.release(Integer.MAX_VALUE / 2);
     }
--- a/src/test/java/gingerspool/store/StoreTest.java
+++ b/src/test/java/gingerspool/store/StoreTest.java
@@ -129,8 +129,8 @@
     }
 
     /**
-     * Guards against reusing connections that workers have dropped early: on service days, a quarter
-     * of the connections that had been idle for 0.1 s broke on reuse.
+     * Guards against reusing connections that workers have dropped early: on service days, a
+     * quarter of the connections that had been idle for 0.1 s broke on reuse.
      */
     @Test
     public void failedReuseReducesIdleTimeout() {
