--- a/src/main/java/gingerspool/controlplane/PlatformClient.java
+++ b/src/main/java/gingerspool/controlplane/PlatformClient.java
@@ -127,7 +127,7 @@
 
     private void call(byte[] request, Consumer<Response> callback) {
         try {
-            pool.take(0, address)
+            pool.acquire(0, address)
                     .ask(
                             request,
                             timeout,
--- a/src/main/java/gingerspool/daemon/Scheduler.java
+++ b/src/main/java/gingerspool/daemon/Scheduler.java
@@ -210,14 +210,14 @@
             double size,
             double started) {
         int listedBefore = workers.size();
-        int w = workers.index(host);
+        int w = workers.findOrAdd(host);
         if (w == listedBefore) {
             dispatcher.workerNamed(w, host);
         }
         if (workers.setAddress(w, dial)) {
-            pool.empty(w);
+            pool.closeIdle(w);
         }
-        pool.keep(w, state == Dispatcher.RUNNING && !suspended.contains(host));
+        pool.setKeepIdle(w, state == Dispatcher.RUNNING && !suspended.contains(host));
         workers.setEntry(w, new WorkerDirectory.Entry(zone, kind, cell, size, started));
         if (workers.setState(w, state)) {
             LOG.atInfo()
@@ -301,18 +301,18 @@
         if (suspended) {
             this.suspended.add(name);
             dispatcher.suspended(loop.now(), w);
-            pool.keep(w, false);
+            pool.setKeepIdle(w, false);
             // Guards the suspension against assignments decided earlier that still wait for their
             // connection to be established.
             for (ClientTask t : tasks.all()) {
                 WorkerAttempt attempt = attemptInFlight(t, w);
                 if (attempt != null) {
-                    attempt.takeBack();
+                    attempt.withdraw();
                 }
             }
         } else {
             this.suspended.remove(name);
-            pool.keep(w, workers.state(w) == Dispatcher.RUNNING);
+            pool.setKeepIdle(w, workers.state(w) == Dispatcher.RUNNING);
             dispatcher.resumed(loop.now(), w);
         }
         return true;
@@ -385,7 +385,7 @@
 
     /** Limits the connections to workers from now on. */
     void setMaxWorkerConnections(int connections) {
-        pool.most(connections);
+        pool.setMaxConnections(connections);
     }
 
     int workerConnections() {
@@ -438,7 +438,7 @@
         if (routes != null) {
             String target = request.message().target();
             int query = target.indexOf('?');
-            t.stay =
+            t.admission =
                     routes.admit(
                             now,
                             t,
@@ -473,8 +473,8 @@
      */
     private void releaseClient(ClientTask t, boolean finished) {
         t.client = null;
-        if (t.stay != null) {
-            Routes.done(loop.now(), t.stay, finished);
+        if (t.admission != null) {
+            Routes.done(loop.now(), t.admission, finished);
         }
     }
 
@@ -517,9 +517,9 @@
         InetSocketAddress address = workers.address(a.worker);
         try {
             int connectionsBefore = pool.size();
-            Outbound connection = pool.take(a.worker, address);
+            Outbound connection = pool.acquire(a.worker, address);
             Trace.sent(a, workers.name(a.worker), pool.size() > connectionsBefore);
-            Future<?> timeoutTimer = loop.schedule(wait, () -> attempt.giveUp(Outcome.TIMEOUT));
+            Future<?> timeoutTimer = loop.schedule(wait, () -> attempt.abort(Outcome.TIMEOUT));
             attempt.begin(connection, timeoutTimer);
             connection.ask(
                     WorkerProtocol.request(t.request, address, wait),
@@ -537,15 +537,15 @@
     @Override
     public void cancel(Assignment a) {
         WorkerAttempt attempt = ((ClientTask) a.task).attempts.get(a.number);
-        loop.execute(() -> attempt.giveUp(Outcome.CANCELLED));
+        loop.execute(() -> attempt.abort(Outcome.CANCELLED));
     }
 
     @Override
-    public void giveUp(WorkerAttempt attempt) {
+    public void cancelOnWorker(WorkerAttempt attempt) {
         int w = attempt.assignment.worker;
         try {
             byte[] request = WorkerProtocol.giveUp(attempt.task.id, workers.address(w));
-            pool.take(w, workers.address(w)).ask(request, deployment.connectTimeout, null);
+            pool.acquire(w, workers.address(w)).ask(request, deployment.connectTimeout, null);
         } catch (IOException e) {
             LOG.atWarn()
                     .addKeyValue("worker", workers.name(w))
@@ -594,7 +594,7 @@
         }
         Outcome confirmed =
                 outcome == Outcome.FULL && mayBeRepeated(attempt) ? Outcome.RESET : outcome;
-        attempt.told(confirmed, deployment.loadReport.read(load));
+        attempt.callbackReceived(confirmed, deployment.loadReport.read(load));
     }
 
     /**
@@ -604,7 +604,7 @@
     private static boolean mayBeRepeated(WorkerAttempt attempt) {
         for (WorkerAttempt other : attempt.task.attempts) {
             if (other != attempt
-                    && other.endedByCallBack()
+                    && other.endedByCallback()
                     && other.assignment.worker == attempt.assignment.worker) {
                 return true;
             }
@@ -639,7 +639,7 @@
     public void probe(int worker) {
         try {
             InetSocketAddress address = workers.address(worker);
-            pool.take(worker, address)
+            pool.acquire(worker, address)
                     .ask(
                             WorkerProtocol.probe(address),
                             deployment.connectTimeout,
--- a/src/main/java/gingerspool/dataplane/AttemptRunner.java
+++ b/src/main/java/gingerspool/dataplane/AttemptRunner.java
@@ -82,7 +82,7 @@
         String instance = loop.has(RequestSafeguard.EXPECTED_INSTANCE) ? slot.instance : null;
         try {
             attempt.begin(
-                    environment.pool().take(slot.poolIndex, slot.address),
+                    environment.pool().acquire(slot.poolIndex, slot.address),
                     InstanceProtocol.encodeRequest(
                             request.request, instance, request.expiry - loop.now()),
                     null);
@@ -131,7 +131,7 @@
         if (outcome == Outcome.RESET || outcome == Outcome.CANCELLED) {
             markUncertain(slot, request);
         } else if (outcome == Outcome.UNREACHABLE || isOtherInstance) {
-            environment.pool().empty(slot.poolIndex);
+            environment.pool().closeIdle(slot.poolIndex);
             returns.returnSlots(slot, slot.unusedSlots(), InstanceCondition.UNREACHABLE);
             if (outcome == Outcome.UNREACHABLE
                     && request.unreachedAttempts < MAX_UNCOUNTED_ATTEMPTS) {
--- a/src/main/java/gingerspool/dataplane/FunctionQueue.java
+++ b/src/main/java/gingerspool/dataplane/FunctionQueue.java
@@ -319,7 +319,7 @@
             return false;
         }
         slot.isDraining = true;
-        environment.pool().keep(slot.poolIndex, false);
+        environment.pool().setKeepIdle(slot.poolIndex, false);
         dispatcher.publish(slot);
         returns.returnUnused(loop.now());
         return true;
--- a/src/main/java/gingerspool/dataplane/RequestRouter.java
+++ b/src/main/java/gingerspool/dataplane/RequestRouter.java
@@ -403,8 +403,8 @@
 
     @Override
     public void releasePoolIndex(int poolIndex) {
-        pool.keep(poolIndex, false);
-        pool.keep(poolIndex, true);
+        pool.setKeepIdle(poolIndex, false);
+        pool.setKeepIdle(poolIndex, true);
         freePoolIndexes.add(poolIndex);
     }
 }
--- a/src/main/java/gingerspool/store/ConnectionPool.java
+++ b/src/main/java/gingerspool/store/ConnectionPool.java
@@ -138,7 +138,7 @@
      *
      * @throws IOException if all connections are busy or the process is out of descriptors
      */
-    public Outbound take(int worker, InetSocketAddress address) throws IOException {
+    public Outbound acquire(int worker, InetSocketAddress address) throws IOException {
         WorkerConnections connections = connectionsOf(worker);
         // The top one was used last: if it has been idle for too long, so have the others.
         double timeoutMs = idleTimeout.currentMs(loop.now());
@@ -165,7 +165,7 @@
     }
 
     /** Changes the bound; open connections beyond a lower bound stay open. */
-    public void most(int newMaximum) {
+    public void setMaxConnections(int newMaximum) {
         maxConnections = newMaximum;
     }
 
@@ -174,18 +174,18 @@
      * closed now and the busy ones after their request. Has no effect on a worker whose index is
      * above the highest one connected to so far.
      */
-    public void keep(int worker, boolean keepIdle) {
+    public void setKeepIdle(int worker, boolean keepIdle) {
         if (worker >= byWorker.size()) {
             return;
         }
         byWorker.get(worker).keepIdle = keepIdle;
         if (!keepIdle) {
-            empty(worker);
+            closeIdle(worker);
         }
     }
 
     /** Closes the idle connections to this worker. */
-    public void empty(int worker) {
+    public void closeIdle(int worker) {
         if (worker < byWorker.size()) {
             List.copyOf(byWorker.get(worker).idle).forEach(Outbound::close);
         }
--- a/src/main/java/gingerspool/store/WorkerAttempt.java
+++ b/src/main/java/gingerspool/store/WorkerAttempt.java
@@ -27,7 +27,7 @@
         void ended(WorkerAttempt attempt, Outcome outcome, double[] report);
 
         /** Asks the worker, which has accepted the task, to cancel it. */
-        void giveUp(WorkerAttempt attempt);
+        void cancelOnWorker(WorkerAttempt attempt);
     }
 
     public final Assignment assignment;
@@ -66,7 +66,7 @@
     }
 
     /** Whether the outcome came by callback, so that repeats of that callback may still arrive. */
-    public boolean endedByCallBack() {
+    public boolean endedByCallback() {
         return endedByCallback;
     }
 
@@ -90,7 +90,7 @@
     }
 
     /** Ends the attempt with the outcome that the worker's callback reports. */
-    public void told(Outcome outcome, double[] report) {
+    public void callbackReceived(Outcome outcome, double[] report) {
         endedByCallback = !over;
         end(outcome, report);
     }
@@ -99,7 +99,7 @@
      * Ends the attempt after a timeout or a cancellation. First drops the request's connection or,
      * if the worker has accepted the task, asks the worker to cancel it.
      */
-    public void giveUp(Outcome outcome) {
+    public void abort(Outcome outcome) {
         if (over) {
             return;
         }
@@ -107,13 +107,13 @@
             connection.drop();
             connection = null;
         } else if (accepted) {
-            owner.giveUp(this);
+            owner.cancelOnWorker(this);
         }
         end(outcome, null);
     }
 
     /** Withdraws the request if none of it has been sent: then the task never ran. */
-    public void takeBack() {
+    public void withdraw() {
         if (!over && connection != null && !connection.hasBegun()) {
             connection.drop();
             connection = null;
--- a/src/main/java/gingerspool/store/WorkerDirectory.java
+++ b/src/main/java/gingerspool/store/WorkerDirectory.java
@@ -26,7 +26,7 @@
     public record Entry(String zone, String kind, int cell, double size, double started) {}
 
     /** Returns the index of this worker; adds the worker if it is unknown. */
-    public int index(String name) {
+    public int findOrAdd(String name) {
         Integer existing = indexes.putIfAbsent(name, names.size());
         if (existing != null) {
             return existing;
--- a/src/test/java/gingerspool/store/StoreTest.java
+++ b/src/test/java/gingerspool/store/StoreTest.java
@@ -58,13 +58,13 @@
     }
 
     @Override
-    public void giveUp(WorkerAttempt abandoned) {
+    public void cancelOnWorker(WorkerAttempt abandoned) {
         events.add("cancel on worker");
     }
 
     @Test
     public void callbackBeforeResponseDecidesTheOutcome() throws BadMessage {
-        attempt.told(Outcome.OK, null);
+        attempt.callbackReceived(Outcome.OK, null);
         attempt.answered(response(202));
         attempt.broke(true);
         assertEquals(events, List.of("OK"));
@@ -73,7 +73,7 @@
     @Test
     public void callbackAfterLostResponseIsIgnored() {
         attempt.broke(true);
-        attempt.told(Outcome.OK, null);
+        attempt.callbackReceived(Outcome.OK, null);
         assertEquals(events, List.of("RESET"));
     }
 
@@ -91,17 +91,17 @@
     public void brokenConnectionAfterAcceptanceIsIgnored() throws BadMessage {
         attempt.answered(response(202));
         attempt.broke(true);
-        attempt.told(Outcome.ERROR, null);
-        attempt.told(Outcome.OK, null);
+        attempt.callbackReceived(Outcome.ERROR, null);
+        attempt.callbackReceived(Outcome.OK, null);
         assertEquals(events, List.of("ERROR"));
     }
 
     @Test
     public void timeoutAfterAcceptanceCancelsOnWorkerFirst() throws BadMessage {
         attempt.answered(response(202));
-        attempt.giveUp(Outcome.TIMEOUT);
-        attempt.told(Outcome.OK, null);
-        attempt.giveUp(Outcome.CANCELLED);
+        attempt.abort(Outcome.TIMEOUT);
+        attempt.callbackReceived(Outcome.OK, null);
+        attempt.abort(Outcome.CANCELLED);
         assertEquals(events, List.of("cancel on worker", "TIMEOUT"));
     }
 
@@ -147,9 +147,9 @@
     @Test
     public void workerKeepsItsIndexWhenItsAddressChanges() throws BadMessage {
         WorkerDirectory workers = new WorkerDirectory();
-        assertEquals(workers.index("a"), 0);
-        assertEquals(workers.index("b"), 1);
-        assertEquals(workers.index("a"), 0);
+        assertEquals(workers.findOrAdd("a"), 0);
+        assertEquals(workers.findOrAdd("b"), 1);
+        assertEquals(workers.findOrAdd("a"), 0);
         assertEquals(workers.find("c"), -1);
         assertTrue(workers.setAddress(0, Address.read("127.0.0.1:1")));
         assertFalse(workers.setAddress(0, Address.read("127.0.0.1:1")));
