--- a/src/test/java/gingerspool/daemon/HandoverTest.java
+++ b/src/test/java/gingerspool/daemon/HandoverTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.dispatch.Bench;
+import gingerspool.dispatch.DispatcherHarness;
 import gingerspool.wire.Address;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -50,7 +50,7 @@
                 connect(
                         first.clients.address(),
                         "POST /callback HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}");
-        Bench.read(callbacks);
+        DispatcherHarness.readMessage(callbacks);
         Daemon second = start(port, false);
         awaitReady(second);
         assertEquals(call(first, "GET", "/v1/readyz"), 503);
@@ -59,14 +59,14 @@
         acceptAtWorker("i2");
         // All new connections go to the second, also the callback for the first one's task.
         Socket lateCallback = connect(second.clients.address(), doneCallback("i1"));
-        assertTrue(Bench.read(lateCallback).startsWith("HTTP/1.1 200 "));
-        String answer = Bench.read(firstClient);
+        assertTrue(DispatcherHarness.readMessage(lateCallback).startsWith("HTTP/1.1 200 "));
+        String answer = DispatcherHarness.readMessage(firstClient);
         assertTrue(answer.endsWith("made i1") && answer.contains("Connection: close\r\n"), answer);
-        Bench.write(callbacks, doneCallback("i2"));
-        answer = Bench.read(callbacks);
+        DispatcherHarness.write(callbacks, doneCallback("i2"));
+        answer = DispatcherHarness.readMessage(callbacks);
         assertTrue(
                 answer.startsWith("HTTP/1.1 200 ") || answer.startsWith("HTTP/1.1 400 "), answer);
-        answer = Bench.read(secondClient);
+        answer = DispatcherHarness.readMessage(secondClient);
         assertTrue(answer.endsWith("made i2") && !answer.contains("close"), answer);
         assertEquals(healthStatus(port), "200");
         first.loop.submit(() -> first.beginShutdown(first.loop.now()));
@@ -102,9 +102,9 @@
         assertEquals(call(third, "POST", "/v1/workers/s-1/resume"), 200);
         assertTrue(first.scheduler.suspended().isEmpty() && second.scheduler.suspended().isEmpty());
         assertTrue(
-                Bench.read(connect(third.clients.address(), doneCallback("i2")))
+                DispatcherHarness.readMessage(connect(third.clients.address(), doneCallback("i2")))
                         .startsWith("HTTP/1.1 200 "));
-        assertTrue(Bench.read(secondClient).endsWith("made i2"));
+        assertTrue(DispatcherHarness.readMessage(secondClient).endsWith("made i2"));
         secondClient.close();
         long since = System.nanoTime();
         while (onLoop(second, second.clients::ofClients) > 0) {
@@ -124,9 +124,9 @@
                 1,
                 "the process in the middle must stay for the first one's callbacks");
         assertTrue(
-                Bench.read(connect(third.clients.address(), doneCallback("i1")))
+                DispatcherHarness.readMessage(connect(third.clients.address(), doneCallback("i1")))
                         .startsWith("HTTP/1.1 200 "));
-        assertTrue(Bench.read(firstClient).endsWith("made i1"));
+        assertTrue(DispatcherHarness.readMessage(firstClient).endsWith("made i1"));
         firstClient.close();
         first.loop.submit(() -> first.beginShutdown(first.loop.now()));
         first.exitLatch.await();
@@ -134,9 +134,9 @@
         Socket thirdClient = connect(third.clients.address(), taskRequest("i3"));
         acceptAtWorker("i3");
         assertTrue(
-                Bench.read(connect(third.clients.address(), doneCallback("i3")))
+                DispatcherHarness.readMessage(connect(third.clients.address(), doneCallback("i3")))
                         .startsWith("HTTP/1.1 200 "));
-        assertTrue(Bench.read(thirdClient).endsWith("made i3"));
+        assertTrue(DispatcherHarness.readMessage(thirdClient).endsWith("made i3"));
     }
 
     @DataProvider
@@ -155,8 +155,8 @@
         awaitReady(first);
         Socket firstClient = connect(first.clients.address(), taskRequest("i1"));
         acceptAtWorker("i1");
-        Bench.read(connect(first.clients.address(), doneCallback("i1")));
-        assertTrue(Bench.read(firstClient).endsWith("made i1"));
+        DispatcherHarness.readMessage(connect(first.clients.address(), doneCallback("i1")));
+        assertTrue(DispatcherHarness.readMessage(firstClient).endsWith("made i1"));
         Daemon second = start(clientPort(first), false, dueTimeSetting, 5000);
         awaitReady(second);
         assertEquals(firstEstimate(second, "hintsSeen"), expectedHintsSeen);
@@ -165,8 +165,8 @@
         awaitListenerClosed(first);
         Socket secondClient = connect(second.clients.address(), taskRequest("i2"));
         acceptAtWorker("i2");
-        Bench.read(connect(second.clients.address(), doneCallback("i2")));
-        assertTrue(Bench.read(secondClient).endsWith("made i2"));
+        DispatcherHarness.readMessage(connect(second.clients.address(), doneCallback("i2")));
+        assertTrue(DispatcherHarness.readMessage(secondClient).endsWith("made i2"));
     }
 
     @Test
@@ -183,7 +183,7 @@
         assertEquals(healthStatus(clientPort(second)), "200");
         String shortTask = taskRequest("i1").replace("4000", "300");
         assertTrue(
-                Bench.read(connect(second.clients.address(), shortTask))
+                DispatcherHarness.readMessage(connect(second.clients.address(), shortTask))
                         .startsWith("HTTP/1.1 503 "));
         // A command to either process applies to both.
         assertEquals(call(first, "POST", "/v1/workers/s-1/resume"), 200);
@@ -208,7 +208,7 @@
         awaitReady(second);
         String shortTask = taskRequest("i1").replace("4000", "300");
         assertTrue(
-                Bench.read(connect(second.clients.address(), shortTask))
+                DispatcherHarness.readMessage(connect(second.clients.address(), shortTask))
                         .startsWith("HTTP/1.1 503 "));
         assertEquals(call(second, "POST", "/v1/workers/s-1/resume"), 200);
         connect(second.clients.address(), taskRequest("i2"));
@@ -267,7 +267,7 @@
             Daemon successor = start(0, true);
             Socket s = peer.accept();
             sockets.add(s);
-            assertTrue(Bench.read(s).startsWith("POST /v1/link/join "));
+            assertTrue(DispatcherHarness.readMessage(s).startsWith("POST /v1/link/join "));
             String body =
                     behaviour.equals("another version")
                             ? "{\"v\":9}"
@@ -275,7 +275,7 @@
             if (behaviour.equals("closes")) {
                 s.close();
             } else if (!behaviour.equals("hangs")) {
-                Bench.write(
+                DispatcherHarness.write(
                         s,
                         "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             }
@@ -297,7 +297,7 @@
                                     + path
                                     + " HTTP/1.1\r\n"
                                     + "X-Token: guess\r\nContent-Length: 2\r\n\r\n{}");
-            assertTrue(Bench.read(s).startsWith("HTTP/1.1 404 "), path);
+            assertTrue(DispatcherHarness.readMessage(s).startsWith("HTTP/1.1 404 "), path);
         }
         assertEquals(call(first, "POST", "/v1/link/take"), 404);
         assertEquals(call(first, "GET", "/v1/readyz"), 200);
@@ -372,7 +372,7 @@
             // Requests for the list of workers arrive here as well.
             Socket s = discovery.accept();
             sockets.add(s);
-            request = Bench.read(s);
+            request = DispatcherHarness.readMessage(s);
         }
         assertTrue(request.contains("X-Token: of the successor\r\n"), request);
         assertFalse(onLoop(late, late.clients::listens));
@@ -409,8 +409,8 @@
             Daemon older = start(0, true);
             Socket s = peer.accept();
             sockets.add(s);
-            Bench.read(s);
-            Bench.write(s, "HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n");
+            DispatcherHarness.readMessage(s);
+            DispatcherHarness.write(s, "HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n");
             assertTrue(older.exitLatch.await(10, TimeUnit.SECONDS));
             assertEquals(older.exitCode, 1);
             assertFalse(onLoop(older, older.clients::listens));
@@ -459,8 +459,8 @@
             s.close();
         }
         for (Socket s : clients) {
-            Bench.write(s, "\r\n");
-            assertTrue(Bench.read(s).startsWith("HTTP/1.1 200 "));
+            DispatcherHarness.write(s, "\r\n");
+            assertTrue(DispatcherHarness.readMessage(s).startsWith("HTTP/1.1 200 "));
         }
         assertEquals(first.exitLatch.getCount(), 1, "the first process must still be running");
     }
--- a/src/test/java/gingerspool/daemon/HandoverTestBase.java
+++ b/src/test/java/gingerspool/daemon/HandoverTestBase.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.dispatch.Bench;
+import gingerspool.dispatch.DispatcherHarness;
 import gingerspool.peers.Folders;
 import java.io.IOException;
 import java.net.ConnectException;
@@ -115,7 +115,7 @@
                 connect(d.management.address(), method + " " + path + " HTTP/1.1\r\n\r\n")) {
             // Closed here: a test that polls would otherwise keep a descriptor for each call.
             sockets.remove(s);
-            return Integer.parseInt(Bench.read(s).substring(9, 12));
+            return Integer.parseInt(DispatcherHarness.readMessage(s).substring(9, 12));
         }
     }
 
@@ -169,8 +169,8 @@
         Socket s = worker.accept();
         sockets.add(s);
         s.setSoTimeout(5000);
-        assertTrue(Bench.read(s).contains("X-Correlation-Id: " + id + "\r\n"));
-        Bench.write(s, ACCEPTED);
+        assertTrue(DispatcherHarness.readMessage(s).contains("X-Correlation-Id: " + id + "\r\n"));
+        DispatcherHarness.write(s, ACCEPTED);
         return s;
     }
 
@@ -180,7 +180,7 @@
                 connect(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                         "GET /healthz HTTP/1.1\r\n\r\n")) {
-            return Bench.read(s).substring(9, 12);
+            return DispatcherHarness.readMessage(s).substring(9, 12);
         }
     }
 
@@ -196,7 +196,7 @@
 
     /** Makes a hand-over call as another process does, and returns the response. */
     String handoverCall(Daemon daemon, String token, String path, String body) throws IOException {
-        return Bench.read(sendHandoverCall(daemon, token, path, body));
+        return DispatcherHarness.readMessage(sendHandoverCall(daemon, token, path, body));
     }
 
     /** Sends a hand-over call without waiting for the response. */
--- a/src/test/java/gingerspool/daemon/LateLoopTest.java
+++ b/src/test/java/gingerspool/daemon/LateLoopTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.dispatch.Bench;
+import gingerspool.dispatch.DispatcherHarness;
 import java.net.Socket;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
@@ -63,13 +63,13 @@
     @Test
     public void requestReadLateIsAnsweredBeforeItsExpiry() throws Exception {
         Socket kept = connect(daemon.clients.address(), "GET /healthz HTTP/1.1\r\n\r\n");
-        assertTrue(Bench.read(kept).endsWith("ready\n"));
+        assertTrue(DispatcherHarness.readMessage(kept).endsWith("ready\n"));
         blockLoop(daemon, BLOCKED_MS);
         long written = System.nanoTime();
-        Bench.write(kept, taskRequest("i1", TIME_LEFT_MS));
+        DispatcherHarness.write(kept, taskRequest("i1", TIME_LEFT_MS));
         Socket fresh = connect(daemon.clients.address(), taskRequest("i2", TIME_LEFT_MS));
         for (Socket client : new Socket[] {kept, fresh}) {
-            assertFalse(Bench.read(client).startsWith("HTTP/1.1 200 "));
+            assertFalse(DispatcherHarness.readMessage(client).startsWith("HTTP/1.1 200 "));
             long took = msSince(written);
             assertTrue(took <= TIME_LEFT_MS + SLACK_MS, "answered after " + took + " ms");
         }
@@ -80,7 +80,7 @@
         blockLoop(daemon, BLOCKED_MS);
         long written = System.nanoTime();
         Socket client = connect(daemon.clients.address(), taskRequest("i1", (int) BLOCKED_MS / 2));
-        assertTrue(Bench.read(client).startsWith("HTTP/1.1 503 "));
+        assertTrue(DispatcherHarness.readMessage(client).startsWith("HTTP/1.1 503 "));
         long took = msSince(written);
         assertTrue(took < BLOCKED_MS + BLOCKED_MS / 3, "answered after " + took + " ms");
     }
--- a/src/test/java/gingerspool/daemon/ManagementTest.java
+++ b/src/test/java/gingerspool/daemon/ManagementTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.dispatch.Bench;
+import gingerspool.dispatch.DispatcherHarness;
 import java.io.IOException;
 import java.net.Socket;
 import java.util.Map;
@@ -51,7 +51,7 @@
     /** Makes an operator's call and returns the status. */
     private int call(String method, String path) throws IOException {
         Socket s = operator(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
-        int status = Integer.parseInt(Bench.read(s).substring(9, 12));
+        int status = Integer.parseInt(DispatcherHarness.readMessage(s).substring(9, 12));
         assertEquals(s.getInputStream().read(), -1, "one call per connection");
         return status;
     }
@@ -74,7 +74,7 @@
         Socket s = worker.accept();
         sockets.add(s);
         s.setSoTimeout(5000);
-        assertTrue(Bench.read(s).startsWith("POST /p "));
+        assertTrue(DispatcherHarness.readMessage(s).startsWith("POST /p "));
         return s;
     }
 
@@ -88,14 +88,15 @@
         if (s == null) {
             s = client(call);
         } else {
-            Bench.write(s, call);
+            DispatcherHarness.write(s, call);
         }
-        assertTrue(Bench.read(s).startsWith("HTTP/1.1 200 "));
+        assertTrue(DispatcherHarness.readMessage(s).startsWith("HTTP/1.1 200 "));
         return s;
     }
 
     private String healthStatus() throws IOException {
-        return Bench.read(client("GET /healthz HTTP/1.1\r\n\r\n")).substring(9, 12);
+        return DispatcherHarness.readMessage(client("GET /healthz HTTP/1.1\r\n\r\n"))
+                .substring(9, 12);
     }
 
     @DataProvider
@@ -154,7 +155,7 @@
 
     @Test(dataProvider = "unreadable")
     public void malformedCallsAreRejectedWithoutEffect(String text) throws IOException {
-        assertTrue(Bench.read(operator(text)).startsWith("HTTP/1.1 4"));
+        assertTrue(DispatcherHarness.readMessage(operator(text)).startsWith("HTTP/1.1 4"));
         assertEquals(healthStatus(), "200");
     }
 
@@ -171,8 +172,8 @@
         assertEquals(healthStatus(), "200");
         Socket slow = operator(text.substring(0, 20));
         assertEquals(call("GET", "/v1/readyz"), 200);
-        Bench.write(slow, text.substring(20));
-        assertTrue(Bench.read(slow).startsWith("HTTP/1.1 200 "));
+        DispatcherHarness.write(slow, text.substring(20));
+        assertTrue(DispatcherHarness.readMessage(slow).startsWith("HTTP/1.1 200 "));
         assertEquals(healthStatus(), "503");
     }
 
@@ -191,12 +192,12 @@
     public void suspendedWorkerGetsNoTaskUntilResumed() throws Exception {
         Socket discoveryStream = discovery.accept();
         sockets.add(discoveryStream);
-        Bench.read(discoveryStream);
+        DispatcherHarness.readMessage(discoveryStream);
         Socket kept = client(taskRequest("i1", 3000));
         Socket workerConnection = acceptAtWorker();
-        Bench.write(workerConnection, ACCEPTED);
+        DispatcherHarness.write(workerConnection, ACCEPTED);
         sendDoneCallback(null, "i1");
-        Bench.read(kept);
+        DispatcherHarness.readMessage(kept);
         assertEquals(call("POST", "/v1/workers/s-1/suspend"), 200);
         assertEquals(call("POST", "/v1/workers/s-1/suspend"), 200);
         assertEquals(workerConnection.getInputStream().read(), -1, "idle connections are closed");
@@ -204,43 +205,45 @@
                 "{\"seq\":8,\"whole\":true,\"hosts\":[{\"host\":\"s-1\",\"dial\":\"127.0.0.1:"
                         + worker.getLocalPort()
                         + "\",\"health\":\"SERVING\",\"share\":4,\"born_ms\":0}]}\n";
-        Bench.write(
+        DispatcherHarness.write(
                 discoveryStream,
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + Integer.toHexString(update.length())
                         + "\r\n"
                         + update
                         + "\r\n");
-        assertTrue(Bench.read(client(taskRequest("i2", 300))).startsWith("HTTP/1.1 503 "));
+        assertTrue(
+                DispatcherHarness.readMessage(client(taskRequest("i2", 300)))
+                        .startsWith("HTTP/1.1 503 "));
         assertEquals(call("POST", "/v1/workers/s-1/resume"), 200);
         assertEquals(call("POST", "/v1/workers/s-1/resume"), 200);
         Socket last = client(taskRequest("i3", 3000));
-        Bench.write(acceptAtWorker(), ACCEPTED);
+        DispatcherHarness.write(acceptAtWorker(), ACCEPTED);
         sendDoneCallback(null, "i3");
-        assertTrue(Bench.read(last).startsWith("HTTP/1.1 200 "));
+        assertTrue(DispatcherHarness.readMessage(last).startsWith("HTTP/1.1 200 "));
     }
 
     @Test
     public void taskInProgressContinuesWhenItsWorkerIsSuspended() throws Exception {
         Socket client = client(taskRequest("i1", 3000));
-        Bench.write(acceptAtWorker(), ACCEPTED);
+        DispatcherHarness.write(acceptAtWorker(), ACCEPTED);
         assertEquals(call("POST", "/v1/workers/s-1/suspend"), 200);
         sendDoneCallback(null, "i1");
-        assertTrue(Bench.read(client).startsWith("HTTP/1.1 200 "));
+        assertTrue(DispatcherHarness.readMessage(client).startsWith("HTTP/1.1 200 "));
     }
 
     @Test
     public void drainedSchedulerDisconnectsClientsAndAcceptsCallbacks() throws Exception {
         Socket idle = client("GET /healthz HTTP/1.1\r\n\r\n");
-        Bench.read(idle);
+        DispatcherHarness.readMessage(idle);
         Socket busy = client(taskRequest("i1", 5000));
         Socket first = acceptAtWorker();
         Socket other = client(taskRequest("i2", 5000));
         Socket latest = acceptAtWorker();
-        Bench.write(first, ACCEPTED);
-        Bench.write(latest, ACCEPTED);
+        DispatcherHarness.write(first, ACCEPTED);
+        DispatcherHarness.write(latest, ACCEPTED);
         Socket callbacks = sendDoneCallback(null, "i2");
-        Bench.read(other);
+        DispatcherHarness.readMessage(other);
         assertEquals(call("POST", "/v1/scheduler/drain"), 200);
         assertEquals(healthStatus(), "503");
         assertEquals(call("GET", "/v1/readyz"), 200);
@@ -248,7 +251,7 @@
         assertEquals(other.getInputStream().read(), -1);
         first.close();
         sendDoneCallback(callbacks, "i1");
-        String answer = Bench.read(busy);
+        String answer = DispatcherHarness.readMessage(busy);
         assertTrue(
                 answer.startsWith("HTTP/1.1 200 ") && answer.contains("Connection: close\r\n"),
                 answer);
@@ -256,10 +259,10 @@
         assertEquals(call("POST", "/v1/scheduler/activate"), 200);
         assertEquals(healthStatus(), "200");
         Socket afterActivation = client(taskRequest("i3", 5000));
-        assertTrue(Bench.read(latest).contains("X-Correlation-Id: i3\r\n"));
-        Bench.write(latest, ACCEPTED);
+        assertTrue(DispatcherHarness.readMessage(latest).contains("X-Correlation-Id: i3\r\n"));
+        DispatcherHarness.write(latest, ACCEPTED);
         sendDoneCallback(callbacks, "i3");
-        answer = Bench.read(afterActivation);
+        answer = DispatcherHarness.readMessage(afterActivation);
         assertTrue(answer.startsWith("HTTP/1.1 200 ") && !answer.contains("close"), answer);
     }
 
--- a/src/test/java/gingerspool/daemon/OverlappingHandoverTest.java
+++ b/src/test/java/gingerspool/daemon/OverlappingHandoverTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.dispatch.Bench;
+import gingerspool.dispatch.DispatcherHarness;
 import gingerspool.peers.Ports;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -137,8 +137,8 @@
                     first.beginShutdown(first.loop.now() - shutdownPeriod);
                     return null;
                 });
-        Bench.write(client, taskRequest("i1"));
-        String answer = Bench.read(client);
+        DispatcherHarness.write(client, taskRequest("i1"));
+        String answer = DispatcherHarness.readMessage(client);
         assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
         assertTrue(answer.contains("Connection: close\r\n"), answer);
         client.close();
--- a/src/test/java/gingerspool/daemon/ServeTest.java
+++ b/src/test/java/gingerspool/daemon/ServeTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.dispatch.Bench;
+import gingerspool.dispatch.DispatcherHarness;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -101,7 +101,7 @@
     /** Sends this text on a new connection. */
     private Socket sendRequest(String text) throws IOException {
         Socket s = connectClient();
-        Bench.write(s, text);
+        DispatcherHarness.write(s, text);
         return s;
     }
 
@@ -125,7 +125,7 @@
                         + "\",\"state\":\""
                         + state
                         + "\",\"result\":\"made \\u00e9\"}";
-        return Bench.read(
+        return DispatcherHarness.readMessage(
                 sendRequest(
                         "POST /callback HTTP/1.1\r\nContent-Length: "
                                 + body.length()
@@ -138,8 +138,8 @@
         Socket s = worker.accept();
         sockets.add(s);
         s.setSoTimeout(5000);
-        assertTrue(Bench.read(s).startsWith("POST /p HTTP/1.1\r\n"));
-        Bench.write(s, response);
+        assertTrue(DispatcherHarness.readMessage(s).startsWith("POST /p HTTP/1.1\r\n"));
+        DispatcherHarness.write(s, response);
         return s;
     }
 
@@ -149,7 +149,7 @@
         Socket client = sendRequest(taskRequest("i1", 3000));
         acceptAtWorker(ACCEPTED);
         assertTrue(sendCallback("i1", "s-1", "done").startsWith("HTTP/1.1 200 "));
-        String answer = Bench.read(client);
+        String answer = DispatcherHarness.readMessage(client);
         assertTrue(answer.startsWith("HTTP/1.1 200 ") && answer.endsWith("made \u00e9"), answer);
         assertTrue(
                 sendCallback("i1", "s-1", "done").startsWith("HTTP/1.1 200 "),
@@ -162,9 +162,11 @@
         Socket client = sendRequest(taskRequest("i1", 3000));
         Socket workerConnection = acceptAtWorker(ACCEPTED);
         sendCallback("i1", "s-1", "done");
-        Bench.read(client);
-        Bench.write(client, taskRequest("i2", 3000));
-        assertTrue(Bench.read(workerConnection).contains("X-Correlation-Id: i2\r\n"));
+        DispatcherHarness.readMessage(client);
+        DispatcherHarness.write(client, taskRequest("i2", 3000));
+        assertTrue(
+                DispatcherHarness.readMessage(workerConnection)
+                        .contains("X-Correlation-Id: i2\r\n"));
     }
 
     /**
@@ -178,10 +180,10 @@
         Socket older = acceptAtWorker("");
         sendRequest(taskRequest("i2", 3000));
         Socket newer = acceptAtWorker("");
-        Bench.write(older, ACCEPTED);
+        DispatcherHarness.write(older, ACCEPTED);
         sendCallback("i1", "s-1", "done");
-        Bench.read(client);
-        Bench.write(newer, ACCEPTED);
+        DispatcherHarness.readMessage(client);
+        DispatcherHarness.write(newer, ACCEPTED);
         sendCallback("i2", "s-1", "done");
         // A connection that breaks after being idle for less than 6 ms reduces the idle limit to
         // its
@@ -190,14 +192,14 @@
         // On one connection, as new ones would have idle ones closed, the oldest first.
         Socket pollingClient = connectClient();
         while (System.nanoTime() - since < 20_000_000) {
-            Bench.write(pollingClient, "GET /healthz HTTP/1.1\r\n\r\n");
-            Bench.read(pollingClient);
+            DispatcherHarness.write(pollingClient, "GET /healthz HTTP/1.1\r\n\r\n");
+            DispatcherHarness.readMessage(pollingClient);
         }
-        Bench.write(client, taskRequest("i3", 3000));
-        assertTrue(Bench.read(newer).contains("X-Correlation-Id: i3\r\n"));
+        DispatcherHarness.write(client, taskRequest("i3", 3000));
+        assertTrue(DispatcherHarness.readMessage(newer).contains("X-Correlation-Id: i3\r\n"));
         newer.close();
-        assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
-        Bench.write(client, taskRequest("i4", 3000));
+        assertTrue(DispatcherHarness.readMessage(client).startsWith("HTTP/1.1 500 "));
+        DispatcherHarness.write(client, taskRequest("i4", 3000));
         acceptAtWorker(ACCEPTED);
         assertEquals(older.getInputStream().read(), -1);
     }
@@ -209,7 +211,7 @@
         acceptAtWorker(ACCEPTED);
         sendCallback("i1", "s-2", "failed");
         sendCallback("i1", "s-1", "done");
-        assertTrue(Bench.read(client).startsWith("HTTP/1.1 200 "));
+        assertTrue(DispatcherHarness.readMessage(client).startsWith("HTTP/1.1 200 "));
     }
 
     @Test
@@ -218,8 +220,8 @@
         Socket client = sendRequest(taskRequest("i1", 3000) + "GET /healthz HTTP/1.1\r\n\r\n");
         acceptAtWorker(ACCEPTED);
         sendCallback("i1", "s-1", "done");
-        assertTrue(Bench.read(client).endsWith("made \u00e9"));
-        assertTrue(Bench.read(client).endsWith("ready\n"));
+        assertTrue(DispatcherHarness.readMessage(client).endsWith("made \u00e9"));
+        assertTrue(DispatcherHarness.readMessage(client).endsWith("ready\n"));
     }
 
     /** Guards rule two: a worker that disconnects before its response may have run the task. */
@@ -228,14 +230,16 @@
         start();
         Socket client = sendRequest(taskRequest("i1", 3000));
         acceptAtWorker("").close();
-        assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
+        assertTrue(DispatcherHarness.readMessage(client).startsWith("HTTP/1.1 500 "));
     }
 
     @Test
     public void taskForAnUnreachableWorkerIsBounced() throws Exception {
         start();
         worker.close();
-        assertTrue(Bench.read(sendRequest(taskRequest("i1", 3000))).startsWith("HTTP/1.1 503 "));
+        assertTrue(
+                DispatcherHarness.readMessage(sendRequest(taskRequest("i1", 3000)))
+                        .startsWith("HTTP/1.1 503 "));
     }
 
     @Test
@@ -243,7 +247,7 @@
         start();
         Socket client = sendRequest(taskRequest("i1", 3000));
         acceptAtWorker(UNPROCESSED);
-        assertTrue(Bench.read(client).startsWith("HTTP/1.1 503 "));
+        assertTrue(DispatcherHarness.readMessage(client).startsWith("HTTP/1.1 503 "));
     }
 
     @Test
@@ -251,8 +255,10 @@
         start();
         Socket client = sendRequest(taskRequest("i1", 800));
         Socket workerConnection = acceptAtWorker(ACCEPTED);
-        assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
-        assertTrue(Bench.read(workerConnection).startsWith("DELETE /jobs/i1 HTTP/1.1\r\n"));
+        assertTrue(DispatcherHarness.readMessage(client).startsWith("HTTP/1.1 500 "));
+        assertTrue(
+                DispatcherHarness.readMessage(workerConnection)
+                        .startsWith("DELETE /jobs/i1 HTTP/1.1\r\n"));
     }
 
     @Test
@@ -260,7 +266,7 @@
         start();
         Socket client = sendRequest(taskRequest("i1", 800));
         Socket workerConnection = acceptAtWorker("");
-        assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
+        assertTrue(DispatcherHarness.readMessage(client).startsWith("HTTP/1.1 500 "));
         assertEquals(workerConnection.getInputStream().read(), -1);
     }
 
@@ -272,7 +278,7 @@
         client.close();
         assertTrue(sendCallback("i1", "s-1", "done").startsWith("HTTP/1.1 200 "));
         assertTrue(
-                Bench.read(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
+                DispatcherHarness.readMessage(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
                         .startsWith("HTTP/1.1 200 "));
     }
 
@@ -286,7 +292,9 @@
         Socket client = sendRequest(taskRequest("i1", 3000));
         Socket workerConnection = acceptAtWorker(ACCEPTED);
         client.close();
-        assertTrue(Bench.read(workerConnection).startsWith("DELETE /jobs/i1 HTTP/1.1\r\n"));
+        assertTrue(
+                DispatcherHarness.readMessage(workerConnection)
+                        .startsWith("DELETE /jobs/i1 HTTP/1.1\r\n"));
     }
 
     @DataProvider
@@ -321,11 +329,11 @@
     public void badRequestIsAnsweredAndTheNextOneIsServed(String text, int status)
             throws Exception {
         start();
-        String answer = Bench.read(sendRequest(text));
+        String answer = DispatcherHarness.readMessage(sendRequest(text));
         assertTrue(answer.startsWith("HTTP/1.1 " + status + " "), answer);
         assertEquals(answer.contains("\r\nAllow: "), status == 405, answer);
         assertTrue(
-                Bench.read(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
+                DispatcherHarness.readMessage(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
                         .startsWith("HTTP/1.1 200 "));
     }
 
@@ -335,9 +343,9 @@
         Socket client =
                 sendRequest(
                         "POST /callback HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
-        assertTrue(Bench.read(client).startsWith("HTTP/1.1 100 "));
-        Bench.write(client, "{}");
-        assertTrue(Bench.read(client).startsWith("HTTP/1.1 400 "));
+        assertTrue(DispatcherHarness.readMessage(client).startsWith("HTTP/1.1 100 "));
+        DispatcherHarness.write(client, "{}");
+        assertTrue(DispatcherHarness.readMessage(client).startsWith("HTTP/1.1 400 "));
     }
 
     /**
@@ -350,9 +358,11 @@
                 sendRequest(taskRequest("i1", 3000).replace("X-Weight-Hint: 10000\r\n", ""));
         Socket workerConnection = acceptAtWorker(ACCEPTED);
         sendCallback("i1", "s-1", "returned");
-        assertTrue(Bench.read(workerConnection).contains("X-Correlation-Id: i1\r\n"));
+        assertTrue(
+                DispatcherHarness.readMessage(workerConnection)
+                        .contains("X-Correlation-Id: i1\r\n"));
         sendCallback("i1", "s-1", "returned");
-        assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
+        assertTrue(DispatcherHarness.readMessage(client).startsWith("HTTP/1.1 500 "));
     }
 
     @Test
@@ -360,7 +370,9 @@
         start();
         sendRequest(taskRequest("i1", 3000));
         acceptAtWorker(ACCEPTED);
-        assertTrue(Bench.read(sendRequest(taskRequest("i1", 3000))).startsWith("HTTP/1.1 400 "));
+        assertTrue(
+                DispatcherHarness.readMessage(sendRequest(taskRequest("i1", 3000)))
+                        .startsWith("HTTP/1.1 400 "));
     }
 
     @Test
@@ -368,7 +380,9 @@
         start("'maxOpen':9", "'maxOpen':1");
         sendRequest(taskRequest("i1", 3000));
         acceptAtWorker(ACCEPTED);
-        assertTrue(Bench.read(sendRequest(taskRequest("i2", 3000))).startsWith("HTTP/1.1 503 "));
+        assertTrue(
+                DispatcherHarness.readMessage(sendRequest(taskRequest("i2", 3000)))
+                        .startsWith("HTTP/1.1 503 "));
     }
 
     /**
@@ -379,7 +393,8 @@
     public void idleConnectionsAreClosedForNewOnes() throws Exception {
         start("'sockets':128", "'sockets':64");
         for (int i = 0; i < 20; i++) {
-            String answer = Bench.read(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"));
+            String answer =
+                    DispatcherHarness.readMessage(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"));
             assertTrue(answer.startsWith("HTTP/1.1 200 "), "connection " + i);
         }
         assertTrue(daemon.clients.connections() <= 12);
@@ -393,11 +408,11 @@
     public void idleConnectionsAreClosedWhenOutOfDescriptors() throws Exception {
         start();
         for (int i = 0; i < 16; i++) {
-            Bench.read(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"));
+            DispatcherHarness.readMessage(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"));
         }
         daemon.loop.submit(daemon.clients::outOfDescriptors);
         assertTrue(
-                Bench.read(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
+                DispatcherHarness.readMessage(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
                         .startsWith("HTTP/1.1 200 "));
         assertTrue(
                 daemon.clients.connections() <= 14, daemon.clients.connections() + " connections");
@@ -413,19 +428,19 @@
         Socket discoveryStream = discovery.accept();
         sockets.add(discoveryStream);
         assertTrue(
-                Bench.read(discoveryStream)
+                DispatcherHarness.readMessage(discoveryStream)
                         .startsWith("GET /v1/servers?follow=1&since=7 HTTP/1.1\r\n"));
         String update = "{\"seq\":8,\"whole\":true,\"hosts\":[]}\n";
-        Bench.write(
+        DispatcherHarness.write(
                 discoveryStream,
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
                         + Integer.toHexString(update.length())
                         + "\r\n"
                         + update.substring(0, 9));
-        Bench.write(discoveryStream, update.substring(9) + "\r\n");
+        DispatcherHarness.write(discoveryStream, update.substring(9) + "\r\n");
         discoveryStream.close();
-        assertTrue(Bench.read(discovery.accept()).contains("since=8 "));
-        String answer = Bench.read(sendRequest(taskRequest("i1", 3000)));
+        assertTrue(DispatcherHarness.readMessage(discovery.accept()).contains("since=8 "));
+        String answer = DispatcherHarness.readMessage(sendRequest(taskRequest("i1", 3000)));
         assertTrue(answer.startsWith("HTTP/1.1 503 "), "a removed worker must get no task");
     }
 
@@ -434,7 +449,7 @@
         Socket s = server.accept();
         sockets.add(s);
         s.setSoTimeout(5000);
-        return Bench.read(s);
+        return DispatcherHarness.readMessage(s);
     }
 
     /** Reloads the configuration with this content and waits until the daemon answers again. */
@@ -443,7 +458,7 @@
         Files.writeString(file, configuration.replace('\'', '"'));
         daemon.reload(Map.of("GW_CONFIG", file.toString()));
         assertTrue(
-                Bench.read(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
+                DispatcherHarness.readMessage(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
                         .startsWith("HTTP/1.1 200 "));
         Files.delete(file);
     }
@@ -477,11 +492,11 @@
         start();
         Socket discoveryStream = discovery.accept();
         sockets.add(discoveryStream);
-        Bench.read(discoveryStream);
+        DispatcherHarness.readMessage(discoveryStream);
         reload("{'discovery':");
         reload(node.replace("'seed'", "'sead'"));
         reload(node);
-        Bench.write(
+        DispatcherHarness.write(
                 discoveryStream,
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
         discoveryStream.close();
@@ -535,11 +550,11 @@
         Socket client = sendRequest(taskRequest("i1", 3000));
         Socket workerConnection = acceptAtWorker(ACCEPTED);
         sendCallback("i1", "s-1", "done");
-        Bench.read(client);
+        DispatcherHarness.readMessage(client);
         String update =
                 "{\"seq\":8,\"whole\":false,\"hosts\":[{},7,{\"host\":\"s-2\",\"dial\":\"nowhere\"},"
                         + "{\"host\":\"s-1\",\"health\":\"DRAINING\"}]}\n";
-        Bench.write(
+        DispatcherHarness.write(
                 discoveryStream,
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + Integer.toHexString(update.length())
@@ -556,10 +571,10 @@
         acceptAtWorker(ACCEPTED);
         daemon.loop.submit(() -> daemon.beginShutdown(daemon.loop.now() - 2600));
         assertTrue(
-                Bench.read(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
+                DispatcherHarness.readMessage(sendRequest("GET /healthz HTTP/1.1\r\n\r\n"))
                         .startsWith("HTTP/1.1 503 "));
         sendCallback("i1", "s-1", "done");
-        String answer = Bench.read(client);
+        String answer = DispatcherHarness.readMessage(client);
         assertTrue(
                 answer.startsWith("HTTP/1.1 200 ") && answer.contains("Connection: close\r\n"),
                 answer);
@@ -577,13 +592,15 @@
         Socket client = sendRequest(taskRequest("i1", 3000));
         Socket workerConnection = acceptAtWorker(ACCEPTED);
         sendCallback("i1", "s-1", "done");
-        Bench.read(client);
+        DispatcherHarness.readMessage(client);
         daemon.loop.submit(() -> daemon.beginShutdown(daemon.loop.now() - 1500));
-        Bench.write(client, taskRequest("i2", 3000));
-        assertTrue(Bench.read(workerConnection).contains("X-Correlation-Id: i2\r\n"));
-        Bench.write(workerConnection, ACCEPTED);
+        DispatcherHarness.write(client, taskRequest("i2", 3000));
+        assertTrue(
+                DispatcherHarness.readMessage(workerConnection)
+                        .contains("X-Correlation-Id: i2\r\n"));
+        DispatcherHarness.write(workerConnection, ACCEPTED);
         sendCallback("i2", "s-1", "done");
-        String answer = Bench.read(client);
+        String answer = DispatcherHarness.readMessage(client);
         assertTrue(answer.startsWith("HTTP/1.1 200 ") && !answer.contains("close"), answer);
     }
 
@@ -593,7 +610,7 @@
         Socket client = sendRequest(taskRequest("i1", 3000));
         acceptAtWorker(ACCEPTED);
         daemon.loop.submit(daemon.scheduler::abandonAll);
-        assertTrue(Bench.read(client).startsWith("HTTP/1.1 500 "));
+        assertTrue(DispatcherHarness.readMessage(client).startsWith("HTTP/1.1 500 "));
         assertTrue(sendCallback("i1", "s-1", "done").startsWith("HTTP/1.1 200 "));
     }
 
--- a/src/test/java/gingerspool/daemon/SignalledProcessTest.java
+++ b/src/test/java/gingerspool/daemon/SignalledProcessTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.fail;
 
-import gingerspool.dispatch.Bench;
+import gingerspool.dispatch.DispatcherHarness;
 import gingerspool.peers.Folders;
 import gingerspool.peers.Ports;
 import java.io.IOException;
@@ -128,7 +128,7 @@
     private int call(String method, String path) throws IOException {
         try (Socket s = connect(managementAddress, method + " " + path + " HTTP/1.1\r\n\r\n")) {
             sockets.remove(s);
-            return Integer.parseInt(Bench.read(s).substring(9, 12));
+            return Integer.parseInt(DispatcherHarness.readMessage(s).substring(9, 12));
         }
     }
 
@@ -153,14 +153,16 @@
                         HandoverTestBase.taskRequest("i1").replace("Ms: 4000", "Ms: 5000"));
         Socket workerConnection = worker.accept();
         sockets.add(workerConnection);
-        assertTrue(Bench.read(workerConnection).contains("X-Correlation-Id: i1\r\n"));
-        Bench.write(workerConnection, ACCEPTED);
+        assertTrue(
+                DispatcherHarness.readMessage(workerConnection)
+                        .contains("X-Correlation-Id: i1\r\n"));
+        DispatcherHarness.write(workerConnection, ACCEPTED);
         signal("STOP");
         signal("TERM");
         long sigtermAt = System.nanoTime();
         assertFalse(process.waitFor(STOPPED_MS, TimeUnit.MILLISECONDS));
         signal("CONT");
-        Bench.read(client);
+        DispatcherHarness.readMessage(client);
         long answeredAfter = msSince(sigtermAt);
         assertTrue(
                 answeredAfter < KILL_DELAY_MS,
@@ -178,9 +180,9 @@
     @Test
     public void aRequestThatIsOverIsAnsweredBetweenTwoStops() throws Exception {
         Socket client = connect(clientAddress, "GET /healthz HTTP/1.1\r\n\r\n");
-        Bench.read(client);
+        DispatcherHarness.readMessage(client);
         signal("STOP");
-        Bench.write(
+        DispatcherHarness.write(
                 client,
                 HandoverTestBase.taskRequest("i1")
                         .replace("Ms: 4000", "Ms: 500")
@@ -191,7 +193,7 @@
         signal("STOP");
         client.setSoTimeout(1);
         try {
-            assertEquals(Bench.read(client).substring(9, 12), "503");
+            assertEquals(DispatcherHarness.readMessage(client).substring(9, 12), "503");
         } catch (SocketTimeoutException e) {
             throw new AssertionError(
                     "read 600 ms after it was sent, but not answered 200 ms later", e);
@@ -219,9 +221,13 @@
 
     /** Takes over from the process, as the successor that the test plays. */
     private void takeOver() throws IOException {
-        String state = Bench.read(sendHandoverCall("join", HandoverTestBase.JOIN_BODY_START + "}"));
+        String state =
+                DispatcherHarness.readMessage(
+                        sendHandoverCall("join", HandoverTestBase.JOIN_BODY_START + "}"));
         assertTrue(state.startsWith("HTTP/1.1 200 "), state);
-        assertTrue(Bench.read(sendHandoverCall("take", "{\"n\":0}")).startsWith("HTTP/1.1 200 "));
+        assertTrue(
+                DispatcherHarness.readMessage(sendHandoverCall("take", "{\"n\":0}"))
+                        .startsWith("HTTP/1.1 200 "));
     }
 
     /**
@@ -238,7 +244,7 @@
         holdCall.setSoTimeout(OBSERVED_MS);
         String answer;
         try {
-            answer = Bench.read(holdCall);
+            answer = DispatcherHarness.readMessage(holdCall);
         } catch (SocketTimeoutException e) {
             return;
         }
@@ -257,12 +263,12 @@
         long since = System.nanoTime();
         Socket notification = successor.accept();
         sockets.add(notification);
-        assertTrue(Bench.read(notification).startsWith("POST /v1/link/word "));
+        assertTrue(DispatcherHarness.readMessage(notification).startsWith("POST /v1/link/word "));
         signal("STOP");
-        Bench.write(notification, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        DispatcherHarness.write(notification, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         assertFalse(process.waitFor(MAX_ANSWER_MS - 150 - msSince(since), TimeUnit.MILLISECONDS));
         signal("CONT");
-        assertEquals(Bench.read(caller).substring(9, 12), "200");
+        assertEquals(DispatcherHarness.readMessage(caller).substring(9, 12), "200");
     }
 
     /** A log that is not read must not delay calls. */
--- a/src/test/java/gingerspool/daemon/SocketTestBase.java
+++ b/src/test/java/gingerspool/daemon/SocketTestBase.java
@@ -1,6 +1,6 @@
 package gingerspool.daemon;
 
-import gingerspool.dispatch.Bench;
+import gingerspool.dispatch.DispatcherHarness;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -43,7 +43,7 @@
         sockets.add(s);
         s.connect(address);
         s.setSoTimeout(5000);
-        Bench.write(s, text);
+        DispatcherHarness.write(s, text);
         return s;
     }
 
--- a/src/test/java/gingerspool/daemon/StoppedPeerTest.java
+++ b/src/test/java/gingerspool/daemon/StoppedPeerTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.dispatch.Bench;
+import gingerspool.dispatch.DispatcherHarness;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -75,11 +75,13 @@
 
         private void serve(Socket s) throws IOException {
             while (true) {
-                String call = Bench.read(s).replaceAll("(?s)POST /v1/link/([a-z]+) .*", "$1");
+                String call =
+                        DispatcherHarness.readMessage(s)
+                                .replaceAll("(?s)POST /v1/link/([a-z]+) .*", "$1");
                 if (unansweredCalls.contains(call)) {
                     return;
                 }
-                Bench.write(s, answer(call));
+                DispatcherHarness.write(s, answer(call));
             }
         }
 
@@ -247,7 +249,7 @@
 
         private void relay(Socket from) throws IOException {
             while (true) {
-                String call = Bench.read(from);
+                String call = DispatcherHarness.readMessage(from);
                 joinCalls.addAndGet(call.startsWith("POST /v1/link/join ") ? 1 : 0);
                 int takeNumber =
                         call.startsWith("POST /v1/link/take ") ? takeCalls.incrementAndGet() : 0;
@@ -263,7 +265,7 @@
                     firstTakeAnswered.countDown();
                     await(released);
                 }
-                Bench.write(from, answer);
+                DispatcherHarness.write(from, answer);
             }
         }
 
@@ -271,8 +273,8 @@
         private String forward(String call) throws IOException {
             try (Socket connection = new Socket(target.getAddress(), target.getPort())) {
                 sockets.add(connection);
-                Bench.write(connection, call);
-                return Bench.read(connection);
+                DispatcherHarness.write(connection, call);
+                return DispatcherHarness.readMessage(connection);
             }
         }
     }
@@ -312,7 +314,7 @@
         long since = System.nanoTime();
         sleep(MAX_ANSWER_MS / 2);
         release.countDown();
-        Bench.read(caller);
+        DispatcherHarness.readMessage(caller);
         long took = msSince(since);
         assertTrue(took < MAX_ANSWER_MS, "the answer came after " + took + " ms");
     }
--- a/src/test/java/gingerspool/dispatch/ColdBudgetTest.java
+++ b/src/test/java/gingerspool/dispatch/ColdBudgetTest.java
@@ -13,7 +13,7 @@
 
     @Test
     public void coldWorkerGetsAtMostItsBudget() {
-        Bench harness = Bench.of(IDEMPOTENT).start(1);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(1);
         harness.listWorkers(20000, false, 1, Dispatcher.RUNNING, 20000);
         double work = 0;
         for (int i = 0; i < 50; i++) {
@@ -33,7 +33,7 @@
      */
     @Test
     public void coldWorkerStillGetsTasksWithManyDispatchers() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.dispatchers = 20;
         harness.settings.overloadFactor = 4;
         harness.start(1);
@@ -55,7 +55,7 @@
      */
     @Test
     public void startedWorkerWarmsUpInTimeWithoutReports() {
-        Bench harness = Bench.of(IDEMPOTENT).start(1);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(1);
         harness.listWorkers(20000, false, 1, Dispatcher.RUNNING, 20000);
         harness.dispatcher.wake(20000 + harness.settings.warmUpSpan - 1);
         assertFalse(harness.dispatcher.inBudget(0, 5000));
@@ -69,7 +69,7 @@
      */
     @Test
     public void coldWorkerIsScoredBesidesUsualCandidates() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.dispatchers = 20;
         harness.start(40);
         harness.dispatcher.listBegins(10000, false);
@@ -77,11 +77,13 @@
         harness.dispatcher.listEnds(10000, false, false);
         for (int i = 0; i < 8; i++) {
             for (int w = 0; w < 40; w++) {
-                harness.dispatcher.reportReceived(18980 + i, w, Bench.report(20 + i, 0));
+                harness.dispatcher.reportReceived(
+                        18980 + i, w, DispatcherHarness.report(20 + i, 0));
             }
         }
         for (int i = 0; i < 4; i++) {
-            harness.dispatcher.reportReceived(18990 + i, 40, Bench.report(0, 2 - i / 10.0));
+            harness.dispatcher.reportReceived(
+                    18990 + i, 40, DispatcherHarness.report(0, 2 - i / 10.0));
         }
         harness.arrive(0, 19000);
         assertEquals(harness.lastSent().worker, 40);
@@ -93,10 +95,10 @@
      */
     @Test
     public void newWorkerIsAssumedEmpty() {
-        Bench harness = Bench.of(IDEMPOTENT).start(8);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(8);
         for (int i = 0; i < 40; i++) {
             for (int w = 0; w < 8; w++) {
-                harness.dispatcher.reportReceived(10 + i, w, Bench.report(9 + i, 0));
+                harness.dispatcher.reportReceived(10 + i, w, DispatcherHarness.report(9 + i, 0));
             }
         }
         harness.dispatcher.listBegins(10000, false);
@@ -113,7 +115,7 @@
      */
     @Test
     public void warmUpIsLearnedForAllColdWorkers() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.notifiesStart = true;
         harness.start(7);
         harness.listWorkers(20000, false, 6, Dispatcher.RUNNING, 20000);
@@ -128,7 +130,7 @@
                 "slow answers do not lower the pace");
     }
 
-    private static void finishTasksOnColdWorkers(Bench harness, double run) {
+    private static void finishTasksOnColdWorkers(DispatcherHarness harness, double run) {
         for (int i = 0; i < 20; i++) {
             Assignment a = harness.forceSend(harness.task(0, 20500 - run, 100), i % 5, 20500 - run);
             harness.dispatcher.started(20500 - run, a);
@@ -142,7 +144,7 @@
      */
     @Test
     public void resumedWorkerIsUsedWithinColdBudget() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.profiles[0].dueTime = 1000;
         harness.start(1);
         Assignment a = harness.forceSend(harness.task(0, 5, 100), 0, 5);
--- a/src/test/java/gingerspool/dispatch/Bench.java
+++ b/src/test/java/gingerspool/dispatch/DispatcherHarness.java
@@ -14,7 +14,7 @@
  * exchanges HTTP messages over a socket for tests of other packages. Times and spans are
  * milliseconds. Not thread-safe.
  */
-public final class Bench implements DispatchActions {
+public final class DispatcherHarness implements DispatchActions {
     /** Actions in order, each as a name and at most one argument, such as "send 3". */
     final List<String> actions = new ArrayList<>();
 
@@ -27,8 +27,8 @@
      * Creates settings of three dispatchers and one profile per effect: due 100 ms + 2 x work after
      * arrival, expiry after 5000 ms.
      */
-    static Bench of(Profile.Effect... effects) {
-        Bench harness = new Bench();
+    static DispatcherHarness of(Profile.Effect... effects) {
+        DispatcherHarness harness = new DispatcherHarness();
         harness.settings.profiles = new Profile[effects.length];
         for (int i = 0; i < effects.length; i++) {
             Profile profile = new Profile();
@@ -57,7 +57,7 @@
      * Starts the dispatcher with this many running workers of two slots, which started long ago and
      * have reported that they are idle. Clears the recorded actions.
      */
-    Bench start(int workers) {
+    DispatcherHarness start(int workers) {
         dispatcher = new Dispatcher(settings, 7, this);
         listWorkers(0, true, workers, Dispatcher.RUNNING, 0);
         for (int w = 0; w < workers; w++) {
@@ -165,7 +165,7 @@
         return new Assignment(t, worker, number, 0, 1, 0, 0);
     }
 
-    public static void end(Task t) {
+    public static void markEnded(Task t) {
         t.ended = true;
     }
 
@@ -176,7 +176,7 @@
     }
 
     /** Reads one HTTP message, with the body that its Content-Length announces, if any. */
-    public static String read(Socket socket) throws IOException {
+    public static String readMessage(Socket socket) throws IOException {
         ByteArrayOutputStream received = new ByteArrayOutputStream();
         String message = "";
         int headEnd = -1;
--- a/src/test/java/gingerspool/dispatch/DispatcherTest.java
+++ b/src/test/java/gingerspool/dispatch/DispatcherTest.java
@@ -21,7 +21,7 @@
 
     @Test
     public void sendsNothingToDrainingOrGoneWorkers() {
-        Bench harness = Bench.of(IDEMPOTENT).start(2);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(2);
         harness.listWorkers(100, false, 1, Dispatcher.DRAINING, 0);
         for (int i = 0; i < 10; i++) {
             harness.arrive(0, 100);
@@ -36,7 +36,7 @@
 
     @Test
     public void retriesFailedListRequestWithinWindow() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.listOnRequest = true;
         harness.dispatcher = new Dispatcher(harness.settings, 7, harness);
         harness.dispatcher.listBegins(0, true);
@@ -71,7 +71,7 @@
 
     @Test(dataProvider = "nextActionByOutcome")
     public void retriesAsEffectAllows(Effect effect, Outcome outcome, String expectedAction) {
-        Bench harness = Bench.of(effect).start(4);
+        DispatcherHarness harness = DispatcherHarness.of(effect).start(4);
         harness.arrive(0, 1);
         harness.actions.clear();
         harness.dispatcher.ended(20, harness.lastSent(), outcome, false, null);
@@ -85,7 +85,7 @@
 
     @Test
     public void retriesFingerprintedTaskOnlyInScopeAndDedupWindow() {
-        Bench harness = Bench.of(FINGERPRINTED);
+        DispatcherHarness harness = DispatcherHarness.of(FINGERPRINTED);
         harness.settings.profiles[0].scope = Scope.ZONE;
         harness.start(4);
         harness.arrive(0, 1);
@@ -100,7 +100,7 @@
 
     @Test
     public void bouncesTaskThatNeverRanWithRetryAdvice() {
-        Bench harness = Bench.of(SIDE_EFFECTING).start(1);
+        DispatcherHarness harness = DispatcherHarness.of(SIDE_EFFECTING).start(1);
         harness.arrive(0, 1);
         harness.dispatcher.ended(20, harness.lastSent(), Outcome.FULL, false, null);
         harness.listWorkers(21, false, 1, Dispatcher.DRAINING, 0);
@@ -111,7 +111,7 @@
 
     @Test
     public void doesNothingForTaskAfterClientLeft() {
-        Bench harness = Bench.of(IDEMPOTENT).start(2);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(2);
         Task t = harness.arrive(0, 1);
         harness.dispatcher.clientLeft(30, t);
         harness.actions.clear();
@@ -128,7 +128,7 @@
 
     @Test
     public void cancelsAssignmentsInFlightWhenClientLeaves() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.mayCancel = true;
         harness.start(2);
         Task t = harness.arrive(0, 1);
@@ -145,7 +145,7 @@
      */
     @Test
     public void reschedulesTimerThatFiresEarly() {
-        Bench harness = Bench.of(IDEMPOTENT).start(1);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(1);
         harness.listWorkers(2, false, 1, Dispatcher.DRAINING, 0);
         harness.arrive(0, 2);
         double at = 2;
@@ -161,7 +161,7 @@
 
     @Test
     public void respectsMaxAssignments() {
-        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(4);
         harness.arrive(0, 1);
         for (int i = 0; i < 4; i++) {
             harness.dispatcher.ended(2 + i, harness.lastSent(), Outcome.ERROR, false, null);
@@ -172,7 +172,7 @@
 
     @Test
     public void avoidsWorkerThatFailsFast() {
-        Bench harness = Bench.of(SIDE_EFFECTING).start(2);
+        DispatcherHarness harness = DispatcherHarness.of(SIDE_EFFECTING).start(2);
         int failed = 0;
         for (int i = 0; i < 40; i++) {
             harness.arrive(0, i * 50);
@@ -191,7 +191,7 @@
     /** Guards against workers that fail only one profile's tasks and keep receiving them. */
     @Test
     public void tracksFailureRatePerProfile() {
-        Bench harness = Bench.of(IDEMPOTENT, IDEMPOTENT).start(1);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT, IDEMPOTENT).start(1);
         for (int i = 0; i < 12; i++) {
             harness.arrive(i % 2, 10 * i + 1);
             harness.dispatcher.ended(
@@ -215,7 +215,7 @@
 
     @Test
     public void taskOfTenantOverAllowanceIsWorthLess() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.allowance = new double[] {3, 3000};
         harness.settings.excessUtility = 0.2;
         harness.start(4);
@@ -231,8 +231,10 @@
 
     @Test
     public void sameEventsGiveSameActions() {
-        Bench[] harnesses = {Bench.of(IDEMPOTENT).start(8), Bench.of(IDEMPOTENT).start(8)};
-        for (Bench harness : harnesses) {
+        DispatcherHarness[] harnesses = {
+            DispatcherHarness.of(IDEMPOTENT).start(8), DispatcherHarness.of(IDEMPOTENT).start(8)
+        };
+        for (DispatcherHarness harness : harnesses) {
             for (int i = 0; i < 60; i++) {
                 harness.arrive(0, i * 5);
                 harness.dispatcher.ended(
@@ -253,7 +255,7 @@
      */
     @Test
     public void clientRetryIsDueRelativeToFirstTry() {
-        Bench harness = Bench.of(IDEMPOTENT).start(2);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(2);
         harness.arrive(0, 1000);
         Task retry = harness.task(0, 1000, 100);
         harness.dispatcher.arrived(3000, retry);
@@ -265,7 +267,7 @@
     /** Guards against learning a fleet-wide slowdown late, from each worker's few answers. */
     @Test
     public void fleetWideSlowdownLowersPaceOfEveryWorker() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.notifiesStart = true;
         harness.start(30);
         double before = harness.dispatcher.pace(29);
@@ -283,10 +285,11 @@
     /** Guards against scoring fuller workers as high as emptier ones when reports show no queue. */
     @Test
     public void choosesEmptierWorkerWhenReportsShowNoQueue() {
-        Bench harness = Bench.of(IDEMPOTENT).start(2);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(2);
         for (int w = 0; w < 2; w++) {
-            harness.dispatcher.reportReceived(10, w, Bench.report(Double.NaN, 10));
-            harness.dispatcher.reportReceived(700, w, Bench.report(Double.NaN, w == 0 ? 0 : 10));
+            harness.dispatcher.reportReceived(10, w, DispatcherHarness.report(Double.NaN, 10));
+            harness.dispatcher.reportReceived(
+                    700, w, DispatcherHarness.report(Double.NaN, w == 0 ? 0 : 10));
         }
         for (int i = 0; i < 12; i++) {
             Task t = harness.arrive(0, 701);
@@ -302,7 +305,7 @@
      */
     @Test
     public void givesUpTasksWithLowScoreWhenNoSlotIsFree() {
-        Bench harness = Bench.of(IDEMPOTENT).start(2);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(2);
         for (int i = 0; i < 300; i++) {
             harness.arrive(0, i);
         }
@@ -316,7 +319,7 @@
      */
     @Test
     public void answeredWorkerLeavesColdBudgetWithoutReports() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.dispatcher = new Dispatcher(harness.settings, 7, harness);
         harness.listWorkers(100, true, 1, Dispatcher.RUNNING, 0);
         assertFalse(harness.dispatcher.inBudget(0, 5000));
@@ -331,7 +334,7 @@
      */
     @Test
     public void usesFewCandidatesWithManyDispatchers() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.dispatchers = 300;
         harness.start(40);
         for (int i = 0; i < 100; i++) {
@@ -360,7 +363,7 @@
      */
     @Test
     public void probesBestWorkersWithinCostAndWaitsForAllReports() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.mayProbe = true;
         harness.settings.reportsByProbe = true;
         harness.settings.probeFee = 0.003;
@@ -372,7 +375,7 @@
         for (String action : harness.actions.stream().filter(a -> a.startsWith("probe")).toList()) {
             assertEquals(harness.countActions("send"), 0);
             harness.dispatcher.reportReceived(
-                    5002, Integer.parseInt(action.substring(6)), Bench.report(0, 2));
+                    5002, Integer.parseInt(action.substring(6)), DispatcherHarness.report(0, 2));
         }
         assertEquals(harness.countActions("send"), 1);
         Task expiring = harness.task(0, 0, 100);
@@ -388,11 +391,11 @@
      */
     @Test
     public void announcedPeerSendsCountUntilTheyEnd() {
-        Bench sender = Bench.of(SIDE_EFFECTING);
+        DispatcherHarness sender = DispatcherHarness.of(SIDE_EFFECTING);
         sender.settings.mayMessagePeers = true;
         sender.start(1);
         sender.dispatcher.arrived(2, sender.task(0, 2, 1600));
-        Bench receiver = Bench.of(SIDE_EFFECTING).start(2);
+        DispatcherHarness receiver = DispatcherHarness.of(SIDE_EFFECTING).start(2);
         double idleLoad = receiver.dispatcher.load(0, 0);
         receiver.dispatcher.peerMessageReceived(3, 1, sender.peerMessages.get(0));
         assertEquals(receiver.dispatcher.load(0, 0), idleLoad + 0.5);
@@ -421,7 +424,7 @@
      */
     @Test
     public void announcesOnlyLargestSendsToManyPeers() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.mayMessagePeers = true;
         harness.settings.peerMessageFee = 0.016;
         harness.settings.dispatchers = 100;
@@ -442,7 +445,7 @@
     /** Guards against tasks that wait at a worker that hangs and does not answer probes. */
     @Test
     public void retriesSafeTasksElsewhereWhenProbeIsUnanswered() {
-        Bench harness = Bench.of(IDEMPOTENT, SIDE_EFFECTING);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT, SIDE_EFFECTING);
         harness.settings.mayProbe = true;
         harness.settings.reportsByProbe = true;
         harness.settings.mayCancel = true;
@@ -454,7 +457,7 @@
         Task idempotent = harness.arrive(0, 3);
         Task sideEffecting = harness.arrive(1, 3);
         Task running = harness.arrive(0, 3);
-        harness.dispatcher.reportReceived(4, 1, Bench.report(0, 2));
+        harness.dispatcher.reportReceived(4, 1, DispatcherHarness.report(0, 2));
         assertEquals(harness.countActions("send 1"), 3, harness.actions.toString());
         harness.dispatcher.started(5, running.assignments[0]);
         harness.listWorkers(6, false, 1, Dispatcher.RUNNING, 0);
@@ -470,14 +473,14 @@
     /** Guards against sending a task that waited for reports to the worker that did not answer. */
     @Test
     public void avoidsWorkerWithOverdueProbe() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.mayProbe = true;
         harness.settings.reportsByProbe = true;
         harness.settings.profiles[0].dueTime = 2000;
         harness.start(2);
         Task t = harness.arrive(0, 3);
         assertEquals(harness.countActions("probe"), 2, harness.actions.toString());
-        harness.dispatcher.reportReceived(4, 1, Bench.report(3, 0));
+        harness.dispatcher.reportReceived(4, 1, DispatcherHarness.report(3, 0));
         assertEquals(harness.countActions("send"), 0);
         harness.dispatcher.wake(t.decideAt);
         assertEquals(harness.lastSent().worker, 1);
@@ -489,7 +492,7 @@
      */
     @Test
     public void worstServedProfileIsWorthItsWeightInGoal() {
-        Bench harness = Bench.of(IDEMPOTENT, IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT, IDEMPOTENT);
         harness.settings.utilityByWork = true;
         harness.settings.worstProfileWeight = 0.4;
         harness.settings.profiles[0].utility = 8;
@@ -514,7 +517,7 @@
     /** Guards against dropping all progress reports of workers that send no start notices. */
     @Test
     public void firstProgressReportImpliesStart() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.progressInterval = 1000;
         harness.start(1);
         Assignment a = harness.forceSend(harness.task(0, 10, 3000), 0, 10);
@@ -524,7 +527,9 @@
         harness.dispatcher.progressed(2510, a, 0.5);
         assertEquals(a.startedAt, 510.0);
         Assignment withoutInterval =
-                Bench.of(IDEMPOTENT).start(1).forceSend(harness.task(0, 10, 3000), 0, 10);
+                DispatcherHarness.of(IDEMPOTENT)
+                        .start(1)
+                        .forceSend(harness.task(0, 10, 3000), 0, 10);
         harness.settings.progressInterval = 0;
         harness.start(1).dispatcher.progressed(1510, withoutInterval, 0.25);
         assertTrue(Double.isNaN(withoutInterval.startedAt));
@@ -533,7 +538,7 @@
     /** Guards against trying the workers of an unreachable zone one by one. */
     @Test
     public void doesNotReplaceUnreachableWorkersOfOtherZone() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.dispatchers = 40;
         harness.start(40);
         for (int w = 0; w < 40; w += 2) {
@@ -554,7 +559,7 @@
     /** Guards against detecting congestion only when the late answers arrive. */
     @Test
     public void overdueSendsCountAsLate() {
-        Bench harness = Bench.of(IDEMPOTENT).start(2);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(2);
         harness.arrive(0, 1);
         harness.arrive(0, 2);
         assertEquals(harness.dispatcher.lateShareNow(), 0.0);
@@ -568,7 +573,7 @@
      */
     @Test
     public void zoneFeeAppliesFromFirstTask() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.utilityByWork = true;
         harness.settings.zoneFee = 0.3;
         harness.start(2);
@@ -583,7 +588,7 @@
      */
     @Test
     public void learnsWorkerPaceFromFewTasks() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.notifiesStart = true;
         harness.start(2);
         for (int i = 0; i < 24; i++) {
@@ -610,15 +615,15 @@
      */
     @Test
     public void firstReportDoesNotLowerSlotsBelowListedSize() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.dispatcher = new Dispatcher(harness.settings, 7, harness);
         harness.dispatcher.listBegins(0, true);
         harness.dispatcher.listed(0, 0, 0, 0, Dispatcher.RUNNING, 8, 0);
         harness.dispatcher.listEnds(0, true, false);
         harness.arrive(0, 1);
-        harness.dispatcher.reportReceived(2, 0, Bench.report(0, 1));
+        harness.dispatcher.reportReceived(2, 0, DispatcherHarness.report(0, 1));
         assertEquals(harness.dispatcher.slotsOf(0), 8.0);
-        harness.dispatcher.reportReceived(9000, 0, Bench.report(0, 3));
+        harness.dispatcher.reportReceived(9000, 0, DispatcherHarness.report(0, 3));
         assertEquals(harness.dispatcher.slotsOf(0), 3.0, "later reports lower the number of slots");
     }
 
@@ -628,7 +633,7 @@
      */
     @Test
     public void firstLateAnswersDoNotRefuseTasksWithFreeSlots() {
-        Bench harness = Bench.of(IDEMPOTENT).start(20);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(20);
         for (int i = 0; i < 20; i++) {
             harness.dispatcher.arrived(1, harness.task(0, 1, 0));
         }
@@ -647,7 +652,7 @@
      */
     @Test
     public void reconsidersPendingTaskBeforeLatestStart() {
-        Bench harness = Bench.of(IDEMPOTENT).start(1);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(1);
         for (int i = 0; i < 40; i++) {
             harness.dispatcher.arrived(2, harness.task(0, 2, 200_000));
         }
@@ -661,7 +666,7 @@
     /** Only operators end a suspension; neither a worker list nor a restart that it shows does. */
     @Test
     public void sendsNothingToSuspendedWorker() {
-        Bench harness = Bench.of(IDEMPOTENT).start(2);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(2);
         harness.dispatcher.suspended(10, 0);
         for (int i = 0; i < 20; i++) {
             harness.arrive(0, 11 + i);
@@ -678,7 +683,7 @@
 
     @Test
     public void resumeKeepsStartListedDuringSuspension() {
-        Bench harness = Bench.of(IDEMPOTENT).start(1);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(1);
         harness.dispatcher.suspended(10, 0);
         harness.listWorkers(900, true, 1, Dispatcher.RUNNING, 500);
         harness.dispatcher.resumed(1000, 0);
@@ -693,7 +698,7 @@
     /** Errors at all workers are no reason to give up while retries succeed. */
     @Test
     public void retriesWhenRetriesSucceed() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.profiles[0].dueTime = 2000;
         harness.start(4);
         for (int i = 0; i < 200; i++) {
@@ -703,14 +708,14 @@
                     harness.lastSent(),
                     i % 3 == 0 ? Outcome.ERROR : Outcome.OK,
                     i % 3 > 0,
-                    Bench.report(Double.NaN, 2));
+                    DispatcherHarness.report(Double.NaN, 2));
             if (t.inFlight > 0) {
                 harness.dispatcher.ended(
                         18 + 20 * i,
                         harness.lastSent(),
                         Outcome.OK,
                         true,
-                        Bench.report(Double.NaN, 2));
+                        DispatcherHarness.report(Double.NaN, 2));
             }
         }
         assertEquals(harness.countActions("bounce"), 0);
@@ -720,7 +725,7 @@
     /** A single failing worker is still detected, and its tasks are retried elsewhere. */
     @Test
     public void avoidsSingleFailingWorkerAndRetriesItsTasks() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.profiles[0].dueTime = 2000;
         harness.start(4);
         int sentToFailing = 0;
@@ -735,7 +740,7 @@
                         a,
                         failing ? Outcome.ERROR : Outcome.OK,
                         !failing,
-                        Bench.report(Double.NaN, 2));
+                        DispatcherHarness.report(Double.NaN, 2));
             }
         }
         assertEquals(harness.countActions("bounce"), 0);
--- a/src/test/java/gingerspool/dispatch/LearnedSnapshotTest.java
+++ b/src/test/java/gingerspool/dispatch/LearnedSnapshotTest.java
@@ -16,7 +16,7 @@
     /** All estimates, infinite and missing ones included, pass through JSON unchanged. */
     @Test
     public void nextProcessRestoresAllEstimates() throws Exception {
-        Bench previous = Bench.of(IDEMPOTENT, SIDE_EFFECTING).start(3);
+        DispatcherHarness previous = DispatcherHarness.of(IDEMPOTENT, SIDE_EFFECTING).start(3);
         for (int i = 0; i < 30; i++) {
             previous.arrive(i % 2, 10 * i);
             previous.dispatcher.ended(
@@ -24,12 +24,12 @@
                     previous.lastSent(),
                     i % 7 == 0 ? Outcome.ERROR : Outcome.OK,
                     true,
-                    Bench.report(i % 3, 2));
+                    DispatcherHarness.report(i % 3, 2));
         }
         Assignment unfinished = previous.forceSend(previous.task(0, 400, 100), 1, 400);
         previous.dispatcher.wake(400);
         Map<?, ?> snapshot = (Map<?, ?>) Json.read(Json.write(previous.dispatcher.learned()));
-        Bench next = Bench.of(IDEMPOTENT, SIDE_EFFECTING);
+        DispatcherHarness next = DispatcherHarness.of(IDEMPOTENT, SIDE_EFFECTING);
         next.dispatcher = new Dispatcher(next.settings, 99, next);
         next.listWorkers(390, true, 3, Dispatcher.RUNNING, 0);
         double before = previous.dispatcher.fleet.peerJobs[1];
@@ -50,19 +50,23 @@
      */
     @Test
     public void restoresMachinesButNotTasksInOtherDeployment() throws Exception {
-        Bench previous = Bench.of(IDEMPOTENT, SIDE_EFFECTING);
+        DispatcherHarness previous = DispatcherHarness.of(IDEMPOTENT, SIDE_EFFECTING);
         previous.settings.notifiesStart = true;
         previous.start(3);
         for (int i = 0; i < 90; i++) {
             Assignment a = previous.forceSend(previous.task(0, 300 * i, 100), i % 3, 300 * i);
             previous.dispatcher.started(300 * i + 1, a);
             previous.dispatcher.ended(
-                    300 * i + (i % 3 == 2 ? 251 : 51), a, Outcome.OK, true, Bench.report(0, 2));
+                    300 * i + (i % 3 == 2 ? 251 : 51),
+                    a,
+                    Outcome.OK,
+                    true,
+                    DispatcherHarness.report(0, 2));
         }
         previous.listWorkers(70000, false, 1, Dispatcher.RUNNING, 69990);
         previous.arrive(0, 70000);
         Map<?, ?> snapshot = (Map<?, ?>) Json.read(Json.write(previous.dispatcher.learned()));
-        Bench next = Bench.of(IDEMPOTENT, SIDE_EFFECTING);
+        DispatcherHarness next = DispatcherHarness.of(IDEMPOTENT, SIDE_EFFECTING);
         next.settings.notifiesStart = true;
         next.settings.profiles[0].dueTime = 2000;
         next.dispatcher = new Dispatcher(next.settings, 99, next);
@@ -90,7 +94,11 @@
             next.dispatcher.arrived(70010 + 50 * i, t);
             if (t.inFlight > 0) {
                 next.dispatcher.ended(
-                        70040 + 50 * i, next.lastSent(), Outcome.OK, true, Bench.report(0, 2));
+                        70040 + 50 * i,
+                        next.lastSent(),
+                        Outcome.OK,
+                        true,
+                        DispatcherHarness.report(0, 2));
             }
         }
         assertEquals(next.countActions("bounce") + next.countActions("abandon"), 0);
@@ -103,7 +111,7 @@
      */
     @Test
     public void ignoresInvalidFields() throws Exception {
-        Bench harness = Bench.of(IDEMPOTENT).start(2);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(2);
         double[] slots = harness.dispatcher.fleet.slots.clone();
         double tag0 = harness.dispatcher.fleet.tag[0];
         double tag1 = harness.dispatcher.fleet.tag[1];
--- a/src/test/java/gingerspool/dispatch/ScoreTest.java
+++ b/src/test/java/gingerspool/dispatch/ScoreTest.java
@@ -16,7 +16,7 @@
 
     @Test
     public void scoreWithoutPairsIsShareOfRegionsWithinSlack() {
-        Bench harness = Bench.of(IDEMPOTENT).start(1);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(1);
         Task t = harness.task(0, 0, 0);
         t.work = 150;
         t.due = 100 + 2 * 150;
@@ -28,7 +28,7 @@
 
     @Test
     public void scoreFollowsCountedPairs() {
-        Bench harness = Bench.of(IDEMPOTENT).start(2);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(2);
         Task t = harness.task(0, 0, 0);
         t.work = 150;
         t.due = 400;
@@ -68,7 +68,7 @@
 
     @Test
     public void onlyHigherPriorityArrivalsLowerScore() {
-        Bench harness = Bench.of(IDEMPOTENT, IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT, IDEMPOTENT);
         harness.settings.order = DispatcherSettings.Order.PRIORITY;
         harness.settings.profiles[1].priority = 1;
         harness.start(1);
@@ -89,7 +89,7 @@
 
     @Test
     public void ownUnfinishedSendsRaiseLoad() {
-        Bench harness = Bench.of(IDEMPOTENT).start(1);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(1);
         double before = harness.dispatcher.load(0, 0);
         harness.arrive(0, 1);
         double afterOne = harness.dispatcher.load(0, 0);
@@ -105,7 +105,7 @@
      */
     @Test
     public void scoreOmitsRegionsBelowOwnSends() {
-        Bench harness = Bench.of(IDEMPOTENT).start(2);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(2);
         for (int i = 0; i < 6; i++) {
             harness.arrive(0, 1);
         }
@@ -116,8 +116,8 @@
     /** Guards against assuming that a worker is full long after its report: 28 s in one case. */
     @Test
     public void reportedLoadDecaysToMean() {
-        Bench harness = Bench.of(IDEMPOTENT).start(4);
-        harness.dispatcher.reportReceived(10, 3, Bench.report(6, 0));
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(4);
+        harness.dispatcher.reportReceived(10, 3, DispatcherHarness.report(6, 0));
         double full = harness.dispatcher.peerJobs(3);
         harness.dispatcher.wake(60000);
         assertTrue(full > 2);
@@ -127,7 +127,7 @@
     /** A hint far from the mean says less about the running time than it seems to. */
     @Test
     public void outlyingHintsAreShrunkTowardMean() {
-        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(4);
         for (int i = 0; i < 20; i++) {
             harness.dispatcher.arrived(i, harness.task(0, i, 100));
         }
@@ -138,7 +138,7 @@
 
     @Test
     public void implausibleReportsAreIgnored() {
-        Bench harness = Bench.of(IDEMPOTENT).start(2);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(2);
         double[] report = new double[Report.SIZE];
         for (double value : new double[] {-1, 1e18, Double.NaN, Double.POSITIVE_INFINITY}) {
             Arrays.fill(report, value);
@@ -156,13 +156,14 @@
      */
     @Test
     public void unreportedWorkerTakesMeanOfItsKindAndZone() {
-        Bench harness = Bench.of(IDEMPOTENT).start(6);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(6);
         harness.dispatcher.listBegins(2, false);
         harness.dispatcher.listed(6, 0, 1, 0, Dispatcher.RUNNING, 2, 0);
         harness.dispatcher.listed(7, 0, 0, 0, Dispatcher.RUNNING, 2, 0);
         harness.dispatcher.listEnds(2, false, false);
         for (int i = 0; i < 400; i++) {
-            harness.dispatcher.reportReceived(10 + i, i % 3 * 2, Bench.report(6 + i % 2, 0));
+            harness.dispatcher.reportReceived(
+                    10 + i, i % 3 * 2, DispatcherHarness.report(6 + i % 2, 0));
         }
         assertTrue(
                 harness.dispatcher.peerJobs(7) > 4, "peer jobs: " + harness.dispatcher.peerJobs(7));
@@ -180,8 +181,8 @@
     public void queueIsNotAddedToInFlightCount() {
         double[] estimates = new double[2];
         for (int i = 0; i < 2; i++) {
-            Bench harness = Bench.of(IDEMPOTENT).start(1);
-            double[] report = Bench.report(3, 0);
+            DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(1);
+            double[] report = DispatcherHarness.report(3, 0);
             report[Report.IN_FLIGHT] = i == 0 ? 5 : Double.NaN;
             harness.dispatcher.reportReceived(10, 0, report);
             estimates[i] = harness.dispatcher.peerJobs(0);
@@ -195,10 +196,10 @@
      */
     @Test
     public void reportMovesEstimatePartially() {
-        Bench harness = Bench.of(IDEMPOTENT).start(4);
-        harness.dispatcher.reportReceived(10, 3, Bench.report(6, 0));
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(4);
+        harness.dispatcher.reportReceived(10, 3, DispatcherHarness.report(6, 0));
         double afterOne = harness.dispatcher.peerJobs(3);
-        harness.dispatcher.reportReceived(11, 3, Bench.report(7, 0));
+        harness.dispatcher.reportReceived(11, 3, DispatcherHarness.report(7, 0));
         assertTrue(afterOne > 2 && afterOne < 4, "after one report: " + afterOne);
         assertTrue(harness.dispatcher.peerJobs(3) > afterOne + 1);
     }
--- a/src/test/java/gingerspool/dispatch/TermsTest.java
+++ b/src/test/java/gingerspool/dispatch/TermsTest.java
@@ -52,7 +52,7 @@
         return new Terms(4, 0, 0, 0, 0, copies, copyDelay, budget, null);
     }
 
-    private static Task arrive(Bench harness, double at, Terms terms) {
+    private static Task arrive(DispatcherHarness harness, double at, Terms terms) {
         Task t = harness.task(0, at, 100);
         t.terms = terms;
         harness.dispatcher.arrived(at, t);
@@ -61,7 +61,7 @@
 
     @Test
     public void termsLowerMaxAssignments() {
-        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(4);
         arrive(harness, 1, termsWithPause(2, 0, 0, null));
         harness.dispatcher.ended(2, harness.lastSent(), Outcome.ERROR, false, null);
         assertEquals(harness.sent.size(), 2);
@@ -72,7 +72,7 @@
 
     @Test
     public void termsNeverRaiseMaxAssignments() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.maxAssignments = 1;
         harness.start(4);
         arrive(harness, 1, termsWithPause(4, 0, 0, null));
@@ -83,7 +83,7 @@
 
     @Test
     public void pauseBetweenAssignmentsDoublesUpToMaximum() {
-        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(4);
         arrive(harness, 1, termsWithPause(4, 20, 30, null));
         harness.dispatcher.ended(10, harness.lastSent(), Outcome.ERROR, false, null);
         harness.dispatcher.wake(29);
@@ -102,7 +102,7 @@
      */
     @Test
     public void workerListDoesNotShortenPause() {
-        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(4);
         arrive(harness, 1, termsWithPause(4, 20, 20, null));
         harness.dispatcher.ended(10, harness.lastSent(), Outcome.ERROR, false, null);
         harness.listWorkers(15, true, 4, Dispatcher.RUNNING, 0);
@@ -113,7 +113,7 @@
 
     @Test
     public void givesUpAtOnceIfPauseExceedsExpiry() {
-        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(4);
         arrive(harness, 1, termsWithPause(4, 20, 20, null));
         harness.dispatcher.ended(4990, harness.lastSent(), Outcome.ERROR, false, null);
         assertEquals(harness.countActions("bounce"), 1);
@@ -121,7 +121,7 @@
 
     @Test
     public void abandonsNonRetryableTaskWithoutPause() {
-        Bench harness = Bench.of(Effect.SIDE_EFFECTING).start(4);
+        DispatcherHarness harness = DispatcherHarness.of(Effect.SIDE_EFFECTING).start(4);
         arrive(harness, 1, termsWithPause(4, 20, 20, null));
         harness.dispatcher.ended(5, harness.lastSent(), Outcome.RESET, false, null);
         assertEquals(harness.countActions("abandon"), 1);
@@ -130,7 +130,7 @@
     @Test
     public void retriesOnlyAfterRetryableOutcomes() {
         Terms terms = new Terms(4, 0, 0, 0, 0, 1, 0, null, EnumSet.of(Outcome.FULL));
-        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(4);
         arrive(harness, 1, terms);
         harness.dispatcher.ended(2, harness.lastSent(), Outcome.FULL, false, null);
         assertEquals(harness.sent.size(), 2);
@@ -142,7 +142,7 @@
     @Test
     public void passesTimeoutWithAssignment() {
         double[] sentTimeout = new double[1];
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.start(2);
         DispatchActions target = harness;
         harness.dispatcher =
@@ -207,7 +207,7 @@
 
     @Test
     public void bouncesTaskOverLimitWithRetryAdvice() {
-        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(4);
         Task t = harness.task(0, 1, 100);
         t.overLimit = true;
         t.retryAfter = 300;
@@ -219,7 +219,7 @@
     @Test
     public void givesUpAtOnceIfRetryBudgetIsSpent() {
         FixedBudget budget = new FixedBudget(1);
-        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(4);
         arrive(harness, 1, termsWithPause(4, 20, 20, budget));
         harness.dispatcher.ended(2, harness.lastSent(), Outcome.ERROR, false, null);
         harness.dispatcher.wake(30);
@@ -234,7 +234,7 @@
 
     @Test
     public void sendsCopyToAnotherWorkerAfterDelay() {
-        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(4);
         arrive(harness, 1, termsWithCopies(2, 50, null));
         harness.dispatcher.wake(50);
         assertEquals(harness.sent.size(), 1);
@@ -247,7 +247,7 @@
 
     @Test
     public void firstAnswerCancelsOtherCopy() {
-        Bench harness = Bench.of(IDEMPOTENT);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT);
         harness.settings.mayCancel = true;
         harness.start(4);
         Task t = arrive(harness, 1, termsWithCopies(2, 50, null));
@@ -263,7 +263,7 @@
 
     @Test
     public void retriesOnlyAfterAllCopiesFailed() {
-        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(4);
         arrive(harness, 1, termsWithCopies(2, 50, null));
         harness.dispatcher.wake(51);
         harness.dispatcher.ended(60, harness.sent.get(0), Outcome.ERROR, false, null);
@@ -280,7 +280,7 @@
 
     @Test
     public void sendsNoCopyToWorkerRunningTheTask() {
-        Bench harness = Bench.of(IDEMPOTENT).start(1);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(1);
         arrive(harness, 1, termsWithCopies(2, 50, null));
         harness.dispatcher.wake(51);
         harness.dispatcher.wake(200);
@@ -290,7 +290,7 @@
     @Test
     public void copiesAreChargedToRetryBudget() {
         FixedBudget budget = new FixedBudget(0);
-        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(4);
         arrive(harness, 1, termsWithCopies(2, 50, budget));
         harness.dispatcher.wake(51);
         assertEquals(harness.sent.size(), 1);
@@ -303,7 +303,7 @@
     @Test
     public void copiesOnlyIdempotentTasks() {
         for (Effect e : new Effect[] {Effect.FINGERPRINTED, Effect.SIDE_EFFECTING}) {
-            Bench harness = Bench.of(e).start(4);
+            DispatcherHarness harness = DispatcherHarness.of(e).start(4);
             arrive(harness, 1, termsWithCopies(3, 50, null));
             harness.dispatcher.wake(51);
             assertEquals(harness.sent.size(), 1);
@@ -312,7 +312,7 @@
 
     @Test
     public void clientLeavingEndsPausesAndCopies() {
-        Bench harness = Bench.of(IDEMPOTENT).start(4);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(4);
         Task copied = arrive(harness, 1, termsWithCopies(2, 50, null));
         harness.dispatcher.clientLeft(10, copied);
         harness.dispatcher.wake(60);
@@ -344,7 +344,7 @@
         int copiesSent = 0;
         for (int seed = 0; seed < 3000; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Bench harness = Bench.of(effect);
+            DispatcherHarness harness = DispatcherHarness.of(effect);
             harness.settings.mayCancel = random.nextBoolean();
             harness.settings.maxAssignments = 1 + random.nextInt(4);
             harness.start(1 + random.nextInt(5));
@@ -414,7 +414,7 @@
      * and the retries, by second.
      */
     private static int[][] simulateFailingFleet(RetryBudget budget, int seed) {
-        Bench harness = Bench.of(IDEMPOTENT).start(200);
+        DispatcherHarness harness = DispatcherHarness.of(IDEMPOTENT).start(200);
         Terms terms = new Terms(4, 0, 0, 0, 0, 1, 0, budget, null);
         SplittableRandom random = new SplittableRandom(seed);
         int seconds = 30;
--- a/src/test/java/gingerspool/store/StoreTest.java
+++ b/src/test/java/gingerspool/store/StoreTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import gingerspool.dispatch.Bench;
+import gingerspool.dispatch.DispatcherHarness;
 import gingerspool.dispatch.Outcome;
 import gingerspool.wire.Address;
 import gingerspool.wire.BadMessage;
@@ -27,7 +27,9 @@
         events.clear();
         attempt =
                 new WorkerAttempt(
-                        Bench.assignment(task("t1", ""), 0, 0), new LoadReport("", ""), this);
+                        DispatcherHarness.assignment(task("t1", ""), 0, 0),
+                        new LoadReport("", ""),
+                        this);
         attempt.begin(null, null);
     }
 
@@ -122,7 +124,7 @@
         tasks.add(task);
         tasks.release(task);
         assertEquals(tasks.find("a"), task);
-        Bench.end(task);
+        DispatcherHarness.markEnded(task);
         tasks.release(task);
         assertNull(tasks.find("a"));
         assertTrue(tasks.hasRoomFor(10));
