--- a/src/main/java/gingerspool/daemon/Daemon.java
+++ b/src/main/java/gingerspool/daemon/Daemon.java
@@ -260,7 +260,8 @@
         if (management != null) {
             management.summary(line);
         }
-        line.addKeyValue("latest_timer_ms", Math.round(loop.takeLatestTimerMs())).log("summary");
+        line.addKeyValue("latest_timer_ms", Math.round(loop.takeMaxTimerLatenessMs()))
+                .log("summary");
         loop.schedule(SUMMARY_INTERVAL_MS, this::logSummary);
     }
 
@@ -268,7 +269,7 @@
     private void stop() {
         double signalledAt = loop.now();
         // The signal may have arrived while the process was stopped: the period runs from then.
-        loop.submit(() -> beginShutdown(loop.earliest(signalledAt)));
+        loop.submit(() -> beginShutdown(loop.earliestArrival(signalledAt)));
         try {
             exitLatch.await();
         } catch (InterruptedException e) {
--- a/src/main/java/gingerspool/dataplane/Attempt.java
+++ b/src/main/java/gingerspool/dataplane/Attempt.java
@@ -68,7 +68,7 @@
     @Override
     public boolean isMine(Message answer) {
         String id = answer.field("request-id");
-        return id == null || id.equals(request.id) || !loop.has(RequestSafeguard.RESPONSE_ID);
+        return id == null || id.equals(request.id) || !loop.isEnabled(RequestSafeguard.RESPONSE_ID);
     }
 
     /**
@@ -87,13 +87,13 @@
     @Override
     public boolean mayKeep(Message answer) {
         return !InstanceProtocol.isSuspect(answer, request.id)
-                || !loop.has(RequestSafeguard.DOUBTFUL_RESPONSE_CLOSES);
+                || !loop.isEnabled(RequestSafeguard.DOUBTFUL_RESPONSE_CLOSES);
     }
 
     @Override
     public void answered(Message answer) {
         connection = null;
-        end(InstanceProtocol.outcome(answer, request.id, loop::has), answer);
+        end(InstanceProtocol.outcome(answer, request.id, loop::isEnabled), answer);
     }
 
     @Override
@@ -102,7 +102,7 @@
         boolean begun = hasBegun();
         connection = null;
         end(
-                begun && loop.has(RequestSafeguard.BYTE_WRITTEN)
+                begun && loop.isEnabled(RequestSafeguard.BYTE_WRITTEN)
                         ? Outcome.RESET
                         : Outcome.UNREACHABLE,
                 null);
--- a/src/main/java/gingerspool/dataplane/AttemptRunner.java
+++ b/src/main/java/gingerspool/dataplane/AttemptRunner.java
@@ -79,7 +79,7 @@
         request.attempts.add(attempt);
         slot.inUse++;
         backlog.onAttemptStarted(request);
-        String instance = loop.has(RequestSafeguard.EXPECTED_INSTANCE) ? slot.instance : null;
+        String instance = loop.isEnabled(RequestSafeguard.EXPECTED_INSTANCE) ? slot.instance : null;
         try {
             attempt.begin(
                     environment.pool().acquire(slot.poolIndex, slot.address),
--- a/src/main/java/gingerspool/dataplane/AttemptTerms.java
+++ b/src/main/java/gingerspool/dataplane/AttemptTerms.java
@@ -80,6 +80,6 @@
     }
 
     private boolean has(RequestSafeguard safeguard) {
-        return environment.loop().has(safeguard);
+        return environment.loop().isEnabled(safeguard);
     }
 }
--- a/src/main/java/gingerspool/dataplane/FunctionQueue.java
+++ b/src/main/java/gingerspool/dataplane/FunctionQueue.java
@@ -133,7 +133,7 @@
     /** Applies a new configuration; the routes are those that lead to this function. */
     void onConfiguration(Service newService, List<Route> routes) {
         service = newService;
-        RouteProfiles newProfiles = RouteProfiles.of(routes, loop::has);
+        RouteProfiles newProfiles = RouteProfiles.of(routes, loop::isEnabled);
         if (!newProfiles.hasSameProfilesAs(profiles)) {
             profiles = newProfiles;
             haveProfilesChanged = true;
@@ -409,7 +409,7 @@
         Message failure = request.failure;
         if (!request.mayHaveRun()) {
             reject(request, retryAfter > 0 ? retryAfter : service.getBoot());
-        } else if (InstanceProtocol.mayForward(failure, request.id, loop::has)) {
+        } else if (InstanceProtocol.mayForward(failure, request.id, loop::isEnabled)) {
             environment.answer(
                     request,
                     failure.status(),
--- a/src/main/java/gingerspool/wire/EventExecutor.java
+++ b/src/main/java/gingerspool/wire/EventExecutor.java
@@ -25,10 +25,10 @@
      * @param previousPollAt when an earlier poll of all sockets noticed other events: this event
      *     had not arrived by then
      */
-    record Notice(long noticedAt, long lookedAt) {}
+    record Notice(long noticedAt, long previousPollAt) {}
 
     /** A period between two events, in System.nanoTime(). */
-    record Quiet(long from, long until) {}
+    record QuietNanos(long from, long until) {}
 
     /**
      * Shorter periods without an event are not kept: they are needed only for timers that are late,
@@ -47,7 +47,7 @@
     private long pollStartedAt;
 
     /** The last long periods without an event, a ring that overwrites the oldest. */
-    private final Quiet[] quietSpans = new Quiet[MAX_QUIET_SPANS];
+    private final QuietNanos[] quietSpans = new QuietNanos[MAX_QUIET_SPANS];
 
     private int nextQuietIndex;
 
@@ -78,15 +78,15 @@
             // The operation completed immediately, inside the call that started it.
             event.run();
         } else {
-            Notice notice = notice(System.nanoTime());
+            Notice notice = recordEvent(System.nanoTime());
             loop.execute(() -> run(event, notice));
         }
     }
 
     /** Records that an event was noticed at this time. */
-    synchronized Notice notice(long at) {
+    synchronized Notice recordEvent(long at) {
         long previous = latestNotice.noticedAt;
-        long previousPollAt = latestNotice.lookedAt;
+        long previousPollAt = latestNotice.previousPollAt;
         if (at - previous > SAME_POLL_NANOS) {
             previousPollAt = previous;
             pollStartedAt = at;
@@ -95,7 +95,7 @@
             pollStartedAt = at;
         }
         if (at - previous > MIN_QUIET_NANOS) {
-            quietSpans[nextQuietIndex] = new Quiet(previous, at);
+            quietSpans[nextQuietIndex] = new QuietNanos(previous, at);
             nextQuietIndex = (nextQuietIndex + 1) % MAX_QUIET_SPANS;
         }
         latestNotice = new Notice(at, previousPollAt);
@@ -106,13 +106,13 @@
      * The long period without an event that contains this time, in System.nanoTime(); it ends now
      * if no event has come since. Null if there is none. Called from any thread.
      */
-    synchronized Quiet quietAround(long time, long now) {
+    synchronized QuietNanos quietAround(long time, long now) {
         if (time - latestNotice.noticedAt >= 0) {
             return now - latestNotice.noticedAt > MIN_QUIET_NANOS
-                    ? new Quiet(latestNotice.noticedAt, now)
+                    ? new QuietNanos(latestNotice.noticedAt, now)
                     : null;
         }
-        for (Quiet quiet : quietSpans) {
+        for (QuietNanos quiet : quietSpans) {
             if (quiet != null && time - quiet.from >= 0 && quiet.until - time >= 0) {
                 return quiet;
             }
--- a/src/main/java/gingerspool/wire/EventLoop.java
+++ b/src/main/java/gingerspool/wire/EventLoop.java
@@ -52,7 +52,7 @@
      * Whether a safeguard is enabled. No class of src/main overrides this (see ArchitectureTest):
      * only the loop of a test disables one, to show which failure it prevents.
      */
-    default boolean has(RequestSafeguard safeguard) {
+    default boolean isEnabled(RequestSafeguard safeguard) {
         return true;
     }
 }
--- a/src/main/java/gingerspool/wire/LoopTimer.java
+++ b/src/main/java/gingerspool/wire/LoopTimer.java
@@ -13,7 +13,7 @@
     private Future<?> pending;
 
     /** Sets the scheduled future that fires this timer; it is cancelled with the timer. */
-    void firedBy(Future<?> scheduled) {
+    void setPending(Future<?> scheduled) {
         pending = scheduled;
     }
 
--- a/src/main/java/gingerspool/wire/Outbound.java
+++ b/src/main/java/gingerspool/wire/Outbound.java
@@ -194,7 +194,7 @@
     int received(byte[] b, int from, int to) {
         if (answer == null) {
             // Nothing was asked, so nothing may come.
-            if (loop.has(RequestSafeguard.UNASKED_BYTES_CLOSE)) {
+            if (loop.isEnabled(RequestSafeguard.UNASKED_BYTES_CLOSE)) {
                 close();
             }
             return to - from;
@@ -204,14 +204,14 @@
             if (answer.done() && answer.status() < 200) {
                 answer = Message.answer(sink, bodyMost);
             } else if (answer.done() && caller != null && !caller.isMine(answer)) {
-                surplus |= loop.has(RequestSafeguard.SURPLUS_RESPONSE_CLOSES);
+                surplus |= loop.isEnabled(RequestSafeguard.SURPLUS_RESPONSE_CLOSES);
                 answer = Message.answer(sink, bodyMost);
             } else {
                 // Guards the next request: what is behind a whole answer belongs to none.
                 surplus |=
                         answer.done()
                                 && taken < to - from
-                                && loop.has(RequestSafeguard.SURPLUS_BYTES_CLOSE);
+                                && loop.isEnabled(RequestSafeguard.SURPLUS_BYTES_CLOSE);
                 finish();
             }
             return taken;
@@ -233,7 +233,7 @@
         Caller to = caller;
         answer = null;
         caller = null;
-        boolean inTime = whole || !loop.has(RequestSafeguard.EARLY_RESPONSE_CLOSES);
+        boolean inTime = whole || !loop.isEnabled(RequestSafeguard.EARLY_RESPONSE_CLOSES);
         boolean keep = inTime && !surplus && done.keepsAlive() && (to == null || to.mayKeep(done));
         if (keep) {
             freeSince = loop.now();
@@ -267,8 +267,8 @@
 
     /** Guards callers: an answer that ends with its connection may be another's, or cut. */
     private boolean isWholeAtClose(Caller to) {
-        boolean framed = !to.takesUnframed() && loop.has(RequestSafeguard.LENGTH_TOLD);
+        boolean framed = !to.takesUnframed() && loop.isEnabled(RequestSafeguard.LENGTH_TOLD);
         boolean ends = !framed && answer.endsWithClose();
-        return to.isMine(answer) && (ends || !loop.has(RequestSafeguard.WHOLE_RESPONSE));
+        return to.isMine(answer) && (ends || !loop.isEnabled(RequestSafeguard.WHOLE_RESPONSE));
     }
 }
--- a/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
+++ b/src/main/java/gingerspool/wire/SingleThreadEventLoop.java
@@ -103,7 +103,7 @@
         long delayNanos = (long) (delay * NANOS_PER_MS);
         long dueNanos = System.nanoTime() + delayNanos;
         LoopTimer timer = new LoopTimer();
-        timer.firedBy(scheduleNanos(delayNanos, () -> fire(timer, dueNanos, task)));
+        timer.setPending(scheduleNanos(delayNanos, () -> fire(timer, dueNanos, task)));
         return timer;
     }
 
@@ -113,7 +113,7 @@
 
     private void fire(LoopTimer timer, long dueNanos, Runnable task) {
         latenessMonitor.timerFired(dueNanos, System.nanoTime());
-        timerGate.fired(timer, toUnixMs(dueNanos), task);
+        timerGate.timerFired(timer, toUnixMs(dueNanos), task);
     }
 
     /** The services that the timer gate needs from this loop. */
@@ -125,14 +125,15 @@
 
         @Override
         public QuietSpan quietAround(double time) {
-            EventExecutor.Quiet quiet = eventExecutor.quietAround(toNanos(time), System.nanoTime());
+            EventExecutor.QuietNanos quiet =
+                    eventExecutor.quietAround(toNanos(time), System.nanoTime());
             return quiet == null
                     ? null
                     : new QuietSpan(toUnixMs(quiet.from()), toUnixMs(quiet.until()));
         }
 
         @Override
-        public void after(double delay, Runnable step) {
+        public void runAfter(double delay, Runnable step) {
             SingleThreadEventLoop.this.scheduleNanos((long) (delay * NANOS_PER_MS), step);
         }
 
@@ -157,7 +158,7 @@
     }
 
     /** The largest lateness of a timer since the previous call, in milliseconds. */
-    public double takeLatestTimerMs() {
+    public double takeMaxTimerLatenessMs() {
         return latenessMonitor.takeMaxTimerLatenessMs();
     }
 
@@ -179,7 +180,8 @@
         EventExecutor.Notice notice = eventExecutor.currentNotice();
         return notice == null
                 ? Double.NEGATIVE_INFINITY
-                : stallTracker.earliest(toUnixMs(notice.noticedAt()), toUnixMs(notice.lookedAt()));
+                : stallTracker.earliestArrival(
+                        toUnixMs(notice.noticedAt()), toUnixMs(notice.previousPollAt()));
     }
 
     @Override
@@ -191,8 +193,8 @@
      * The earliest time at which something, such as a signal, may have arrived that a dedicated
      * waiting thread noticed at the given time. Called on the loop's thread only.
      */
-    public double earliest(double noticedAt) {
-        return stallTracker.earliest(noticedAt);
+    public double earliestArrival(double noticedAt) {
+        return stallTracker.earliestArrival(noticedAt);
     }
 
     @Override
--- a/src/main/java/gingerspool/wire/StallTracker.java
+++ b/src/main/java/gingerspool/wire/StallTracker.java
@@ -85,7 +85,7 @@
      * waiting thread noticed at this time. This reaches back to the last stall only: the thread ran
      * before that stall and would have noticed it.
      */
-    double earliest(double noticedAt) {
+    double earliestArrival(double noticedAt) {
         return isAfterStall(noticedAt) ? Math.min(noticedAt, lastStallStart) : noticedAt;
     }
 
@@ -96,7 +96,7 @@
      * @param previousPollAt when an earlier poll of the sockets noticed other events, but not this
      *     one
      */
-    double earliest(double noticedAt, double previousPollAt) {
+    double earliestArrival(double noticedAt, double previousPollAt) {
         return isAfterStall(noticedAt)
                 ? Math.min(noticedAt, Math.max(stallStart, previousPollAt))
                 : noticedAt;
--- a/src/main/java/gingerspool/wire/TimerGate.java
+++ b/src/main/java/gingerspool/wire/TimerGate.java
@@ -26,7 +26,7 @@
         QuietSpan quietAround(double time);
 
         /** Runs a step after a delay, without passing the gate. */
-        void after(double delay, Runnable step);
+        void runAfter(double delay, Runnable step);
 
         /** Runs a task after the current one. */
         void execute(Runnable task);
@@ -45,7 +45,7 @@
     }
 
     /** Called when a timer fires; runs its task now, or later if timers are held back. */
-    void fired(LoopTimer timer, double due, Runnable task) {
+    void timerFired(LoopTimer timer, double due, Runnable task) {
         double wait = holdTime(due);
         if (wait == 0 && heldTimers.isEmpty()) {
             run(timer, task);
@@ -65,7 +65,7 @@
 
     private void releaseAfter(double wait) {
         double due = loop.now() + wait;
-        loop.after(wait, () -> release(due));
+        loop.runAfter(wait, () -> release(due));
     }
 
     /** Runs the held timers, unless the process has stalled again. */
--- a/src/test/java/gingerspool/dataplane/ModelNetwork.java
+++ b/src/test/java/gingerspool/dataplane/ModelNetwork.java
@@ -168,7 +168,7 @@
     }
 
     @Override
-    public boolean has(RequestSafeguard safeguard) {
+    public boolean isEnabled(RequestSafeguard safeguard) {
         return !disabledSafeguards.contains(safeguard);
     }
 
--- a/src/test/java/gingerspool/wire/EventExecutorTest.java
+++ b/src/test/java/gingerspool/wire/EventExecutorTest.java
@@ -32,7 +32,7 @@
             CompletableFuture<EventExecutor.Notice> last = new CompletableFuture<>();
             events.execute(() -> last.complete(events.currentNotice()));
             EventExecutor.Notice notice = last.get(RESULT_TIMEOUT_S, TimeUnit.SECONDS);
-            long age = (notice.noticedAt() - notice.lookedAt()) / NANOS_PER_MS;
+            long age = (notice.noticedAt() - notice.previousPollAt()) / NANOS_PER_MS;
             assertTrue(
                     age < LOAD_NANOS / NANOS_PER_MS / 2,
                     "the previous poll was " + age + " ms before");
--- a/src/test/java/gingerspool/wire/ModelChannelLoop.java
+++ b/src/test/java/gingerspool/wire/ModelChannelLoop.java
@@ -49,7 +49,7 @@
             handler.run();
             return;
         }
-        EventExecutor.Notice notice = events.notice(nanos(now()));
+        EventExecutor.Notice notice = events.recordEvent(nanos(now()));
         super.schedule(
                 0,
                 () -> {
@@ -71,7 +71,7 @@
     public double noticedAt() {
         return present == null
                 ? Double.NEGATIVE_INFINITY
-                : stalls.earliest(ms(present.noticedAt()), ms(present.lookedAt()));
+                : stalls.earliestArrival(ms(present.noticedAt()), ms(present.previousPollAt()));
     }
 
     @Override
@@ -97,7 +97,7 @@
     public Future<?> schedule(double span, Runnable task) {
         double due = now() + span;
         LoopTimer timer = new LoopTimer();
-        timer.firedBy(super.schedule(span, () -> timers.fired(timer, due, task)));
+        timer.setPending(super.schedule(span, () -> timers.timerFired(timer, due, task)));
         return timer;
     }
 
@@ -110,12 +110,12 @@
 
         @Override
         public QuietSpan quietAround(double time) {
-            EventExecutor.Quiet quiet = events.quietAround(nanos(time), nanos(now()));
+            EventExecutor.QuietNanos quiet = events.quietAround(nanos(time), nanos(now()));
             return quiet == null ? null : new QuietSpan(ms(quiet.from()), ms(quiet.until()));
         }
 
         @Override
-        public void after(double delay, Runnable step) {
+        public void runAfter(double delay, Runnable step) {
             ModelChannelLoop.super.schedule(delay, step);
         }
 
--- a/src/test/java/gingerspool/wire/SingleThreadEventLoopTest.java
+++ b/src/test/java/gingerspool/wire/SingleThreadEventLoopTest.java
@@ -38,7 +38,7 @@
             assertTrue(span.fromMs() >= scheduledAt.get(), span + " " + scheduledAt.get());
             assertTrue(span.untilMs() <= firedAt, span + " " + firedAt);
             assertTrue(span.untilMs() - span.fromMs() > 50, span + "");
-            assertTrue(loop.takeLatestTimerMs() > 50);
+            assertTrue(loop.takeMaxTimerLatenessMs() > 50);
         } finally {
             loop.stop();
         }
--- a/src/test/java/gingerspool/wire/StallTrackerTest.java
+++ b/src/test/java/gingerspool/wire/StallTrackerTest.java
@@ -33,23 +33,25 @@
     @Test
     public void unstalledEventArrivedWhenNoticed() {
         fireOnTime(stalls, 0, 1000);
-        assertEquals(stalls.earliest(1010, LONG_AGO), 1010.0);
+        assertEquals(stalls.earliestArrival(1010, LONG_AGO), 1010.0);
     }
 
     @Test
     public void eventNoticedRightAfterStallMayDateFromItsStart() {
         StallTracker tracker = fireOnTime(new StallTracker(), 0, 1000);
         tracker.timerFired(1050, 1800, quietUntil(1800));
-        assertEquals(tracker.earliest(1801, LONG_AGO), 1000.0);
+        assertEquals(tracker.earliestArrival(1801, LONG_AGO), 1000.0);
         assertEquals(
-                tracker.earliest(1790, LONG_AGO), 1000.0, "noticed before the loop itself resumed");
+                tracker.earliestArrival(1790, LONG_AGO),
+                1000.0,
+                "noticed before the loop itself resumed");
     }
 
     @Test
     public void eventNoticedAfterCatchUpArrivedWhenNoticed() {
         StallTracker tracker = fireOnTime(new StallTracker(), 0, 1000);
         tracker.timerFired(1050, 1800, quietUntil(1800));
-        assertEquals(tracker.earliest(1900, LONG_AGO), 1900.0);
+        assertEquals(tracker.earliestArrival(1900, LONG_AGO), 1900.0);
     }
 
     /** Only the loop was delayed; the runtime's poller thread was not. */
@@ -57,7 +59,7 @@
     public void eventNoticedDuringLoopDelayArrivedWhenNoticed() {
         StallTracker tracker = fireOnTime(new StallTracker(), 0, 1000);
         tracker.timerFired(1050, 1800, quietUntil(1800));
-        assertEquals(tracker.earliest(1400, LONG_AGO), 1400.0);
+        assertEquals(tracker.earliestArrival(1400, LONG_AGO), 1400.0);
     }
 
     @Test
@@ -65,7 +67,7 @@
         StallTracker tracker = fireOnTime(new StallTracker(), 0, 1000);
         tracker.timerFired(1050, 1800, quietUntil(1800));
         tracker.timerFired(1850, 2600, quietUntil(2600));
-        assertEquals(tracker.earliest(2601, LONG_AGO), 1000.0);
+        assertEquals(tracker.earliestArrival(2601, LONG_AGO), 1000.0);
     }
 
     @Test
@@ -74,7 +76,7 @@
         tracker.timerFired(1050, 1800, quietUntil(1800));
         fireOnTime(tracker, 1850, 2000);
         tracker.timerFired(2050, 2600, quietUntil(2600));
-        assertEquals(tracker.earliest(2601, LONG_AGO), 2000.0);
+        assertEquals(tracker.earliestArrival(2601, LONG_AGO), 2000.0);
     }
 
     /** Without a recent earlier timer, the late timer alone bounds the start of the stall. */
@@ -83,7 +85,8 @@
         StallTracker tracker = new StallTracker();
         tracker.timerFired(0, 0, quietUntil(0));
         tracker.timerFired(5000, 5700, quietUntil(5700));
-        assertEquals(tracker.earliest(5701, LONG_AGO), 5000.0 - StallTracker.LATE_THRESHOLD_MS);
+        assertEquals(
+                tracker.earliestArrival(5701, LONG_AGO), 5000.0 - StallTracker.LATE_THRESHOLD_MS);
     }
 
     /** The sockets were polled in between: an event that the poll did not return arrived later. */
@@ -92,7 +95,7 @@
         StallTracker tracker = fireOnTime(new StallTracker(), 0, 1000);
         tracker.timerFired(1050, 1800, quietUntil(1800));
         tracker.timerFired(1850, 2600, quietUntil(2600));
-        assertEquals(tracker.earliest(2601, 1805), 1805.0);
+        assertEquals(tracker.earliestArrival(2601, 1805), 1805.0);
     }
 
     /** Timers that came due in a stall wait until events from the stall have been handled. */
@@ -135,9 +138,9 @@
         tracker.timerFired(1050, 1800, quietUntil(1800));
         tracker.timerFired(1840, 1840, quietUntil(1840));
         tracker.timerFired(1890, 2600, quietUntil(2600));
-        assertEquals(tracker.earliest(2601), 1840.0);
-        assertEquals(tracker.earliest(2601, LONG_AGO), 1000.0);
-        assertEquals(tracker.earliest(3000), 3000.0);
+        assertEquals(tracker.earliestArrival(2601), 1840.0);
+        assertEquals(tracker.earliestArrival(2601, LONG_AGO), 1000.0);
+        assertEquals(tracker.earliestArrival(3000), 3000.0);
     }
 
     /**
@@ -152,7 +155,7 @@
             at += 60;
             tracker.timerFired(at - 55, at, new QuietSpan(at - 61, at - 1));
         }
-        assertEquals(tracker.earliest(at, LONG_AGO), at, 200.0);
+        assertEquals(tracker.earliestArrival(at, LONG_AGO), at, 200.0);
     }
 
     /** After a stall the poller thread may get a processor long before the loop does. */
