--- a/src/test/java/gingerspool/ArchitectureTest.java
+++ b/src/test/java/gingerspool/ArchitectureTest.java
@@ -31,7 +31,7 @@
                 .areDeclaredInClassesThat()
                 .areNotInterfaces()
                 .should()
-                .haveName("has")
+                .haveName("isEnabled")
                 .check(all);
     }
 
