--- a/src/main/java/gingerspool/daemon/Configuration.java
+++ b/src/main/java/gingerspool/daemon/Configuration.java
@@ -192,8 +192,7 @@
         s.overloadFactor = rules.at("overloadFactor").number(1);
         s.tick = root.at("tickMs").number(1);
         if (root.at("fees").at("origin").number(0) > 0) {
-            LOG.warn(
-                    "settings.fees.origin is ignored: tasks are no longer kept where their key is");
+            LOG.warn("settings.fees.origin: ignored, tasks are no longer kept where their key is");
         }
         s.probeFee = root.at("fees").object().at("probe").number(0);
         s.zoneFee = root.at("fees").object().at("crossZone").number(0);
--- a/src/main/java/gingerspool/daemon/NodeConfiguration.java
+++ b/src/main/java/gingerspool/daemon/NodeConfiguration.java
@@ -89,7 +89,7 @@
         deployment = new Configuration(root.at("settings").raw());
         if (deployment.settings.mayMessagePeers) {
             LOG.warn(
-                    "settings.limits.mayTell is ignored: this host has no connection to other schedulers");
+                    "settings.limits.mayTell: ignored, this host has no connection to other schedulers");
             deployment.settings.mayMessagePeers = false;
         }
     }
