--- a/src/main/java/gingerspool/simhost/Fields.java
+++ b/src/main/java/gingerspool/simhost/Fields.java
@@ -11,9 +11,9 @@
 /** The fields of the line being read, under their wire names; one is reused for all lines. */
 final class Fields {
     private String[] names = new String[24];
-    private Object[] texts = new Object[24];
+    private Object[] values = new Object[24];
     private double[] numbers = new double[24];
-    private long[] wholes = new long[24];
+    private long[] integers = new long[24];
     private int count;
 
     /** Reads an object's fields up to its end; the parser stands on the object's start. */
@@ -24,47 +24,47 @@
                 throw new WireException("more than " + count + " fields");
             }
             names[count] = in.currentName();
-            texts[count] = null;
+            values[count] = null;
             numbers[count] = Double.NaN;
-            JsonToken t = in.nextToken();
-            switch (t) {
-                case VALUE_STRING -> texts[count] = in.getText();
+            JsonToken token = in.nextToken();
+            switch (token) {
+                case VALUE_STRING -> values[count] = in.getText();
                 case VALUE_NUMBER_INT -> {
                     numbers[count] = in.getDoubleValue();
-                    wholes[count] =
+                    integers[count] =
                             in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
                                     ? in.getBigIntegerValue().longValue()
                                     : in.getLongValue();
                 }
                 case VALUE_NUMBER_FLOAT -> {
                     numbers[count] = in.getDoubleValue();
-                    wholes[count] = (long) numbers[count];
+                    integers[count] = (long) numbers[count];
                 }
-                case VALUE_TRUE -> texts[count] = Boolean.TRUE;
-                case VALUE_FALSE -> texts[count] = Boolean.FALSE;
+                case VALUE_TRUE -> values[count] = Boolean.TRUE;
+                case VALUE_FALSE -> values[count] = Boolean.FALSE;
                 case VALUE_NULL -> count--;
-                default -> texts[count] = tree(in);
+                default -> values[count] = parseTree(in);
             }
             count++;
         }
     }
 
     /** A whole JSON value as maps, lists, text, numbers and marks; for what comes seldom. */
-    static Object tree(JsonParser in) throws IOException {
+    static Object parseTree(JsonParser in) throws IOException {
         switch (in.currentToken()) {
             case START_OBJECT -> {
                 Map<String, Object> map = new HashMap<>();
                 while (in.nextToken() == JsonToken.FIELD_NAME) {
                     String name = in.currentName();
                     in.nextToken();
-                    map.put(name, tree(in));
+                    map.put(name, parseTree(in));
                 }
                 return map;
             }
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
                 while (in.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(tree(in));
+                    list.add(parseTree(in));
                 }
                 return list;
             }
@@ -86,7 +86,7 @@
         }
     }
 
-    private int find(String name) {
+    private int indexOf(String name) {
         for (int i = 0; i < count; i++) {
             if (names[i].equals(name)) {
                 return i;
@@ -96,64 +96,64 @@
     }
 
     String text(String name) throws WireException {
-        String t = textOr(name, null);
-        if (t == null) {
+        String value = textOr(name, null);
+        if (value == null) {
             throw new WireException("field " + name + " is missing");
         }
-        return t;
+        return value;
     }
 
-    String textOr(String name, String other) throws WireException {
-        int i = find(name);
+    String textOr(String name, String defaultValue) throws WireException {
+        int i = indexOf(name);
         if (i < 0) {
-            return other;
+            return defaultValue;
         }
-        if (texts[i] instanceof String s) {
+        if (values[i] instanceof String s) {
             return s;
         }
-        if (numbers[i] == 0 && other == null) {
+        if (numbers[i] == 0 && defaultValue == null) {
             return null;
         }
         throw new WireException("field " + name + " is not text");
     }
 
     double number(String name) throws WireException {
-        int i = find(name);
+        int i = indexOf(name);
         if (i < 0) {
             throw new WireException("field " + name + " is missing");
         }
         return numberOr(name, 0);
     }
 
-    double numberOr(String name, double other) throws WireException {
-        int i = find(name);
+    double numberOr(String name, double defaultValue) throws WireException {
+        int i = indexOf(name);
         if (i < 0) {
-            return other;
+            return defaultValue;
         }
-        if (texts[i] != null) {
+        if (values[i] != null) {
             throw new WireException("field " + name + " is not a number");
         }
         return numbers[i];
     }
 
-    long whole(String name) throws WireException {
+    long integer(String name) throws WireException {
         number(name);
-        return wholes[find(name)];
+        return integers[indexOf(name)];
     }
 
-    boolean mark(String name) throws WireException {
-        int i = find(name);
+    boolean flag(String name) throws WireException {
+        int i = indexOf(name);
         if (i < 0) {
             return false;
         }
-        if (texts[i] instanceof Boolean b) {
+        if (values[i] instanceof Boolean b) {
             return b;
         }
         throw new WireException("field " + name + " is not a mark");
     }
 
-    Object valueOr(String name, Object other) {
-        int i = find(name);
-        return i < 0 ? other : texts[i];
+    Object valueOr(String name, Object defaultValue) {
+        int i = indexOf(name);
+        return i < 0 ? defaultValue : values[i];
     }
 }
--- a/src/main/java/gingerspool/simhost/Instance.java
+++ b/src/main/java/gingerspool/simhost/Instance.java
@@ -25,77 +25,79 @@
     private final StringBuilder reply;
     private final Dispatcher dispatcher;
     private final Map<String, Task> tasks = new HashMap<>();
-    private final Map<String, Integer> workers = new HashMap<>();
+    private final Map<String, Integer> workerIndexes = new HashMap<>();
     private final List<String> workerNames = new ArrayList<>();
-    private final Configuration deployment;
+    private final Configuration configuration;
     private final double[] report = new double[Report.SIZE];
 
     Instance(String id, long seed, Object settings, StringBuilder reply)
             throws ConfigurationException {
         this.id = id;
         this.reply = reply;
-        deployment = new Configuration(settings);
-        dispatcher = new Dispatcher(deployment.settings, seed, this);
+        configuration = new Configuration(settings);
+        dispatcher = new Dispatcher(configuration.settings, seed, this);
     }
 
     // ---- Events ----
 
-    void event(String name, double at, Fields f, List<?>[] pages) throws WireException {
+    void handle(String name, double timeMs, Fields fields, List<?>[] pages) throws WireException {
         switch (name) {
-            case "INGRESS" -> arrived(at, f);
-            case "RESPONSE" -> ended(at, f);
-            case "HINT_UPDATE" -> note(at, f);
+            case "INGRESS" -> handleArrival(timeMs, fields);
+            case "RESPONSE" -> handleOutcome(timeMs, fields);
+            case "HINT_UPDATE" -> handleProgress(timeMs, fields);
             case "HEALTH" -> {
-                if (f.text("how").equals("timeout") || f.text("how").equals("full")) {
-                    dispatcher.reportMissing(at, worker(f));
+                if (fields.text("how").equals("timeout") || fields.text("how").equals("full")) {
+                    dispatcher.reportMissing(timeMs, workerIndex(fields));
                 } else {
-                    dispatcher.reportReceived(at, worker(f), report(f));
+                    dispatcher.reportReceived(timeMs, workerIndex(fields), readReport(fields));
                 }
             }
-            case "FIRED" -> dispatcher.wake(at);
+            case "FIRED" -> dispatcher.wake(timeMs);
             case "ABANDONED" -> {
-                Task t = tasks.get(f.text("xid"));
-                if (t != null) {
-                    dispatcher.clientLeft(at, t);
-                    forget(t);
+                Task task = tasks.get(fields.text("xid"));
+                if (task != null) {
+                    dispatcher.clientLeft(timeMs, task);
+                    removeIfComplete(task);
                 }
             }
-            case "FLEET" -> fleet(at, f, pages);
+            case "FLEET" -> handleWorkerList(timeMs, fields, pages);
             case "ACCEPTED" -> {
-                Assignment a = assignment(f);
-                if (a != null) {
-                    dispatcher.accepted(at, a);
+                Assignment assignment = findAssignment(fields);
+                if (assignment != null) {
+                    dispatcher.accepted(timeMs, assignment);
                 }
             }
             case "NEIGHBOUR_SAYS" -> {
                 dispatcher.peerMessageReceived(
-                        at, (int) f.whole("who"), HexFormat.of().parseHex(f.text("payload")));
+                        timeMs,
+                        (int) fields.integer("who"),
+                        HexFormat.of().parseHex(fields.text("payload")));
             }
             default -> throw new WireException("unknown event");
         }
     }
 
-    private void arrived(double at, Fields f) throws WireException {
-        Task t = new Task(f.text("xid"));
-        t.profile = deployment.profiles.get(f.text("kind"));
-        if (t.profile == null) {
-            throw new WireException("field kind names no profile: " + f.text("kind"));
+    private void handleArrival(double timeMs, Fields fields) throws WireException {
+        Task task = new Task(fields.text("xid"));
+        task.profile = configuration.profiles.get(fields.text("kind"));
+        if (task.profile == null) {
+            throw new WireException("field kind names no profile: " + fields.text("kind"));
         }
-        String owner = f.textOr("owner", null);
-        t.tenant = owner == null ? -1 : deployment.tenants.getOrDefault(owner, -1);
-        t.expiry = f.number("notAfterMs");
-        t.hint = f.numberOr("workMs", 0);
-        t.width = (int) f.numberOr("width", 1);
-        t.memory = f.numberOr("memNeeded", 0);
-        t.repeat = f.mark("repeat");
-        tasks.put(t.id, t);
-        dispatcher.arrived(at, t);
-        forget(t);
+        String owner = fields.textOr("owner", null);
+        task.tenant = owner == null ? -1 : configuration.tenants.getOrDefault(owner, -1);
+        task.expiry = fields.number("notAfterMs");
+        task.hint = fields.numberOr("workMs", 0);
+        task.width = (int) fields.numberOr("width", 1);
+        task.memory = fields.numberOr("memNeeded", 0);
+        task.repeat = fields.flag("repeat");
+        tasks.put(task.id, task);
+        dispatcher.arrived(timeMs, task);
+        removeIfComplete(task);
     }
 
-    private void ended(double at, Fields f) throws WireException {
-        Assignment a = assignment(f);
-        String how = f.text("how");
+    private void handleOutcome(double timeMs, Fields fields) throws WireException {
+        Assignment assignment = findAssignment(fields);
+        String how = fields.text("how");
         Outcome outcome =
                 switch (how) {
                     case "ok" -> Outcome.OK;
@@ -108,37 +110,38 @@
                     case "moot" -> Outcome.MOOT;
                     default -> throw new WireException("field how is no outcome: " + how);
                 };
-        if (a == null) {
-            throw new WireException("no such assignment: " + f.text("xid"));
+        if (assignment == null) {
+            throw new WireException("no such assignment: " + fields.text("xid"));
         }
-        dispatcher.ended(at, a, outcome, f.mark("over"), report(f));
-        forget(a.task);
+        dispatcher.ended(timeMs, assignment, outcome, fields.flag("over"), readReport(fields));
+        removeIfComplete(assignment.task);
     }
 
-    private void note(double at, Fields f) throws WireException {
-        Assignment a = assignment(f);
-        if (a == null) {
+    private void handleProgress(double timeMs, Fields fields) throws WireException {
+        Assignment assignment = findAssignment(fields);
+        if (assignment == null) {
             return;
         }
-        if (f.number("topic") == 1) {
-            dispatcher.started(at, a);
+        if (fields.number("topic") == 1) {
+            dispatcher.started(timeMs, assignment);
         } else {
-            dispatcher.progressed(at, a, f.numberOr("amount", 0));
+            dispatcher.progressed(timeMs, assignment, fields.numberOr("amount", 0));
         }
     }
 
-    private void fleet(double at, Fields f, List<?>[] pages) throws WireException {
-        String form = f.text("form");
+    private void handleWorkerList(double timeMs, Fields fields, List<?>[] pages)
+            throws WireException {
+        String form = fields.text("form");
         if (form.equals("refused")) {
-            dispatcher.listFailed(at);
+            dispatcher.listFailed(timeMs);
             return;
         }
-        boolean whole = !form.equals("changes");
-        int page = (int) f.numberOr("page", 0);
+        boolean complete = !form.equals("changes");
+        int page = (int) fields.numberOr("page", 0);
         if (page < 0 || page >= pages.length || pages[page] == null) {
             throw new WireException("no such page: " + page);
         }
-        dispatcher.listBegins(at, whole);
+        dispatcher.listBegins(timeMs, complete);
         for (Object entry : pages[page]) {
             String name = JsonTree.text(null, entry, "worker");
             if (name == null) {
@@ -151,53 +154,54 @@
                         default -> Dispatcher.GONE;
                     };
             dispatcher.listed(
-                    workers.computeIfAbsent(name, this::newWorker),
-                    deployment.zones.getOrDefault(JsonTree.text("", entry, "site"), -1),
-                    deployment.kinds.getOrDefault(JsonTree.text("", entry, "classOfHost"), 0),
+                    workerIndexes.computeIfAbsent(name, this::registerWorker),
+                    configuration.zones.getOrDefault(JsonTree.text("", entry, "site"), -1),
+                    configuration.kinds.getOrDefault(JsonTree.text("", entry, "classOfHost"), 0),
                     (int) JsonTree.number(0, entry, "bay"),
                     state,
                     JsonTree.number(1, entry, "capacityHint"),
                     JsonTree.number(0, entry, "readyAtMs"));
         }
-        dispatcher.listEnds(at, whole, form.equals("remembered"));
+        dispatcher.listEnds(timeMs, complete, form.equals("remembered"));
     }
 
-    private int newWorker(String name) {
+    private int registerWorker(String name) {
         workerNames.add(name);
         dispatcher.workerNamed(workerNames.size() - 1, name);
         return workerNames.size() - 1;
     }
 
-    private int worker(Fields f) throws WireException {
-        Integer w = workers.get(f.text("worker"));
-        if (w == null) {
-            throw new WireException("field worker names none in the list: " + f.text("worker"));
+    private int workerIndex(Fields fields) throws WireException {
+        Integer index = workerIndexes.get(fields.text("worker"));
+        if (index == null) {
+            throw new WireException(
+                    "field worker names none in the list: " + fields.text("worker"));
         }
-        return w;
+        return index;
     }
 
-    private Assignment assignment(Fields f) throws WireException {
-        Task t = tasks.get(f.text("xid"));
-        return t == null ? null : t.assignment((int) f.numberOr("n", 0));
+    private Assignment findAssignment(Fields fields) throws WireException {
+        Task task = tasks.get(fields.text("xid"));
+        return task == null ? null : task.assignment((int) fields.numberOr("n", 0));
     }
 
     /** A task is kept until it has its answer and nothing is out. */
-    private void forget(Task t) {
-        if (t.ended() && t.outstanding() == 0) {
-            tasks.remove(t.id);
+    private void removeIfComplete(Task task) {
+        if (task.ended() && task.outstanding() == 0) {
+            tasks.remove(task.id);
         }
     }
 
-    private double[] report(Fields f) throws WireException {
-        Object metrics = f.valueOr("metrics", null);
+    private double[] readReport(Fields fields) throws WireException {
+        Object metrics = fields.valueOr("metrics", null);
         if (metrics == null) {
             return null;
         }
         Arrays.fill(report, Double.NaN);
-        deployment.reportIndexes.forEach(
-                (name, place) -> {
-                    if (place >= 0) {
-                        report[place] = JsonTree.number(Double.NaN, metrics, name);
+        configuration.reportIndexes.forEach(
+                (name, index) -> {
+                    if (index >= 0) {
+                        report[index] = JsonTree.number(Double.NaN, metrics, name);
                     }
                 });
         return report;
@@ -205,7 +209,7 @@
 
     // ---- Actions ----
 
-    private StringBuilder line(String name) {
+    private StringBuilder beginAction(String name) {
         return reply.append("{\"")
                 .append(name)
                 .append("\":{\"schedulerId\":\"")
@@ -213,79 +217,82 @@
                 .append('"');
     }
 
-    private StringBuilder taskLine(String name, Task t) {
-        return line(name).append(",\"xid\":\"").append(t.id).append('"');
+    private StringBuilder beginTaskAction(String name, Task task) {
+        return beginAction(name).append(",\"xid\":\"").append(task.id).append('"');
     }
 
-    private void span(String name, double ms) {
+    private void appendMillis(String name, double ms) {
         if (ms != 0) {
             reply.append(",\"").append(name).append("\":").append(Math.rint(ms * 1000) / 1000);
         }
     }
 
-    private void end() {
+    private void endAction() {
         reply.append("}}\n");
     }
 
     @Override
-    public void send(Assignment a, double timeout) {
-        taskLine("ROUTE", a.task)
+    public void send(Assignment assignment, double timeoutMs) {
+        beginTaskAction("ROUTE", assignment.task)
                 .append(",\"worker\":\"")
-                .append(workerNames.get(a.worker))
+                .append(workerNames.get(assignment.worker))
                 .append('"');
-        span("timeoutMs", timeout);
-        end();
+        appendMillis("timeoutMs", timeoutMs);
+        endAction();
     }
 
     @Override
-    public void bounce(Task t, double pause) {
-        taskLine("NOT_NOW", t);
-        span("pauseMs", pause);
-        end();
-        forget(t);
+    public void bounce(Task task, double pauseMs) {
+        beginTaskAction("NOT_NOW", task);
+        appendMillis("pauseMs", pauseMs);
+        endAction();
+        removeIfComplete(task);
     }
 
     @Override
-    public void abandon(Task t) {
-        taskLine("FINISH_ERROR", t);
-        end();
-        forget(t);
+    public void abandon(Task task) {
+        beginTaskAction("FINISH_ERROR", task);
+        endAction();
+        removeIfComplete(task);
     }
 
     @Override
-    public void cancel(Assignment a) {
-        taskLine("REVOKE", a.task).append(",\"n\":").append(a.number);
-        end();
+    public void cancel(Assignment assignment) {
+        beginTaskAction("REVOKE", assignment.task).append(",\"n\":").append(assignment.number);
+        endAction();
     }
 
     @Override
     public void probe(int worker) {
-        line("ASK_LOAD").append(",\"worker\":\"").append(workerNames.get(worker)).append('"');
-        end();
+        beginAction("ASK_LOAD")
+                .append(",\"worker\":\"")
+                .append(workerNames.get(worker))
+                .append('"');
+        endAction();
     }
 
     @Override
-    public void sendToPeer(int other, byte[] word) {
-        line("POST")
+    public void sendToPeer(int peer, byte[] message) {
+        beginAction("POST")
                 .append(",\"peer\":")
-                .append(other)
+                .append(peer)
                 .append(",\"payload\":\"")
-                .append(HexFormat.of().formatHex(word))
+                .append(HexFormat.of().formatHex(message))
                 .append('"');
-        end();
+        endAction();
     }
 
     @Override
     public void watchList() {
-        line("STREAM_CHANGES").append(",\"active\":true");
-        end();
+        beginAction("STREAM_CHANGES").append(",\"active\":true");
+        endAction();
     }
 
     @Override
-    public void wakeAfter(double span) {
-        line("NOTIFY_ME");
-        span("spanMs", Math.max(0.001, span));
+    public void wakeAfter(double delayMs) {
+        beginAction("NOTIFY_ME");
+        appendMillis("spanMs", Math.max(0.001, delayMs));
         reply.append(",\"cookie\":0");
-        end();
+        endAction();
     }
 }
--- a/src/main/java/gingerspool/simhost/SimHost.java
+++ b/src/main/java/gingerspool/simhost/SimHost.java
@@ -19,15 +19,15 @@
  * instance.
  */
 public final class SimHost {
-    private static final int PAGES = 16;
+    private static final int MAX_PAGES = 16;
 
     private final Map<String, Instance> instances = new HashMap<>();
-    private final List<?>[] pages = new List<?>[PAGES];
+    private final List<?>[] pages = new List<?>[MAX_PAGES];
     private final StringBuilder reply = new StringBuilder(1 << 16);
     private final Fields fields = new Fields();
-    private double at;
+    private double timeMs;
     private long batch = -1;
-    private String event = "";
+    private String eventName = "";
 
     private SimHost() {}
 
@@ -35,37 +35,38 @@
     public static int run(InputStream in, OutputStream out, PrintStream err) {
         SimHost host = new SimHost();
         try (JsonParser parser = new JsonFactory().createParser(in)) {
-            host.loop(parser, out);
+            host.processMessages(parser, out);
             return 0;
         } catch (JsonProcessingException e) {
-            host.complain(err, "not JSON of the wire's shape: " + e.getOriginalMessage());
+            host.printError(err, "not JSON of the wire's shape: " + e.getOriginalMessage());
         } catch (WireException e) {
-            host.complain(err, e.getMessage());
+            host.printError(err, e.getMessage());
         } catch (IOException e) {
-            host.complain(err, "can't read or write: " + e.getMessage());
+            host.printError(err, "can't read or write: " + e.getMessage());
         }
         return 1;
     }
 
-    private void complain(PrintStream err, String what) {
+    private void printError(PrintStream err, String problem) {
         err.println(
                 ("gingerspool simhost: batch "
                                 + (batch < 0 ? "none" : batch)
                                 + ", event "
-                                + (event.isEmpty() ? "none" : event)
+                                + (eventName.isEmpty() ? "none" : eventName)
                                 + ": "
-                                + what)
+                                + problem)
                         .replaceAll("[\\r\\n]+", " "));
     }
 
-    private void loop(JsonParser in, OutputStream out) throws IOException, WireException {
-        boolean open = false;
-        for (JsonToken t = in.nextToken(); t != null; t = in.nextToken()) {
-            event = "";
-            if (t != JsonToken.START_OBJECT || in.nextToken() != JsonToken.FIELD_NAME) {
+    private void processMessages(JsonParser in, OutputStream out)
+            throws IOException, WireException {
+        boolean inBatch = false;
+        for (JsonToken token = in.nextToken(); token != null; token = in.nextToken()) {
+            eventName = "";
+            if (token != JsonToken.START_OBJECT || in.nextToken() != JsonToken.FIELD_NAME) {
                 throw new WireException("a message must be an object with one key");
             }
-            event = in.currentName();
+            eventName = in.currentName();
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new WireException("the message's value must be an object");
             }
@@ -73,43 +74,44 @@
             if (in.nextToken() != JsonToken.END_OBJECT) {
                 throw new WireException("a message must have one key");
             }
-            if (open == event.equals("MARK")) {
-                throw new WireException(open ? "a batch began inside another" : "outside a batch");
+            if (inBatch == eventName.equals("MARK")) {
+                throw new WireException(
+                        inBatch ? "a batch began inside another" : "outside a batch");
             }
-            switch (event) {
+            switch (eventName) {
                 case "MARK" -> {
-                    at = fields.number("tMs");
-                    batch = fields.whole("batch");
+                    timeMs = fields.number("tMs");
+                    batch = fields.integer("batch");
                     reply.setLength(0);
-                    open = true;
+                    inBatch = true;
                 }
                 case "OVER_TO_YOU" -> {
                     reply.append("{\"DONE\":{\"batch\":").append(batch).append("}}\n");
                     out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
                     out.flush();
-                    open = false;
+                    inBatch = false;
                 }
-                default -> handle();
+                default -> handleEvent();
             }
         }
-        if (open) {
+        if (inBatch) {
             throw new WireException("the input ended inside a batch");
         }
     }
 
-    private void handle() throws WireException {
-        if (event.equals("PAGE")) {
+    private void handleEvent() throws WireException {
+        if (eventName.equals("PAGE")) {
             double page = fields.numberOr("page", 0);
             Object list = fields.valueOr("nodesList", List.of());
-            if (page < 0 || page >= PAGES || !(list instanceof List<?> entries)) {
+            if (page < 0 || page >= MAX_PAGES || !(list instanceof List<?> entries)) {
                 throw new WireException("page or nodesList is out of shape");
             }
             pages[(int) page] = entries;
             return;
         }
         String id = fields.text("schedulerId");
-        if (event.equals("CONFIGURE")) {
-            long seed = fields.whole("initSeed");
+        if (eventName.equals("CONFIGURE")) {
+            long seed = fields.integer("initSeed");
             Object settings = fields.valueOr("settings", null);
             if (!(settings instanceof Map)) {
                 throw new WireException("field settings is missing or no object");
@@ -118,11 +120,11 @@
             try {
                 instances.put(id, new Instance(id, seed, settings, reply));
             } catch (ConfigurationException | RuntimeException e) {
-                fault(id, "these settings can't be used: " + e.getMessage());
+                appendFault(id, "these settings can't be used: " + e.getMessage());
             }
             return;
         }
-        if (event.equals("EXIT")) {
+        if (eventName.equals("EXIT")) {
             instances.remove(id);
             return;
         }
@@ -131,20 +133,20 @@
             throw new WireException("an event for " + id + ", which was not configured");
         }
         try {
-            instance.event(event, at, fields, pages);
+            instance.handle(eventName, timeMs, fields, pages);
         } catch (RuntimeException e) {
-            StackTraceElement[] where = e.getStackTrace();
-            fault(
+            StackTraceElement[] stackTrace = e.getStackTrace();
+            appendFault(
                     id,
                     "the decision code broke at "
-                            + event
+                            + eventName
                             + ": "
                             + e
-                            + (where.length > 0 ? " at " + where[0] : ""));
+                            + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
         }
     }
 
-    private void fault(String id, String text) {
+    private void appendFault(String id, String text) {
         reply.append("{\"FAULT\":{\"schedulerId\":\"")
                 .append(id)
                 .append("\",\"bodyText\":\"")
--- a/src/main/java/gingerspool/simhost/WireException.java
+++ b/src/main/java/gingerspool/simhost/WireException.java
@@ -4,7 +4,7 @@
 final class WireException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    WireException(String text) {
-        super(text);
+    WireException(String message) {
+        super(message);
     }
 }
