--- a/src/main/java/gingerspool/simhost/Fields.java
+++ b/src/main/java/gingerspool/simhost/Fields.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The fields of the line being read, under their wire names; one is reused for all lines. */
+/**
+ * The fields of the message being read, by their names in the protocol. SimHost reuses one object
+ * for all messages. A field that is null counts as missing.
+ */
 final class Fields {
     private String[] names = new String[24];
     private Object[] values = new Object[24];
@@ -16,7 +19,7 @@
     private long[] integers = new long[24];
     private int count;
 
-    /** Reads an object's fields up to its end; the parser stands on the object's start. */
+    /** Reads an object's fields up to its end; the parser is at the object's start. */
     void read(JsonParser in) throws IOException, WireException {
         count = 0;
         while (in.nextToken() == JsonToken.FIELD_NAME) {
@@ -49,7 +52,10 @@
         }
     }
 
-    /** A whole JSON value as maps, lists, text, numbers and marks; for what comes seldom. */
+    /**
+     * Parses a JSON value into maps, lists, strings, doubles and booleans. Allocates for each
+     * value, so it is used only for the rare nested fields.
+     */
     static Object parseTree(JsonParser in) throws IOException {
         switch (in.currentToken()) {
             case START_OBJECT -> {
@@ -103,6 +109,7 @@
         return value;
     }
 
+    /** A string field; a 0 counts as missing if the default is null. */
     String textOr(String name, String defaultValue) throws WireException {
         int i = indexOf(name);
         if (i < 0) {
@@ -114,7 +121,7 @@
         if (numbers[i] == 0 && defaultValue == null) {
             return null;
         }
-        throw new WireException("field " + name + " is not text");
+        throw new WireException("field " + name + " is not a string");
     }
 
     double number(String name) throws WireException {
@@ -136,11 +143,13 @@
         return numbers[i];
     }
 
+    /** The integer value, exact beyond the precision of a double; fractions are cut off. */
     long integer(String name) throws WireException {
         number(name);
         return integers[indexOf(name)];
     }
 
+    /** A boolean field; false if it is missing. */
     boolean flag(String name) throws WireException {
         int i = indexOf(name);
         if (i < 0) {
@@ -149,9 +158,10 @@
         if (values[i] instanceof Boolean b) {
             return b;
         }
-        throw new WireException("field " + name + " is not a mark");
+        throw new WireException("field " + name + " is not a boolean");
     }
 
+    /** A field's string, boolean or parsed tree, or null for a number. */
     Object valueOr(String name, Object defaultValue) {
         int i = indexOf(name);
         return i < 0 ? defaultValue : values[i];
--- a/src/main/java/gingerspool/simhost/Instance.java
+++ b/src/main/java/gingerspool/simhost/Instance.java
@@ -17,8 +17,10 @@
 import java.util.Map;
 
 /**
- * One scheduler of the simulator: a Dispatcher, and the names under which the wire knows what it
- * holds.
+ * One scheduler of the simulation: passes the simulator's events to a Dispatcher and appends the
+ * Dispatcher's actions to the reply. Maps the task ids and worker names of the protocol to the
+ * Dispatcher's tasks and worker indexes. Called by SimHost on its thread; times and durations are
+ * milliseconds of simulated time.
  */
 final class Instance implements DispatchActions {
     private final String id;
@@ -40,8 +42,10 @@
 
     // ---- Events ----
 
-    void handle(String name, double timeMs, Fields fields, List<?>[] pages) throws WireException {
-        switch (name) {
+    /** Handles one event; the pages hold the worker lists that a FLEET event refers to. */
+    void handle(String eventName, double timeMs, Fields fields, List<?>[] pages)
+            throws WireException {
+        switch (eventName) {
             case "INGRESS" -> handleArrival(timeMs, fields);
             case "RESPONSE" -> handleOutcome(timeMs, fields);
             case "HINT_UPDATE" -> handleProgress(timeMs, fields);
@@ -81,7 +85,7 @@
         Task task = new Task(fields.text("xid"));
         task.profile = configuration.profiles.get(fields.text("kind"));
         if (task.profile == null) {
-            throw new WireException("field kind names no profile: " + fields.text("kind"));
+            throw new WireException("field kind names an unknown profile: " + fields.text("kind"));
         }
         String owner = fields.textOr("owner", null);
         task.tenant = owner == null ? -1 : configuration.tenants.getOrDefault(owner, -1);
@@ -108,7 +112,7 @@
                     case "reset" -> Outcome.RESET;
                     case "cancelled" -> Outcome.CANCELLED;
                     case "moot" -> Outcome.MOOT;
-                    default -> throw new WireException("field how is no outcome: " + how);
+                    default -> throw new WireException("field how is not a known outcome: " + how);
                 };
         if (assignment == null) {
             throw new WireException("no such assignment: " + fields.text("xid"));
@@ -165,33 +169,37 @@
         dispatcher.listEnds(timeMs, complete, form.equals("remembered"));
     }
 
+    /** Assigns the next index to a worker that has not been listed before. */
     private int registerWorker(String name) {
         workerNames.add(name);
         dispatcher.workerNamed(workerNames.size() - 1, name);
         return workerNames.size() - 1;
     }
 
+    /** The index of the worker that the event names, which must have been listed. */
     private int workerIndex(Fields fields) throws WireException {
         Integer index = workerIndexes.get(fields.text("worker"));
         if (index == null) {
             throw new WireException(
-                    "field worker names none in the list: " + fields.text("worker"));
+                    "field worker names an unlisted worker: " + fields.text("worker"));
         }
         return index;
     }
 
+    /** The assignment that the event names, or null if it is unknown or its task was removed. */
     private Assignment findAssignment(Fields fields) throws WireException {
         Task task = tasks.get(fields.text("xid"));
         return task == null ? null : task.assignment((int) fields.numberOr("n", 0));
     }
 
-    /** A task is kept until it has its answer and nothing is out. */
+    /** Removes a task that has been answered and has no outstanding assignments. */
     private void removeIfComplete(Task task) {
         if (task.ended() && task.outstanding() == 0) {
             tasks.remove(task.id);
         }
     }
 
+    /** The load report in the event's metrics, or null; the array is reused by each call. */
     private double[] readReport(Fields fields) throws WireException {
         Object metrics = fields.valueOr("metrics", null);
         if (metrics == null) {
@@ -209,6 +217,7 @@
 
     // ---- Actions ----
 
+    /** Begins an action in the reply; endAction() completes it. */
     private StringBuilder beginAction(String name) {
         return reply.append("{\"")
                 .append(name)
@@ -221,6 +230,7 @@
         return beginAction(name).append(",\"xid\":\"").append(task.id).append('"');
     }
 
+    /** Appends a duration, rounded to microseconds; a duration of 0 is omitted. */
     private void appendMillis(String name, double ms) {
         if (ms != 0) {
             reply.append(",\"").append(name).append("\":").append(Math.rint(ms * 1000) / 1000);
--- a/src/main/java/gingerspool/simhost/SimHost.java
+++ b/src/main/java/gingerspool/simhost/SimHost.java
@@ -15,34 +15,44 @@
 import java.util.Map;
 
 /**
- * Speaks the simulator's wire: batches of events in, a reply to each, a Dispatcher for each
- * instance.
+ * Runs schedulers for a simulator: reads batches of events as JSON objects and writes the resulting
+ * actions as one reply per batch. Each scheduler id has its own Instance. Started by the command
+ * line; everything runs on the calling thread.
  */
 public final class SimHost {
+    /** The number of worker lists that PAGE messages can store. */
     private static final int MAX_PAGES = 16;
 
     private final Map<String, Instance> instances = new HashMap<>();
     private final List<?>[] pages = new List<?>[MAX_PAGES];
     private final StringBuilder reply = new StringBuilder(1 << 16);
     private final Fields fields = new Fields();
+
+    /** Simulated time of the current batch in milliseconds. */
     private double timeMs;
+
+    /** The current batch, -1 before the first; only for error messages and replies. */
     private long batch = -1;
+
     private String eventName = "";
 
     private SimHost() {}
 
-    /** Runs until the input ends; returns the exit code. */
+    /**
+     * Runs until the input ends and returns the exit code. A message that violates the protocol
+     * ends the run with 1 and one line on err; the reply of its batch is not written.
+     */
     public static int run(InputStream in, OutputStream out, PrintStream err) {
         SimHost host = new SimHost();
         try (JsonParser parser = new JsonFactory().createParser(in)) {
             host.processMessages(parser, out);
             return 0;
         } catch (JsonProcessingException e) {
-            host.printError(err, "not JSON of the wire's shape: " + e.getOriginalMessage());
+            host.printError(err, "invalid JSON: " + e.getOriginalMessage());
         } catch (WireException e) {
             host.printError(err, e.getMessage());
         } catch (IOException e) {
-            host.printError(err, "can't read or write: " + e.getMessage());
+            host.printError(err, "input or output failed: " + e.getMessage());
         }
         return 1;
     }
@@ -76,7 +86,7 @@
             }
             if (inBatch == eventName.equals("MARK")) {
                 throw new WireException(
-                        inBatch ? "a batch began inside another" : "outside a batch");
+                        inBatch ? "a batch began inside another" : "message outside a batch");
             }
             switch (eventName) {
                 case "MARK" -> {
@@ -104,7 +114,7 @@
             double page = fields.numberOr("page", 0);
             Object list = fields.valueOr("nodesList", List.of());
             if (page < 0 || page >= MAX_PAGES || !(list instanceof List<?> entries)) {
-                throw new WireException("page or nodesList is out of shape");
+                throw new WireException("page is out of range or nodesList is not a list");
             }
             pages[(int) page] = entries;
             return;
@@ -114,7 +124,7 @@
             long seed = fields.integer("initSeed");
             Object settings = fields.valueOr("settings", null);
             if (!(settings instanceof Map)) {
-                throw new WireException("field settings is missing or no object");
+                throw new WireException("field settings is missing or not an object");
             }
             instances.remove(id);
             try {
@@ -130,7 +140,7 @@
         }
         Instance instance = instances.get(id);
         if (instance == null) {
-            throw new WireException("an event for " + id + ", which was not configured");
+            throw new WireException("event for scheduler " + id + ", which was not configured");
         }
         try {
             instance.handle(eventName, timeMs, fields, pages);
@@ -138,7 +148,7 @@
             StackTraceElement[] stackTrace = e.getStackTrace();
             appendFault(
                     id,
-                    "the decision code broke at "
+                    "the scheduler failed on event "
                             + eventName
                             + ": "
                             + e
@@ -146,6 +156,7 @@
         }
     }
 
+    /** Appends a fault to the reply; quotes, backslashes and all but printable ASCII become `?`. */
     private void appendFault(String id, String text) {
         reply.append("{\"FAULT\":{\"schedulerId\":\"")
                 .append(id)
--- a/src/main/java/gingerspool/simhost/WireException.java
+++ b/src/main/java/gingerspool/simhost/WireException.java
@@ -1,6 +1,6 @@
 package gingerspool.simhost;
 
-/** The wire said something that can't be read; the text is one plain line. */
+/** A message from the simulator violates the protocol; the exception's text is one line. */
 final class WireException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/test/java/gingerspool/simhost/SimHostTest.java
+++ b/src/test/java/gingerspool/simhost/SimHostTest.java
@@ -10,6 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Tests the simulator protocol: replies per batch, and errors for malformed input. */
 public class SimHostTest {
     private static final String START_OF_BATCH = line("MARK", "'tMs':10.5,'batch':3");
     private static final String END_OF_BATCH = line("OVER_TO_YOU", "");
