--- a/src/test/java/gingerspool/soak/HttpConnection.java
+++ b/src/test/java/gingerspool/soak/HttpConnection.java
@@ -11,32 +11,32 @@
 
 /** One blocking HTTP/1.1 connection that is used until it ends. */
 final class HttpConnection implements AutoCloseable {
-    private static final int CONNECT_WITHIN_MS = 1000;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
 
     /** An answer, whole. */
-    record Answer(int status, Map<String, String> fields, String body) {
-        boolean keepsAlive() {
-            return !"close".equalsIgnoreCase(fields.get("connection"));
+    record Response(int status, Map<String, String> headers, String body) {
+        boolean isKeepAlive() {
+            return !"close".equalsIgnoreCase(headers.get("connection"));
         }
     }
 
     private final Socket socket = new Socket();
 
     /** Requests that were answered on it. */
-    private int answered;
+    private int responseCount;
 
     HttpConnection(InetSocketAddress to, int answerWithinMs) throws IOException {
-        socket.connect(to, CONNECT_WITHIN_MS);
+        socket.connect(to, CONNECT_TIMEOUT_MS);
         socket.setSoTimeout(answerWithinMs);
         socket.setTcpNoDelay(true);
     }
 
     boolean isReused() {
-        return answered > 0;
+        return responseCount > 0;
     }
 
     /** Sends the request and reads its answer; the connection is of no use after an exception. */
-    Answer ask(String method, String target, Map<String, String> fields, String body)
+    Response send(String method, String target, Map<String, String> fields, String body)
             throws IOException {
         byte[] content = body.getBytes(StandardCharsets.UTF_8);
         StringBuilder head = new StringBuilder(method + " " + target + " HTTP/1.1\r\n");
@@ -47,15 +47,15 @@
         System.arraycopy(top, 0, all, 0, top.length);
         System.arraycopy(content, 0, all, top.length, content.length);
         socket.getOutputStream().write(all);
-        Answer answer = read(socket.getInputStream());
-        answered++;
+        Response answer = readResponse(socket.getInputStream());
+        responseCount++;
         return answer;
     }
 
-    private static Answer read(InputStream from) throws IOException {
-        String first = line(from);
+    private static Response readResponse(InputStream from) throws IOException {
+        String first = readLine(from);
         Map<String, String> fields = new HashMap<>();
-        for (String next = line(from); !next.isEmpty(); next = line(from)) {
+        for (String next = readLine(from); !next.isEmpty(); next = readLine(from)) {
             int colon = next.indexOf(':');
             String name = next.substring(0, colon).toLowerCase(Locale.ROOT);
             fields.put(name, next.substring(colon + 1).strip());
@@ -66,10 +66,10 @@
             throw new IOException("the answer ended after " + body.length + " of " + length);
         }
         int status = Integer.parseInt(first.split(" ")[1]);
-        return new Answer(status, fields, new String(body, StandardCharsets.UTF_8));
+        return new Response(status, fields, new String(body, StandardCharsets.UTF_8));
     }
 
-    private static String line(InputStream from) throws IOException {
+    private static String readLine(InputStream from) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int next = from.read(); next != '\n'; next = from.read()) {
             if (next < 0) {
--- a/src/test/java/gingerspool/soak/PlatformClient.java
+++ b/src/test/java/gingerspool/soak/PlatformClient.java
@@ -11,8 +11,8 @@
  * as that stays open; notes how each ended.
  */
 final class PlatformClient extends Thread {
-    private static final int TIME_MS = 3000;
-    private static final long PAUSE_MS = 15;
+    private static final int REQUEST_TIMEOUT_MS = 3000;
+    private static final long REQUEST_PAUSE_MS = 15;
     static final String HOST = "soak.example";
 
     /**
@@ -31,16 +31,16 @@
             boolean mine) {}
 
     private final List<PlatformProcesses.Node> schedulers;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final int number;
     final List<Request> requests = new CopyOnWriteArrayList<>();
-    private volatile boolean over;
+    private volatile boolean stopping;
 
     PlatformClient(List<PlatformProcesses.Node> schedulers, int number, long seed) {
         super("client-" + number);
         this.schedulers = schedulers;
         this.number = number;
-        chance = new SplittableRandom(seed * 1000 + number);
+        random = new SplittableRandom(seed * 1000 + number);
         setDaemon(true);
     }
 
@@ -48,12 +48,13 @@
     public void run() {
         HttpConnection connection = null;
         PlatformProcesses.Node scheduler = null;
-        for (int i = 0; !over; i++) {
+        for (int i = 0; !stopping; i++) {
             if (connection == null) {
-                scheduler = schedulers.get(chance.nextInt(schedulers.size()));
+                scheduler = schedulers.get(random.nextInt(schedulers.size()));
                 connection = connect(scheduler);
             }
-            if (connection != null && !ask(connection, scheduler, "soak-" + number + "-" + i)) {
+            if (connection != null
+                    && !sendRequest(connection, scheduler, "soak-" + number + "-" + i)) {
                 close(connection);
                 connection = null;
             }
@@ -67,7 +68,7 @@
     private HttpConnection connect(PlatformProcesses.Node scheduler) {
         long now = System.nanoTime();
         try {
-            return new HttpConnection(scheduler.front(), 2 * TIME_MS);
+            return new HttpConnection(scheduler.frontAddress(), 2 * REQUEST_TIMEOUT_MS);
         } catch (IOException e) {
             requests.add(new Request(scheduler, now, System.nanoTime(), -1, false, true));
             return null;
@@ -75,12 +76,13 @@
     }
 
     /** Tells whether the connection can be used again. */
-    private boolean ask(HttpConnection connection, PlatformProcesses.Node scheduler, String id) {
+    private boolean sendRequest(
+            HttpConnection connection, PlatformProcesses.Node scheduler, String id) {
         boolean reused = connection.isReused();
         long sent = System.nanoTime();
         try {
-            HttpConnection.Answer answer =
-                    connection.ask(
+            HttpConnection.Response answer =
+                    connection.send(
                             "GET",
                             "/hello/world",
                             Map.of(
@@ -89,12 +91,12 @@
                                     "Request-Id",
                                     id,
                                     "Remaining-Milliseconds",
-                                    Integer.toString(TIME_MS)),
+                                    Integer.toString(REQUEST_TIMEOUT_MS)),
                             "");
-            boolean mine = answer.status() != 200 || id.equals(answer.fields().get("request-id"));
+            boolean mine = answer.status() != 200 || id.equals(answer.headers().get("request-id"));
             requests.add(
                     new Request(scheduler, sent, System.nanoTime(), answer.status(), reused, mine));
-            return answer.keepsAlive();
+            return answer.isKeepAlive();
         } catch (IOException e) {
             requests.add(new Request(scheduler, sent, System.nanoTime(), 0, reused, true));
             return false;
@@ -103,7 +105,7 @@
 
     private static void pause() {
         try {
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(REQUEST_PAUSE_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -118,8 +120,8 @@
         }
     }
 
-    void end() throws InterruptedException {
-        over = true;
+    void stopAndJoin() throws InterruptedException {
+        stopping = true;
         join();
     }
 }
--- a/src/test/java/gingerspool/soak/PlatformOperator.java
+++ b/src/test/java/gingerspool/soak/PlatformOperator.java
@@ -14,16 +14,16 @@
  * any control node; one without a clear answer is sent again as it was.
  */
 final class PlatformOperator extends Thread {
-    private static final int ANSWER_WITHIN_MS = 2000;
+    private static final int RESPONSE_TIMEOUT_MS = 2000;
     private static final long RETRY_PAUSE_MS = 100;
     private static final long CHANGE_PAUSE_MS = 250;
     private static final int OK = 200;
-    private static final int REDIRECTED = 307;
+    private static final int TEMPORARY_REDIRECT = 307;
 
     /** Callers follow so many redirections. */
-    private static final int MOST_FOLLOWED = 2;
+    private static final int MAX_REDIRECTS = 2;
 
-    private static final int STALE = 412;
+    private static final int PRECONDITION_FAILED = 412;
 
     private static final String CONFIGURATION =
             """
@@ -34,68 +34,68 @@
             "MaxConcurrency":8}],"Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":65536,"HeaderTimeoutMs":3000,
             "IdleTimeoutMs":15000}}""";
 
-    private final List<PlatformProcesses.Node> controls;
-    private final SplittableRandom chance;
-    private volatile boolean over;
-    private volatile int acknowledged;
+    private final List<PlatformProcesses.Node> controlNodes;
+    private final SplittableRandom random;
+    private volatile boolean stopping;
+    private volatile int acknowledgedVersion;
 
     /** Orders that were refused though they built on the newest acknowledged version. */
-    final List<String> refused = new ArrayList<>();
+    final List<String> rejectedChanges = new ArrayList<>();
 
     PlatformOperator(List<PlatformProcesses.Node> controls, long seed) {
         super("operator");
-        this.controls = controls;
-        chance = new SplittableRandom(seed);
+        this.controlNodes = controls;
+        random = new SplittableRandom(seed);
         setDaemon(true);
     }
 
     /** The newest version that was acknowledged. */
-    int acknowledged() {
-        return acknowledged;
+    int acknowledgedVersion() {
+        return acknowledgedVersion;
     }
 
     /** The text of a version; its route's time-out tells it from others. */
     static String configuration(int version) {
-        return CONFIGURATION.formatted(version, PlatformClient.HOST, timeout(version));
+        return CONFIGURATION.formatted(version, PlatformClient.HOST, routeTimeoutMs(version));
     }
 
-    static int timeout(int version) {
+    static int routeTimeoutMs(int version) {
         return 4000 + version;
     }
 
     @Override
     public void run() {
-        while (!over) {
-            change(Long.MAX_VALUE);
+        while (!stopping) {
+            applyNextChange(Long.MAX_VALUE);
             pause(CHANGE_PAUSE_MS);
         }
     }
 
     /** Sends the next change until it is acknowledged; tells whether it was by then. */
-    boolean change(long untilNanos) {
-        int version = acknowledged + 1;
-        while (!over || untilNanos != Long.MAX_VALUE) {
+    boolean applyNextChange(long untilNanos) {
+        int version = acknowledgedVersion + 1;
+        while (!stopping || untilNanos != Long.MAX_VALUE) {
             if (System.nanoTime() > untilNanos) {
                 return false;
             }
-            int status = send(version);
+            int status = sendChange(version);
             if (status == OK) {
-                acknowledged = version;
+                acknowledgedVersion = version;
                 return true;
             }
-            if (status == STALE) {
-                refused.add("version " + version + " on " + (version - 1));
+            if (status == PRECONDITION_FAILED) {
+                rejectedChanges.add("version " + version + " on " + (version - 1));
             }
             pause(RETRY_PAUSE_MS);
         }
         return false;
     }
 
-    private int send(int version) {
-        PlatformProcesses.Node to = controls.get(chance.nextInt(controls.size()));
+    private int sendChange(int version) {
+        PlatformProcesses.Node to = controlNodes.get(random.nextInt(controlNodes.size()));
         try {
             return call(
-                            to.control(),
+                            to.controlAddress(),
                             "POST",
                             "/v1/configuration/replace",
                             Map.of("Based-On-Version", Integer.toString(version - 1)),
@@ -107,10 +107,10 @@
     }
 
     /** What this control node tells of the configuration; empty where it says nothing. */
-    static String read(PlatformProcesses.Node from) {
+    static String readConfiguration(PlatformProcesses.Node from) {
         try {
-            HttpConnection.Answer answer =
-                    call(from.control(), "GET", "/v1/configuration/read", Map.of(), "");
+            HttpConnection.Response answer =
+                    call(from.controlAddress(), "GET", "/v1/configuration/read", Map.of(), "");
             return answer.status() == OK ? answer.body() : "";
         } catch (IOException e) {
             return "";
@@ -118,7 +118,7 @@
     }
 
     /** One call, sent on to where it is told to go. */
-    private static HttpConnection.Answer call(
+    private static HttpConnection.Response call(
             InetSocketAddress to,
             String method,
             String path,
@@ -129,14 +129,14 @@
         for (int followed = 0; ; followed++) {
             Map<String, String> all = new LinkedHashMap<>(fields);
             all.put("Host", next.getHostString());
-            HttpConnection.Answer answer;
-            try (HttpConnection connection = new HttpConnection(next, ANSWER_WITHIN_MS)) {
-                answer = connection.ask(method, path, all, body);
+            HttpConnection.Response answer;
+            try (HttpConnection connection = new HttpConnection(next, RESPONSE_TIMEOUT_MS)) {
+                answer = connection.send(method, path, all, body);
             }
-            if (answer.status() != REDIRECTED || followed == MOST_FOLLOWED) {
+            if (answer.status() != TEMPORARY_REDIRECT || followed == MAX_REDIRECTS) {
                 return answer;
             }
-            URI location = URI.create(answer.fields().get("location"));
+            URI location = URI.create(answer.headers().get("location"));
             next = new InetSocketAddress(location.getHost(), location.getPort());
         }
     }
@@ -149,9 +149,9 @@
         }
     }
 
-    void end() throws InterruptedException {
-        over = true;
+    void stopAndJoin() throws InterruptedException {
+        stopping = true;
         join();
-        over = false;
+        stopping = false;
     }
 }
--- a/src/test/java/gingerspool/soak/PlatformProcesses.java
+++ b/src/test/java/gingerspool/soak/PlatformProcesses.java
@@ -30,11 +30,11 @@
     private static final int WORK_MS = 20;
     private static final int LAG_MS = 100;
     private static final int INSTANCE_SLOTS = 8;
-    private static final long RETRY_MS = 20;
-    private static final int CONNECT_WITHIN_MS = 1000;
+    private static final long RETRY_INTERVAL_MS = 20;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
 
     /** Runs beside each other have networks of their own. */
-    private static final int NETWORK = 20 + (int) (ProcessHandle.current().pid() % 200);
+    private static final int NETWORK_OCTET = 20 + (int) (ProcessHandle.current().pid() % 200);
 
     /** The two programs. */
     enum Role {
@@ -54,13 +54,13 @@
     final class Node {
         final Role role;
         final int number;
-        private final Path settings;
+        private final Path settingsFile;
         private volatile Process process;
 
         Node(Role role, int number) throws IOException {
             this.role = role;
             this.number = number;
-            settings = folder.resolve(name() + ".toml");
+            settingsFile = folder.resolve(name() + ".toml");
             writeSettings(true);
         }
 
@@ -69,31 +69,31 @@
         }
 
         String ip() {
-            return "127." + NETWORK + "." + role.subnet + "." + number;
+            return "127." + NETWORK_OCTET + "." + role.subnet + "." + number;
         }
 
-        InetSocketAddress control() {
+        InetSocketAddress controlAddress() {
             return new InetSocketAddress(ip(), CONTROL_PORT);
         }
 
-        InetSocketAddress front() {
+        InetSocketAddress frontAddress() {
             return new InetSocketAddress(ip(), FRONT_PORT);
         }
 
         private void writeSettings(boolean isFirstStart) throws IOException {
             String seeds =
-                    IntStream.rangeClosed(1, controls)
+                    IntStream.rangeClosed(1, controlNodeCount)
                             .mapToObj(
                                     i ->
                                             "\"127.%d.%d.%d:%d\""
                                                     .formatted(
-                                                            NETWORK,
+                                                            NETWORK_OCTET,
                                                             Role.CONTROL.subnet,
                                                             i,
                                                             CONTROL_PORT))
                             .collect(Collectors.joining(","));
             Files.writeString(
-                    settings,
+                    settingsFile,
                     """
                     NodeName = "%s"
                     IpAddress = "%s"
@@ -155,12 +155,12 @@
                             "gingerspool.Main",
                             role.command);
             builder.environment().keySet().removeIf(key -> key.startsWith("GW_"));
-            builder.environment().put("GINGERSPOOL_CONFIG", settings.toString());
+            builder.environment().put("GINGERSPOOL_CONFIG", settingsFile.toString());
             builder.redirectErrorStream(true);
             builder.redirectOutput(
                     ProcessBuilder.Redirect.appendTo(folder.resolve(name() + ".log").toFile()));
             process = builder.start();
-            started.add(process);
+            startedProcesses.add(process);
         }
 
         void signal(String signal) throws IOException, InterruptedException {
@@ -170,20 +170,20 @@
         }
 
         /** Waits until operators or clients can call it. */
-        void listensWithin(long ms) throws IOException, InterruptedException {
-            InetSocketAddress address = role == Role.CONTROL ? control() : front();
+        void awaitListening(long ms) throws IOException, InterruptedException {
+            InetSocketAddress address = role == Role.CONTROL ? controlAddress() : frontAddress();
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-            while (!listens(address)) {
+            while (!isListening(address)) {
                 if (System.nanoTime() > until) {
                     throw new IOException(name() + " does not listen after " + ms + " ms");
                 }
-                Thread.sleep(RETRY_MS);
+                Thread.sleep(RETRY_INTERVAL_MS);
             }
         }
 
-        private static boolean listens(InetSocketAddress address) {
+        private static boolean isListening(InetSocketAddress address) {
             try (Socket socket = new Socket()) {
-                socket.connect(address, CONNECT_WITHIN_MS);
+                socket.connect(address, CONNECT_TIMEOUT_MS);
                 return true;
             } catch (IOException e) {
                 return false;
@@ -191,11 +191,11 @@
         }
 
         /** Nothing of what it wrote is left; only for one that has ended. */
-        void loseDisk() throws IOException {
+        void deleteDisk() throws IOException {
             Folders.remove(folder.resolve(name()));
         }
 
-        boolean endsWithin(long ms) throws InterruptedException {
+        boolean awaitExit(long ms) throws InterruptedException {
             return process.waitFor(ms, TimeUnit.MILLISECONDS);
         }
 
@@ -209,21 +209,21 @@
     }
 
     private final Path folder;
-    private final int controls;
+    private final int controlNodeCount;
     private final SingleThreadEventLoop loop = new SingleThreadEventLoop();
     private final Cloud cloud;
-    private final List<Process> started = new CopyOnWriteArrayList<>();
+    private final List<Process> startedProcesses = new CopyOnWriteArrayList<>();
     final List<Node> controlNodes = new ArrayList<>();
     final List<Node> schedulers = new ArrayList<>();
 
     /** Starts all of it; logs, settings and disks go under the folder. */
     PlatformProcesses(Path folder, int controls, int schedulers) throws IOException {
         this.folder = folder;
-        this.controls = controls;
+        this.controlNodeCount = controls;
         cloud =
                 new Cloud(
                         loop,
-                        "127." + NETWORK + ".7.1",
+                        "127." + NETWORK_OCTET + ".7.1",
                         Map.of("h1", "a", "h2", "b"),
                         BOOT_MS,
                         WORK_MS,
@@ -235,25 +235,25 @@
         for (int i = 1; i <= schedulers; i++) {
             this.schedulers.add(new Node(Role.SCHEDULER, i));
         }
-        for (Node node : all()) {
+        for (Node node : allNodes()) {
             node.start();
         }
     }
 
-    List<Node> all() {
+    List<Node> allNodes() {
         List<Node> all = new ArrayList<>(controlNodes);
         all.addAll(schedulers);
         return all;
     }
 
     /** Processes that were ever started and live. */
-    List<Long> alive() {
-        return started.stream().filter(Process::isAlive).map(Process::pid).toList();
+    List<Long> livePids() {
+        return startedProcesses.stream().filter(Process::isAlive).map(Process::pid).toList();
     }
 
     @Override
     public void close() {
-        started.forEach(Process::destroyForcibly);
+        startedProcesses.forEach(Process::destroyForcibly);
         loop.submit(
                 () -> {
                     cloud.close();
--- a/src/test/java/gingerspool/soak/PlatformSoakTest.java
+++ b/src/test/java/gingerspool/soak/PlatformSoakTest.java
@@ -32,19 +32,19 @@
  * SIGTERM; nothing is left.
  */
 public class PlatformSoakTest {
-    private static final int CONTROLS = 3;
-    private static final int SCHEDULERS = 2;
-    private static final int CLIENTS = 6;
-    private static final int FEWEST_TROUBLES = 5;
-    private static final int TROUBLES_SPREAD = 5;
-    private static final long LENGTH_MS = 10_000;
-    private static final long CONTACT_MS = 4000;
-    private static final long ACKNOWLEDGED_WITHIN_MS = CONTACT_MS + 5000;
-    private static final long ENDS_WITHIN_MS = 7000;
-    private static final long STARTS_WITHIN_MS = 30_000;
+    private static final int CONTROL_NODE_COUNT = 3;
+    private static final int SCHEDULER_COUNT = 2;
+    private static final int CLIENT_COUNT = 6;
+    private static final int MIN_FAULTS = 5;
+    private static final int FAULT_COUNT_RANGE = 5;
+    private static final long FAULT_PERIOD_MS = 10_000;
+    private static final long CONTACT_TIMEOUT_MS = 4000;
+    private static final long ACKNOWLEDGE_TIMEOUT_MS = CONTACT_TIMEOUT_MS + 5000;
+    private static final long EXIT_TIMEOUT_MS = 7000;
+    private static final long START_TIMEOUT_MS = 30_000;
 
     /** What may befall a process. */
-    private enum Trouble {
+    private enum Fault {
         TERMINATED,
         KILLED,
         STOPPED,
@@ -54,14 +54,14 @@
     }
 
     /** What may befall any process, and one more often than once. */
-    private static final List<Trouble> REPEATED =
-            List.of(Trouble.TERMINATED, Trouble.KILLED, Trouble.STOPPED, Trouble.RELOADED);
+    private static final List<Fault> REPEATABLE_FAULTS =
+            List.of(Fault.TERMINATED, Fault.KILLED, Fault.STOPPED, Fault.RELOADED);
 
     /** What befell a process, and when (System.nanoTime()). */
-    private record Blow(PlatformProcesses.Node node, Trouble trouble, long at) {}
+    private record InjectedFault(PlatformProcesses.Node node, Fault fault, long atNanos) {}
 
-    private final List<Blow> blows = new CopyOnWriteArrayList<>();
-    private final List<String> wrong = new CopyOnWriteArrayList<>();
+    private final List<InjectedFault> injectedFaults = new CopyOnWriteArrayList<>();
+    private final List<String> violations = new CopyOnWriteArrayList<>();
 
     @DataProvider
     public Object[][] seeds() {
@@ -75,40 +75,43 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void whateverComesNothingAcknowledgedIsLostAndNothingIsLeft(long seed) throws Exception {
-        blows.clear();
-        wrong.clear();
+    public void noAcknowledgedChangeIsLostAndNoProcessRemains(long seed) throws Exception {
+        injectedFaults.clear();
+        violations.clear();
         String kept = System.getProperty("soak.out");
         Path folder =
                 kept == null
                         ? Files.createTempDirectory("platform-soak")
                         : Files.createDirectories(Path.of(kept, "platform-" + seed));
-        try (PlatformProcesses platform = new PlatformProcesses(folder, CONTROLS, SCHEDULERS)) {
-            play(platform, seed);
-            Files.writeString(folder.resolve("said.txt"), String.join("\n", wrong));
-            assertEquals(wrong, List.of(), "seed " + seed + " " + blows);
+        try (PlatformProcesses platform =
+                new PlatformProcesses(folder, CONTROL_NODE_COUNT, SCHEDULER_COUNT)) {
+            runScenario(platform, seed);
+            Files.writeString(folder.resolve("said.txt"), String.join("\n", violations));
+            assertEquals(violations, List.of(), "seed " + seed + " " + injectedFaults);
         }
         Folders.remove(folder);
     }
 
-    private void play(PlatformProcesses platform, long seed) throws Exception {
+    private void runScenario(PlatformProcesses platform, long seed) throws Exception {
         PlatformOperator operator = new PlatformOperator(platform.controlNodes, seed);
-        long startsBy = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STARTS_WITHIN_MS);
-        assertTrue(operator.change(startsBy), "the first configuration was not taken in 30 s");
+        long startsBy = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS);
+        assertTrue(
+                operator.applyNextChange(startsBy),
+                "the first configuration was not taken in 30 s");
         List<PlatformClient> clients = new ArrayList<>();
-        for (int i = 0; i < CLIENTS; i++) {
+        for (int i = 0; i < CLIENT_COUNT; i++) {
             clients.add(new PlatformClient(platform.schedulers, i, seed));
         }
         clients.forEach(Thread::start);
         operator.start();
         befall(platform, new SplittableRandom(seed));
-        operator.end();
+        operator.stopAndJoin();
         for (PlatformClient client : clients) {
-            client.end();
+            client.stopAndJoin();
         }
-        judgeChanges(platform, operator);
-        judgeRequests(clients);
-        end(platform);
+        checkConfigurationChanges(platform, operator);
+        checkRequests(clients);
+        terminateAll(platform);
     }
 
     // ---- Troubles ----
@@ -117,12 +120,12 @@
     private void befall(PlatformProcesses platform, SplittableRandom chance)
             throws InterruptedException {
         List<Thread> threads = new ArrayList<>();
-        int troubles = FEWEST_TROUBLES + chance.nextInt(TROUBLES_SPREAD);
+        int troubles = MIN_FAULTS + chance.nextInt(FAULT_COUNT_RANGE);
         for (int i = 0; i < troubles; i++) {
-            Trouble trouble = REPEATED.get(chance.nextInt(REPEATED.size()));
-            List<PlatformProcesses.Node> all = platform.all();
+            Fault trouble = REPEATABLE_FAULTS.get(chance.nextInt(REPEATABLE_FAULTS.size()));
+            List<PlatformProcesses.Node> all = platform.allNodes();
             PlatformProcesses.Node node = all.get(chance.nextInt(all.size()));
-            long at = chance.nextLong(LENGTH_MS);
+            long at = chance.nextLong(FAULT_PERIOD_MS);
             long lasts = 200 + chance.nextLong(1300);
             threads.add(new Thread(() -> befall(node, trouble, at, lasts), "trouble"));
         }
@@ -130,60 +133,60 @@
         if (chance.nextBoolean()) {
             PlatformProcesses.Node node =
                     platform.controlNodes.get(chance.nextInt(platform.controlNodes.size()));
-            long at = chance.nextLong(LENGTH_MS);
+            long at = chance.nextLong(FAULT_PERIOD_MS);
             long lasts = 200 + chance.nextLong(1300);
-            threads.add(new Thread(() -> befall(node, Trouble.DISK_LOST, at, lasts), "disk-lost"));
+            threads.add(new Thread(() -> befall(node, Fault.DISK_LOST, at, lasts), "disk-lost"));
         }
         threads.forEach(Thread::start);
-        Thread.sleep(LENGTH_MS);
+        Thread.sleep(FAULT_PERIOD_MS);
         for (Thread thread : threads) {
             thread.join();
         }
     }
 
-    private void befall(PlatformProcesses.Node node, Trouble trouble, long at, long lasts) {
+    private void befall(PlatformProcesses.Node node, Fault trouble, long at, long lasts) {
         try {
             Thread.sleep(at);
             // One trouble at a time befalls a process; those of others go on beside it.
             synchronized (node) {
-                blows.add(new Blow(node, trouble, System.nanoTime()));
-                carryOut(node, trouble, lasts);
+                injectedFaults.add(new InjectedFault(node, trouble, System.nanoTime()));
+                applyFault(node, trouble, lasts);
             }
         } catch (IOException | InterruptedException e) {
-            wrong.add(trouble + " of " + node.name() + " went wrong: " + e);
+            violations.add(trouble + " of " + node.name() + " went wrong: " + e);
         }
     }
 
-    private void carryOut(PlatformProcesses.Node node, Trouble trouble, long lasts)
+    private void applyFault(PlatformProcesses.Node node, Fault trouble, long lasts)
             throws IOException, InterruptedException {
         switch (trouble) {
             case RELOADED -> {
                 // The system ends a virtual machine that has just been started at SIGHUP.
-                node.listensWithin(STARTS_WITHIN_MS);
+                node.awaitListening(START_TIMEOUT_MS);
                 node.signal("HUP");
             }
             case STOPPED -> {
                 node.signal("STOP");
                 Thread.sleep(lasts);
                 node.signal("CONT");
-                blows.add(new Blow(node, trouble, System.nanoTime()));
+                injectedFaults.add(new InjectedFault(node, trouble, System.nanoTime()));
             }
             case KILLED, DISK_LOST -> {
                 node.signal("KILL");
-                node.endsWithin(ENDS_WITHIN_MS);
-                if (trouble == Trouble.DISK_LOST) {
-                    node.loseDisk();
+                node.awaitExit(EXIT_TIMEOUT_MS);
+                if (trouble == Fault.DISK_LOST) {
+                    node.deleteDisk();
                 }
                 Thread.sleep(lasts);
                 node.start();
-                blows.add(new Blow(node, trouble, System.nanoTime()));
+                injectedFaults.add(new InjectedFault(node, trouble, System.nanoTime()));
             }
             default -> {
                 node.signal("TERM");
-                if (!node.endsWithin(ENDS_WITHIN_MS)) {
-                    wrong.add(node.name() + " did not end 7 s after SIGTERM");
+                if (!node.awaitExit(EXIT_TIMEOUT_MS)) {
+                    violations.add(node.name() + " did not end 7 s after SIGTERM");
                     node.signal("KILL");
-                    node.endsWithin(ENDS_WITHIN_MS);
+                    node.awaitExit(EXIT_TIMEOUT_MS);
                 }
                 node.start();
             }
@@ -192,54 +195,54 @@
 
     // ---- Judging ----
 
-    private void judgeChanges(PlatformProcesses platform, PlatformOperator operator)
+    private void checkConfigurationChanges(PlatformProcesses platform, PlatformOperator operator)
             throws InterruptedException {
-        long by = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ACKNOWLEDGED_WITHIN_MS);
-        if (!operator.change(by)) {
-            wrong.add("no change was acknowledged 9 s after the last trouble");
+        long by = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ACKNOWLEDGE_TIMEOUT_MS);
+        if (!operator.applyNextChange(by)) {
+            violations.add("no change was acknowledged 9 s after the last trouble");
         }
-        operator.refused.forEach(order -> wrong.add("refused: " + order));
-        String newest = "\"TimeoutMs\":" + PlatformOperator.timeout(operator.acknowledged());
+        operator.rejectedChanges.forEach(order -> violations.add("refused: " + order));
+        String newest =
+                "\"TimeoutMs\":" + PlatformOperator.routeTimeoutMs(operator.acknowledgedVersion());
         for (PlatformProcesses.Node node : platform.controlNodes) {
-            String read = PlatformOperator.read(node);
+            String read = PlatformOperator.readConfiguration(node);
             while (!read.replace(" ", "").contains(newest) && System.nanoTime() < by) {
                 Thread.sleep(100);
-                read = PlatformOperator.read(node);
+                read = PlatformOperator.readConfiguration(node);
             }
             if (!read.replace(" ", "").contains(newest)) {
-                wrong.add(node.name() + " does not tell " + newest + " but " + read);
+                violations.add(node.name() + " does not tell " + newest + " but " + read);
             }
         }
     }
 
-    private void judgeRequests(List<PlatformClient> clients) {
+    private void checkRequests(List<PlatformClient> clients) {
         int served = 0;
         for (PlatformClient client : clients) {
             for (PlatformClient.Request request : client.requests) {
                 served += request.status() == 200 ? 1 : 0;
                 if (!request.mine()) {
-                    wrong.add("an answer of another request at " + request);
+                    violations.add("an answer of another request at " + request);
                 }
-                if (request.status() == 0 && !request.reused() && !mayBeLost(request)) {
-                    wrong.add("lost on a new connection: " + request);
+                if (request.status() == 0 && !request.reused() && !isLossAllowed(request)) {
+                    violations.add("lost on a new connection: " + request);
                 }
             }
         }
         if (served == 0) {
-            wrong.add("no request was served");
+            violations.add("no request was served");
         }
     }
 
     /** Unplanned trouble of its scheduler, from ContactMs before it was sent until its end. */
-    private boolean mayBeLost(PlatformClient.Request request) {
-        long from = request.sent() - TimeUnit.MILLISECONDS.toNanos(CONTACT_MS);
-        for (Blow blow : blows) {
-            boolean unplanned =
-                    blow.trouble() == Trouble.KILLED || blow.trouble() == Trouble.STOPPED;
+    private boolean isLossAllowed(PlatformClient.Request request) {
+        long from = request.sent() - TimeUnit.MILLISECONDS.toNanos(CONTACT_TIMEOUT_MS);
+        for (InjectedFault blow : injectedFaults) {
+            boolean unplanned = blow.fault() == Fault.KILLED || blow.fault() == Fault.STOPPED;
             if (blow.node() == request.scheduler()
                     && unplanned
-                    && blow.at() >= from
-                    && blow.at() <= request.ended()) {
+                    && blow.atNanos() >= from
+                    && blow.atNanos() <= request.ended()) {
                 return true;
             }
         }
@@ -247,19 +250,19 @@
     }
 
     /** All are terminated at once, the members of the core too. */
-    private void end(PlatformProcesses platform) throws IOException, InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ENDS_WITHIN_MS);
-        for (PlatformProcesses.Node node : platform.all()) {
+    private void terminateAll(PlatformProcesses platform) throws IOException, InterruptedException {
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(EXIT_TIMEOUT_MS);
+        for (PlatformProcesses.Node node : platform.allNodes()) {
             node.signal("TERM");
         }
-        for (PlatformProcesses.Node node : platform.all()) {
+        for (PlatformProcesses.Node node : platform.allNodes()) {
             long left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
-            if (!node.endsWithin(Math.max(1, left))) {
-                wrong.add(node.name() + " is left 7 s after SIGTERM");
+            if (!node.awaitExit(Math.max(1, left))) {
+                violations.add(node.name() + " is left 7 s after SIGTERM");
             }
         }
-        if (!platform.alive().isEmpty()) {
-            wrong.add("processes are left: " + platform.alive());
+        if (!platform.livePids().isEmpty()) {
+            violations.add("processes are left: " + platform.livePids());
         }
     }
 }
