--- a/src/test/java/gingerspool/soak/HttpConnection.java
+++ b/src/test/java/gingerspool/soak/HttpConnection.java
@@ -25,9 +25,9 @@
     /** Requests that were answered on it. */
     private int responseCount;
 
-    HttpConnection(InetSocketAddress to, int answerWithinMs) throws IOException {
-        socket.connect(to, CONNECT_TIMEOUT_MS);
-        socket.setSoTimeout(answerWithinMs);
+    HttpConnection(InetSocketAddress address, int responseTimeoutMs) throws IOException {
+        socket.connect(address, CONNECT_TIMEOUT_MS);
+        socket.setSoTimeout(responseTimeoutMs);
         socket.setTcpNoDelay(true);
     }
 
@@ -36,46 +36,48 @@
     }
 
     /** Sends the request and reads its answer; the connection is of no use after an exception. */
-    Response send(String method, String target, Map<String, String> fields, String body)
+    Response send(String method, String target, Map<String, String> headers, String body)
             throws IOException {
         byte[] content = body.getBytes(StandardCharsets.UTF_8);
         StringBuilder head = new StringBuilder(method + " " + target + " HTTP/1.1\r\n");
-        fields.forEach((name, value) -> head.append(name + ": " + value + "\r\n"));
+        headers.forEach((name, value) -> head.append(name + ": " + value + "\r\n"));
         head.append("Content-Length: " + content.length + "\r\n\r\n");
-        byte[] top = head.toString().getBytes(StandardCharsets.ISO_8859_1);
-        byte[] all = new byte[top.length + content.length];
-        System.arraycopy(top, 0, all, 0, top.length);
-        System.arraycopy(content, 0, all, top.length, content.length);
-        socket.getOutputStream().write(all);
-        Response answer = readResponse(socket.getInputStream());
+        byte[] headBytes = head.toString().getBytes(StandardCharsets.ISO_8859_1);
+        byte[] message = new byte[headBytes.length + content.length];
+        System.arraycopy(headBytes, 0, message, 0, headBytes.length);
+        System.arraycopy(content, 0, message, headBytes.length, content.length);
+        socket.getOutputStream().write(message);
+        Response response = readResponse(socket.getInputStream());
         responseCount++;
-        return answer;
+        return response;
     }
 
-    private static Response readResponse(InputStream from) throws IOException {
-        String first = readLine(from);
-        Map<String, String> fields = new HashMap<>();
-        for (String next = readLine(from); !next.isEmpty(); next = readLine(from)) {
-            int colon = next.indexOf(':');
-            String name = next.substring(0, colon).toLowerCase(Locale.ROOT);
-            fields.put(name, next.substring(colon + 1).strip());
+    private static Response readResponse(InputStream input) throws IOException {
+        String statusLine = readLine(input);
+        Map<String, String> headers = new HashMap<>();
+        for (String headerLine = readLine(input);
+                !headerLine.isEmpty();
+                headerLine = readLine(input)) {
+            int colon = headerLine.indexOf(':');
+            String name = headerLine.substring(0, colon).toLowerCase(Locale.ROOT);
+            headers.put(name, headerLine.substring(colon + 1).strip());
         }
-        int length = Integer.parseInt(fields.getOrDefault("content-length", "0"));
-        byte[] body = from.readNBytes(length);
+        int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
+        byte[] body = input.readNBytes(length);
         if (body.length < length) {
             throw new IOException("the answer ended after " + body.length + " of " + length);
         }
-        int status = Integer.parseInt(first.split(" ")[1]);
-        return new Response(status, fields, new String(body, StandardCharsets.UTF_8));
+        int status = Integer.parseInt(statusLine.split(" ")[1]);
+        return new Response(status, headers, new String(body, StandardCharsets.UTF_8));
     }
 
-    private static String readLine(InputStream from) throws IOException {
+    private static String readLine(InputStream input) throws IOException {
         StringBuilder line = new StringBuilder();
-        for (int next = from.read(); next != '\n'; next = from.read()) {
-            if (next < 0) {
+        for (int nextByte = input.read(); nextByte != '\n'; nextByte = input.read()) {
+            if (nextByte < 0) {
                 throw new IOException("the connection ended before an answer");
             }
-            line.append((char) next);
+            line.append((char) nextByte);
         }
         return line.toString().strip();
     }
--- a/src/test/java/gingerspool/soak/PlatformClient.java
+++ b/src/test/java/gingerspool/soak/PlatformClient.java
@@ -66,11 +66,11 @@
     }
 
     private HttpConnection connect(PlatformProcesses.Node scheduler) {
-        long now = System.nanoTime();
+        long startNanos = System.nanoTime();
         try {
             return new HttpConnection(scheduler.frontAddress(), 2 * REQUEST_TIMEOUT_MS);
         } catch (IOException e) {
-            requests.add(new Request(scheduler, now, System.nanoTime(), -1, false, true));
+            requests.add(new Request(scheduler, startNanos, System.nanoTime(), -1, false, true));
             return null;
         }
     }
@@ -79,9 +79,9 @@
     private boolean sendRequest(
             HttpConnection connection, PlatformProcesses.Node scheduler, String id) {
         boolean reused = connection.isReused();
-        long sent = System.nanoTime();
+        long sentNanos = System.nanoTime();
         try {
-            HttpConnection.Response answer =
+            HttpConnection.Response response =
                     connection.send(
                             "GET",
                             "/hello/world",
@@ -93,12 +93,19 @@
                                     "Remaining-Milliseconds",
                                     Integer.toString(REQUEST_TIMEOUT_MS)),
                             "");
-            boolean mine = answer.status() != 200 || id.equals(answer.headers().get("request-id"));
+            boolean matchesRequest =
+                    response.status() != 200 || id.equals(response.headers().get("request-id"));
             requests.add(
-                    new Request(scheduler, sent, System.nanoTime(), answer.status(), reused, mine));
-            return answer.isKeepAlive();
+                    new Request(
+                            scheduler,
+                            sentNanos,
+                            System.nanoTime(),
+                            response.status(),
+                            reused,
+                            matchesRequest));
+            return response.isKeepAlive();
         } catch (IOException e) {
-            requests.add(new Request(scheduler, sent, System.nanoTime(), 0, reused, true));
+            requests.add(new Request(scheduler, sentNanos, System.nanoTime(), 0, reused, true));
             return false;
         }
     }
--- a/src/test/java/gingerspool/soak/PlatformOperator.java
+++ b/src/test/java/gingerspool/soak/PlatformOperator.java
@@ -72,10 +72,10 @@
     }
 
     /** Sends the next change until it is acknowledged; tells whether it was by then. */
-    boolean applyNextChange(long untilNanos) {
+    boolean applyNextChange(long deadlineNanos) {
         int version = acknowledgedVersion + 1;
-        while (!stopping || untilNanos != Long.MAX_VALUE) {
-            if (System.nanoTime() > untilNanos) {
+        while (!stopping || deadlineNanos != Long.MAX_VALUE) {
+            if (System.nanoTime() > deadlineNanos) {
                 return false;
             }
             int status = sendChange(version);
@@ -92,10 +92,10 @@
     }
 
     private int sendChange(int version) {
-        PlatformProcesses.Node to = controlNodes.get(random.nextInt(controlNodes.size()));
+        PlatformProcesses.Node node = controlNodes.get(random.nextInt(controlNodes.size()));
         try {
             return call(
-                            to.controlAddress(),
+                            node.controlAddress(),
                             "POST",
                             "/v1/configuration/replace",
                             Map.of("Based-On-Version", Integer.toString(version - 1)),
@@ -107,11 +107,11 @@
     }
 
     /** What this control node tells of the configuration; empty where it says nothing. */
-    static String readConfiguration(PlatformProcesses.Node from) {
+    static String readConfiguration(PlatformProcesses.Node node) {
         try {
-            HttpConnection.Response answer =
-                    call(from.controlAddress(), "GET", "/v1/configuration/read", Map.of(), "");
-            return answer.status() == OK ? answer.body() : "";
+            HttpConnection.Response response =
+                    call(node.controlAddress(), "GET", "/v1/configuration/read", Map.of(), "");
+            return response.status() == OK ? response.body() : "";
         } catch (IOException e) {
             return "";
         }
@@ -119,25 +119,25 @@
 
     /** One call, sent on to where it is told to go. */
     private static HttpConnection.Response call(
-            InetSocketAddress to,
+            InetSocketAddress address,
             String method,
             String path,
-            Map<String, String> fields,
+            Map<String, String> headers,
             String body)
             throws IOException {
-        InetSocketAddress next = to;
-        for (int followed = 0; ; followed++) {
-            Map<String, String> all = new LinkedHashMap<>(fields);
-            all.put("Host", next.getHostString());
-            HttpConnection.Response answer;
-            try (HttpConnection connection = new HttpConnection(next, RESPONSE_TIMEOUT_MS)) {
-                answer = connection.send(method, path, all, body);
+        InetSocketAddress target = address;
+        for (int redirects = 0; ; redirects++) {
+            Map<String, String> allHeaders = new LinkedHashMap<>(headers);
+            allHeaders.put("Host", target.getHostString());
+            HttpConnection.Response response;
+            try (HttpConnection connection = new HttpConnection(target, RESPONSE_TIMEOUT_MS)) {
+                response = connection.send(method, path, allHeaders, body);
             }
-            if (answer.status() != TEMPORARY_REDIRECT || followed == MAX_REDIRECTS) {
-                return answer;
+            if (response.status() != TEMPORARY_REDIRECT || redirects == MAX_REDIRECTS) {
+                return response;
             }
-            URI location = URI.create(answer.headers().get("location"));
-            next = new InetSocketAddress(location.getHost(), location.getPort());
+            URI location = URI.create(response.headers().get("location"));
+            target = new InetSocketAddress(location.getHost(), location.getPort());
         }
     }
 
--- a/src/test/java/gingerspool/soak/PlatformProcesses.java
+++ b/src/test/java/gingerspool/soak/PlatformProcesses.java
@@ -172,9 +172,9 @@
         /** Waits until operators or clients can call it. */
         void awaitListening(long ms) throws IOException, InterruptedException {
             InetSocketAddress address = role == Role.CONTROL ? controlAddress() : frontAddress();
-            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
+            long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
             while (!isListening(address)) {
-                if (System.nanoTime() > until) {
+                if (System.nanoTime() > deadlineNanos) {
                     throw new IOException(name() + " does not listen after " + ms + " ms");
                 }
                 Thread.sleep(RETRY_INTERVAL_MS);
--- a/src/test/java/gingerspool/soak/PlatformSoakTest.java
+++ b/src/test/java/gingerspool/soak/PlatformSoakTest.java
@@ -78,11 +78,11 @@
     public void noAcknowledgedChangeIsLostAndNoProcessRemains(long seed) throws Exception {
         injectedFaults.clear();
         violations.clear();
-        String kept = System.getProperty("soak.out");
+        String outputFolder = System.getProperty("soak.out");
         Path folder =
-                kept == null
+                outputFolder == null
                         ? Files.createTempDirectory("platform-soak")
-                        : Files.createDirectories(Path.of(kept, "platform-" + seed));
+                        : Files.createDirectories(Path.of(outputFolder, "platform-" + seed));
         try (PlatformProcesses platform =
                 new PlatformProcesses(folder, CONTROL_NODE_COUNT, SCHEDULER_COUNT)) {
             runScenario(platform, seed);
@@ -94,9 +94,10 @@
 
     private void runScenario(PlatformProcesses platform, long seed) throws Exception {
         PlatformOperator operator = new PlatformOperator(platform.controlNodes, seed);
-        long startsBy = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS);
+        long startDeadlineNanos =
+                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS);
         assertTrue(
-                operator.applyNextChange(startsBy),
+                operator.applyNextChange(startDeadlineNanos),
                 "the first configuration was not taken in 30 s");
         List<PlatformClient> clients = new ArrayList<>();
         for (int i = 0; i < CLIENT_COUNT; i++) {
@@ -104,7 +105,7 @@
         }
         clients.forEach(Thread::start);
         operator.start();
-        befall(platform, new SplittableRandom(seed));
+        injectFaults(platform, new SplittableRandom(seed));
         operator.stopAndJoin();
         for (PlatformClient client : clients) {
             client.stopAndJoin();
@@ -117,25 +118,28 @@
     // ---- Troubles ----
 
     /** Troubles come at their times, each on a thread of its own, so that they overlap. */
-    private void befall(PlatformProcesses platform, SplittableRandom chance)
+    private void injectFaults(PlatformProcesses platform, SplittableRandom random)
             throws InterruptedException {
         List<Thread> threads = new ArrayList<>();
-        int troubles = MIN_FAULTS + chance.nextInt(FAULT_COUNT_RANGE);
-        for (int i = 0; i < troubles; i++) {
-            Fault trouble = REPEATABLE_FAULTS.get(chance.nextInt(REPEATABLE_FAULTS.size()));
+        int faultCount = MIN_FAULTS + random.nextInt(FAULT_COUNT_RANGE);
+        for (int i = 0; i < faultCount; i++) {
+            Fault fault = REPEATABLE_FAULTS.get(random.nextInt(REPEATABLE_FAULTS.size()));
             List<PlatformProcesses.Node> all = platform.allNodes();
-            PlatformProcesses.Node node = all.get(chance.nextInt(all.size()));
-            long at = chance.nextLong(FAULT_PERIOD_MS);
-            long lasts = 200 + chance.nextLong(1300);
-            threads.add(new Thread(() -> befall(node, trouble, at, lasts), "trouble"));
+            PlatformProcesses.Node node = all.get(random.nextInt(all.size()));
+            long delayMs = random.nextLong(FAULT_PERIOD_MS);
+            long durationMs = 200 + random.nextLong(1300);
+            threads.add(new Thread(() -> injectFault(node, fault, delayMs, durationMs), "trouble"));
         }
         // One machine of the core may be lost for good: ToleratedLosses.
-        if (chance.nextBoolean()) {
+        if (random.nextBoolean()) {
             PlatformProcesses.Node node =
-                    platform.controlNodes.get(chance.nextInt(platform.controlNodes.size()));
-            long at = chance.nextLong(FAULT_PERIOD_MS);
-            long lasts = 200 + chance.nextLong(1300);
-            threads.add(new Thread(() -> befall(node, Fault.DISK_LOST, at, lasts), "disk-lost"));
+                    platform.controlNodes.get(random.nextInt(platform.controlNodes.size()));
+            long delayMs = random.nextLong(FAULT_PERIOD_MS);
+            long durationMs = 200 + random.nextLong(1300);
+            threads.add(
+                    new Thread(
+                            () -> injectFault(node, Fault.DISK_LOST, delayMs, durationMs),
+                            "disk-lost"));
         }
         threads.forEach(Thread::start);
         Thread.sleep(FAULT_PERIOD_MS);
@@ -144,22 +148,23 @@
         }
     }
 
-    private void befall(PlatformProcesses.Node node, Fault trouble, long at, long lasts) {
+    private void injectFault(
+            PlatformProcesses.Node node, Fault fault, long delayMs, long durationMs) {
         try {
-            Thread.sleep(at);
+            Thread.sleep(delayMs);
             // One trouble at a time befalls a process; those of others go on beside it.
             synchronized (node) {
-                injectedFaults.add(new InjectedFault(node, trouble, System.nanoTime()));
-                applyFault(node, trouble, lasts);
+                injectedFaults.add(new InjectedFault(node, fault, System.nanoTime()));
+                applyFault(node, fault, durationMs);
             }
         } catch (IOException | InterruptedException e) {
-            violations.add(trouble + " of " + node.name() + " went wrong: " + e);
+            violations.add(fault + " of " + node.name() + " went wrong: " + e);
         }
     }
 
-    private void applyFault(PlatformProcesses.Node node, Fault trouble, long lasts)
+    private void applyFault(PlatformProcesses.Node node, Fault fault, long durationMs)
             throws IOException, InterruptedException {
-        switch (trouble) {
+        switch (fault) {
             case RELOADED -> {
                 // The system ends a virtual machine that has just been started at SIGHUP.
                 node.awaitListening(START_TIMEOUT_MS);
@@ -167,19 +172,19 @@
             }
             case STOPPED -> {
                 node.signal("STOP");
-                Thread.sleep(lasts);
+                Thread.sleep(durationMs);
                 node.signal("CONT");
-                injectedFaults.add(new InjectedFault(node, trouble, System.nanoTime()));
+                injectedFaults.add(new InjectedFault(node, fault, System.nanoTime()));
             }
             case KILLED, DISK_LOST -> {
                 node.signal("KILL");
                 node.awaitExit(EXIT_TIMEOUT_MS);
-                if (trouble == Fault.DISK_LOST) {
+                if (fault == Fault.DISK_LOST) {
                     node.deleteDisk();
                 }
-                Thread.sleep(lasts);
+                Thread.sleep(durationMs);
                 node.start();
-                injectedFaults.add(new InjectedFault(node, trouble, System.nanoTime()));
+                injectedFaults.add(new InjectedFault(node, fault, System.nanoTime()));
             }
             default -> {
                 node.signal("TERM");
@@ -197,21 +202,28 @@
 
     private void checkConfigurationChanges(PlatformProcesses platform, PlatformOperator operator)
             throws InterruptedException {
-        long by = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ACKNOWLEDGE_TIMEOUT_MS);
-        if (!operator.applyNextChange(by)) {
+        long deadlineNanos =
+                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ACKNOWLEDGE_TIMEOUT_MS);
+        if (!operator.applyNextChange(deadlineNanos)) {
             violations.add("no change was acknowledged 9 s after the last trouble");
         }
         operator.rejectedChanges.forEach(order -> violations.add("refused: " + order));
-        String newest =
+        String expectedTimeout =
                 "\"TimeoutMs\":" + PlatformOperator.routeTimeoutMs(operator.acknowledgedVersion());
         for (PlatformProcesses.Node node : platform.controlNodes) {
-            String read = PlatformOperator.readConfiguration(node);
-            while (!read.replace(" ", "").contains(newest) && System.nanoTime() < by) {
+            String configuration = PlatformOperator.readConfiguration(node);
+            while (!configuration.replace(" ", "").contains(expectedTimeout)
+                    && System.nanoTime() < deadlineNanos) {
                 Thread.sleep(100);
-                read = PlatformOperator.readConfiguration(node);
+                configuration = PlatformOperator.readConfiguration(node);
             }
-            if (!read.replace(" ", "").contains(newest)) {
-                violations.add(node.name() + " does not tell " + newest + " but " + read);
+            if (!configuration.replace(" ", "").contains(expectedTimeout)) {
+                violations.add(
+                        node.name()
+                                + " does not tell "
+                                + expectedTimeout
+                                + " but "
+                                + configuration);
             }
         }
     }
@@ -236,12 +248,12 @@
 
     /** Unplanned trouble of its scheduler, from ContactMs before it was sent until its end. */
     private boolean isLossAllowed(PlatformClient.Request request) {
-        long from = request.sent() - TimeUnit.MILLISECONDS.toNanos(CONTACT_TIMEOUT_MS);
+        long windowStartNanos = request.sent() - TimeUnit.MILLISECONDS.toNanos(CONTACT_TIMEOUT_MS);
         for (InjectedFault blow : injectedFaults) {
             boolean unplanned = blow.fault() == Fault.KILLED || blow.fault() == Fault.STOPPED;
             if (blow.node() == request.scheduler()
                     && unplanned
-                    && blow.atNanos() >= from
+                    && blow.atNanos() >= windowStartNanos
                     && blow.atNanos() <= request.ended()) {
                 return true;
             }
@@ -251,13 +263,13 @@
 
     /** All are terminated at once, the members of the core too. */
     private void terminateAll(PlatformProcesses platform) throws IOException, InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(EXIT_TIMEOUT_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(EXIT_TIMEOUT_MS);
         for (PlatformProcesses.Node node : platform.allNodes()) {
             node.signal("TERM");
         }
         for (PlatformProcesses.Node node : platform.allNodes()) {
-            long left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
-            if (!node.awaitExit(Math.max(1, left))) {
+            long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
+            if (!node.awaitExit(Math.max(1, remainingMs))) {
                 violations.add(node.name() + " is left 7 s after SIGTERM");
             }
         }
