--- a/src/test/java/gingerspool/soak/HttpConnection.java
+++ b/src/test/java/gingerspool/soak/HttpConnection.java
@@ -9,11 +9,11 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One blocking HTTP/1.1 connection that is used until it ends. */
+/** A blocking, persistent HTTP/1.1 connection, used by one thread at a time. */
 final class HttpConnection implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MS = 1000;
 
-    /** An answer, whole. */
+    /** A complete response; header names are in lower case. */
     record Response(int status, Map<String, String> headers, String body) {
         boolean isKeepAlive() {
             return !"close".equalsIgnoreCase(headers.get("connection"));
@@ -22,7 +22,7 @@
 
     private final Socket socket = new Socket();
 
-    /** Requests that were answered on it. */
+    /** The number of responses received on this connection. */
     private int responseCount;
 
     HttpConnection(InetSocketAddress address, int responseTimeoutMs) throws IOException {
@@ -35,7 +35,7 @@
         return responseCount > 0;
     }
 
-    /** Sends the request and reads its answer; the connection is of no use after an exception. */
+    /** Sends a request and reads its response; the connection is unusable after an exception. */
     Response send(String method, String target, Map<String, String> headers, String body)
             throws IOException {
         byte[] content = body.getBytes(StandardCharsets.UTF_8);
@@ -65,7 +65,7 @@
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         byte[] body = input.readNBytes(length);
         if (body.length < length) {
-            throw new IOException("the answer ended after " + body.length + " of " + length);
+            throw new IOException("response body truncated after " + body.length + " of " + length);
         }
         int status = Integer.parseInt(statusLine.split(" ")[1]);
         return new Response(status, headers, new String(body, StandardCharsets.UTF_8));
@@ -75,7 +75,7 @@
         StringBuilder line = new StringBuilder();
         for (int nextByte = input.read(); nextByte != '\n'; nextByte = input.read()) {
             if (nextByte < 0) {
-                throw new IOException("the connection ended before an answer");
+                throw new IOException("connection closed before the end of the response");
             }
             line.append((char) nextByte);
         }
--- a/src/test/java/gingerspool/soak/PlatformClient.java
+++ b/src/test/java/gingerspool/soak/PlatformClient.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A client of the platform: one request after the other, on the connection that it has for as long
- * as that stays open; notes how each ended.
+ * Simulates a client for {@link PlatformSoakTest}: sends one request after the other on its own
+ * thread, reuses its connection while that stays open, and records the outcome of each request.
  */
 final class PlatformClient extends Thread {
     private static final int REQUEST_TIMEOUT_MS = 3000;
@@ -16,11 +16,11 @@
     static final String HOST = "soak.example";
 
     /**
-     * One request. Times are System.nanoTime().
+     * The outcome of one request. Times are System.nanoTime().
      *
-     * @param status of the whole answer, 0 where the connection ended without one, -1 where no
-     *     connection came up
-     * @param mine whether the answer names this request
+     * @param status of the response, 0 if the connection ended or timed out before a complete
+     *     response, -1 if it could not be established
+     * @param mine false if the response names another request
      */
     record Request(
             PlatformProcesses.Node scheduler,
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Tells whether the connection can be used again. */
+    /** Sends one request and returns whether the connection can be reused. */
     private boolean sendRequest(
             HttpConnection connection, PlatformProcesses.Node scheduler, String id) {
         boolean reused = connection.isReused();
@@ -122,7 +122,7 @@
         try {
             connection.close();
         } catch (IOException e) {
-            // It is of no use any more either way.
+            // The connection is discarded in any case.
             return;
         }
     }
--- a/src/test/java/gingerspool/soak/PlatformOperator.java
+++ b/src/test/java/gingerspool/soak/PlatformOperator.java
@@ -10,8 +10,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The operator of a platform: sends one change after the other, each until it is acknowledged, to
- * any control node; one without a clear answer is sent again as it was.
+ * Simulates an operator of the platform for {@link PlatformSoakTest}: sends one configuration
+ * change after the other to random control nodes on its own thread. A change that is not
+ * acknowledged is retried unchanged.
  */
 final class PlatformOperator extends Thread {
     private static final int RESPONSE_TIMEOUT_MS = 2000;
@@ -20,7 +21,7 @@
     private static final int OK = 200;
     private static final int TEMPORARY_REDIRECT = 307;
 
-    /** Callers follow so many redirections. */
+    /** The number of redirects that are followed per call. */
     private static final int MAX_REDIRECTS = 2;
 
     private static final int PRECONDITION_FAILED = 412;
@@ -39,7 +40,7 @@
     private volatile boolean stopping;
     private volatile int acknowledgedVersion;
 
-    /** Orders that were refused though they built on the newest acknowledged version. */
+    /** Changes that were rejected although they were based on the newest acknowledged version. */
     final List<String> rejectedChanges = new ArrayList<>();
 
     PlatformOperator(List<PlatformProcesses.Node> controls, long seed) {
@@ -49,12 +50,12 @@
         setDaemon(true);
     }
 
-    /** The newest version that was acknowledged. */
+    /** The newest acknowledged configuration version; 0 before the first. */
     int acknowledgedVersion() {
         return acknowledgedVersion;
     }
 
-    /** The text of a version; its route's time-out tells it from others. */
+    /** The configuration of this version, which is identified by its route's timeout. */
     static String configuration(int version) {
         return CONFIGURATION.formatted(version, PlatformClient.HOST, routeTimeoutMs(version));
     }
@@ -71,7 +72,13 @@
         }
     }
 
-    /** Sends the next change until it is acknowledged; tells whether it was by then. */
+    /**
+     * Sends the next change until it is acknowledged.
+     *
+     * @param deadlineNanos System.nanoTime() after which it gives up; with Long.MAX_VALUE it
+     *     retries until the operator is stopped
+     * @return whether the change was acknowledged
+     */
     boolean applyNextChange(long deadlineNanos) {
         int version = acknowledgedVersion + 1;
         while (!stopping || deadlineNanos != Long.MAX_VALUE) {
@@ -106,7 +113,7 @@
         }
     }
 
-    /** What this control node tells of the configuration; empty where it says nothing. */
+    /** Reads the configuration from this control node; empty if the call fails. */
     static String readConfiguration(PlatformProcesses.Node node) {
         try {
             HttpConnection.Response response =
@@ -117,7 +124,7 @@
         }
     }
 
-    /** One call, sent on to where it is told to go. */
+    /** Makes one call and follows redirects. */
     private static HttpConnection.Response call(
             InetSocketAddress address,
             String method,
--- a/src/test/java/gingerspool/soak/PlatformProcesses.java
+++ b/src/test/java/gingerspool/soak/PlatformProcesses.java
@@ -18,8 +18,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Control nodes and schedulers of a platform as processes of their own on loopback, beside a
- * stand-in for the machines of instances in this one.
+ * Starts the control nodes and schedulers of a platform for {@link PlatformSoakTest}, each as a
+ * separate process on loopback. The cloud API and its worker machines are simulated in this
+ * process.
  */
 final class PlatformProcesses implements AutoCloseable {
     private static final int CONTROL_PORT = 18248;
@@ -33,10 +34,10 @@
     private static final long RETRY_INTERVAL_MS = 20;
     private static final int CONNECT_TIMEOUT_MS = 1000;
 
-    /** Runs beside each other have networks of their own. */
+    /** Second octet of all addresses, derived from the pid so that concurrent runs differ. */
     private static final int NETWORK_OCTET = 20 + (int) (ProcessHandle.current().pid() % 200);
 
-    /** The two programs. */
+    /** The program that a process runs. */
     enum Role {
         CONTROL("control", 5),
         SCHEDULER("scheduler", 6);
@@ -50,7 +51,7 @@
         }
     }
 
-    /** One process, and what its machine keeps when it is started again. */
+    /** One machine: its settings file and data directory persist when its process restarts. */
     final class Node {
         final Role role;
         final int number;
@@ -169,13 +170,13 @@
                     .waitFor();
         }
 
-        /** Waits until operators or clients can call it. */
+        /** Waits until the control or front address accepts connections. */
         void awaitListening(long ms) throws IOException, InterruptedException {
             InetSocketAddress address = role == Role.CONTROL ? controlAddress() : frontAddress();
             long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
             while (!isListening(address)) {
                 if (System.nanoTime() > deadlineNanos) {
-                    throw new IOException(name() + " does not listen after " + ms + " ms");
+                    throw new IOException(name() + " is not listening after " + ms + " ms");
                 }
                 Thread.sleep(RETRY_INTERVAL_MS);
             }
@@ -190,7 +191,7 @@
             }
         }
 
-        /** Nothing of what it wrote is left; only for one that has ended. */
+        /** Deletes the data directory; the process must have exited. */
         void deleteDisk() throws IOException {
             Folders.remove(folder.resolve(name()));
         }
@@ -216,7 +217,7 @@
     final List<Node> controlNodes = new ArrayList<>();
     final List<Node> schedulers = new ArrayList<>();
 
-    /** Starts all of it; logs, settings and disks go under the folder. */
+    /** Starts all processes; logs, settings and data directories are stored in the folder. */
     PlatformProcesses(Path folder, int controls, int schedulers) throws IOException {
         this.folder = folder;
         this.controlNodeCount = controls;
@@ -246,7 +247,7 @@
         return all;
     }
 
-    /** Processes that were ever started and live. */
+    /** The pids of all processes started so far that are still running. */
     List<Long> livePids() {
         return startedProcesses.stream().filter(Process::isAlive).map(Process::pid).toList();
     }
--- a/src/test/java/gingerspool/soak/PlatformSoakTest.java
+++ b/src/test/java/gingerspool/soak/PlatformSoakTest.java
@@ -16,20 +16,25 @@
 import org.testng.annotations.Test;
 
 /**
- * The platform's two programs as processes: control nodes and schedulers are terminated, killed,
- * stopped and started again in series that overlap, and in every other play one control node loses
- * its disk, while clients use their connections until they end and an operator sends one change
- * after the other.
+ * Runs the platform's two programs as processes and injects overlapping faults: control nodes and
+ * schedulers are terminated, killed, suspended, reloaded and restarted, and in about half of the
+ * runs one control node loses its disk. Meanwhile clients send requests over persistent connections
+ * and an operator sends one configuration change after the other.
  *
- * <p>One seed by itself; the long run by hand: {@code mvn test -Dtest=PlatformSoakTest
- * -Dsoak.from=1 -Dsoak.seeds=50 -Dsoak.out=FOLDER}. One play takes about 25 s.
+ * <p>One seed runs by default. To run more of them: {@code mvn test -Dtest=PlatformSoakTest
+ * -Dsoak.from=1 -Dsoak.seeds=50 -Dsoak.out=FOLDER}. One seed takes about 25 s.
  *
- * <p>Bounds, written before the first run, from RULES and the settings: a request that was sent on
- * a new connection gets a whole answer unless its scheduler was killed or stopped at most ContactMs
- * (4 s) before it was sent or before it ended; an answer names its request; no change that builds
- * on the newest is refused; one is acknowledged ContactMs + AcknowledgeMs (9 s) after the last
- * trouble; what was acknowledged is read back; a process ends GracePeriodS + 1 s (7 s) after
- * SIGTERM; nothing is left.
+ * <p>The bounds were set before the first run, from RULES and the settings:
+ *
+ * <ul>
+ *   <li>A request sent on a new connection gets a complete response, unless its scheduler was
+ *       killed or suspended between ContactMs (4 s) before it was sent and its end.
+ *   <li>A response names its own request.
+ *   <li>No change that is based on the newest version is rejected.
+ *   <li>A change is acknowledged within ContactMs + AcknowledgeMs (9 s) after the last fault.
+ *   <li>Acknowledged changes are read back.
+ *   <li>A process exits within GracePeriodS + 1 s (7 s) after SIGTERM, and no process remains.
+ * </ul>
  */
 public class PlatformSoakTest {
     private static final int CONTROL_NODE_COUNT = 3;
@@ -43,21 +48,21 @@
     private static final long EXIT_TIMEOUT_MS = 7000;
     private static final long START_TIMEOUT_MS = 30_000;
 
-    /** What may befall a process. */
+    /** The faults that are injected into a process. */
     private enum Fault {
         TERMINATED,
         KILLED,
         STOPPED,
         RELOADED,
-        /** It is killed and comes back without what its disk held. */
+        /** The process is killed and restarted with an empty data directory. */
         DISK_LOST
     }
 
-    /** What may befall any process, and one more often than once. */
+    /** Faults that may be injected into any process, and repeatedly. */
     private static final List<Fault> REPEATABLE_FAULTS =
             List.of(Fault.TERMINATED, Fault.KILLED, Fault.STOPPED, Fault.RELOADED);
 
-    /** What befell a process, and when (System.nanoTime()). */
+    /** A fault that was injected or ended at this System.nanoTime(). */
     private record InjectedFault(PlatformProcesses.Node node, Fault fault, long atNanos) {}
 
     private final List<InjectedFault> injectedFaults = new CopyOnWriteArrayList<>();
@@ -98,7 +103,7 @@
                 System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS);
         assertTrue(
                 operator.applyNextChange(startDeadlineNanos),
-                "the first configuration was not taken in 30 s");
+                "the first configuration was not acknowledged within 30 s");
         List<PlatformClient> clients = new ArrayList<>();
         for (int i = 0; i < CLIENT_COUNT; i++) {
             clients.add(new PlatformClient(platform.schedulers, i, seed));
@@ -115,9 +120,9 @@
         terminateAll(platform);
     }
 
-    // ---- Troubles ----
+    // ---- Fault injection ----
 
-    /** Troubles come at their times, each on a thread of its own, so that they overlap. */
+    /** Injects faults at random times, each on its own thread so that they can overlap. */
     private void injectFaults(PlatformProcesses platform, SplittableRandom random)
             throws InterruptedException {
         List<Thread> threads = new ArrayList<>();
@@ -128,9 +133,9 @@
             PlatformProcesses.Node node = all.get(random.nextInt(all.size()));
             long delayMs = random.nextLong(FAULT_PERIOD_MS);
             long durationMs = 200 + random.nextLong(1300);
-            threads.add(new Thread(() -> injectFault(node, fault, delayMs, durationMs), "trouble"));
+            threads.add(new Thread(() -> injectFault(node, fault, delayMs, durationMs), "fault"));
         }
-        // One machine of the core may be lost for good: ToleratedLosses.
+        // ToleratedLosses allows the permanent loss of one control machine.
         if (random.nextBoolean()) {
             PlatformProcesses.Node node =
                     platform.controlNodes.get(random.nextInt(platform.controlNodes.size()));
@@ -152,13 +157,13 @@
             PlatformProcesses.Node node, Fault fault, long delayMs, long durationMs) {
         try {
             Thread.sleep(delayMs);
-            // One trouble at a time befalls a process; those of others go on beside it.
+            // Faults of the same process are serialized; those of different processes overlap.
             synchronized (node) {
                 injectedFaults.add(new InjectedFault(node, fault, System.nanoTime()));
                 applyFault(node, fault, durationMs);
             }
         } catch (IOException | InterruptedException e) {
-            violations.add(fault + " of " + node.name() + " went wrong: " + e);
+            violations.add(fault + " of " + node.name() + " could not be injected: " + e);
         }
     }
 
@@ -166,7 +171,7 @@
             throws IOException, InterruptedException {
         switch (fault) {
             case RELOADED -> {
-                // The system ends a virtual machine that has just been started at SIGHUP.
+                // SIGHUP would end a JVM that has just started and has no handler for it yet.
                 node.awaitListening(START_TIMEOUT_MS);
                 node.signal("HUP");
             }
@@ -189,7 +194,7 @@
             default -> {
                 node.signal("TERM");
                 if (!node.awaitExit(EXIT_TIMEOUT_MS)) {
-                    violations.add(node.name() + " did not end 7 s after SIGTERM");
+                    violations.add(node.name() + " did not exit within 7 s after SIGTERM");
                     node.signal("KILL");
                     node.awaitExit(EXIT_TIMEOUT_MS);
                 }
@@ -198,16 +203,16 @@
         }
     }
 
-    // ---- Judging ----
+    // ---- Checks ----
 
     private void checkConfigurationChanges(PlatformProcesses platform, PlatformOperator operator)
             throws InterruptedException {
         long deadlineNanos =
                 System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ACKNOWLEDGE_TIMEOUT_MS);
         if (!operator.applyNextChange(deadlineNanos)) {
-            violations.add("no change was acknowledged 9 s after the last trouble");
+            violations.add("no change was acknowledged within 9 s after the last fault");
         }
-        operator.rejectedChanges.forEach(order -> violations.add("refused: " + order));
+        operator.rejectedChanges.forEach(order -> violations.add("rejected: " + order));
         String expectedTimeout =
                 "\"TimeoutMs\":" + PlatformOperator.routeTimeoutMs(operator.acknowledgedVersion());
         for (PlatformProcesses.Node node : platform.controlNodes) {
@@ -220,7 +225,7 @@
             if (!configuration.replace(" ", "").contains(expectedTimeout)) {
                 violations.add(
                         node.name()
-                                + " does not tell "
+                                + " does not return "
                                 + expectedTimeout
                                 + " but "
                                 + configuration);
@@ -234,10 +239,10 @@
             for (PlatformClient.Request request : client.requests) {
                 served += request.status() == 200 ? 1 : 0;
                 if (!request.mine()) {
-                    violations.add("an answer of another request at " + request);
+                    violations.add("response to another request: " + request);
                 }
                 if (request.status() == 0 && !request.reused() && !isLossAllowed(request)) {
-                    violations.add("lost on a new connection: " + request);
+                    violations.add("no response on a new connection: " + request);
                 }
             }
         }
@@ -246,7 +251,10 @@
         }
     }
 
-    /** Unplanned trouble of its scheduler, from ContactMs before it was sent until its end. */
+    /**
+     * Whether the request's scheduler was killed or suspended between ContactMs before the request
+     * was sent and its end.
+     */
     private boolean isLossAllowed(PlatformClient.Request request) {
         long windowStartNanos = request.sent() - TimeUnit.MILLISECONDS.toNanos(CONTACT_TIMEOUT_MS);
         for (InjectedFault blow : injectedFaults) {
@@ -261,7 +269,7 @@
         return false;
     }
 
-    /** All are terminated at once, the members of the core too. */
+    /** Terminates all processes at once, control nodes included. */
     private void terminateAll(PlatformProcesses platform) throws IOException, InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(EXIT_TIMEOUT_MS);
         for (PlatformProcesses.Node node : platform.allNodes()) {
@@ -270,11 +278,11 @@
         for (PlatformProcesses.Node node : platform.allNodes()) {
             long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
             if (!node.awaitExit(Math.max(1, remainingMs))) {
-                violations.add(node.name() + " is left 7 s after SIGTERM");
+                violations.add(node.name() + " is still running 7 s after SIGTERM");
             }
         }
         if (!platform.livePids().isEmpty()) {
-            violations.add("processes are left: " + platform.livePids());
+            violations.add("processes are still running: " + platform.livePids());
         }
     }
 }
