--- a/src/test/java/gingerspool/soak/PlatformProcesses.java
+++ b/src/test/java/gingerspool/soak/PlatformProcesses.java
@@ -19,8 +19,7 @@
 
 /**
  * Starts the control nodes and schedulers of a platform for {@link PlatformSoakTest}, each as a
- * separate process on loopback. The cloud API and its worker machines are simulated in this
- * process.
+ * separate process on loopback. The cloud and its instances are simulated in this process.
  */
 final class PlatformProcesses implements AutoCloseable {
     private static final int CONTROL_PORT = 18248;
@@ -28,8 +27,13 @@
     private static final int READINESS_PORT = 18246;
     private static final int INTERNAL_PORT = 17400;
     private static final int BOOT_MS = 200;
+
+    /** The time that a simulated instance takes per request. */
     private static final int WORK_MS = 20;
+
+    /** The delay of the simulated cloud's lists; the processes are configured with it as well. */
     private static final int LAG_MS = 100;
+
     private static final int INSTANCE_SLOTS = 8;
     private static final long RETRY_INTERVAL_MS = 20;
     private static final int CONNECT_TIMEOUT_MS = 1000;
--- a/src/test/java/gingerspool/soak/PlatformSoakTest.java
+++ b/src/test/java/gingerspool/soak/PlatformSoakTest.java
@@ -54,7 +54,7 @@
         KILLED,
         STOPPED,
         RELOADED,
-        /** The process is killed and restarted with an empty data directory. */
+        /** The process is killed and restarted without its data directory. */
         DISK_LOST
     }
 
