--- a/src/test/java/gingerspool/soak/HttpConnection.java
+++ b/src/test/java/gingerspool/soak/HttpConnection.java
@@ -9,73 +9,75 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One blocking HTTP/1.1 connection that is used until it ends. */
+/** A blocking, persistent HTTP/1.1 connection, used by one thread at a time. */
 final class HttpConnection implements AutoCloseable {
-    private static final int CONNECT_WITHIN_MS = 1000;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
 
-    /** An answer, whole. */
-    record Answer(int status, Map<String, String> fields, String body) {
-        boolean keepsAlive() {
-            return !"close".equalsIgnoreCase(fields.get("connection"));
+    /** A complete response; header names are in lower case. */
+    record Response(int status, Map<String, String> headers, String body) {
+        boolean isKeepAlive() {
+            return !"close".equalsIgnoreCase(headers.get("connection"));
         }
     }
 
     private final Socket socket = new Socket();
 
-    /** Requests that were answered on it. */
-    private int answered;
+    /** The number of responses received on this connection. */
+    private int responseCount;
 
-    HttpConnection(InetSocketAddress to, int answerWithinMs) throws IOException {
-        socket.connect(to, CONNECT_WITHIN_MS);
-        socket.setSoTimeout(answerWithinMs);
+    HttpConnection(InetSocketAddress address, int responseTimeoutMs) throws IOException {
+        socket.connect(address, CONNECT_TIMEOUT_MS);
+        socket.setSoTimeout(responseTimeoutMs);
         socket.setTcpNoDelay(true);
     }
 
     boolean isReused() {
-        return answered > 0;
+        return responseCount > 0;
     }
 
-    /** Sends the request and reads its answer; the connection is of no use after an exception. */
-    Answer ask(String method, String target, Map<String, String> fields, String body)
+    /** Sends a request and reads its response; the connection is unusable after an exception. */
+    Response send(String method, String target, Map<String, String> headers, String body)
             throws IOException {
         byte[] content = body.getBytes(StandardCharsets.UTF_8);
         StringBuilder head = new StringBuilder(method + " " + target + " HTTP/1.1\r\n");
-        fields.forEach((name, value) -> head.append(name + ": " + value + "\r\n"));
+        headers.forEach((name, value) -> head.append(name + ": " + value + "\r\n"));
         head.append("Content-Length: " + content.length + "\r\n\r\n");
-        byte[] top = head.toString().getBytes(StandardCharsets.ISO_8859_1);
-        byte[] all = new byte[top.length + content.length];
-        System.arraycopy(top, 0, all, 0, top.length);
-        System.arraycopy(content, 0, all, top.length, content.length);
-        socket.getOutputStream().write(all);
-        Answer answer = read(socket.getInputStream());
-        answered++;
-        return answer;
+        byte[] headBytes = head.toString().getBytes(StandardCharsets.ISO_8859_1);
+        byte[] message = new byte[headBytes.length + content.length];
+        System.arraycopy(headBytes, 0, message, 0, headBytes.length);
+        System.arraycopy(content, 0, message, headBytes.length, content.length);
+        socket.getOutputStream().write(message);
+        Response response = readResponse(socket.getInputStream());
+        responseCount++;
+        return response;
     }
 
-    private static Answer read(InputStream from) throws IOException {
-        String first = line(from);
-        Map<String, String> fields = new HashMap<>();
-        for (String next = line(from); !next.isEmpty(); next = line(from)) {
-            int colon = next.indexOf(':');
-            String name = next.substring(0, colon).toLowerCase(Locale.ROOT);
-            fields.put(name, next.substring(colon + 1).strip());
+    private static Response readResponse(InputStream input) throws IOException {
+        String statusLine = readLine(input);
+        Map<String, String> headers = new HashMap<>();
+        for (String headerLine = readLine(input);
+                !headerLine.isEmpty();
+                headerLine = readLine(input)) {
+            int colon = headerLine.indexOf(':');
+            String name = headerLine.substring(0, colon).toLowerCase(Locale.ROOT);
+            headers.put(name, headerLine.substring(colon + 1).strip());
         }
-        int length = Integer.parseInt(fields.getOrDefault("content-length", "0"));
-        byte[] body = from.readNBytes(length);
+        int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
+        byte[] body = input.readNBytes(length);
         if (body.length < length) {
-            throw new IOException("the answer ended after " + body.length + " of " + length);
+            throw new IOException("response body truncated after " + body.length + " of " + length);
         }
-        int status = Integer.parseInt(first.split(" ")[1]);
-        return new Answer(status, fields, new String(body, StandardCharsets.UTF_8));
+        int status = Integer.parseInt(statusLine.split(" ")[1]);
+        return new Response(status, headers, new String(body, StandardCharsets.UTF_8));
     }
 
-    private static String line(InputStream from) throws IOException {
+    private static String readLine(InputStream input) throws IOException {
         StringBuilder line = new StringBuilder();
-        for (int next = from.read(); next != '\n'; next = from.read()) {
-            if (next < 0) {
-                throw new IOException("the connection ended before an answer");
+        for (int nextByte = input.read(); nextByte != '\n'; nextByte = input.read()) {
+            if (nextByte < 0) {
+                throw new IOException("connection closed before the end of the response");
             }
-            line.append((char) next);
+            line.append((char) nextByte);
         }
         return line.toString().strip();
     }
--- a/src/test/java/gingerspool/soak/PlatformClient.java
+++ b/src/test/java/gingerspool/soak/PlatformClient.java
@@ -7,20 +7,20 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A client of the platform: one request after the other, on the connection that it has for as long
- * as that stays open; notes how each ended.
+ * Simulates a client for {@link PlatformSoakTest}: sends one request after the other on its own
+ * thread, reuses its connection while that stays open, and records the outcome of each request.
  */
 final class PlatformClient extends Thread {
-    private static final int TIME_MS = 3000;
-    private static final long PAUSE_MS = 15;
+    private static final int REQUEST_TIMEOUT_MS = 3000;
+    private static final long REQUEST_PAUSE_MS = 15;
     static final String HOST = "soak.example";
 
     /**
-     * One request. Times are System.nanoTime().
+     * The outcome of one request. Times are System.nanoTime().
      *
-     * @param status of the whole answer, 0 where the connection ended without one, -1 where no
-     *     connection came up
-     * @param mine whether the answer names this request
+     * @param status of the response, 0 if the connection ended or timed out before a complete
+     *     response, -1 if it could not be established
+     * @param mine false if the response names another request
      */
     record Request(
             PlatformProcesses.Node scheduler,
@@ -31,16 +31,16 @@
             boolean mine) {}
 
     private final List<PlatformProcesses.Node> schedulers;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final int number;
     final List<Request> requests = new CopyOnWriteArrayList<>();
-    private volatile boolean over;
+    private volatile boolean stopping;
 
     PlatformClient(List<PlatformProcesses.Node> schedulers, int number, long seed) {
         super("client-" + number);
         this.schedulers = schedulers;
         this.number = number;
-        chance = new SplittableRandom(seed * 1000 + number);
+        random = new SplittableRandom(seed * 1000 + number);
         setDaemon(true);
     }
 
@@ -48,12 +48,13 @@
     public void run() {
         HttpConnection connection = null;
         PlatformProcesses.Node scheduler = null;
-        for (int i = 0; !over; i++) {
+        for (int i = 0; !stopping; i++) {
             if (connection == null) {
-                scheduler = schedulers.get(chance.nextInt(schedulers.size()));
+                scheduler = schedulers.get(random.nextInt(schedulers.size()));
                 connection = connect(scheduler);
             }
-            if (connection != null && !ask(connection, scheduler, "soak-" + number + "-" + i)) {
+            if (connection != null
+                    && !sendRequest(connection, scheduler, "soak-" + number + "-" + i)) {
                 close(connection);
                 connection = null;
             }
@@ -65,22 +66,23 @@
     }
 
     private HttpConnection connect(PlatformProcesses.Node scheduler) {
-        long now = System.nanoTime();
+        long startNanos = System.nanoTime();
         try {
-            return new HttpConnection(scheduler.front(), 2 * TIME_MS);
+            return new HttpConnection(scheduler.frontAddress(), 2 * REQUEST_TIMEOUT_MS);
         } catch (IOException e) {
-            requests.add(new Request(scheduler, now, System.nanoTime(), -1, false, true));
+            requests.add(new Request(scheduler, startNanos, System.nanoTime(), -1, false, true));
             return null;
         }
     }
 
-    /** Tells whether the connection can be used again. */
-    private boolean ask(HttpConnection connection, PlatformProcesses.Node scheduler, String id) {
+    /** Sends one request and returns whether the connection can be reused. */
+    private boolean sendRequest(
+            HttpConnection connection, PlatformProcesses.Node scheduler, String id) {
         boolean reused = connection.isReused();
-        long sent = System.nanoTime();
+        long sentNanos = System.nanoTime();
         try {
-            HttpConnection.Answer answer =
-                    connection.ask(
+            HttpConnection.Response response =
+                    connection.send(
                             "GET",
                             "/hello/world",
                             Map.of(
@@ -89,21 +91,28 @@
                                     "Request-Id",
                                     id,
                                     "Remaining-Milliseconds",
-                                    Integer.toString(TIME_MS)),
+                                    Integer.toString(REQUEST_TIMEOUT_MS)),
                             "");
-            boolean mine = answer.status() != 200 || id.equals(answer.fields().get("request-id"));
+            boolean matchesRequest =
+                    response.status() != 200 || id.equals(response.headers().get("request-id"));
             requests.add(
-                    new Request(scheduler, sent, System.nanoTime(), answer.status(), reused, mine));
-            return answer.keepsAlive();
+                    new Request(
+                            scheduler,
+                            sentNanos,
+                            System.nanoTime(),
+                            response.status(),
+                            reused,
+                            matchesRequest));
+            return response.isKeepAlive();
         } catch (IOException e) {
-            requests.add(new Request(scheduler, sent, System.nanoTime(), 0, reused, true));
+            requests.add(new Request(scheduler, sentNanos, System.nanoTime(), 0, reused, true));
             return false;
         }
     }
 
     private static void pause() {
         try {
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(REQUEST_PAUSE_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -113,13 +122,13 @@
         try {
             connection.close();
         } catch (IOException e) {
-            // It is of no use any more either way.
+            // The connection is discarded in any case.
             return;
         }
     }
 
-    void end() throws InterruptedException {
-        over = true;
+    void stopAndJoin() throws InterruptedException {
+        stopping = true;
         join();
     }
 }
--- a/src/test/java/gingerspool/soak/PlatformSoakTest.java
+++ b/src/test/java/gingerspool/soak/PlatformSoakTest.java
@@ -16,52 +16,57 @@
 import org.testng.annotations.Test;
 
 /**
- * The platform's two programs as processes: control nodes and schedulers are terminated, killed,
- * stopped and started again in series that overlap, and in every other play one control node loses
- * its disk, while clients use their connections until they end and an operator sends one change
- * after the other.
+ * Runs the platform's two programs as processes and injects overlapping faults: control nodes and
+ * schedulers are terminated, killed, suspended, reloaded and restarted, and in about half of the
+ * runs one control node loses its disk. Meanwhile clients send requests over persistent connections
+ * and an operator sends one configuration change after the other.
  *
- * <p>One seed by itself; the long run by hand: {@code mvn test -Dtest=PlatformSoakTest
- * -Dsoak.from=1 -Dsoak.seeds=50 -Dsoak.out=FOLDER}. One play takes about 25 s.
+ * <p>One seed runs by default. To run more of them: {@code mvn test -Dtest=PlatformSoakTest
+ * -Dsoak.from=1 -Dsoak.seeds=50 -Dsoak.out=FOLDER}. One seed takes about 25 s.
  *
- * <p>Bounds, written before the first run, from RULES and the settings: a request that was sent on
- * a new connection gets a whole answer unless its scheduler was killed or stopped at most ContactMs
- * (4 s) before it was sent or before it ended; an answer names its request; no change that builds
- * on the newest is refused; one is acknowledged ContactMs + AcknowledgeMs (9 s) after the last
- * trouble; what was acknowledged is read back; a process ends GracePeriodS + 1 s (7 s) after
- * SIGTERM; nothing is left.
+ * <p>The bounds were set before the first run, from RULES and the settings:
+ *
+ * <ul>
+ *   <li>A request sent on a new connection gets a complete response, unless its scheduler was
+ *       killed or suspended between ContactMs (4 s) before it was sent and its end.
+ *   <li>A response names its own request.
+ *   <li>No change that is based on the newest version is rejected.
+ *   <li>A change is acknowledged within ContactMs + AcknowledgeMs (9 s) after the last fault.
+ *   <li>Acknowledged changes are read back.
+ *   <li>A process exits within GracePeriodS + 1 s (7 s) after SIGTERM, and no process remains.
+ * </ul>
  */
 public class PlatformSoakTest {
-    private static final int CONTROLS = 3;
-    private static final int SCHEDULERS = 2;
-    private static final int CLIENTS = 6;
-    private static final int FEWEST_TROUBLES = 5;
-    private static final int TROUBLES_SPREAD = 5;
-    private static final long LENGTH_MS = 10_000;
-    private static final long CONTACT_MS = 4000;
-    private static final long ACKNOWLEDGED_WITHIN_MS = CONTACT_MS + 5000;
-    private static final long ENDS_WITHIN_MS = 7000;
-    private static final long STARTS_WITHIN_MS = 30_000;
+    private static final int CONTROL_NODE_COUNT = 3;
+    private static final int SCHEDULER_COUNT = 2;
+    private static final int CLIENT_COUNT = 6;
+    private static final int MIN_FAULTS = 5;
+    private static final int FAULT_COUNT_RANGE = 5;
+    private static final long FAULT_PERIOD_MS = 10_000;
+    private static final long CONTACT_TIMEOUT_MS = 4000;
+    private static final long ACKNOWLEDGE_TIMEOUT_MS = CONTACT_TIMEOUT_MS + 5000;
+    private static final long EXIT_TIMEOUT_MS = 7000;
+    private static final long START_TIMEOUT_MS = 30_000;
 
-    /** What may befall a process. */
-    private enum Trouble {
+    /** The faults that are injected into a process. */
+    private enum Fault {
         TERMINATED,
         KILLED,
         STOPPED,
         RELOADED,
-        /** It is killed and comes back without what its disk held. */
+        /** The process is killed and restarted without its data directory. */
         DISK_LOST
     }
 
-    /** What may befall any process, and one more often than once. */
-    private static final List<Trouble> REPEATED =
-            List.of(Trouble.TERMINATED, Trouble.KILLED, Trouble.STOPPED, Trouble.RELOADED);
+    /** Faults that may be injected into any process, and repeatedly. */
+    private static final List<Fault> REPEATABLE_FAULTS =
+            List.of(Fault.TERMINATED, Fault.KILLED, Fault.STOPPED, Fault.RELOADED);
 
-    /** What befell a process, and when (System.nanoTime()). */
-    private record Blow(PlatformProcesses.Node node, Trouble trouble, long at) {}
+    /** A fault that was injected or ended at this System.nanoTime(). */
+    private record InjectedFault(PlatformProcesses.Node node, Fault fault, long atNanos) {}
 
-    private final List<Blow> blows = new CopyOnWriteArrayList<>();
-    private final List<String> wrong = new CopyOnWriteArrayList<>();
+    private final List<InjectedFault> injectedFaults = new CopyOnWriteArrayList<>();
+    private final List<String> violations = new CopyOnWriteArrayList<>();
 
     @DataProvider
     public Object[][] seeds() {
@@ -75,191 +80,209 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void whateverComesNothingAcknowledgedIsLostAndNothingIsLeft(long seed) throws Exception {
-        blows.clear();
-        wrong.clear();
-        String kept = System.getProperty("soak.out");
+    public void noAcknowledgedChangeIsLostAndNoProcessRemains(long seed) throws Exception {
+        injectedFaults.clear();
+        violations.clear();
+        String outputFolder = System.getProperty("soak.out");
         Path folder =
-                kept == null
+                outputFolder == null
                         ? Files.createTempDirectory("platform-soak")
-                        : Files.createDirectories(Path.of(kept, "platform-" + seed));
-        try (PlatformProcesses platform = new PlatformProcesses(folder, CONTROLS, SCHEDULERS)) {
-            play(platform, seed);
-            Files.writeString(folder.resolve("said.txt"), String.join("\n", wrong));
-            assertEquals(wrong, List.of(), "seed " + seed + " " + blows);
+                        : Files.createDirectories(Path.of(outputFolder, "platform-" + seed));
+        try (PlatformProcesses platform =
+                new PlatformProcesses(folder, CONTROL_NODE_COUNT, SCHEDULER_COUNT)) {
+            runScenario(platform, seed);
+            Files.writeString(folder.resolve("said.txt"), String.join("\n", violations));
+            assertEquals(violations, List.of(), "seed " + seed + " " + injectedFaults);
         }
         Folders.remove(folder);
     }
 
-    private void play(PlatformProcesses platform, long seed) throws Exception {
+    private void runScenario(PlatformProcesses platform, long seed) throws Exception {
         PlatformOperator operator = new PlatformOperator(platform.controlNodes, seed);
-        long startsBy = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STARTS_WITHIN_MS);
-        assertTrue(operator.change(startsBy), "the first configuration was not taken in 30 s");
+        long startDeadlineNanos =
+                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS);
+        assertTrue(
+                operator.applyNextChange(startDeadlineNanos),
+                "the first configuration was not acknowledged within 30 s");
         List<PlatformClient> clients = new ArrayList<>();
-        for (int i = 0; i < CLIENTS; i++) {
+        for (int i = 0; i < CLIENT_COUNT; i++) {
             clients.add(new PlatformClient(platform.schedulers, i, seed));
         }
         clients.forEach(Thread::start);
         operator.start();
-        befall(platform, new SplittableRandom(seed));
-        operator.end();
+        injectFaults(platform, new SplittableRandom(seed));
+        operator.stopAndJoin();
         for (PlatformClient client : clients) {
-            client.end();
+            client.stopAndJoin();
         }
-        judgeChanges(platform, operator);
-        judgeRequests(clients);
-        end(platform);
+        checkConfigurationChanges(platform, operator);
+        checkRequests(clients);
+        terminateAll(platform);
     }
 
-    // ---- Troubles ----
+    // ---- Fault injection ----
 
-    /** Troubles come at their times, each on a thread of its own, so that they overlap. */
-    private void befall(PlatformProcesses platform, SplittableRandom chance)
+    /** Injects faults at random times, each on its own thread so that they can overlap. */
+    private void injectFaults(PlatformProcesses platform, SplittableRandom random)
             throws InterruptedException {
         List<Thread> threads = new ArrayList<>();
-        int troubles = FEWEST_TROUBLES + chance.nextInt(TROUBLES_SPREAD);
-        for (int i = 0; i < troubles; i++) {
-            Trouble trouble = REPEATED.get(chance.nextInt(REPEATED.size()));
-            List<PlatformProcesses.Node> all = platform.all();
-            PlatformProcesses.Node node = all.get(chance.nextInt(all.size()));
-            long at = chance.nextLong(LENGTH_MS);
-            long lasts = 200 + chance.nextLong(1300);
-            threads.add(new Thread(() -> befall(node, trouble, at, lasts), "trouble"));
+        int faultCount = MIN_FAULTS + random.nextInt(FAULT_COUNT_RANGE);
+        for (int i = 0; i < faultCount; i++) {
+            Fault fault = REPEATABLE_FAULTS.get(random.nextInt(REPEATABLE_FAULTS.size()));
+            List<PlatformProcesses.Node> all = platform.allNodes();
+            PlatformProcesses.Node node = all.get(random.nextInt(all.size()));
+            long delayMs = random.nextLong(FAULT_PERIOD_MS);
+            long durationMs = 200 + random.nextLong(1300);
+            threads.add(new Thread(() -> injectFault(node, fault, delayMs, durationMs), "fault"));
         }
-        // One machine of the core may be lost for good: ToleratedLosses.
-        if (chance.nextBoolean()) {
+        // ToleratedLosses allows the permanent loss of one control machine.
+        if (random.nextBoolean()) {
             PlatformProcesses.Node node =
-                    platform.controlNodes.get(chance.nextInt(platform.controlNodes.size()));
-            long at = chance.nextLong(LENGTH_MS);
-            long lasts = 200 + chance.nextLong(1300);
-            threads.add(new Thread(() -> befall(node, Trouble.DISK_LOST, at, lasts), "disk-lost"));
+                    platform.controlNodes.get(random.nextInt(platform.controlNodes.size()));
+            long delayMs = random.nextLong(FAULT_PERIOD_MS);
+            long durationMs = 200 + random.nextLong(1300);
+            threads.add(
+                    new Thread(
+                            () -> injectFault(node, Fault.DISK_LOST, delayMs, durationMs),
+                            "disk-lost"));
         }
         threads.forEach(Thread::start);
-        Thread.sleep(LENGTH_MS);
+        Thread.sleep(FAULT_PERIOD_MS);
         for (Thread thread : threads) {
             thread.join();
         }
     }
 
-    private void befall(PlatformProcesses.Node node, Trouble trouble, long at, long lasts) {
+    private void injectFault(
+            PlatformProcesses.Node node, Fault fault, long delayMs, long durationMs) {
         try {
-            Thread.sleep(at);
-            // One trouble at a time befalls a process; those of others go on beside it.
+            Thread.sleep(delayMs);
+            // Faults of the same process are serialized; those of different processes overlap.
             synchronized (node) {
-                blows.add(new Blow(node, trouble, System.nanoTime()));
-                carryOut(node, trouble, lasts);
+                injectedFaults.add(new InjectedFault(node, fault, System.nanoTime()));
+                applyFault(node, fault, durationMs);
             }
         } catch (IOException | InterruptedException e) {
-            wrong.add(trouble + " of " + node.name() + " went wrong: " + e);
+            violations.add(fault + " of " + node.name() + " could not be injected: " + e);
         }
     }
 
-    private void carryOut(PlatformProcesses.Node node, Trouble trouble, long lasts)
+    private void applyFault(PlatformProcesses.Node node, Fault fault, long durationMs)
             throws IOException, InterruptedException {
-        switch (trouble) {
+        switch (fault) {
             case RELOADED -> {
-                // The system ends a virtual machine that has just been started at SIGHUP.
-                node.listensWithin(STARTS_WITHIN_MS);
+                // SIGHUP would end a JVM that has just started and has no handler for it yet.
+                node.awaitListening(START_TIMEOUT_MS);
                 node.signal("HUP");
             }
             case STOPPED -> {
                 node.signal("STOP");
-                Thread.sleep(lasts);
+                Thread.sleep(durationMs);
                 node.signal("CONT");
-                blows.add(new Blow(node, trouble, System.nanoTime()));
+                injectedFaults.add(new InjectedFault(node, fault, System.nanoTime()));
             }
             case KILLED, DISK_LOST -> {
                 node.signal("KILL");
-                node.endsWithin(ENDS_WITHIN_MS);
-                if (trouble == Trouble.DISK_LOST) {
-                    node.loseDisk();
+                node.awaitExit(EXIT_TIMEOUT_MS);
+                if (fault == Fault.DISK_LOST) {
+                    node.deleteDisk();
                 }
-                Thread.sleep(lasts);
+                Thread.sleep(durationMs);
                 node.start();
-                blows.add(new Blow(node, trouble, System.nanoTime()));
+                injectedFaults.add(new InjectedFault(node, fault, System.nanoTime()));
             }
             default -> {
                 node.signal("TERM");
-                if (!node.endsWithin(ENDS_WITHIN_MS)) {
-                    wrong.add(node.name() + " did not end 7 s after SIGTERM");
+                if (!node.awaitExit(EXIT_TIMEOUT_MS)) {
+                    violations.add(node.name() + " did not exit within 7 s after SIGTERM");
                     node.signal("KILL");
-                    node.endsWithin(ENDS_WITHIN_MS);
+                    node.awaitExit(EXIT_TIMEOUT_MS);
                 }
                 node.start();
             }
         }
     }
 
-    // ---- Judging ----
+    // ---- Checks ----
 
-    private void judgeChanges(PlatformProcesses platform, PlatformOperator operator)
+    private void checkConfigurationChanges(PlatformProcesses platform, PlatformOperator operator)
             throws InterruptedException {
-        long by = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ACKNOWLEDGED_WITHIN_MS);
-        if (!operator.change(by)) {
-            wrong.add("no change was acknowledged 9 s after the last trouble");
+        long deadlineNanos =
+                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ACKNOWLEDGE_TIMEOUT_MS);
+        if (!operator.applyNextChange(deadlineNanos)) {
+            violations.add("no change was acknowledged within 9 s after the last fault");
         }
-        operator.refused.forEach(order -> wrong.add("refused: " + order));
-        String newest = "\"TimeoutMs\":" + PlatformOperator.timeout(operator.acknowledged());
+        operator.rejectedChanges.forEach(order -> violations.add("rejected: " + order));
+        String expectedTimeout =
+                "\"TimeoutMs\":" + PlatformOperator.routeTimeoutMs(operator.acknowledgedVersion());
         for (PlatformProcesses.Node node : platform.controlNodes) {
-            String read = PlatformOperator.read(node);
-            while (!read.replace(" ", "").contains(newest) && System.nanoTime() < by) {
+            String configuration = PlatformOperator.readConfiguration(node);
+            while (!configuration.replace(" ", "").contains(expectedTimeout)
+                    && System.nanoTime() < deadlineNanos) {
                 Thread.sleep(100);
-                read = PlatformOperator.read(node);
+                configuration = PlatformOperator.readConfiguration(node);
             }
-            if (!read.replace(" ", "").contains(newest)) {
-                wrong.add(node.name() + " does not tell " + newest + " but " + read);
+            if (!configuration.replace(" ", "").contains(expectedTimeout)) {
+                violations.add(
+                        node.name()
+                                + " does not return "
+                                + expectedTimeout
+                                + " but "
+                                + configuration);
             }
         }
     }
 
-    private void judgeRequests(List<PlatformClient> clients) {
+    private void checkRequests(List<PlatformClient> clients) {
         int served = 0;
         for (PlatformClient client : clients) {
             for (PlatformClient.Request request : client.requests) {
                 served += request.status() == 200 ? 1 : 0;
                 if (!request.mine()) {
-                    wrong.add("an answer of another request at " + request);
+                    violations.add("response to another request: " + request);
                 }
-                if (request.status() == 0 && !request.reused() && !mayBeLost(request)) {
-                    wrong.add("lost on a new connection: " + request);
+                if (request.status() == 0 && !request.reused() && !isLossAllowed(request)) {
+                    violations.add("no response on a new connection: " + request);
                 }
             }
         }
         if (served == 0) {
-            wrong.add("no request was served");
+            violations.add("no request was served");
         }
     }
 
-    /** Unplanned trouble of its scheduler, from ContactMs before it was sent until its end. */
-    private boolean mayBeLost(PlatformClient.Request request) {
-        long from = request.sent() - TimeUnit.MILLISECONDS.toNanos(CONTACT_MS);
-        for (Blow blow : blows) {
-            boolean unplanned =
-                    blow.trouble() == Trouble.KILLED || blow.trouble() == Trouble.STOPPED;
+    /**
+     * Whether the request's scheduler was killed or suspended between ContactMs before the request
+     * was sent and its end.
+     */
+    private boolean isLossAllowed(PlatformClient.Request request) {
+        long windowStartNanos = request.sent() - TimeUnit.MILLISECONDS.toNanos(CONTACT_TIMEOUT_MS);
+        for (InjectedFault blow : injectedFaults) {
+            boolean unplanned = blow.fault() == Fault.KILLED || blow.fault() == Fault.STOPPED;
             if (blow.node() == request.scheduler()
                     && unplanned
-                    && blow.at() >= from
-                    && blow.at() <= request.ended()) {
+                    && blow.atNanos() >= windowStartNanos
+                    && blow.atNanos() <= request.ended()) {
                 return true;
             }
         }
         return false;
     }
 
-    /** All are terminated at once, the members of the core too. */
-    private void end(PlatformProcesses platform) throws IOException, InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ENDS_WITHIN_MS);
-        for (PlatformProcesses.Node node : platform.all()) {
+    /** Terminates all processes at once, control nodes included. */
+    private void terminateAll(PlatformProcesses platform) throws IOException, InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(EXIT_TIMEOUT_MS);
+        for (PlatformProcesses.Node node : platform.allNodes()) {
             node.signal("TERM");
         }
-        for (PlatformProcesses.Node node : platform.all()) {
-            long left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
-            if (!node.endsWithin(Math.max(1, left))) {
-                wrong.add(node.name() + " is left 7 s after SIGTERM");
+        for (PlatformProcesses.Node node : platform.allNodes()) {
+            long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
+            if (!node.awaitExit(Math.max(1, remainingMs))) {
+                violations.add(node.name() + " is still running 7 s after SIGTERM");
             }
         }
-        if (!platform.alive().isEmpty()) {
-            wrong.add("processes are left: " + platform.alive());
+        if (!platform.livePids().isEmpty()) {
+            violations.add("processes are still running: " + platform.livePids());
         }
     }
 }
