--- a/src/main/java/gingerspool/route/Budget.java
+++ b/src/main/java/gingerspool/route/Budget.java
@@ -13,59 +13,60 @@
  */
 public final class Budget implements RetryBudget {
     /** Seconds of earnings that may be kept. */
-    static final double RESERVE = 1;
+    static final double RESERVE_S = 1;
 
     private final double share;
-    private final double leastPerS;
-    private double level;
-    private double at;
+    private final double minPerS;
+    private double tokens;
+    private double updatedAt;
 
     /** First assignments a second, over the last ten. */
-    private double rate;
+    private double earningRatePerS;
 
     public Budget(Policy.Repeats r) {
         share = r.share();
-        leastPerS = r.leastPerS();
-        level = cap();
+        minPerS = r.leastPerS();
+        tokens = cap();
     }
 
     /** A budget with the figures of this one that goes on where another stood. */
     public Budget(Policy.Repeats r, Budget before) {
         this(r);
         if (before != null) {
-            at = before.at;
-            rate = before.rate;
-            level = Math.min(before.level, cap());
+            updatedAt = before.updatedAt;
+            earningRatePerS = before.earningRatePerS;
+            tokens = Math.min(before.tokens, cap());
         }
     }
 
     double cap() {
-        return Math.max(share > 0 || leastPerS > 0 ? 1 : 0, RESERVE * (leastPerS + share * rate));
+        return Math.max(
+                share > 0 || minPerS > 0 ? 1 : 0, RESERVE_S * (minPerS + share * earningRatePerS));
     }
 
-    private void pass(double now) {
-        double s = Math.max(0, now - at) / 1000;
-        at = Math.max(at, now);
-        rate *= Math.exp(-s / 10);
-        level = Math.min(cap(), level + leastPerS * s);
+    private void refill(double now) {
+        double s = Math.max(0, now - updatedAt) / 1000;
+        updatedAt = Math.max(updatedAt, now);
+        earningRatePerS *= Math.exp(-s / 10);
+        tokens = Math.min(cap(), tokens + minPerS * s);
     }
 
     @Override
     public void earn(double now) {
-        pass(now);
-        rate += 1 / 10.0;
-        level = Math.min(cap(), level + share);
+        refill(now);
+        earningRatePerS += 1 / 10.0;
+        tokens = Math.min(cap(), tokens + share);
     }
 
     @Override
     public boolean allows(double now) {
-        pass(now);
-        return level >= 1;
+        refill(now);
+        return tokens >= 1;
     }
 
     @Override
     public void spend(double now) {
-        pass(now);
-        level -= 1;
+        refill(now);
+        tokens -= 1;
     }
 }
--- a/src/main/java/gingerspool/route/Match.java
+++ b/src/main/java/gingerspool/route/Match.java
@@ -15,7 +15,7 @@
         if (!path.startsWith("/")) {
             return "does not begin with /";
         }
-        List<String> parts = parts(path);
+        List<String> parts = segments(path);
         for (int i = 0; i < parts.size(); i++) {
             String p = parts.get(i);
             if (p.equals("**") && i < parts.size() - 1) {
@@ -42,7 +42,7 @@
     }
 
     /** The parts of a path: "/a/b" has two, "/" has one, which is empty. */
-    static List<String> parts(String path) {
+    static List<String> segments(String path) {
         List<String> parts = new ArrayList<>();
         int from = 1;
         for (int slash = path.indexOf('/', 1); slash >= 0; slash = path.indexOf('/', from)) {
@@ -76,23 +76,23 @@
         if (tenant != null && !tenant.equals(ofTenant)) {
             return "tenant is not " + tenant;
         }
-        if (host != null && (atHost == null || !hostTakes(host(atHost)))) {
+        if (host != null && (atHost == null || !hostMatches(host(atHost)))) {
             return "host does not match " + host;
         }
-        return path != null && (atPath == null || !pathTakes(parts(atPath)))
+        return path != null && (atPath == null || !pathMatches(segments(atPath)))
                 ? "path does not match " + path
                 : null;
     }
 
-    private boolean hostTakes(String h) {
+    private boolean hostMatches(String h) {
         String wanted = host.toLowerCase(Locale.ROOT);
         return wanted.startsWith("*.")
                 ? h.endsWith(wanted.substring(1)) && h.length() >= wanted.length()
                 : h.equals(wanted);
     }
 
-    private boolean pathTakes(List<String> at) {
-        List<String> wanted = parts(path);
+    private boolean pathMatches(List<String> at) {
+        List<String> wanted = segments(path);
         for (int i = 0; i < wanted.size(); i++) {
             if (wanted.get(i).equals("**")) {
                 return true;
@@ -107,14 +107,14 @@
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
-        add(text, "profile", profile);
-        add(text, "path", path);
-        add(text, "host", host);
-        add(text, "tenant", tenant);
+        appendCondition(text, "profile", profile);
+        appendCondition(text, "path", path);
+        appendCondition(text, "host", host);
+        appendCondition(text, "tenant", tenant);
         return text.length() == 0 ? "anything" : text.toString();
     }
 
-    private static void add(StringBuilder text, String name, String value) {
+    private static void appendCondition(StringBuilder text, String name, String value) {
         if (value != null) {
             text.append(text.length() == 0 ? "" : ", ").append(name).append(' ').append(value);
         }
--- a/src/main/java/gingerspool/route/Routes.java
+++ b/src/main/java/gingerspool/route/Routes.java
@@ -18,7 +18,7 @@
  */
 public final class Routes {
     /** Tenants whose limits are kept track of, besides those with tasks in hand. */
-    private static final int TENANTS_MOST = 10_000;
+    private static final int MAX_TENANTS = 10_000;
 
     /**
      * What a route, or a profile by itself (match is null), says. The last three tell who owns the
@@ -33,52 +33,54 @@
             String repeatsOf) {}
 
     /** A limit for each tenant, by its name; the longest unused first. */
-    private static final class PerTenant {
+    private static final class TenantLimits {
         private final Policy.Bound bound;
-        private final LinkedHashMap<String, Limit> limits = new LinkedHashMap<>(16, 0.75f, true);
+        private final LinkedHashMap<String, AdmissionLimit> limits =
+                new LinkedHashMap<>(16, 0.75f, true);
 
-        private PerTenant(Policy.Bound bound, PerTenant before) {
+        private TenantLimits(Policy.Bound bound, TenantLimits before) {
             this.bound = bound;
             if (before != null) {
-                before.limits.forEach((tenant, l) -> limits.put(tenant, new Limit(bound, l)));
+                before.limits.forEach(
+                        (tenant, l) -> limits.put(tenant, new AdmissionLimit(bound, l)));
             }
         }
 
-        private Limit of(String tenant, double now) {
-            Limit known = limits.get(tenant);
+        private AdmissionLimit of(String tenant, double now) {
+            AdmissionLimit known = limits.get(tenant);
             if (known != null) {
                 return known;
             }
             // Guards memory against made-up tenants: those that hold nothing make way.
-            if (limits.size() >= TENANTS_MOST) {
+            if (limits.size() >= MAX_TENANTS) {
                 limits.values().removeIf(l -> l.idle(now));
             }
             return limits.computeIfAbsent(
-                    limits.size() >= TENANTS_MOST ? "" : tenant, k -> new Limit(bound));
+                    limits.size() >= MAX_TENANTS ? "" : tenant, k -> new AdmissionLimit(bound));
         }
     }
 
     /** What a task takes from its limits and must give back. */
     public static final class Stay {
-        private final Limit limit;
-        private final Limit tenant;
-        private final double since;
-        private boolean over;
+        private final AdmissionLimit limit;
+        private final AdmissionLimit tenant;
+        private final double admittedAt;
+        private boolean released;
 
-        private Stay(Limit limit, Limit tenant, double since) {
+        private Stay(AdmissionLimit limit, AdmissionLimit tenant, double since) {
             this.limit = limit;
             this.tenant = tenant;
-            this.since = since;
+            this.admittedAt = since;
         }
     }
 
     private static final class Entry {
         private final String name;
         private Terms terms;
-        private Limit limit;
-        private PerTenant perTenant;
-        private int taken;
-        private int turnedAway;
+        private AdmissionLimit limit;
+        private TenantLimits tenantLimits;
+        private int admitted;
+        private int rejected;
 
         private Entry(String name) {
             this.name = name;
@@ -91,8 +93,8 @@
     private final List<Map<String, Entry>> routes = new ArrayList<>();
 
     private final Map<String, Entry> byProfile = new HashMap<>();
-    private final Map<String, Limit> limits = new HashMap<>();
-    private final Map<String, PerTenant> tenantLimits = new HashMap<>();
+    private final Map<String, AdmissionLimit> limits = new HashMap<>();
+    private final Map<String, TenantLimits> tenantLimits = new HashMap<>();
     private final Map<String, Budget> budgets = new HashMap<>();
     private final List<Entry> entries = new ArrayList<>();
 
@@ -146,16 +148,16 @@
                         : limits.computeIfAbsent(
                                 r.limitOf() == null ? byProfile : r.limitOf(),
                                 name ->
-                                        new Limit(
+                                        new AdmissionLimit(
                                                 p.limit(),
                                                 before == null ? null : before.limits.get(name)));
-        e.perTenant =
+        e.tenantLimits =
                 p.tenantLimit() == null
                         ? null
                         : tenantLimits.computeIfAbsent(
                                 r.tenantLimitOf() == null ? byProfile : r.tenantLimitOf(),
                                 name ->
-                                        new PerTenant(
+                                        new TenantLimits(
                                                 p.tenantLimit(),
                                                 before == null
                                                         ? null
@@ -173,39 +175,41 @@
             return null;
         }
         t.terms = e.terms;
-        Limit ofTenant =
-                e.perTenant == null ? null : e.perTenant.of(tenant == null ? "" : tenant, now);
+        AdmissionLimit ofTenant =
+                e.tenantLimits == null
+                        ? null
+                        : e.tenantLimits.of(tenant == null ? "" : tenant, now);
         double wait =
                 Math.max(
                         e.limit == null ? 0 : e.limit.delay(now),
                         ofTenant == null ? 0 : ofTenant.delay(now));
         if (wait > 0) {
-            e.turnedAway++;
+            e.rejected++;
             t.overLimit = true;
             t.retryAfter = Double.isInfinite(wait) ? 0 : wait;
             return null;
         }
-        e.taken++;
+        e.admitted++;
         if (e.limit != null) {
-            e.limit.taken(now);
+            e.limit.acquire(now);
         }
         if (ofTenant != null) {
-            ofTenant.taken(now);
+            ofTenant.acquire(now);
         }
         return e.limit == null && ofTenant == null ? null : new Stay(e.limit, ofTenant, now);
     }
 
     /** The task has its answer; only the first call counts. */
     public static void done(double now, Stay stay, boolean finished) {
-        if (stay == null || stay.over) {
+        if (stay == null || stay.released) {
             return;
         }
-        stay.over = true;
+        stay.released = true;
         if (stay.limit != null) {
-            stay.limit.done(now - stay.since, finished);
+            stay.limit.release(now - stay.admittedAt, finished);
         }
         if (stay.tenant != null) {
-            stay.tenant.done(now - stay.since, finished);
+            stay.tenant.release(now - stay.admittedAt, finished);
         }
     }
 
@@ -228,12 +232,12 @@
     public Map<String, int[]> counts() {
         Map<String, int[]> all = new LinkedHashMap<>();
         for (Entry e : entries) {
-            if (e.taken > 0 || e.turnedAway > 0) {
+            if (e.admitted > 0 || e.rejected > 0) {
                 int[] n = all.computeIfAbsent(e.name, k -> new int[2]);
-                n[0] += e.taken;
-                n[1] += e.turnedAway;
-                e.taken = 0;
-                e.turnedAway = 0;
+                n[0] += e.admitted;
+                n[1] += e.rejected;
+                e.admitted = 0;
+                e.rejected = 0;
             }
         }
         return all;
--- a/src/main/java/gingerspool/route/Table.java
+++ b/src/main/java/gingerspool/route/Table.java
@@ -16,32 +16,32 @@
  */
 public final class Table {
     /** Guards against paths of thousands of parts: patterns are told apart by the first of them. */
-    private static final int PARTS_MOST = 64;
+    private static final int MAX_SEGMENTS = 64;
 
     /**
      * Stands for `*` and `**` in a path that is itself a pattern. A part of a real path never is
      * these objects.
      */
-    private static final String ANY_ONE = new String("*");
+    private static final String ANY_SEGMENT = new String("*");
 
-    private static final String ANY_MORE = new String("**");
+    private static final String ANY_SEGMENTS = new String("**");
     private static final String ANY = "";
 
-    private final Map<String, Map<String, Map<String, Paths>>> byProfile = new HashMap<>();
+    private final Map<String, Map<String, Map<String, PathNode>>> byProfile = new HashMap<>();
     private int size;
 
     /** One part of the paths that routes with the same profile, tenant and host wait for. */
-    private static final class Paths {
-        private int lowest = Integer.MAX_VALUE;
-        private int here = Integer.MAX_VALUE;
-        private int more = Integer.MAX_VALUE;
-        private Paths anyOne;
-        private final Map<String, Paths> named = new HashMap<>();
+    private static final class PathNode {
+        private int lowestIndex = Integer.MAX_VALUE;
+        private int exactIndex = Integer.MAX_VALUE;
+        private int anySegmentsIndex = Integer.MAX_VALUE;
+        private PathNode anySegment;
+        private final Map<String, PathNode> bySegment = new HashMap<>();
     }
 
     /** Adds a match behind those that it has; gives its index. */
     public int add(Match m) {
-        Paths at =
+        PathNode at =
                 byProfile
                         .computeIfAbsent(
                                 m.profile() == null ? ANY : m.profile(), k -> new HashMap<>())
@@ -49,27 +49,27 @@
                                 m.tenant() == null ? ANY : m.tenant(), k -> new HashMap<>())
                         .computeIfAbsent(
                                 m.host() == null ? ANY : m.host().toLowerCase(Locale.ROOT),
-                                k -> new Paths());
+                                k -> new PathNode());
         int index = size++;
-        at.lowest = Math.min(at.lowest, index);
+        at.lowestIndex = Math.min(at.lowestIndex, index);
         if (m.path() == null) {
-            at.more = Math.min(at.more, index);
+            at.anySegmentsIndex = Math.min(at.anySegmentsIndex, index);
             return index;
         }
-        for (String part : Match.parts(m.path())) {
+        for (String part : Match.segments(m.path())) {
             if (part.equals("**")) {
-                at.more = Math.min(at.more, index);
+                at.anySegmentsIndex = Math.min(at.anySegmentsIndex, index);
                 return index;
             }
             if (part.equals("*")) {
-                at.anyOne = at.anyOne == null ? new Paths() : at.anyOne;
-                at = at.anyOne;
+                at.anySegment = at.anySegment == null ? new PathNode() : at.anySegment;
+                at = at.anySegment;
             } else {
-                at = at.named.computeIfAbsent(part, k -> new Paths());
+                at = at.bySegment.computeIfAbsent(part, k -> new PathNode());
             }
-            at.lowest = Math.min(at.lowest, index);
+            at.lowestIndex = Math.min(at.lowestIndex, index);
         }
-        at.here = Math.min(at.here, index);
+        at.exactIndex = Math.min(at.exactIndex, index);
         return index;
     }
 
@@ -79,9 +79,9 @@
      */
     public int first(String profile, String path, String host, String tenant) {
         int found =
-                profiles(
+                searchProfiles(
                         profile,
-                        path == null ? null : Match.parts(path),
+                        path == null ? null : Match.segments(path),
                         host == null ? null : Match.host(host),
                         tenant);
         return found == Integer.MAX_VALUE ? -1 : found;
@@ -89,12 +89,12 @@
 
     /** The index of the first match that alone takes all that this one takes, or -1. */
     public int covering(Match m) {
-        List<String> parts = m.path() == null ? null : Match.parts(m.path());
+        List<String> parts = m.path() == null ? null : Match.segments(m.path());
         if (parts != null) {
-            parts.replaceAll(p -> p.equals("*") ? ANY_ONE : p.equals("**") ? ANY_MORE : p);
+            parts.replaceAll(p -> p.equals("*") ? ANY_SEGMENT : p.equals("**") ? ANY_SEGMENTS : p);
         }
         int found =
-                profiles(
+                searchProfiles(
                         m.profile(),
                         parts,
                         m.host() == null ? null : m.host().toLowerCase(Locale.ROOT),
@@ -102,16 +102,16 @@
         return found == Integer.MAX_VALUE ? -1 : found;
     }
 
-    private int profiles(String profile, List<String> path, String host, String tenant) {
+    private int searchProfiles(String profile, List<String> path, String host, String tenant) {
         int best = Integer.MAX_VALUE;
-        best = tenants(byProfile.get(ANY), path, host, tenant, best);
+        best = searchTenants(byProfile.get(ANY), path, host, tenant, best);
         return profile == null || profile.equals(ANY)
                 ? best
-                : tenants(byProfile.get(profile), path, host, tenant, best);
+                : searchTenants(byProfile.get(profile), path, host, tenant, best);
     }
 
-    private static int tenants(
-            Map<String, Map<String, Paths>> byTenant,
+    private static int searchTenants(
+            Map<String, Map<String, PathNode>> byTenant,
             List<String> path,
             String host,
             String tenant,
@@ -119,52 +119,53 @@
         if (byTenant == null) {
             return best;
         }
-        int found = hosts(byTenant.get(ANY), path, host, best);
+        int found = searchHosts(byTenant.get(ANY), path, host, best);
         return tenant == null || tenant.equals(ANY)
                 ? found
-                : hosts(byTenant.get(tenant), path, host, found);
+                : searchHosts(byTenant.get(tenant), path, host, found);
     }
 
-    private static int hosts(Map<String, Paths> byHost, List<String> path, String host, int best) {
+    private static int searchHosts(
+            Map<String, PathNode> byHost, List<String> path, String host, int best) {
         if (byHost == null) {
             return best;
         }
-        int found = paths(byHost.get(ANY), path, best);
+        int found = searchPaths(byHost.get(ANY), path, best);
         if (host == null || host.equals(ANY)) {
             return found;
         }
-        found = paths(byHost.get(host), path, found);
+        found = searchPaths(byHost.get(host), path, found);
         // A pattern *.x is looked up as such for each suffix; a host that is a pattern itself was
         // found
         // above.
         for (int dot = host.indexOf('.'); dot >= 0; dot = host.indexOf('.', dot + 1)) {
             if (dot > 1 || dot == 1 && host.charAt(0) != '*') {
-                found = paths(byHost.get("*" + host.substring(dot)), path, found);
+                found = searchPaths(byHost.get("*" + host.substring(dot)), path, found);
             }
         }
         return found;
     }
 
-    private static int paths(Paths root, List<String> path, int best) {
+    private static int searchPaths(PathNode root, List<String> path, int best) {
         return root == null
                 ? best
-                : path == null ? Math.min(best, root.more) : walk(root, path, 0, best);
+                : path == null ? Math.min(best, root.anySegmentsIndex) : walk(root, path, 0, best);
     }
 
-    private static int walk(Paths at, List<String> path, int i, int best) {
-        if (at == null || at.lowest >= best) {
+    private static int walk(PathNode at, List<String> path, int i, int best) {
+        if (at == null || at.lowestIndex >= best) {
             return best;
         }
-        int found = Math.min(best, at.more);
+        int found = Math.min(best, at.anySegmentsIndex);
         if (i == path.size()) {
-            return Math.min(found, at.here);
+            return Math.min(found, at.exactIndex);
         }
         String part = path.get(i);
         // Only what takes any number of parts takes all that a pattern with ** does.
-        if (part == ANY_MORE || i >= PARTS_MOST) {
+        if (part == ANY_SEGMENTS || i >= MAX_SEGMENTS) {
             return found;
         }
-        found = part == ANY_ONE ? found : walk(at.named.get(part), path, i + 1, found);
-        return walk(at.anyOne, path, i + 1, found);
+        found = part == ANY_SEGMENT ? found : walk(at.bySegment.get(part), path, i + 1, found);
+        return walk(at.anySegment, path, i + 1, found);
     }
 }
--- a/src/test/java/gingerspool/route/LimitsTest.java
+++ b/src/test/java/gingerspool/route/LimitsTest.java
@@ -38,12 +38,12 @@
     }
 
     @Test
-    public void aBucketLetsABurstThroughAndThenTheRate() {
-        Limit l = new Limit(new Policy.Bound(NONE, 10, 5, false));
+    public void tokenBucketAdmitsBurstThenRate() {
+        AdmissionLimit l = new AdmissionLimit(new Policy.Bound(NONE, 10, 5, false));
         int taken = 0;
         for (double now = 0; now < 10_000; now += 1) {
             if (l.delay(now) == 0) {
-                l.taken(now);
+                l.acquire(now);
                 taken++;
             }
         }
@@ -53,17 +53,17 @@
 
     /** For any arrivals at all, no span may see more than its burst and its rate. */
     @Test
-    public void noSpanSeesMoreThanBurstAndRate() {
+    public void admissionsNeverExceedBurstAndRate() {
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
-            Limit l = new Limit(new Policy.Bound(NONE, 7, 3, false));
+            AdmissionLimit l = new AdmissionLimit(new Policy.Bound(NONE, 7, 3, false));
             double[] at = new double[400];
             int n = 0;
             for (double now = 0;
                     n < at.length && now < 60_000;
                     now += r.nextInt(4) == 0 ? r.nextInt(900) : 0.5) {
                 if (l.delay(now) == 0) {
-                    l.taken(now);
+                    l.acquire(now);
                     at[n++] = now;
                 }
             }
@@ -80,7 +80,7 @@
      * second.
      */
     @Test
-    public void noSpanSeesMoreRepeatsThanTheBudget() {
+    public void retriesNeverExceedBudget() {
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
             Budget b = new Budget(new Policy.Repeats(0.2, 2));
@@ -105,14 +105,14 @@
     }
 
     @Test
-    public void aBudgetOfNothingAllowsNothing() {
+    public void zeroBudgetAllowsNoRetries() {
         Budget b = new Budget(new Policy.Repeats(0, 0));
         b.earn(0);
         assertFalse(b.allows(1e9));
     }
 
     @Test
-    public void aQuietHourDoesNotPayForAStorm() {
+    public void idleTimeDoesNotAccumulateBudget() {
         Budget b = new Budget(new Policy.Repeats(0.1, 2));
         int n = 0;
         for (; b.allows(3.6e6); n++) {
@@ -122,7 +122,7 @@
     }
 
     @Test
-    public void overItsRoutesLimitATaskIsMarkedAndDoneGivesThePlaceBack() {
+    public void routeLimitRejectsUntilRelease() {
         Routes routes =
                 new Routes(
                         List.of(
@@ -149,7 +149,7 @@
     }
 
     @Test
-    public void aTenantOverItsLimitLeavesTheOthersTheirs() {
+    public void tenantLimitsAreIndependent() {
         Routes routes =
                 new Routes(
                         List.of(
@@ -168,7 +168,7 @@
     }
 
     @Test
-    public void overItsRateATaskIsToldWhenToComeAgain() {
+    public void rateLimitedTaskGetsRetryAfter() {
         Routes routes =
                 new Routes(
                         List.of(
@@ -185,7 +185,7 @@
 
     /** A new set of routes counts on: what the old one took is given back to the same count. */
     @Test
-    public void anotherSetOfRoutesGoesOnCounting() {
+    public void reloadedRoutesKeepUsage() {
         Match all = new Match(null, null, null, null);
         Routes old = new Routes(List.of(route("a", all, policy(null, inHand(2), inHand(2)))), null);
         Routes.Stay stay = old.admit(0, task(), "/p", null, "t");
@@ -200,7 +200,7 @@
     }
 
     @Test
-    public void aTaskThatNoRouteTakesGoesByItsProfile() {
+    public void unroutedTaskUsesProfilePolicy() {
         Policy p = policy(new Policy.Repeats(0.1, 1), null, null);
         Routes routes =
                 new Routes(
@@ -218,7 +218,7 @@
     }
 
     @Test
-    public void madeUpTenantsDoNotFillTheMemory() {
+    public void unknownTenantsShareOneLimitWhenFull() {
         Routes routes =
                 new Routes(
                         List.of(
@@ -237,21 +237,21 @@
 
     /** A server with so many places: answers take twice as long at twice as many tasks. */
     @Test
-    public void aLimitIsFoundWhereLatencyBeginsToGrow() {
+    public void adaptiveLimitConvergesNearCapacity() {
         for (int places : new int[] {8, 40, 200}) {
-            Limit l = new Limit(new Policy.Bound(NONE, NONE, NONE, true));
+            AdmissionLimit l = new AdmissionLimit(new Policy.Bound(NONE, NONE, NONE, true));
             SplittableRandom r = new SplittableRandom(3);
             double sum = 0;
             for (int round = 0; round < 4000; round++) {
-                int n = (int) l.most();
+                int n = (int) l.maxInFlight();
                 sum += round < 3000 ? 0 : n;
                 for (int i = 0; i < n; i++) {
-                    l.taken(0);
+                    l.acquire(0);
                 }
                 double latency =
                         10 * Math.max(1, (double) n / places) * (0.9 + 0.2 * r.nextDouble());
                 for (int i = 0; i < n; i++) {
-                    l.done(latency, true);
+                    l.release(latency, true);
                 }
             }
             double mean = sum / 1000;
@@ -262,20 +262,20 @@
     }
 
     @Test
-    public void aFoundLimitFallsWhenAnswersSlowDown() {
-        Limit l = new Limit(new Policy.Bound(NONE, NONE, NONE, true));
+    public void adaptiveLimitFallsWhenLatencyRises() {
+        AdmissionLimit l = new AdmissionLimit(new Policy.Bound(NONE, NONE, NONE, true));
         for (int i = 0; i < 4000; i++) {
-            l.taken(0);
-            while (l.inHand() < l.most()) {
-                l.taken(0);
+            l.acquire(0);
+            while (l.inFlight() < l.maxInFlight()) {
+                l.acquire(0);
             }
-            l.done(10, true);
+            l.release(10, true);
         }
-        double before = l.most();
+        double before = l.maxInFlight();
         for (int i = 0; i < 20 * before; i++) {
-            l.done(100, true);
-            l.taken(0);
+            l.release(100, true);
+            l.acquire(0);
         }
-        assertTrue(l.most() < before / 2, before + " to " + l.most());
+        assertTrue(l.maxInFlight() < before / 2, before + " to " + l.maxInFlight());
     }
 }
--- a/src/test/java/gingerspool/route/TableTest.java
+++ b/src/test/java/gingerspool/route/MatchTableTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-public class TableTest {
+public class MatchTableTest {
     private static final String[] PARTS = {"a", "b", "*", "c"};
     private static final String[] HOSTS = {
         "x.org", "a.x.org", "*.x.org", "*.org", "b.a.x.org", "*.a.x.org"
@@ -42,7 +42,7 @@
 
     /** The look-up must give what trying each in turn gives, whatever the routes and the task. */
     @Test
-    public void theFirstThatTakesATaskIsFound() {
+    public void firstAgreesWithLinearSearch() {
         for (int seed = 0; seed < 3000; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
             List<Match> all = matches(r, 12);
@@ -68,7 +68,7 @@
 
     /** What one earlier match takes whole is told; what is told is taken whole. */
     @Test
-    public void aMatchThatIsCoveredTakesNothingTheOtherLeaves() {
+    public void coveringMatchAcceptsEveryCoveredTask() {
         for (int seed = 0; seed < 3000; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
             List<Match> all = matches(r, 6);
@@ -99,7 +99,7 @@
     }
 
     @Test
-    public void aPathOfManyPartsIsNoTrouble() {
+    public void pathsWithManySegmentsAreBounded() {
         Table table = new Table();
         table.add(new Match(null, "/*/*/*/*/**", null, null));
         table.add(new Match(null, "/a/*/a/*/a/*/a/*/a/*/a", null, null));
