--- a/src/main/java/gingerspool/route/AdaptiveLimit.java
+++ b/src/main/java/gingerspool/route/AdaptiveLimit.java
@@ -1,15 +1,14 @@
 package gingerspool.route;
 
 /**
- * A limit on tasks in hand that follows the latency of answers. The rule is that of TCP Vegas
- * (Brakmo and Peterson, 1995), which Netflix's concurrency limits took over: limit * (1 - base /
- * latency) tasks are taken to be waiting; under ALPHA the limit grows, over BETA it shrinks. The
- * base, the latency without a queue, is measured anew every so often at half the limit, as BBR
- * (Cardwell et al., 2016) does, since a base that is only remembered goes wrong for good once
- * running times change.
+ * An adaptive limit on tasks in flight, driven by the latency of answers. It follows TCP Vegas
+ * (Brakmo and Peterson, 1995), as Netflix's concurrency limits do: the queue is estimated at limit
+ * * (1 - base / latency) tasks; below ALPHA the limit grows, above BETA it shrinks. The base
+ * latency, without a queue, is measured again periodically at half the limit, as in BBR (Cardwell
+ * et al., 2016), since a remembered base stays wrong once running times change.
  *
  * <p>Latencies are means over a window of answers, at least twice the limit, since single running
- * times are spread over more than their mean.
+ * times vary by more than their mean. Times are milliseconds.
  */
 final class AdaptiveLimit {
     static final double INITIAL_LIMIT = 20;
@@ -20,8 +19,8 @@
     private static final int MIN_WINDOW_SAMPLES = 32;
 
     /**
-     * Windows between two measurements of the base, and how many one takes; the last of these
-     * counts.
+     * Windows between two measurements of the base latency. A measurement takes PROBE_WINDOWS, of
+     * which only the last is used.
      */
     private static final int WINDOWS_BETWEEN_PROBES = 48;
 
@@ -42,38 +41,38 @@
         return Math.max(MIN_LIMIT, Math.floor(probing() ? limit / 2 : limit));
     }
 
-    /** An answer came after so many milliseconds, when so many tasks were in hand. */
-    void sample(double latency, int inHand) {
+    /** Records the latency of an answer and the number of tasks in flight before it. */
+    void sample(double latency, int inFlight) {
         latencySum += latency;
-        peakInFlight = Math.max(peakInFlight, inHand);
+        peakInFlight = Math.max(peakInFlight, inFlight);
         if (++sampleCount < Math.max(MIN_WINDOW_SAMPLES, 2 * limit())) {
             return;
         }
-        double quick = Math.max(latencySum / sampleCount, 1e-3);
-        boolean used = peakInFlight >= limit() / 2;
+        double meanLatency = Math.max(latencySum / sampleCount, 1e-3);
+        boolean utilized = peakInFlight >= limit() / 2;
         latencySum = 0;
         sampleCount = 0;
         peakInFlight = 0;
         windowsSinceProbe++;
         baseLatency =
                 baseLatency == 0
-                        ? quick
-                        : quick < baseLatency
-                                ? baseLatency + (quick - baseLatency) / 8
+                        ? meanLatency
+                        : meanLatency < baseLatency
+                                ? baseLatency + (meanLatency - baseLatency) / 8
                                 : baseLatency;
         if (windowsSinceProbe > WINDOWS_BETWEEN_PROBES) {
             if (windowsSinceProbe >= WINDOWS_BETWEEN_PROBES + PROBE_WINDOWS) {
-                baseLatency = (baseLatency + quick) / 2;
+                baseLatency = (baseLatency + meanLatency) / 2;
                 windowsSinceProbe = 0;
             }
             return;
         }
         double step = Math.max(1, Math.log10(limit));
-        double queue = limit * Math.max(0, 1 - baseLatency / quick);
+        double queue = limit * Math.max(0, 1 - baseLatency / meanLatency);
         if (queue > BETA * step) {
             limit -= Math.max(step, (queue - BETA * step) / 2);
-        } else if (queue < ALPHA * step && used) {
-            // Guards against growing for want of load: a limit that is not used tells nothing.
+        } else if (queue < ALPHA * step && utilized) {
+            // Grows only under load: the latency says nothing about a limit that is not reached.
             limit += step;
         }
         limit = Math.max(MIN_LIMIT, Math.min(MAX_LIMIT, limit));
--- a/src/main/java/gingerspool/route/AdmissionLimit.java
+++ b/src/main/java/gingerspool/route/AdmissionLimit.java
@@ -1,11 +1,12 @@
 package gingerspool.route;
 
 /**
- * One bound on what is taken in: tasks in hand and tasks a second (a token bucket). Ask admits(),
- * then call taken() for each task that is taken, and done() once it has its answer.
+ * An admission limit on tasks in flight and on tasks per second (a token bucket). Routes calls
+ * delay(), then acquire() for each admitted task, and release() once the task is answered. Times
+ * are milliseconds.
  */
 public final class AdmissionLimit {
-    /** What counts, apart from the figures, so that it outlives a change of these. */
+    /** The usage so far, kept apart from the bounds so that it survives a reload of these. */
     static final class Usage {
         int inFlight;
         double tokens = Double.POSITIVE_INFINITY;
@@ -20,7 +21,7 @@
         this(bound, null);
     }
 
-    /** A limit that goes on counting where the one before it stood; that may be null. */
+    /** Creates a limit that takes over the usage of its predecessor, which may be null. */
     public AdmissionLimit(Policy.Bound bound, AdmissionLimit before) {
         this.bound = bound;
         usage = before == null ? new Usage() : before.usage;
@@ -33,19 +34,19 @@
     }
 
     private double refill(double now) {
-        double s = Math.max(0, now - usage.refilledAt) / 1000;
+        double seconds = Math.max(0, now - usage.refilledAt) / 1000;
         usage.refilledAt = Math.max(usage.refilledAt, now);
-        usage.tokens = Math.min(bound.burst(), usage.tokens + bound.ratePerS() * s);
+        usage.tokens = Math.min(bound.burst(), usage.tokens + bound.ratePerS() * seconds);
         return usage.tokens;
     }
 
     /**
-     * How long until another may be taken, in milliseconds: 0 now, infinite when one in hand must
-     * end first.
+     * The time until another task may be admitted, in milliseconds: 0 for now, infinite when a task
+     * in flight must end first.
      */
     public double delay(double now) {
-        double most = adaptive != null ? adaptive.limit() : bound.inHand();
-        if (usage.inFlight >= most) {
+        double max = adaptive != null ? adaptive.limit() : bound.inHand();
+        if (usage.inFlight >= max) {
             return Double.POSITIVE_INFINITY;
         }
         return Double.isInfinite(bound.ratePerS()) || refill(now) >= 1
@@ -62,13 +63,13 @@
     }
 
     /**
-     * A task has its answer, so long after it came (milliseconds); finished tells whether a worker
-     * did it.
+     * Releases an answered task. The latency is in milliseconds; finished tells whether a worker
+     * completed the task.
      */
     public void release(double latency, boolean finished) {
-        int before = usage.inFlight--;
+        int inFlightBefore = usage.inFlight--;
         if (adaptive != null && finished) {
-            adaptive.sample(latency, before);
+            adaptive.sample(latency, inFlightBefore);
         }
     }
 
@@ -76,13 +77,13 @@
         return usage.inFlight;
     }
 
-    /** Whether it holds nothing that a new one would not. */
+    /** Whether the usage equals that of a new limit, so that this one can be discarded. */
     boolean idle(double now) {
         return usage.inFlight == 0
                 && (Double.isInfinite(bound.ratePerS()) || refill(now) >= bound.burst());
     }
 
-    /** The most tasks in hand now, found or set. */
+    /** The current maximum of tasks in flight, adaptive or configured. */
     public double maxInFlight() {
         return adaptive != null ? adaptive.limit() : bound.inHand();
     }
--- a/src/main/java/gingerspool/route/Budget.java
+++ b/src/main/java/gingerspool/route/Budget.java
@@ -3,16 +3,17 @@
 import gingerspool.dispatch.RetryBudget;
 
 /**
- * The budget of further assignments and copies: each first assignment earns a share of one, and so
- * many a second come besides. What is not used is kept only as far as RESERVE goes, so a quiet hour
- * does not pay for a storm. The rule is that of Finagle's RetryBudget (a share of first tries plus
- * a small floor, kept for ten seconds); a level that is capped stands in for its leaking bucket.
+ * A token bucket for retries and copies: each first assignment earns a share of a token, and
+ * minPerS tokens accrue per second. Unused tokens are capped at RESERVE_S seconds of earnings, so
+ * an idle period cannot fund a retry storm. The rule is that of Finagle's RetryBudget (a share of
+ * first tries plus a small floor, kept for ten seconds), with a capped level in place of its leaky
+ * bucket.
  *
- * <p>In any span of T seconds with n first assignments, at most cap + share * n + leastPerS * T go
- * out, where cap is RESERVE seconds of both (one at the least).
+ * <p>In any period of T seconds with n first assignments, at most cap + share * n + minPerS * T
+ * retries and copies are sent, where cap is RESERVE_S seconds of both (at least one).
  */
 public final class Budget implements RetryBudget {
-    /** Seconds of earnings that may be kept. */
+    /** Maximum reserve, in seconds of earnings. */
     static final double RESERVE_S = 1;
 
     private final double share;
@@ -20,7 +21,7 @@
     private double tokens;
     private double updatedAt;
 
-    /** First assignments a second, over the last ten. */
+    /** First assignments per second, decayed with a time constant of ten seconds. */
     private double earningRatePerS;
 
     public Budget(Policy.Repeats r) {
@@ -29,7 +30,7 @@
         tokens = cap();
     }
 
-    /** A budget with the figures of this one that goes on where another stood. */
+    /** Creates a budget that takes over the tokens of its predecessor, which may be null. */
     public Budget(Policy.Repeats r, Budget before) {
         this(r);
         if (before != null) {
@@ -45,10 +46,10 @@
     }
 
     private void refill(double now) {
-        double s = Math.max(0, now - updatedAt) / 1000;
+        double seconds = Math.max(0, now - updatedAt) / 1000;
         updatedAt = Math.max(updatedAt, now);
-        earningRatePerS *= Math.exp(-s / 10);
-        tokens = Math.min(cap(), tokens + minPerS * s);
+        earningRatePerS *= Math.exp(-seconds / 10);
+        tokens = Math.min(cap(), tokens + minPerS * seconds);
     }
 
     @Override
--- a/src/main/java/gingerspool/route/Match.java
+++ b/src/main/java/gingerspool/route/Match.java
@@ -5,12 +5,12 @@
 import java.util.Locale;
 
 /**
- * What a route takes: tasks of this profile, path, host and tenant; null is any. A path is matched
- * by parts: `*` stands for one part, `**` at the end for any number, none included. A host is exact
- * or "*.suffix".
+ * The condition of a route: the profile, path, host and tenant of a task; null matches any. Paths
+ * are matched by segments: `*` matches one segment, `**` at the end any number, including none. A
+ * host is exact or "*.suffix".
  */
 public record Match(String profile, String path, String host, String tenant) {
-    /** Why this path pattern can't be used, or null. */
+    /** The reason why this path pattern is invalid, or null. */
     public static String pathFault(String path) {
         if (!path.startsWith("/")) {
             return "does not begin with /";
@@ -30,18 +30,18 @@
                 : null;
     }
 
-    /** Why this host pattern can't be used, or null. */
+    /** The reason why this host pattern is invalid, or null. */
     public static String hostFault(String host) {
         String rest = host.startsWith("*.") ? host.substring(2) : host;
         if (rest.indexOf('*') >= 0) {
-            return "has * elsewhere than in *. at its begin";
+            return "has * elsewhere than in *. at its beginning";
         }
         return rest.matches("[A-Za-z0-9_]([A-Za-z0-9_.-]*[A-Za-z0-9_])?|\\[[0-9a-fA-F:.]+\\]")
                 ? null
                 : "is no host name, and a port does not belong here";
     }
 
-    /** The parts of a path: "/a/b" has two, "/" has one, which is empty. */
+    /** The segments of a path: "/a/b" has two, "/" has one, which is empty. */
     static List<String> segments(String path) {
         List<String> parts = new ArrayList<>();
         int from = 1;
@@ -53,7 +53,7 @@
         return parts;
     }
 
-    /** A host as it is compared: lower case, without port or final dot. */
+    /** Normalizes a host for comparison: lower case, without port or final dot. */
     public static String host(String text) {
         String h = text.toLowerCase(Locale.ROOT);
         int colon = h.lastIndexOf(':');
@@ -62,13 +62,13 @@
     }
 
     /**
-     * Whether it takes this task, part by part; for explaining. The lookup of many routes is Table.
+     * Whether this matches a task; used to explain a decision. Table looks up many matches at once.
      */
     public boolean takes(String ofProfile, String atPath, String atHost, String ofTenant) {
         return whyNot(ofProfile, atPath, atHost, ofTenant) == null;
     }
 
-    /** The part of the match that this task does not meet, in words, or null where it meets all. */
+    /** Describes the first condition that this task does not meet, or null if it meets all. */
     public String whyNot(String ofProfile, String atPath, String atHost, String ofTenant) {
         if (profile != null && !profile.equals(ofProfile)) {
             return "profile is not " + profile;
@@ -85,23 +85,24 @@
     }
 
     private boolean hostMatches(String h) {
-        String wanted = host.toLowerCase(Locale.ROOT);
-        return wanted.startsWith("*.")
-                ? h.endsWith(wanted.substring(1)) && h.length() >= wanted.length()
-                : h.equals(wanted);
+        String pattern = host.toLowerCase(Locale.ROOT);
+        return pattern.startsWith("*.")
+                ? h.endsWith(pattern.substring(1)) && h.length() >= pattern.length()
+                : h.equals(pattern);
     }
 
     private boolean pathMatches(List<String> at) {
-        List<String> wanted = segments(path);
-        for (int i = 0; i < wanted.size(); i++) {
-            if (wanted.get(i).equals("**")) {
+        List<String> pattern = segments(path);
+        for (int i = 0; i < pattern.size(); i++) {
+            if (pattern.get(i).equals("**")) {
                 return true;
             }
-            if (i >= at.size() || !wanted.get(i).equals("*") && !wanted.get(i).equals(at.get(i))) {
+            if (i >= at.size()
+                    || !pattern.get(i).equals("*") && !pattern.get(i).equals(at.get(i))) {
                 return false;
             }
         }
-        return at.size() == wanted.size();
+        return at.size() == pattern.size();
     }
 
     @Override
--- a/src/main/java/gingerspool/route/Policy.java
+++ b/src/main/java/gingerspool/route/Policy.java
@@ -4,18 +4,17 @@
 import java.util.Set;
 
 /**
- * What the operator's file says of the assignments of a task, in figures. Spans are milliseconds,
- * rates a second.
+ * The operator's policy for the assignments of a task. Durations are in milliseconds, rates per
+ * second.
  *
- * @param assignments how many in all, copies among them
+ * @param assignments maximum number in all, copies included
  * @param timeout of one assignment; infinite: until the task's expiry
- * @param pause between one assignment's end and the next, or null
- * @param copies how many may be out at once, or null where one
- * @param repeats the budget of further assignments and copies, or null where there is none
- * @param limit what the route takes in, or null
- * @param tenantLimit the same for each tenant, or null
- * @param again the outcomes after which another assignment may go out, or null where the effect
- *     alone decides
+ * @param pause between one assignment's end and the next, or null for none
+ * @param copies when further copies may be in flight, or null for one assignment at a time
+ * @param repeats the budget of retries and copies, or null for none
+ * @param limit the admission limit of the route, or null
+ * @param tenantLimit the admission limit of each tenant, or null
+ * @param again the outcomes that may be retried, or null where only the task's effect decides
  */
 public record Policy(
         int assignments,
@@ -28,25 +27,25 @@
         Set<Outcome> again) {
 
     /**
-     * The first pause; each later one is twice as long, up to the most; a part by chance is taken
-     * off.
+     * Exponential backoff: the first pause doubles up to the maximum; jitter is the largest share
+     * that is taken off at random.
      */
     public record Pause(double first, double most, double jitter) {
-        /** The longest that the pause after so many assignments can be, without its jitter. */
+        /** The pause after the given number of assignments, before jitter. */
         public double after(int assignments) {
             return Math.min(most, first * Math.pow(2, Math.max(0, assignments - 1)));
         }
     }
 
-    /** At most so many assignments at once; another once the last one has been out so long. */
+    /** Maximum number of assignments in flight, and the delay after which another is sent. */
     public record Copies(int most, double after) {}
 
-    /** A share of first assignments, and so many a second besides. */
+    /** The retry budget: a share of first assignments plus a minimum rate. */
     public record Repeats(double share, double leastPerS) {}
 
     /**
-     * Tasks at once, tasks a second, and how many of these may come at once; infinite where not
-     * set.
+     * Limits on tasks in flight, their rate and the burst size; infinite where not set. If found is
+     * set, the limit on tasks in flight adapts to the latency.
      */
     public record Bound(double inHand, double ratePerS, double burst, boolean found) {}
 }
--- a/src/main/java/gingerspool/route/Routes.java
+++ b/src/main/java/gingerspool/route/Routes.java
@@ -10,19 +10,19 @@
 import java.util.Map;
 
 /**
- * The routes in force. Call admit() for each task that comes: it gets the terms of the first route
- * that takes it (else of its profile), and is marked as over its limit or counted; call done() once
- * it has its answer. A new set made from an older one goes on counting where that stood, for the
- * limits and budgets that have the same name; tasks keep the terms, and are given back to the
- * limits, that they were taken with.
+ * The active routes. The scheduler calls admit() for each arriving task: the task gets the terms of
+ * the first route that matches it (otherwise of its profile), and is either counted against the
+ * limits or marked as over its limit. It calls done() once the task is answered. After a reload,
+ * limits and budgets of the same name keep their usage; tasks keep the terms they were admitted
+ * with, and release the limits they acquired. Times are milliseconds.
  */
 public final class Routes {
-    /** Tenants whose limits are kept track of, besides those with tasks in hand. */
+    /** Maximum number of tenants with a limit of their own, for each tenant limit. */
     private static final int MAX_TENANTS = 10_000;
 
     /**
-     * What a route, or a profile by itself (match is null), says. The last three tell who owns the
-     * limits and the budget: null where they are the profile's own, whichever route its tasks take.
+     * The policies of a route, or of a profile (match is null). The last three name the owner of
+     * the limits and the budget; null: the profile itself, shared by all routes its tasks take.
      */
     public record Rule(
             String name,
@@ -32,7 +32,7 @@
             String tenantLimitOf,
             String repeatsOf) {}
 
-    /** A limit for each tenant, by its name; the longest unused first. */
+    /** The limits of tenants by name, least recently used first. */
     private static final class TenantLimits {
         private final Policy.Bound bound;
         private final LinkedHashMap<String, AdmissionLimit> limits =
@@ -51,7 +51,9 @@
             if (known != null) {
                 return known;
             }
-            // Guards memory against made-up tenants: those that hold nothing make way.
+            // Guards memory against made-up tenant names: idle limits are evicted.
+            // Tenants beyond
+            // the maximum share one limit.
             if (limits.size() >= MAX_TENANTS) {
                 limits.values().removeIf(l -> l.idle(now));
             }
@@ -60,7 +62,7 @@
         }
     }
 
-    /** What a task takes from its limits and must give back. */
+    /** The limits that a task has acquired and must release. */
     public static final class Stay {
         private final AdmissionLimit limit;
         private final AdmissionLimit tenant;
@@ -99,21 +101,22 @@
     private final List<Entry> entries = new ArrayList<>();
 
     /**
-     * The rules in order: routes first, then one for each profile, whose match is null and name the
-     * profile's.
+     * Creates the routes from rules in order of precedence: the routes, then one rule for each
+     * profile, with the profile's name and no match. The predecessor may be null.
      */
     public Routes(List<Rule> rules, Routes before) {
         for (Rule r : rules) {
-            Map<String, Entry> made = new HashMap<>();
+            Map<String, Entry> entriesByProfile = new HashMap<>();
             r.byProfile()
                     .forEach(
                             (profile, policy) ->
-                                    made.put(profile, entry(r, profile, policy, before)));
+                                    entriesByProfile.put(
+                                            profile, entry(r, profile, policy, before)));
             if (r.match() == null) {
-                byProfile.putAll(made);
+                byProfile.putAll(entriesByProfile);
             } else {
                 table.add(r.match());
-                routes.add(made);
+                routes.add(entriesByProfile);
             }
         }
     }
@@ -167,7 +170,8 @@
     }
 
     /**
-     * Finds the task's terms and whether it may be taken; any of path, host and tenant may be null.
+     * Sets the task's terms and admits it unless a limit is exceeded; path, host and tenant may be
+     * null. Returns the acquired limits, or null where there are none to release.
      */
     public Stay admit(double now, Task t, String path, String host, String tenant) {
         Entry e = find(t.profile, path, host, tenant);
@@ -175,14 +179,14 @@
             return null;
         }
         t.terms = e.terms;
-        AdmissionLimit ofTenant =
+        AdmissionLimit tenantLimit =
                 e.tenantLimits == null
                         ? null
                         : e.tenantLimits.of(tenant == null ? "" : tenant, now);
         double wait =
                 Math.max(
                         e.limit == null ? 0 : e.limit.delay(now),
-                        ofTenant == null ? 0 : ofTenant.delay(now));
+                        tenantLimit == null ? 0 : tenantLimit.delay(now));
         if (wait > 0) {
             e.rejected++;
             t.overLimit = true;
@@ -193,13 +197,13 @@
         if (e.limit != null) {
             e.limit.acquire(now);
         }
-        if (ofTenant != null) {
-            ofTenant.acquire(now);
+        if (tenantLimit != null) {
+            tenantLimit.acquire(now);
         }
-        return e.limit == null && ofTenant == null ? null : new Stay(e.limit, ofTenant, now);
+        return e.limit == null && tenantLimit == null ? null : new Stay(e.limit, tenantLimit, now);
     }
 
-    /** The task has its answer; only the first call counts. */
+    /** Releases the limits of an answered task; later calls have no effect. */
     public static void done(double now, Stay stay, boolean finished) {
         if (stay == null || stay.released) {
             return;
@@ -219,15 +223,15 @@
         return e == null ? byProfile.get(p.name) : e;
     }
 
-    /** The name of the rule that a task of this sort goes by, or "". */
+    /** The name of the rule that applies to such a task, or "". */
     public String nameFor(Profile p, String path, String host, String tenant) {
         Entry e = find(p, path, host, tenant);
         return e == null ? "" : e.name;
     }
 
     /**
-     * Counts since the last call: by rule, what was taken and turned away; those without either are
-     * left out.
+     * Tasks admitted and rejected since the last call, by rule name; rules without any are left
+     * out.
      */
     public Map<String, int[]> counts() {
         Map<String, int[]> all = new LinkedHashMap<>();
--- a/src/main/java/gingerspool/route/Table.java
+++ b/src/main/java/gingerspool/route/Table.java
@@ -6,21 +6,21 @@
 import java.util.Map;
 
 /**
- * Finds the first of many matches that takes a task, without trying each. add() them in order;
- * first() gives the index of the first that takes a task, covering() of the first that takes all
- * that another match takes.
+ * An index of matches that finds the first one for a task without trying each. Matches are added in
+ * order of precedence; first() returns the index of the first that matches a task, covering() of
+ * the first that matches every task that another match does.
  *
- * <p>Profile, tenant and host are looked up by name, once as given and once as any; a host also by
- * each of its suffixes. What is left is a tree of path parts. Each node of it knows the lowest
- * index below, so that nothing is looked into that could not come before the one found.
+ * <p>Profile, tenant and host are looked up by name, as given and as any; a host also by each of
+ * its suffixes. Below them is a tree of path segments. Each node holds the lowest index in its
+ * subtree, so that subtrees without a better candidate are skipped.
  */
 public final class Table {
-    /** Guards against paths of thousands of parts: patterns are told apart by the first of them. */
+    /** Guards against paths of thousands of segments: only the first ones are compared. */
     private static final int MAX_SEGMENTS = 64;
 
     /**
-     * Stands for `*` and `**` in a path that is itself a pattern. A part of a real path never is
-     * these objects.
+     * Represent `*` and `**` in a path that is itself a pattern. They are compared by identity, so
+     * that no segment of a real path equals them.
      */
     private static final String ANY_SEGMENT = new String("*");
 
@@ -30,7 +30,7 @@
     private final Map<String, Map<String, Map<String, PathNode>>> byProfile = new HashMap<>();
     private int size;
 
-    /** One part of the paths that routes with the same profile, tenant and host wait for. */
+    /** A node in the tree of path patterns that share a profile, tenant and host. */
     private static final class PathNode {
         private int lowestIndex = Integer.MAX_VALUE;
         private int exactIndex = Integer.MAX_VALUE;
@@ -39,7 +39,7 @@
         private final Map<String, PathNode> bySegment = new HashMap<>();
     }
 
-    /** Adds a match behind those that it has; gives its index. */
+    /** Adds a match after the existing ones and returns its index. */
     public int add(Match m) {
         PathNode at =
                 byProfile
@@ -73,10 +73,7 @@
         return index;
     }
 
-    /**
-     * The index of the first match that takes this task, or -1. Any may be null: then only "any"
-     * takes it.
-     */
+    /** The index of the first match for this task, or -1. A null value is matched only by "any". */
     public int first(String profile, String path, String host, String tenant) {
         int found =
                 searchProfiles(
@@ -87,7 +84,7 @@
         return found == Integer.MAX_VALUE ? -1 : found;
     }
 
-    /** The index of the first match that alone takes all that this one takes, or -1. */
+    /** The index of the first match that by itself covers this one, or -1. */
     public int covering(Match m) {
         List<String> parts = m.path() == null ? null : Match.segments(m.path());
         if (parts != null) {
@@ -135,8 +132,7 @@
             return found;
         }
         found = searchPaths(byHost.get(host), path, found);
-        // A pattern *.x is looked up as such for each suffix; a host that is a pattern itself was
-        // found
+        // Looks up the pattern *.x for each suffix; a host that is itself a pattern was found
         // above.
         for (int dot = host.indexOf('.'); dot >= 0; dot = host.indexOf('.', dot + 1)) {
             if (dot > 1 || dot == 1 && host.charAt(0) != '*') {
@@ -161,7 +157,7 @@
             return Math.min(found, at.exactIndex);
         }
         String part = path.get(i);
-        // Only what takes any number of parts takes all that a pattern with ** does.
+        // Only a pattern that ends in ** covers another pattern with **.
         if (part == ANY_SEGMENTS || i >= MAX_SEGMENTS) {
             return found;
         }
--- a/src/test/java/gingerspool/route/LimitsTest.java
+++ b/src/test/java/gingerspool/route/LimitsTest.java
@@ -48,10 +48,10 @@
             }
         }
         assertEquals(taken, 5 + 99);
-        assertTrue(l.delay(10_000) < 100, "less than one at the rate");
+        assertTrue(l.delay(10_000) < 100, "less than one interval of the rate");
     }
 
-    /** For any arrivals at all, no span may see more than its burst and its rate. */
+    /** For random arrivals, no period admits more than the burst plus the rate. */
     @Test
     public void admissionsNeverExceedBurstAndRate() {
         for (int seed = 0; seed < 200; seed++) {
@@ -76,8 +76,8 @@
     }
 
     /**
-     * The promise of the budget, for random arrivals: a cap, a share of first ones, and so many a
-     * second.
+     * For random arrivals, retries stay within the cap, the share of first assignments and the
+     * minimum rate.
      */
     @Test
     public void retriesNeverExceedBudget() {
@@ -144,7 +144,7 @@
         assertFalse(third.overLimit);
         Task fourth = task();
         routes.admit(4, fourth, "/p", "h", "t");
-        assertTrue(fourth.overLimit, "given back twice, counted once");
+        assertTrue(fourth.overLimit, "released twice, counted once");
         assertEquals(routes.counts().get("a"), new int[] {2, 2});
     }
 
@@ -183,7 +183,7 @@
         assertEquals(second.retryAfter, 200, 1e-6);
     }
 
-    /** A new set of routes counts on: what the old one took is given back to the same count. */
+    /** After a reload, tasks admitted by the old routes release the same limits. */
     @Test
     public void reloadedRoutesKeepUsage() {
         Match all = new Match(null, null, null, null);
@@ -232,10 +232,10 @@
         }
         Task t = task();
         routes.admit(31, t, "/p", null, "another");
-        assertTrue(t.overLimit, "what there is no room for shares one limit");
+        assertTrue(t.overLimit, "tenants beyond the maximum share one limit");
     }
 
-    /** A server with so many places: answers take twice as long at twice as many tasks. */
+    /** Simulates a server of fixed capacity, whose latency grows in proportion beyond it. */
     @Test
     public void adaptiveLimitConvergesNearCapacity() {
         for (int places : new int[] {8, 40, 200}) {
@@ -257,7 +257,7 @@
             double mean = sum / 1000;
             assertTrue(
                     mean >= places * 0.8 && mean <= 2 * places + 8,
-                    places + " places, found " + mean);
+                    places + " places, limit " + mean);
         }
     }
 
--- a/src/test/java/gingerspool/route/MatchTableTest.java
+++ b/src/test/java/gingerspool/route/MatchTableTest.java
@@ -40,7 +40,7 @@
         return all;
     }
 
-    /** The look-up must give what trying each in turn gives, whatever the routes and the task. */
+    /** The lookup returns the same match as a linear search, for random matches and tasks. */
     @Test
     public void firstAgreesWithLinearSearch() {
         for (int seed = 0; seed < 3000; seed++) {
@@ -53,20 +53,21 @@
                 String path = r.nextInt(9) == 0 ? null : path(r, false);
                 String host = any(r, "x.org", "A.x.ORG:80", "b.a.x.org", "y", "c.org.");
                 String tenant = any(r, "t", "u", "v");
-                int wanted = 0;
-                while (wanted < all.size() && !all.get(wanted).takes(profile, path, host, tenant)) {
-                    wanted++;
+                int expected = 0;
+                while (expected < all.size()
+                        && !all.get(expected).takes(profile, path, host, tenant)) {
+                    expected++;
                 }
                 assertEquals(
                         table.first(profile, path, host, tenant),
-                        wanted == all.size() ? -1 : wanted,
+                        expected == all.size() ? -1 : expected,
                         "seed " + seed + ": " + profile + " " + path + " " + host + " " + tenant
                                 + " in " + all);
             }
         }
     }
 
-    /** What one earlier match takes whole is told; what is told is taken whole. */
+    /** A covering match accepts every task of the covered one; an equal match is always covered. */
     @Test
     public void coveringMatchAcceptsEveryCoveredTask() {
         for (int seed = 0; seed < 3000; seed++) {
