--- a/src/main/java/gingerspool/route/AdaptiveLimit.java
+++ b/src/main/java/gingerspool/route/AdaptiveLimit.java
@@ -2,10 +2,10 @@
 
 /**
  * An adaptive limit on tasks in flight, driven by the latency of answers. It follows TCP Vegas
- * (Brakmo and Peterson, 1995), as Netflix's concurrency limits do: the queue is estimated at limit
- * * (1 - base / latency) tasks; below ALPHA the limit grows, above BETA it shrinks. The base
- * latency, without a queue, is measured again periodically at half the limit, as in BBR (Cardwell
- * et al., 2016), since a remembered base stays wrong once running times change.
+ * (Brakmo and Peterson, 1995), as Netflix's concurrency limits do: the estimated queue is limit *
+ * (1 - base / latency) tasks; below ALPHA the limit grows, above BETA it shrinks. The base latency,
+ * without a queue, is measured again periodically at half the limit, as in BBR (Cardwell et al.,
+ * 2016), since a remembered base stays wrong once running times change.
  *
  * <p>Latencies are means over a window of answers, at least twice the limit, since single running
  * times vary by more than their mean. Times are milliseconds.
--- a/src/main/java/gingerspool/route/Match.java
+++ b/src/main/java/gingerspool/route/Match.java
@@ -32,11 +32,11 @@
 
     /** The reason why this host pattern is invalid, or null. */
     public static String hostFault(String host) {
-        String rest = host.startsWith("*.") ? host.substring(2) : host;
-        if (rest.indexOf('*') >= 0) {
+        String name = host.startsWith("*.") ? host.substring(2) : host;
+        if (name.indexOf('*') >= 0) {
             return "has * elsewhere than in *. at its beginning";
         }
-        return rest.matches("[A-Za-z0-9_]([A-Za-z0-9_.-]*[A-Za-z0-9_])?|\\[[0-9a-fA-F:.]+\\]")
+        return name.matches("[A-Za-z0-9_]([A-Za-z0-9_.-]*[A-Za-z0-9_])?|\\[[0-9a-fA-F:.]+\\]")
                 ? null
                 : "is no host name, and a port does not belong here";
     }
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Whether this matches a task; used to explain a decision. Table looks up many matches at once.
+     * Whether this matches a task; used to explain a decision. MatchTable looks up many at once.
      */
     public boolean takes(String ofProfile, String atPath, String atHost, String ofTenant) {
         return whyNot(ofProfile, atPath, atHost, ofTenant) == null;
@@ -91,18 +91,18 @@
                 : h.equals(pattern);
     }
 
-    private boolean pathMatches(List<String> at) {
+    private boolean pathMatches(List<String> actual) {
         List<String> pattern = segments(path);
         for (int i = 0; i < pattern.size(); i++) {
             if (pattern.get(i).equals("**")) {
                 return true;
             }
-            if (i >= at.size()
-                    || !pattern.get(i).equals("*") && !pattern.get(i).equals(at.get(i))) {
+            if (i >= actual.size()
+                    || !pattern.get(i).equals("*") && !pattern.get(i).equals(actual.get(i))) {
                 return false;
             }
         }
-        return at.size() == pattern.size();
+        return actual.size() == pattern.size();
     }
 
     @Override
--- a/src/main/java/gingerspool/route/Policy.java
+++ b/src/main/java/gingerspool/route/Policy.java
@@ -44,8 +44,8 @@
     public record Repeats(double share, double leastPerS) {}
 
     /**
-     * Limits on tasks in flight, their rate and the burst size; infinite where not set. If found is
-     * set, the limit on tasks in flight adapts to the latency.
+     * Limits on tasks in flight, their rate and the burst size; infinite where not set. If adaptive
+     * is set, the limit on tasks in flight adapts to the latency.
      */
     public record Bound(double inHand, double ratePerS, double burst, boolean found) {}
 }
--- a/src/main/java/gingerspool/route/Routes.java
+++ b/src/main/java/gingerspool/route/Routes.java
@@ -12,7 +12,7 @@
 /**
  * The active routes. The scheduler calls admit() for each arriving task: the task gets the terms of
  * the first route that matches it (otherwise of its profile), and is either counted against the
- * limits or marked as over its limit. It calls done() once the task is answered. After a reload,
+ * limits or marked as over its limit. It calls release() once the task is answered. After a reload,
  * limits and budgets of the same name keep their usage; tasks keep the terms they were admitted
  * with, and release the limits they acquired. Times are milliseconds.
  */
@@ -27,10 +27,10 @@
     public record Rule(
             String name,
             Match match,
-            Map<String, Policy> byProfile,
-            String limitOf,
-            String tenantLimitOf,
-            String repeatsOf) {}
+            Map<String, Policy> policiesByProfile,
+            String limitOwner,
+            String tenantLimitOwner,
+            String retryBudgetOf) {}
 
     /** The limits of tenants by name, least recently used first. */
     private static final class TenantLimits {
@@ -51,9 +51,8 @@
             if (known != null) {
                 return known;
             }
-            // Guards memory against made-up tenant names: idle limits are evicted.
-            // Tenants beyond
-            // the maximum share one limit.
+            // Guards memory against made-up tenant names: idle limits are evicted,
+            // and tenants beyond the maximum share one limit.
             if (limits.size() >= MAX_TENANTS) {
                 limits.values().removeIf(l -> l.idle(now));
             }
@@ -92,12 +91,12 @@
     private final Table table = new Table();
 
     /** By index in the table, then by profile. */
-    private final List<Map<String, Entry>> routes = new ArrayList<>();
+    private final List<Map<String, Entry>> routeEntries = new ArrayList<>();
 
-    private final Map<String, Entry> byProfile = new HashMap<>();
-    private final Map<String, AdmissionLimit> limits = new HashMap<>();
-    private final Map<String, TenantLimits> tenantLimits = new HashMap<>();
-    private final Map<String, Budget> budgets = new HashMap<>();
+    private final Map<String, Entry> profileEntries = new HashMap<>();
+    private final Map<String, AdmissionLimit> limitsByOwner = new HashMap<>();
+    private final Map<String, TenantLimits> tenantLimitsByOwner = new HashMap<>();
+    private final Map<String, Budget> budgetsByOwner = new HashMap<>();
     private final List<Entry> entries = new ArrayList<>();
 
     /**
@@ -107,16 +106,16 @@
     public Routes(List<Rule> rules, Routes before) {
         for (Rule r : rules) {
             Map<String, Entry> entriesByProfile = new HashMap<>();
-            r.byProfile()
+            r.policiesByProfile()
                     .forEach(
                             (profile, policy) ->
                                     entriesByProfile.put(
                                             profile, entry(r, profile, policy, before)));
             if (r.match() == null) {
-                byProfile.putAll(entriesByProfile);
+                profileEntries.putAll(entriesByProfile);
             } else {
                 table.add(r.match());
-                routes.add(entriesByProfile);
+                routeEntries.add(entriesByProfile);
             }
         }
     }
@@ -127,12 +126,14 @@
         Budget budget =
                 p.repeats() == null
                         ? null
-                        : budgets.computeIfAbsent(
-                                r.repeatsOf() == null ? byProfile : r.repeatsOf(),
+                        : budgetsByOwner.computeIfAbsent(
+                                r.retryBudgetOf() == null ? byProfile : r.retryBudgetOf(),
                                 name ->
                                         new Budget(
                                                 p.repeats(),
-                                                before == null ? null : before.budgets.get(name)));
+                                                before == null
+                                                        ? null
+                                                        : before.budgetsByOwner.get(name)));
         Policy.Pause pause = p.pause();
         e.terms =
                 new Terms(
@@ -148,23 +149,25 @@
         e.limit =
                 p.limit() == null
                         ? null
-                        : limits.computeIfAbsent(
-                                r.limitOf() == null ? byProfile : r.limitOf(),
+                        : limitsByOwner.computeIfAbsent(
+                                r.limitOwner() == null ? byProfile : r.limitOwner(),
                                 name ->
                                         new AdmissionLimit(
                                                 p.limit(),
-                                                before == null ? null : before.limits.get(name)));
+                                                before == null
+                                                        ? null
+                                                        : before.limitsByOwner.get(name)));
         e.tenantLimits =
                 p.tenantLimit() == null
                         ? null
-                        : tenantLimits.computeIfAbsent(
-                                r.tenantLimitOf() == null ? byProfile : r.tenantLimitOf(),
+                        : tenantLimitsByOwner.computeIfAbsent(
+                                r.tenantLimitOwner() == null ? byProfile : r.tenantLimitOwner(),
                                 name ->
                                         new TenantLimits(
                                                 p.tenantLimit(),
                                                 before == null
                                                         ? null
-                                                        : before.tenantLimits.get(name)));
+                                                        : before.tenantLimitsByOwner.get(name)));
         entries.add(e);
         return e;
     }
@@ -219,8 +222,8 @@
 
     private Entry find(Profile p, String path, String host, String tenant) {
         int index = table.first(p.name, path, host, tenant);
-        Entry e = index < 0 ? null : routes.get(index).get(p.name);
-        return e == null ? byProfile.get(p.name) : e;
+        Entry e = index < 0 ? null : routeEntries.get(index).get(p.name);
+        return e == null ? profileEntries.get(p.name) : e;
     }
 
     /** The name of the rule that applies to such a task, or "". */
--- a/src/main/java/gingerspool/route/Table.java
+++ b/src/main/java/gingerspool/route/Table.java
@@ -41,7 +41,7 @@
 
     /** Adds a match after the existing ones and returns its index. */
     public int add(Match m) {
-        PathNode at =
+        PathNode node =
                 byProfile
                         .computeIfAbsent(
                                 m.profile() == null ? ANY : m.profile(), k -> new HashMap<>())
@@ -51,25 +51,25 @@
                                 m.host() == null ? ANY : m.host().toLowerCase(Locale.ROOT),
                                 k -> new PathNode());
         int index = size++;
-        at.lowestIndex = Math.min(at.lowestIndex, index);
+        node.lowestIndex = Math.min(node.lowestIndex, index);
         if (m.path() == null) {
-            at.anySegmentsIndex = Math.min(at.anySegmentsIndex, index);
+            node.anySegmentsIndex = Math.min(node.anySegmentsIndex, index);
             return index;
         }
         for (String part : Match.segments(m.path())) {
             if (part.equals("**")) {
-                at.anySegmentsIndex = Math.min(at.anySegmentsIndex, index);
+                node.anySegmentsIndex = Math.min(node.anySegmentsIndex, index);
                 return index;
             }
             if (part.equals("*")) {
-                at.anySegment = at.anySegment == null ? new PathNode() : at.anySegment;
-                at = at.anySegment;
+                node.anySegment = node.anySegment == null ? new PathNode() : node.anySegment;
+                node = node.anySegment;
             } else {
-                at = at.bySegment.computeIfAbsent(part, k -> new PathNode());
+                node = node.bySegment.computeIfAbsent(part, k -> new PathNode());
             }
-            at.lowestIndex = Math.min(at.lowestIndex, index);
+            node.lowestIndex = Math.min(node.lowestIndex, index);
         }
-        at.exactIndex = Math.min(at.exactIndex, index);
+        node.exactIndex = Math.min(node.exactIndex, index);
         return index;
     }
 
@@ -145,23 +145,28 @@
     private static int searchPaths(PathNode root, List<String> path, int best) {
         return root == null
                 ? best
-                : path == null ? Math.min(best, root.anySegmentsIndex) : walk(root, path, 0, best);
+                : path == null
+                        ? Math.min(best, root.anySegmentsIndex)
+                        : searchTree(root, path, 0, best);
     }
 
-    private static int walk(PathNode at, List<String> path, int i, int best) {
-        if (at == null || at.lowestIndex >= best) {
+    private static int searchTree(PathNode node, List<String> path, int i, int best) {
+        if (node == null || node.lowestIndex >= best) {
             return best;
         }
-        int found = Math.min(best, at.anySegmentsIndex);
+        int found = Math.min(best, node.anySegmentsIndex);
         if (i == path.size()) {
-            return Math.min(found, at.exactIndex);
+            return Math.min(found, node.exactIndex);
         }
         String part = path.get(i);
         // Only a pattern that ends in ** covers another pattern with **.
         if (part == ANY_SEGMENTS || i >= MAX_SEGMENTS) {
             return found;
         }
-        found = part == ANY_SEGMENT ? found : walk(at.bySegment.get(part), path, i + 1, found);
-        return walk(at.anySegment, path, i + 1, found);
+        found =
+                part == ANY_SEGMENT
+                        ? found
+                        : searchTree(node.bySegment.get(part), path, i + 1, found);
+        return searchTree(node.anySegment, path, i + 1, found);
     }
 }
