--- a/src/main/java/gingerspool/route/Routes.java
+++ b/src/main/java/gingerspool/route/Routes.java
@@ -30,7 +30,7 @@
             Map<String, Policy> policiesByProfile,
             String limitOwner,
             String tenantLimitOwner,
-            String retryBudgetOf) {}
+            String retryBudgetOwner) {}
 
     /** The limits of tenants by name, least recently used first. */
     private static final class TenantLimits {
@@ -122,12 +122,12 @@
 
     private Entry entry(Rule r, String profile, Policy p, Routes before) {
         Entry e = new Entry(r.name());
-        String byProfile = "profile " + profile;
+        String profileOwner = "profile " + profile;
         Budget budget =
                 p.repeats() == null
                         ? null
                         : budgetsByOwner.computeIfAbsent(
-                                r.retryBudgetOf() == null ? byProfile : r.retryBudgetOf(),
+                                r.retryBudgetOwner() == null ? profileOwner : r.retryBudgetOwner(),
                                 name ->
                                         new Budget(
                                                 p.repeats(),
@@ -150,7 +150,7 @@
                 p.limit() == null
                         ? null
                         : limitsByOwner.computeIfAbsent(
-                                r.limitOwner() == null ? byProfile : r.limitOwner(),
+                                r.limitOwner() == null ? profileOwner : r.limitOwner(),
                                 name ->
                                         new AdmissionLimit(
                                                 p.limit(),
@@ -161,7 +161,7 @@
                 p.tenantLimit() == null
                         ? null
                         : tenantLimitsByOwner.computeIfAbsent(
-                                r.tenantLimitOwner() == null ? byProfile : r.tenantLimitOwner(),
+                                r.tenantLimitOwner() == null ? profileOwner : r.tenantLimitOwner(),
                                 name ->
                                         new TenantLimits(
                                                 p.tenantLimit(),
