--- a/src/main/java/gingerspool/route/Budget.java
+++ b/src/main/java/gingerspool/route/Budget.java
@@ -3,69 +3,71 @@
 import gingerspool.dispatch.RetryBudget;
 
 /**
- * The budget of further assignments and copies: each first assignment earns a share of one, and so
- * many a second come besides. What is not used is kept only as far as RESERVE goes, so a quiet hour
- * does not pay for a storm. The rule is that of Finagle's RetryBudget (a share of first tries plus
- * a small floor, kept for ten seconds); a level that is capped stands in for its leaking bucket.
+ * A token bucket for retries and copies: each first assignment earns a share of a token, and
+ * minPerS tokens accrue per second. Unused tokens are capped at RESERVE_S seconds of earnings, so
+ * an idle period cannot fund a retry storm. The rule is that of Finagle's RetryBudget (a share of
+ * first tries plus a small floor, kept for ten seconds), with a capped level in place of its leaky
+ * bucket.
  *
- * <p>In any span of T seconds with n first assignments, at most cap + share * n + leastPerS * T go
- * out, where cap is RESERVE seconds of both (one at the least).
+ * <p>In any period of T seconds with n first assignments, at most cap + share * n + minPerS * T
+ * retries and copies are sent, where cap is RESERVE_S seconds of both (at least one).
  */
 public final class Budget implements RetryBudget {
-    /** Seconds of earnings that may be kept. */
-    static final double RESERVE = 1;
+    /** Maximum reserve, in seconds of earnings. */
+    static final double RESERVE_S = 1;
 
     private final double share;
-    private final double leastPerS;
-    private double level;
-    private double at;
+    private final double minPerS;
+    private double tokens;
+    private double updatedAt;
 
-    /** First assignments a second, over the last ten. */
-    private double rate;
+    /** First assignments per second, decayed with a time constant of ten seconds. */
+    private double earningRatePerS;
 
     public Budget(Policy.Repeats r) {
         share = r.share();
-        leastPerS = r.leastPerS();
-        level = cap();
+        minPerS = r.leastPerS();
+        tokens = cap();
     }
 
-    /** A budget with the figures of this one that goes on where another stood. */
+    /** Creates a budget that takes over the tokens of its predecessor, which may be null. */
     public Budget(Policy.Repeats r, Budget before) {
         this(r);
         if (before != null) {
-            at = before.at;
-            rate = before.rate;
-            level = Math.min(before.level, cap());
+            updatedAt = before.updatedAt;
+            earningRatePerS = before.earningRatePerS;
+            tokens = Math.min(before.tokens, cap());
         }
     }
 
     double cap() {
-        return Math.max(share > 0 || leastPerS > 0 ? 1 : 0, RESERVE * (leastPerS + share * rate));
+        return Math.max(
+                share > 0 || minPerS > 0 ? 1 : 0, RESERVE_S * (minPerS + share * earningRatePerS));
     }
 
-    private void pass(double now) {
-        double s = Math.max(0, now - at) / 1000;
-        at = Math.max(at, now);
-        rate *= Math.exp(-s / 10);
-        level = Math.min(cap(), level + leastPerS * s);
+    private void refill(double now) {
+        double seconds = Math.max(0, now - updatedAt) / 1000;
+        updatedAt = Math.max(updatedAt, now);
+        earningRatePerS *= Math.exp(-seconds / 10);
+        tokens = Math.min(cap(), tokens + minPerS * seconds);
     }
 
     @Override
     public void earn(double now) {
-        pass(now);
-        rate += 1 / 10.0;
-        level = Math.min(cap(), level + share);
+        refill(now);
+        earningRatePerS += 1 / 10.0;
+        tokens = Math.min(cap(), tokens + share);
     }
 
     @Override
     public boolean allows(double now) {
-        pass(now);
-        return level >= 1;
+        refill(now);
+        return tokens >= 1;
     }
 
     @Override
     public void spend(double now) {
-        pass(now);
-        level -= 1;
+        refill(now);
+        tokens -= 1;
     }
 }
--- a/src/main/java/gingerspool/route/Match.java
+++ b/src/main/java/gingerspool/route/Match.java
@@ -5,17 +5,17 @@
 import java.util.Locale;
 
 /**
- * What a route takes: tasks of this profile, path, host and tenant; null is any. A path is matched
- * by parts: `*` stands for one part, `**` at the end for any number, none included. A host is exact
- * or "*.suffix".
+ * The condition of a route: the profile, path, host and tenant of a task; null matches any. Paths
+ * are matched by segments: `*` matches one segment, `**` at the end any number, including none. A
+ * host is exact or "*.suffix".
  */
 public record Match(String profile, String path, String host, String tenant) {
-    /** Why this path pattern can't be used, or null. */
+    /** The reason why this path pattern is invalid, or null. */
     public static String pathFault(String path) {
         if (!path.startsWith("/")) {
             return "does not begin with /";
         }
-        List<String> parts = parts(path);
+        List<String> parts = segments(path);
         for (int i = 0; i < parts.size(); i++) {
             String p = parts.get(i);
             if (p.equals("**") && i < parts.size() - 1) {
@@ -30,19 +30,19 @@
                 : null;
     }
 
-    /** Why this host pattern can't be used, or null. */
+    /** The reason why this host pattern is invalid, or null. */
     public static String hostFault(String host) {
-        String rest = host.startsWith("*.") ? host.substring(2) : host;
-        if (rest.indexOf('*') >= 0) {
-            return "has * elsewhere than in *. at its begin";
+        String name = host.startsWith("*.") ? host.substring(2) : host;
+        if (name.indexOf('*') >= 0) {
+            return "has * elsewhere than in *. at its beginning";
         }
-        return rest.matches("[A-Za-z0-9_]([A-Za-z0-9_.-]*[A-Za-z0-9_])?|\\[[0-9a-fA-F:.]+\\]")
+        return name.matches("[A-Za-z0-9_]([A-Za-z0-9_.-]*[A-Za-z0-9_])?|\\[[0-9a-fA-F:.]+\\]")
                 ? null
                 : "is no host name, and a port does not belong here";
     }
 
-    /** The parts of a path: "/a/b" has two, "/" has one, which is empty. */
-    static List<String> parts(String path) {
+    /** The segments of a path: "/a/b" has two, "/" has one, which is empty. */
+    static List<String> segments(String path) {
         List<String> parts = new ArrayList<>();
         int from = 1;
         for (int slash = path.indexOf('/', 1); slash >= 0; slash = path.indexOf('/', from)) {
@@ -53,7 +53,7 @@
         return parts;
     }
 
-    /** A host as it is compared: lower case, without port or final dot. */
+    /** Normalizes a host for comparison: lower case, without port or final dot. */
     public static String host(String text) {
         String h = text.toLowerCase(Locale.ROOT);
         int colon = h.lastIndexOf(':');
@@ -62,13 +62,13 @@
     }
 
     /**
-     * Whether it takes this task, part by part; for explaining. The lookup of many routes is Table.
+     * Whether this matches a task; used to explain a decision. MatchTable looks up many at once.
      */
     public boolean takes(String ofProfile, String atPath, String atHost, String ofTenant) {
         return whyNot(ofProfile, atPath, atHost, ofTenant) == null;
     }
 
-    /** The part of the match that this task does not meet, in words, or null where it meets all. */
+    /** Describes the first condition that this task does not meet, or null if it meets all. */
     public String whyNot(String ofProfile, String atPath, String atHost, String ofTenant) {
         if (profile != null && !profile.equals(ofProfile)) {
             return "profile is not " + profile;
@@ -76,45 +76,46 @@
         if (tenant != null && !tenant.equals(ofTenant)) {
             return "tenant is not " + tenant;
         }
-        if (host != null && (atHost == null || !hostTakes(host(atHost)))) {
+        if (host != null && (atHost == null || !hostMatches(host(atHost)))) {
             return "host does not match " + host;
         }
-        return path != null && (atPath == null || !pathTakes(parts(atPath)))
+        return path != null && (atPath == null || !pathMatches(segments(atPath)))
                 ? "path does not match " + path
                 : null;
     }
 
-    private boolean hostTakes(String h) {
-        String wanted = host.toLowerCase(Locale.ROOT);
-        return wanted.startsWith("*.")
-                ? h.endsWith(wanted.substring(1)) && h.length() >= wanted.length()
-                : h.equals(wanted);
+    private boolean hostMatches(String h) {
+        String pattern = host.toLowerCase(Locale.ROOT);
+        return pattern.startsWith("*.")
+                ? h.endsWith(pattern.substring(1)) && h.length() >= pattern.length()
+                : h.equals(pattern);
     }
 
-    private boolean pathTakes(List<String> at) {
-        List<String> wanted = parts(path);
-        for (int i = 0; i < wanted.size(); i++) {
-            if (wanted.get(i).equals("**")) {
+    private boolean pathMatches(List<String> actual) {
+        List<String> pattern = segments(path);
+        for (int i = 0; i < pattern.size(); i++) {
+            if (pattern.get(i).equals("**")) {
                 return true;
             }
-            if (i >= at.size() || !wanted.get(i).equals("*") && !wanted.get(i).equals(at.get(i))) {
+            if (i >= actual.size()
+                    || !pattern.get(i).equals("*") && !pattern.get(i).equals(actual.get(i))) {
                 return false;
             }
         }
-        return at.size() == wanted.size();
+        return actual.size() == pattern.size();
     }
 
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
-        add(text, "profile", profile);
-        add(text, "path", path);
-        add(text, "host", host);
-        add(text, "tenant", tenant);
+        appendCondition(text, "profile", profile);
+        appendCondition(text, "path", path);
+        appendCondition(text, "host", host);
+        appendCondition(text, "tenant", tenant);
         return text.length() == 0 ? "anything" : text.toString();
     }
 
-    private static void add(StringBuilder text, String name, String value) {
+    private static void appendCondition(StringBuilder text, String name, String value) {
         if (value != null) {
             text.append(text.length() == 0 ? "" : ", ").append(name).append(' ').append(value);
         }
--- a/src/main/java/gingerspool/route/Routes.java
+++ b/src/main/java/gingerspool/route/Routes.java
@@ -10,75 +10,78 @@
 import java.util.Map;
 
 /**
- * The routes in force. Call admit() for each task that comes: it gets the terms of the first route
- * that takes it (else of its profile), and is marked as over its limit or counted; call done() once
- * it has its answer. A new set made from an older one goes on counting where that stood, for the
- * limits and budgets that have the same name; tasks keep the terms, and are given back to the
- * limits, that they were taken with.
+ * The active routes. The scheduler calls admit() for each arriving task: the task gets the terms of
+ * the first route that matches it (otherwise of its profile), and is either counted against the
+ * limits or marked as over its limit. It calls release() once the task is answered. After a reload,
+ * limits and budgets of the same name keep their usage; tasks keep the terms they were admitted
+ * with, and release the limits they acquired. Times are milliseconds.
  */
 public final class Routes {
-    /** Tenants whose limits are kept track of, besides those with tasks in hand. */
-    private static final int TENANTS_MOST = 10_000;
+    /** Maximum number of tenants with a limit of their own, for each tenant limit. */
+    private static final int MAX_TENANTS = 10_000;
 
     /**
-     * What a route, or a profile by itself (match is null), says. The last three tell who owns the
-     * limits and the budget: null where they are the profile's own, whichever route its tasks take.
+     * The policies of a route, or of a profile (match is null). The last three name the owner of
+     * the limits and the budget; null: the profile itself, shared by all routes its tasks take.
      */
     public record Rule(
             String name,
             Match match,
-            Map<String, Policy> byProfile,
-            String limitOf,
-            String tenantLimitOf,
-            String repeatsOf) {}
+            Map<String, Policy> policiesByProfile,
+            String limitOwner,
+            String tenantLimitOwner,
+            String retryBudgetOwner) {}
 
-    /** A limit for each tenant, by its name; the longest unused first. */
-    private static final class PerTenant {
+    /** The limits of tenants by name, least recently used first. */
+    private static final class TenantLimits {
         private final Policy.Bound bound;
-        private final LinkedHashMap<String, Limit> limits = new LinkedHashMap<>(16, 0.75f, true);
+        private final LinkedHashMap<String, AdmissionLimit> limits =
+                new LinkedHashMap<>(16, 0.75f, true);
 
-        private PerTenant(Policy.Bound bound, PerTenant before) {
+        private TenantLimits(Policy.Bound bound, TenantLimits before) {
             this.bound = bound;
             if (before != null) {
-                before.limits.forEach((tenant, l) -> limits.put(tenant, new Limit(bound, l)));
+                before.limits.forEach(
+                        (tenant, l) -> limits.put(tenant, new AdmissionLimit(bound, l)));
             }
         }
 
-        private Limit of(String tenant, double now) {
-            Limit known = limits.get(tenant);
+        private AdmissionLimit of(String tenant, double now) {
+            AdmissionLimit known = limits.get(tenant);
             if (known != null) {
                 return known;
             }
-            // Guards memory against made-up tenants: those that hold nothing make way.
-            if (limits.size() >= TENANTS_MOST) {
+            // Guards memory against made-up tenant names: idle limits are evicted,
+            // and tenants beyond the maximum share one limit.
+            if (limits.size() >= MAX_TENANTS) {
                 limits.values().removeIf(l -> l.idle(now));
             }
             return limits.computeIfAbsent(
-                    limits.size() >= TENANTS_MOST ? "" : tenant, k -> new Limit(bound));
+                    limits.size() >= MAX_TENANTS ? "" : tenant, k -> new AdmissionLimit(bound));
         }
     }
 
-    /** What a task takes from its limits and must give back. */
+    /** The limits that a task has acquired and must release. */
     public static final class Stay {
-        private final Limit limit;
-        private final Limit tenant;
-        private final double since;
-        private boolean over;
+        private final AdmissionLimit limit;
+        private final AdmissionLimit tenant;
+        private final double admittedAt;
+        private boolean released;
 
-        private Stay(Limit limit, Limit tenant, double since) {
+        private Stay(AdmissionLimit limit, AdmissionLimit tenant, double since) {
             this.limit = limit;
             this.tenant = tenant;
-            this.since = since;
+            this.admittedAt = since;
         }
     }
 
     private static final class Entry {
         private final String name;
         private Terms terms;
-        private Limit limit;
-        private PerTenant perTenant;
-        private int taken;
-        private int turnedAway;
+        private AdmissionLimit limit;
+        private TenantLimits tenantLimits;
+        private int admitted;
+        private int rejected;
 
         private Entry(String name) {
             this.name = name;
@@ -88,46 +91,49 @@
     private final Table table = new Table();
 
     /** By index in the table, then by profile. */
-    private final List<Map<String, Entry>> routes = new ArrayList<>();
+    private final List<Map<String, Entry>> routeEntries = new ArrayList<>();
 
-    private final Map<String, Entry> byProfile = new HashMap<>();
-    private final Map<String, Limit> limits = new HashMap<>();
-    private final Map<String, PerTenant> tenantLimits = new HashMap<>();
-    private final Map<String, Budget> budgets = new HashMap<>();
+    private final Map<String, Entry> profileEntries = new HashMap<>();
+    private final Map<String, AdmissionLimit> limitsByOwner = new HashMap<>();
+    private final Map<String, TenantLimits> tenantLimitsByOwner = new HashMap<>();
+    private final Map<String, Budget> budgetsByOwner = new HashMap<>();
     private final List<Entry> entries = new ArrayList<>();
 
     /**
-     * The rules in order: routes first, then one for each profile, whose match is null and name the
-     * profile's.
+     * Creates the routes from rules in order of precedence: the routes, then one rule for each
+     * profile, with the profile's name and no match. The predecessor may be null.
      */
     public Routes(List<Rule> rules, Routes before) {
         for (Rule r : rules) {
-            Map<String, Entry> made = new HashMap<>();
-            r.byProfile()
+            Map<String, Entry> entriesByProfile = new HashMap<>();
+            r.policiesByProfile()
                     .forEach(
                             (profile, policy) ->
-                                    made.put(profile, entry(r, profile, policy, before)));
+                                    entriesByProfile.put(
+                                            profile, entry(r, profile, policy, before)));
             if (r.match() == null) {
-                byProfile.putAll(made);
+                profileEntries.putAll(entriesByProfile);
             } else {
                 table.add(r.match());
-                routes.add(made);
+                routeEntries.add(entriesByProfile);
             }
         }
     }
 
     private Entry entry(Rule r, String profile, Policy p, Routes before) {
         Entry e = new Entry(r.name());
-        String byProfile = "profile " + profile;
+        String profileOwner = "profile " + profile;
         Budget budget =
                 p.repeats() == null
                         ? null
-                        : budgets.computeIfAbsent(
-                                r.repeatsOf() == null ? byProfile : r.repeatsOf(),
+                        : budgetsByOwner.computeIfAbsent(
+                                r.retryBudgetOwner() == null ? profileOwner : r.retryBudgetOwner(),
                                 name ->
                                         new Budget(
                                                 p.repeats(),
-                                                before == null ? null : before.budgets.get(name)));
+                                                before == null
+                                                        ? null
+                                                        : before.budgetsByOwner.get(name)));
         Policy.Pause pause = p.pause();
         e.terms =
                 new Terms(
@@ -143,29 +149,32 @@
         e.limit =
                 p.limit() == null
                         ? null
-                        : limits.computeIfAbsent(
-                                r.limitOf() == null ? byProfile : r.limitOf(),
+                        : limitsByOwner.computeIfAbsent(
+                                r.limitOwner() == null ? profileOwner : r.limitOwner(),
                                 name ->
-                                        new Limit(
+                                        new AdmissionLimit(
                                                 p.limit(),
-                                                before == null ? null : before.limits.get(name)));
-        e.perTenant =
+                                                before == null
+                                                        ? null
+                                                        : before.limitsByOwner.get(name)));
+        e.tenantLimits =
                 p.tenantLimit() == null
                         ? null
-                        : tenantLimits.computeIfAbsent(
-                                r.tenantLimitOf() == null ? byProfile : r.tenantLimitOf(),
+                        : tenantLimitsByOwner.computeIfAbsent(
+                                r.tenantLimitOwner() == null ? profileOwner : r.tenantLimitOwner(),
                                 name ->
-                                        new PerTenant(
+                                        new TenantLimits(
                                                 p.tenantLimit(),
                                                 before == null
                                                         ? null
-                                                        : before.tenantLimits.get(name)));
+                                                        : before.tenantLimitsByOwner.get(name)));
         entries.add(e);
         return e;
     }
 
     /**
-     * Finds the task's terms and whether it may be taken; any of path, host and tenant may be null.
+     * Sets the task's terms and admits it unless a limit is exceeded; path, host and tenant may be
+     * null. Returns the acquired limits, or null where there are none to release.
      */
     public Stay admit(double now, Task t, String path, String host, String tenant) {
         Entry e = find(t.profile, path, host, tenant);
@@ -173,67 +182,69 @@
             return null;
         }
         t.terms = e.terms;
-        Limit ofTenant =
-                e.perTenant == null ? null : e.perTenant.of(tenant == null ? "" : tenant, now);
+        AdmissionLimit tenantLimit =
+                e.tenantLimits == null
+                        ? null
+                        : e.tenantLimits.of(tenant == null ? "" : tenant, now);
         double wait =
                 Math.max(
                         e.limit == null ? 0 : e.limit.delay(now),
-                        ofTenant == null ? 0 : ofTenant.delay(now));
+                        tenantLimit == null ? 0 : tenantLimit.delay(now));
         if (wait > 0) {
-            e.turnedAway++;
+            e.rejected++;
             t.overLimit = true;
             t.retryAfter = Double.isInfinite(wait) ? 0 : wait;
             return null;
         }
-        e.taken++;
+        e.admitted++;
         if (e.limit != null) {
-            e.limit.taken(now);
+            e.limit.acquire(now);
         }
-        if (ofTenant != null) {
-            ofTenant.taken(now);
+        if (tenantLimit != null) {
+            tenantLimit.acquire(now);
         }
-        return e.limit == null && ofTenant == null ? null : new Stay(e.limit, ofTenant, now);
+        return e.limit == null && tenantLimit == null ? null : new Stay(e.limit, tenantLimit, now);
     }
 
-    /** The task has its answer; only the first call counts. */
+    /** Releases the limits of an answered task; later calls have no effect. */
     public static void done(double now, Stay stay, boolean finished) {
-        if (stay == null || stay.over) {
+        if (stay == null || stay.released) {
             return;
         }
-        stay.over = true;
+        stay.released = true;
         if (stay.limit != null) {
-            stay.limit.done(now - stay.since, finished);
+            stay.limit.release(now - stay.admittedAt, finished);
         }
         if (stay.tenant != null) {
-            stay.tenant.done(now - stay.since, finished);
+            stay.tenant.release(now - stay.admittedAt, finished);
         }
     }
 
     private Entry find(Profile p, String path, String host, String tenant) {
         int index = table.first(p.name, path, host, tenant);
-        Entry e = index < 0 ? null : routes.get(index).get(p.name);
-        return e == null ? byProfile.get(p.name) : e;
+        Entry e = index < 0 ? null : routeEntries.get(index).get(p.name);
+        return e == null ? profileEntries.get(p.name) : e;
     }
 
-    /** The name of the rule that a task of this sort goes by, or "". */
+    /** The name of the rule that applies to such a task, or "". */
     public String nameFor(Profile p, String path, String host, String tenant) {
         Entry e = find(p, path, host, tenant);
         return e == null ? "" : e.name;
     }
 
     /**
-     * Counts since the last call: by rule, what was taken and turned away; those without either are
-     * left out.
+     * Tasks admitted and rejected since the last call, by rule name; rules without any are left
+     * out.
      */
     public Map<String, int[]> counts() {
         Map<String, int[]> all = new LinkedHashMap<>();
         for (Entry e : entries) {
-            if (e.taken > 0 || e.turnedAway > 0) {
+            if (e.admitted > 0 || e.rejected > 0) {
                 int[] n = all.computeIfAbsent(e.name, k -> new int[2]);
-                n[0] += e.taken;
-                n[1] += e.turnedAway;
-                e.taken = 0;
-                e.turnedAway = 0;
+                n[0] += e.admitted;
+                n[1] += e.rejected;
+                e.admitted = 0;
+                e.rejected = 0;
             }
         }
         return all;
--- a/src/test/java/gingerspool/route/LimitsTest.java
+++ b/src/test/java/gingerspool/route/LimitsTest.java
@@ -38,32 +38,32 @@
     }
 
     @Test
-    public void aBucketLetsABurstThroughAndThenTheRate() {
-        Limit l = new Limit(new Policy.Bound(NONE, 10, 5, false));
+    public void tokenBucketAdmitsBurstThenRate() {
+        AdmissionLimit l = new AdmissionLimit(new Policy.Bound(NONE, 10, 5, false));
         int taken = 0;
         for (double now = 0; now < 10_000; now += 1) {
             if (l.delay(now) == 0) {
-                l.taken(now);
+                l.acquire(now);
                 taken++;
             }
         }
         assertEquals(taken, 5 + 99);
-        assertTrue(l.delay(10_000) < 100, "less than one at the rate");
+        assertTrue(l.delay(10_000) < 100, "less than one interval of the rate");
     }
 
-    /** For any arrivals at all, no span may see more than its burst and its rate. */
+    /** For random arrivals, no period admits more than the burst plus the rate. */
     @Test
-    public void noSpanSeesMoreThanBurstAndRate() {
+    public void admissionsNeverExceedBurstAndRate() {
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
-            Limit l = new Limit(new Policy.Bound(NONE, 7, 3, false));
+            AdmissionLimit l = new AdmissionLimit(new Policy.Bound(NONE, 7, 3, false));
             double[] at = new double[400];
             int n = 0;
             for (double now = 0;
                     n < at.length && now < 60_000;
                     now += r.nextInt(4) == 0 ? r.nextInt(900) : 0.5) {
                 if (l.delay(now) == 0) {
-                    l.taken(now);
+                    l.acquire(now);
                     at[n++] = now;
                 }
             }
@@ -76,11 +76,11 @@
     }
 
     /**
-     * The promise of the budget, for random arrivals: a cap, a share of first ones, and so many a
-     * second.
+     * For random arrivals, retries stay within the cap, the share of first assignments and the
+     * minimum rate.
      */
     @Test
-    public void noSpanSeesMoreRepeatsThanTheBudget() {
+    public void retriesNeverExceedBudget() {
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
             Budget b = new Budget(new Policy.Repeats(0.2, 2));
@@ -105,14 +105,14 @@
     }
 
     @Test
-    public void aBudgetOfNothingAllowsNothing() {
+    public void zeroBudgetAllowsNoRetries() {
         Budget b = new Budget(new Policy.Repeats(0, 0));
         b.earn(0);
         assertFalse(b.allows(1e9));
     }
 
     @Test
-    public void aQuietHourDoesNotPayForAStorm() {
+    public void idleTimeDoesNotAccumulateBudget() {
         Budget b = new Budget(new Policy.Repeats(0.1, 2));
         int n = 0;
         for (; b.allows(3.6e6); n++) {
@@ -122,7 +122,7 @@
     }
 
     @Test
-    public void overItsRoutesLimitATaskIsMarkedAndDoneGivesThePlaceBack() {
+    public void routeLimitRejectsUntilRelease() {
         Routes routes =
                 new Routes(
                         List.of(
@@ -144,12 +144,12 @@
         assertFalse(third.overLimit);
         Task fourth = task();
         routes.admit(4, fourth, "/p", "h", "t");
-        assertTrue(fourth.overLimit, "given back twice, counted once");
+        assertTrue(fourth.overLimit, "released twice, counted once");
         assertEquals(routes.counts().get("a"), new int[] {2, 2});
     }
 
     @Test
-    public void aTenantOverItsLimitLeavesTheOthersTheirs() {
+    public void tenantLimitsAreIndependent() {
         Routes routes =
                 new Routes(
                         List.of(
@@ -168,7 +168,7 @@
     }
 
     @Test
-    public void overItsRateATaskIsToldWhenToComeAgain() {
+    public void rateLimitedTaskGetsRetryAfter() {
         Routes routes =
                 new Routes(
                         List.of(
@@ -183,9 +183,9 @@
         assertEquals(second.retryAfter, 200, 1e-6);
     }
 
-    /** A new set of routes counts on: what the old one took is given back to the same count. */
+    /** After a reload, tasks admitted by the old routes release the same limits. */
     @Test
-    public void anotherSetOfRoutesGoesOnCounting() {
+    public void reloadedRoutesKeepUsage() {
         Match all = new Match(null, null, null, null);
         Routes old = new Routes(List.of(route("a", all, policy(null, inHand(2), inHand(2)))), null);
         Routes.Stay stay = old.admit(0, task(), "/p", null, "t");
@@ -200,7 +200,7 @@
     }
 
     @Test
-    public void aTaskThatNoRouteTakesGoesByItsProfile() {
+    public void unroutedTaskUsesProfilePolicy() {
         Policy p = policy(new Policy.Repeats(0.1, 1), null, null);
         Routes routes =
                 new Routes(
@@ -218,7 +218,7 @@
     }
 
     @Test
-    public void madeUpTenantsDoNotFillTheMemory() {
+    public void unknownTenantsShareOneLimitWhenFull() {
         Routes routes =
                 new Routes(
                         List.of(
@@ -232,50 +232,50 @@
         }
         Task t = task();
         routes.admit(31, t, "/p", null, "another");
-        assertTrue(t.overLimit, "what there is no room for shares one limit");
+        assertTrue(t.overLimit, "tenants beyond the maximum share one limit");
     }
 
-    /** A server with so many places: answers take twice as long at twice as many tasks. */
+    /** Simulates a server of fixed capacity, whose latency grows in proportion beyond it. */
     @Test
-    public void aLimitIsFoundWhereLatencyBeginsToGrow() {
+    public void adaptiveLimitConvergesNearCapacity() {
         for (int places : new int[] {8, 40, 200}) {
-            Limit l = new Limit(new Policy.Bound(NONE, NONE, NONE, true));
+            AdmissionLimit l = new AdmissionLimit(new Policy.Bound(NONE, NONE, NONE, true));
             SplittableRandom r = new SplittableRandom(3);
             double sum = 0;
             for (int round = 0; round < 4000; round++) {
-                int n = (int) l.most();
+                int n = (int) l.maxInFlight();
                 sum += round < 3000 ? 0 : n;
                 for (int i = 0; i < n; i++) {
-                    l.taken(0);
+                    l.acquire(0);
                 }
                 double latency =
                         10 * Math.max(1, (double) n / places) * (0.9 + 0.2 * r.nextDouble());
                 for (int i = 0; i < n; i++) {
-                    l.done(latency, true);
+                    l.release(latency, true);
                 }
             }
             double mean = sum / 1000;
             assertTrue(
                     mean >= places * 0.8 && mean <= 2 * places + 8,
-                    places + " places, found " + mean);
+                    places + " places, limit " + mean);
         }
     }
 
     @Test
-    public void aFoundLimitFallsWhenAnswersSlowDown() {
-        Limit l = new Limit(new Policy.Bound(NONE, NONE, NONE, true));
+    public void adaptiveLimitFallsWhenLatencyRises() {
+        AdmissionLimit l = new AdmissionLimit(new Policy.Bound(NONE, NONE, NONE, true));
         for (int i = 0; i < 4000; i++) {
-            l.taken(0);
-            while (l.inHand() < l.most()) {
-                l.taken(0);
+            l.acquire(0);
+            while (l.inFlight() < l.maxInFlight()) {
+                l.acquire(0);
             }
-            l.done(10, true);
+            l.release(10, true);
         }
-        double before = l.most();
+        double before = l.maxInFlight();
         for (int i = 0; i < 20 * before; i++) {
-            l.done(100, true);
-            l.taken(0);
+            l.release(100, true);
+            l.acquire(0);
         }
-        assertTrue(l.most() < before / 2, before + " to " + l.most());
+        assertTrue(l.maxInFlight() < before / 2, before + " to " + l.maxInFlight());
     }
 }
--- a/src/test/java/gingerspool/route/TableTest.java
+++ b/src/test/java/gingerspool/route/MatchTableTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-public class TableTest {
+public class MatchTableTest {
     private static final String[] PARTS = {"a", "b", "*", "c"};
     private static final String[] HOSTS = {
         "x.org", "a.x.org", "*.x.org", "*.org", "b.a.x.org", "*.a.x.org"
@@ -40,9 +40,9 @@
         return all;
     }
 
-    /** The look-up must give what trying each in turn gives, whatever the routes and the task. */
+    /** The lookup returns the same match as a linear search, for random matches and tasks. */
     @Test
-    public void theFirstThatTakesATaskIsFound() {
+    public void firstAgreesWithLinearSearch() {
         for (int seed = 0; seed < 3000; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
             List<Match> all = matches(r, 12);
@@ -53,22 +53,23 @@
                 String path = r.nextInt(9) == 0 ? null : path(r, false);
                 String host = any(r, "x.org", "A.x.ORG:80", "b.a.x.org", "y", "c.org.");
                 String tenant = any(r, "t", "u", "v");
-                int wanted = 0;
-                while (wanted < all.size() && !all.get(wanted).takes(profile, path, host, tenant)) {
-                    wanted++;
+                int expected = 0;
+                while (expected < all.size()
+                        && !all.get(expected).takes(profile, path, host, tenant)) {
+                    expected++;
                 }
                 assertEquals(
                         table.first(profile, path, host, tenant),
-                        wanted == all.size() ? -1 : wanted,
+                        expected == all.size() ? -1 : expected,
                         "seed " + seed + ": " + profile + " " + path + " " + host + " " + tenant
                                 + " in " + all);
             }
         }
     }
 
-    /** What one earlier match takes whole is told; what is told is taken whole. */
+    /** A covering match accepts every task of the covered one; an equal match is always covered. */
     @Test
-    public void aMatchThatIsCoveredTakesNothingTheOtherLeaves() {
+    public void coveringMatchAcceptsEveryCoveredTask() {
         for (int seed = 0; seed < 3000; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
             List<Match> all = matches(r, 6);
@@ -99,7 +100,7 @@
     }
 
     @Test
-    public void aPathOfManyPartsIsNoTrouble() {
+    public void pathsWithManySegmentsAreBounded() {
         Table table = new Table();
         table.add(new Match(null, "/*/*/*/*/**", null, null));
         table.add(new Match(null, "/a/*/a/*/a/*/a/*/a/*/a", null, null));
