--- a/src/main/java/gingerspool/config/Check.java
+++ b/src/main/java/gingerspool/config/Check.java
@@ -5,8 +5,8 @@
 import gingerspool.dispatch.Outcome;
 import gingerspool.dispatch.Profile;
 import gingerspool.route.Match;
+import gingerspool.route.MatchTable;
 import gingerspool.route.Policy;
-import gingerspool.route.Table;
 import gingerspool.toml.Diagnostic;
 import gingerspool.toml.Section;
 import gingerspool.toml.SourceLocation;
@@ -38,13 +38,13 @@
         boolean repeats() {
             return said.assignments != null
                     ? said.assignments.value() > 1
-                    : policy.assignments() > 1;
+                    : policy.maxAssignments() > 1;
         }
 
         boolean goesAgainAfter(Outcome how) {
-            return policy.again() == null
+            return policy.retryableOutcomes() == null
                     ? profile.effect() != Profile.Effect.SIDE_EFFECTING || how.neverRan()
-                    : policy.again().contains(how);
+                    : policy.retryableOutcomes().contains(how);
         }
     }
 
@@ -100,25 +100,25 @@
                                 + OperatorFile.where(file.limits.copies())
                                 + " bars");
         rule(
-                c -> copied(c) && c.policy.copies().most() > c.policy.assignments(),
+                c -> copied(c) && c.policy.copies().maxInFlight() > c.policy.maxAssignments(),
                 "copies",
                 c -> c.said.copies,
                 c ->
                         "has most = "
-                                + c.policy.copies().most()
+                                + c.policy.copies().maxInFlight()
                                 + ", more than the assignments, "
-                                + c.policy.assignments()
+                                + c.policy.maxAssignments()
                                 + OperatorFile.where(c.said.assignments));
         rule(
                 c ->
                         copied(c)
-                                && c.policy.copies().after()
+                                && c.policy.copies().delay()
                                         >= Math.min(c.policy.timeout(), c.profile.expiry.value()),
                 "copies",
                 c -> c.said.copies,
                 c ->
                         "has after = "
-                                + Units.text(c.policy.copies().after())
+                                + Units.text(c.policy.copies().delay())
                                 + ", not before the time-out or expiry of the first one"
                                 + OperatorFile.where(
                                         c.timesOut() ? c.said.timeout : c.profile.expiry)
@@ -144,11 +144,11 @@
                 c ->
                         c.repeats()
                                 && sideEffecting(c)
-                                && c.policy.again() != null
+                                && c.policy.retryableOutcomes() != null
                                 && MAY_HAVE_RUN.stream()
                                         .anyMatch(
                                                 how ->
-                                                        c.policy.again().contains(how)
+                                                        c.policy.retryableOutcomes().contains(how)
                                                                 && (how != Outcome.TIMEOUT
                                                                         || c.timesOut())),
                 "again",
@@ -159,12 +159,16 @@
                                 + " is side-effecting"
                                 + OperatorFile.where(c.profile.effect));
         rule(
-                c -> c.repeats() && sideEffecting(c) && c.policy.again() == null && c.timesOut(),
+                c ->
+                        c.repeats()
+                                && sideEffecting(c)
+                                && c.policy.retryableOutcomes() == null
+                                && c.timesOut(),
                 "assignments",
                 c -> c.said.assignments != null ? c.said.assignments : c.said.timeout,
                 c ->
                         "is "
-                                + c.policy.assignments()
+                                + c.policy.maxAssignments()
                                 + " with a time-out of "
                                 + Units.text(c.policy.timeout())
                                 + OperatorFile.where(c.said.timeout)
@@ -195,7 +199,7 @@
                 this::chainSaid,
                 c ->
                         "is "
-                                + c.policy.assignments()
+                                + c.policy.maxAssignments()
                                 + ": with "
                                 + (c.timesOut()
                                         ? "time-outs of "
@@ -226,7 +230,7 @@
                                 + OperatorFile.where(c.said.limit));
         rule(
                 c ->
-                        c.policy.assignments() == 1
+                        c.policy.maxAssignments() == 1
                                 && c.said.repeats != null
                                 && c.said.assignments != null
                                 && table(c, c.said.repeats) == table(c, c.said.assignments),
@@ -264,7 +268,7 @@
     }
 
     private static boolean copied(Case c) {
-        return c.policy.copies() != null && c.policy.copies().most() > 1;
+        return c.policy.copies() != null && c.policy.copies().maxInFlight() > 1;
     }
 
     private static boolean sideEffecting(Case c) {
@@ -274,15 +278,16 @@
     /** The longest that all assignments and the pauses between them may take, in milliseconds. */
     private static double chain(Case c) {
         Policy p = c.policy;
-        if (p.again() != null && p.again().isEmpty()) {
+        if (p.retryableOutcomes() != null && p.retryableOutcomes().isEmpty()) {
             // Nothing goes again: one assignment, and copies that join it.
             return c.timesOut()
-                    ? p.timeout() + (copied(c) ? (p.copies().most() - 1) * p.copies().after() : 0)
+                    ? p.timeout()
+                            + (copied(c) ? (p.copies().maxInFlight() - 1) * p.copies().delay() : 0)
                     : 0;
         }
-        double all = c.timesOut() ? p.assignments() * p.timeout() : 0;
-        for (int n = 1; n < p.assignments() && p.pause() != null; n++) {
-            all += p.pause().after(n);
+        double all = c.timesOut() ? p.maxAssignments() * p.timeout() : 0;
+        for (int n = 1; n < p.maxAssignments() && p.pause() != null; n++) {
+            all += p.pause().pauseAfter(n);
         }
         return all;
     }
@@ -298,8 +303,9 @@
         if (tenant == null || route == null) {
             return null;
         }
-        return !Double.isInfinite(tenant.inHand()) && tenant.inHand() > route.inHand()
-                ? "in_hand = " + Units.plain(tenant.inHand())
+        return !Double.isInfinite(tenant.maxInFlight())
+                        && tenant.maxInFlight() > route.maxInFlight()
+                ? "in_hand = " + Units.plain(tenant.maxInFlight())
                 : !Double.isInfinite(tenant.ratePerS()) && tenant.ratePerS() > route.ratePerS()
                         ? "rate_per_s = " + Units.plain(tenant.ratePerS())
                         : !Double.isInfinite(tenant.burst()) && tenant.burst() > route.burst()
@@ -439,7 +445,7 @@
      * does.
      */
     private void shadows() {
-        Table before = new Table();
+        MatchTable before = new MatchTable();
         for (RoutePart r : file.routes) {
             Map<RoutePart, String> by = new LinkedHashMap<>();
             Match m = r.match;
--- a/src/main/java/gingerspool/config/Explain.java
+++ b/src/main/java/gingerspool/config/Explain.java
@@ -63,7 +63,7 @@
         List<String> lines = new ArrayList<>();
         lines.add(line("effect = " + profile.effect.value(), profile.effect));
         lines.add(line("expiry = " + Units.text(profile.expiry.value()), profile.expiry));
-        lines.add(line("assignments = " + p.assignments(), part.assignments));
+        lines.add(line("assignments = " + p.maxAssignments(), part.assignments));
         lines.add(
                 line(
                         "timeout = "
@@ -78,41 +78,44 @@
                                         ? "none"
                                         : Units.text(p.pause().first())
                                                 + " to "
-                                                + Units.text(p.pause().most())
+                                                + Units.text(p.pause().max())
                                                 + ", jitter "
                                                 + Units.plain(p.pause().jitter())),
                         part.pause));
         lines.add(
                 line(
                         "copies = "
-                                + (p.copies() == null || p.copies().most() < 2
+                                + (p.copies() == null || p.copies().maxInFlight() < 2
                                         ? "none"
-                                        : p.copies().most()
+                                        : p.copies().maxInFlight()
                                                 + " after "
-                                                + Units.text(p.copies().after())),
+                                                + Units.text(p.copies().delay())),
                         part.copies));
         lines.add(
                 line(
                         "repeats = "
-                                + (p.repeats() == null
+                                + (p.retryBudget() == null
                                         ? "no budget"
-                                        : Units.plain(p.repeats().share())
+                                        : Units.plain(p.retryBudget().share())
                                                 + " of first assignments and "
-                                                + Units.plain(p.repeats().leastPerS())
+                                                + Units.plain(p.retryBudget().minPerS())
                                                 + "/s"),
                         part.repeats));
         lines.add(line("limit = " + bound(p.limit()), part.limit));
         lines.add(line("tenant_limit = " + bound(p.tenantLimit()), part.tenantLimit));
         lines.add(
                 line(
-                        "again = " + (p.again() == null ? "as the effect allows" : words(p)),
+                        "again = "
+                                + (p.retryableOutcomes() == null
+                                        ? "as the effect allows"
+                                        : words(p)),
                         part.again));
         return lines;
     }
 
     private static String words(Policy p) {
         TreeSet<String> words = new TreeSet<>();
-        for (Outcome o : p.again()) {
+        for (Outcome o : p.retryableOutcomes()) {
             words.add(o.name().toLowerCase(Locale.ROOT));
         }
         return "after " + (words.isEmpty() ? "nothing" : String.join(", ", words));
@@ -127,9 +130,11 @@
                         ? ""
                         : Units.plain(b.ratePerS()) + "/s in bursts of " + Units.plain(b.burst());
         String hand =
-                b.found()
+                b.adaptive()
                         ? "as many in hand as is found"
-                        : Double.isInfinite(b.inHand()) ? "" : Units.plain(b.inHand()) + " in hand";
+                        : Double.isInfinite(b.maxInFlight())
+                                ? ""
+                                : Units.plain(b.maxInFlight()) + " in hand";
         return hand + (hand.isEmpty() || rate.isEmpty() ? "" : ", ") + rate;
     }
 }
--- a/src/main/java/gingerspool/config/OperatorFile.java
+++ b/src/main/java/gingerspool/config/OperatorFile.java
@@ -336,7 +336,7 @@
     public RouteChoice choose(String profile, String path, String host, String tenant) {
         List<String> why = new ArrayList<>();
         for (RoutePart r : routes) {
-            String not = r.match.whyNot(profile, path, host, tenant);
+            String not = r.match.mismatch(profile, path, host, tenant);
             why.add(r.name + " (" + r.at + "): " + (not == null ? "takes it" : not));
             if (not == null) {
                 return new RouteChoice(r.name, why, describe(r, profiles.get(profile)));
--- a/src/main/java/gingerspool/config/PolicyPart.java
+++ b/src/main/java/gingerspool/config/PolicyPart.java
@@ -20,7 +20,7 @@
 
     SourcedValue<Integer> assignments;
     SourcedValue<Double> timeout;
-    SourcedValue<Policy.Pause> pause;
+    SourcedValue<Policy.Backoff> pause;
     SourcedValue<Policy.Copies> copies;
     SourcedValue<Policy.Repeats> repeats;
     SourcedValue<Policy.Bound> limit;
@@ -47,7 +47,7 @@
         return p;
     }
 
-    private static SourcedValue<Policy.Pause> pause(Section s) {
+    private static SourcedValue<Policy.Backoff> pause(Section s) {
         Section in = s.section("pause");
         SourcedValue<Double> first = in.span("first", 0.0, 0, DAY);
         SourcedValue<Double> most = in.span("most", first.value(), 0, DAY);
@@ -65,7 +65,7 @@
         }
         in.end();
         return new SourcedValue<>(
-                new Policy.Pause(first.value(), most.value(), jitter.value()), in.at);
+                new Policy.Backoff(first.value(), most.value(), jitter.value()), in.at);
     }
 
     private static SourcedValue<Policy.Copies> copies(Section s) {
--- a/src/main/java/gingerspool/daemon/Scheduler.java
+++ b/src/main/java/gingerspool/daemon/Scheduler.java
@@ -474,7 +474,7 @@
     private void releaseClient(ClientTask t, boolean finished) {
         t.client = null;
         if (t.admission != null) {
-            Routes.done(loop.now(), t.admission, finished);
+            Routes.release(loop.now(), t.admission, finished);
         }
     }
 
--- a/src/main/java/gingerspool/dataplane/FunctionRetryBudget.java
+++ b/src/main/java/gingerspool/dataplane/FunctionRetryBudget.java
@@ -1,8 +1,8 @@
 package gingerspool.dataplane;
 
 import gingerspool.dispatch.RetryBudget;
-import gingerspool.route.Budget;
 import gingerspool.route.Policy;
+import gingerspool.route.TokenRetryBudget;
 import gingerspool.settings.NodeSettings;
 
 /**
@@ -23,7 +23,7 @@
     private static final double FLOOR_FRACTION = 0.5;
 
     private final NodeSettings settings;
-    private Budget budget;
+    private TokenRetryBudget budget;
     private int schedulerCount;
 
     FunctionRetryBudget(NodeSettings settings, int schedulerCount) {
@@ -43,7 +43,7 @@
                 new Policy.Repeats(
                         RATIO_FRACTION * settings.retryBudgetRatio,
                         floorPerS / Math.max(1, newCount));
-        budget = new Budget(policy, budget);
+        budget = new TokenRetryBudget(policy, budget);
     }
 
     @Override
--- a/src/main/java/gingerspool/route/AdmissionLimit.java
+++ b/src/main/java/gingerspool/route/AdmissionLimit.java
@@ -26,7 +26,7 @@
         this.bound = bound;
         usage = before == null ? new Usage() : before.usage;
         adaptive =
-                !bound.found()
+                !bound.adaptive()
                         ? null
                         : before != null && before.adaptive != null
                                 ? before.adaptive
@@ -45,7 +45,7 @@
      * in flight must end first.
      */
     public double delay(double now) {
-        double max = adaptive != null ? adaptive.limit() : bound.inHand();
+        double max = adaptive != null ? adaptive.limit() : bound.maxInFlight();
         if (usage.inFlight >= max) {
             return Double.POSITIVE_INFINITY;
         }
@@ -85,6 +85,6 @@
 
     /** The current maximum of tasks in flight, adaptive or configured. */
     public double maxInFlight() {
-        return adaptive != null ? adaptive.limit() : bound.inHand();
+        return adaptive != null ? adaptive.limit() : bound.maxInFlight();
     }
 }
--- a/src/main/java/gingerspool/route/Match.java
+++ b/src/main/java/gingerspool/route/Match.java
@@ -64,12 +64,12 @@
     /**
      * Whether this matches a task; used to explain a decision. MatchTable looks up many at once.
      */
-    public boolean takes(String ofProfile, String atPath, String atHost, String ofTenant) {
-        return whyNot(ofProfile, atPath, atHost, ofTenant) == null;
+    public boolean matches(String ofProfile, String atPath, String atHost, String ofTenant) {
+        return mismatch(ofProfile, atPath, atHost, ofTenant) == null;
     }
 
     /** Describes the first condition that this task does not meet, or null if it meets all. */
-    public String whyNot(String ofProfile, String atPath, String atHost, String ofTenant) {
+    public String mismatch(String ofProfile, String atPath, String atHost, String ofTenant) {
         if (profile != null && !profile.equals(ofProfile)) {
             return "profile is not " + profile;
         }
--- a/src/main/java/gingerspool/route/Table.java
+++ b/src/main/java/gingerspool/route/MatchTable.java
@@ -14,7 +14,7 @@
  * its suffixes. Below them is a tree of path segments. Each node holds the lowest index in its
  * subtree, so that subtrees without a better candidate are skipped.
  */
-public final class Table {
+public final class MatchTable {
     /** Guards against paths of thousands of segments: only the first ones are compared. */
     private static final int MAX_SEGMENTS = 64;
 
--- a/src/main/java/gingerspool/route/Policy.java
+++ b/src/main/java/gingerspool/route/Policy.java
@@ -17,35 +17,35 @@
  * @param again the outcomes that may be retried, or null where only the task's effect decides
  */
 public record Policy(
-        int assignments,
+        int maxAssignments,
         double timeout,
-        Pause pause,
+        Backoff pause,
         Copies copies,
-        Repeats repeats,
+        Repeats retryBudget,
         Bound limit,
         Bound tenantLimit,
-        Set<Outcome> again) {
+        Set<Outcome> retryableOutcomes) {
 
     /**
      * Exponential backoff: the first pause doubles up to the maximum; jitter is the largest share
      * that is taken off at random.
      */
-    public record Pause(double first, double most, double jitter) {
+    public record Backoff(double first, double max, double jitter) {
         /** The pause after the given number of assignments, before jitter. */
-        public double after(int assignments) {
-            return Math.min(most, first * Math.pow(2, Math.max(0, assignments - 1)));
+        public double pauseAfter(int assignments) {
+            return Math.min(max, first * Math.pow(2, Math.max(0, assignments - 1)));
         }
     }
 
     /** Maximum number of assignments in flight, and the delay after which another is sent. */
-    public record Copies(int most, double after) {}
+    public record Copies(int maxInFlight, double delay) {}
 
     /** The retry budget: a share of first assignments plus a minimum rate. */
-    public record Repeats(double share, double leastPerS) {}
+    public record Repeats(double share, double minPerS) {}
 
     /**
      * Limits on tasks in flight, their rate and the burst size; infinite where not set. If adaptive
      * is set, the limit on tasks in flight adapts to the latency.
      */
-    public record Bound(double inHand, double ratePerS, double burst, boolean found) {}
+    public record Bound(double maxInFlight, double ratePerS, double burst, boolean adaptive) {}
 }
--- a/src/main/java/gingerspool/route/Routes.java
+++ b/src/main/java/gingerspool/route/Routes.java
@@ -62,13 +62,13 @@
     }
 
     /** The limits that a task has acquired and must release. */
-    public static final class Stay {
+    public static final class Admission {
         private final AdmissionLimit limit;
         private final AdmissionLimit tenant;
         private final double admittedAt;
         private boolean released;
 
-        private Stay(AdmissionLimit limit, AdmissionLimit tenant, double since) {
+        private Admission(AdmissionLimit limit, AdmissionLimit tenant, double since) {
             this.limit = limit;
             this.tenant = tenant;
             this.admittedAt = since;
@@ -88,7 +88,7 @@
         }
     }
 
-    private final Table table = new Table();
+    private final MatchTable table = new MatchTable();
 
     /** By index in the table, then by profile. */
     private final List<Map<String, Entry>> routeEntries = new ArrayList<>();
@@ -96,7 +96,7 @@
     private final Map<String, Entry> profileEntries = new HashMap<>();
     private final Map<String, AdmissionLimit> limitsByOwner = new HashMap<>();
     private final Map<String, TenantLimits> tenantLimitsByOwner = new HashMap<>();
-    private final Map<String, Budget> budgetsByOwner = new HashMap<>();
+    private final Map<String, TokenRetryBudget> budgetsByOwner = new HashMap<>();
     private final List<Entry> entries = new ArrayList<>();
 
     /**
@@ -123,29 +123,29 @@
     private Entry entry(Rule r, String profile, Policy p, Routes before) {
         Entry e = new Entry(r.name());
         String profileOwner = "profile " + profile;
-        Budget budget =
-                p.repeats() == null
+        TokenRetryBudget budget =
+                p.retryBudget() == null
                         ? null
                         : budgetsByOwner.computeIfAbsent(
                                 r.retryBudgetOwner() == null ? profileOwner : r.retryBudgetOwner(),
                                 name ->
-                                        new Budget(
-                                                p.repeats(),
+                                        new TokenRetryBudget(
+                                                p.retryBudget(),
                                                 before == null
                                                         ? null
                                                         : before.budgetsByOwner.get(name)));
-        Policy.Pause pause = p.pause();
+        Policy.Backoff pause = p.pause();
         e.terms =
                 new Terms(
-                        p.assignments(),
+                        p.maxAssignments(),
                         Double.isInfinite(p.timeout()) ? 0 : p.timeout(),
                         pause == null ? 0 : pause.first(),
-                        pause == null ? 0 : pause.most(),
+                        pause == null ? 0 : pause.max(),
                         pause == null ? 0 : pause.jitter(),
-                        p.copies() == null ? 1 : p.copies().most(),
-                        p.copies() == null ? 0 : p.copies().after(),
+                        p.copies() == null ? 1 : p.copies().maxInFlight(),
+                        p.copies() == null ? 0 : p.copies().delay(),
                         budget,
-                        p.again());
+                        p.retryableOutcomes());
         e.limit =
                 p.limit() == null
                         ? null
@@ -176,7 +176,7 @@
      * Sets the task's terms and admits it unless a limit is exceeded; path, host and tenant may be
      * null. Returns the acquired limits, or null where there are none to release.
      */
-    public Stay admit(double now, Task t, String path, String host, String tenant) {
+    public Admission admit(double now, Task t, String path, String host, String tenant) {
         Entry e = find(t.profile, path, host, tenant);
         if (e == null) {
             return null;
@@ -203,11 +203,13 @@
         if (tenantLimit != null) {
             tenantLimit.acquire(now);
         }
-        return e.limit == null && tenantLimit == null ? null : new Stay(e.limit, tenantLimit, now);
+        return e.limit == null && tenantLimit == null
+                ? null
+                : new Admission(e.limit, tenantLimit, now);
     }
 
     /** Releases the limits of an answered task; later calls have no effect. */
-    public static void done(double now, Stay stay, boolean finished) {
+    public static void release(double now, Admission stay, boolean finished) {
         if (stay == null || stay.released) {
             return;
         }
--- a/src/main/java/gingerspool/route/Budget.java
+++ b/src/main/java/gingerspool/route/TokenRetryBudget.java
@@ -12,7 +12,7 @@
  * <p>In any period of T seconds with n first assignments, at most cap + share * n + minPerS * T
  * retries and copies are sent, where cap is RESERVE_S seconds of both (at least one).
  */
-public final class Budget implements RetryBudget {
+public final class TokenRetryBudget implements RetryBudget {
     /** Maximum reserve, in seconds of earnings. */
     static final double RESERVE_S = 1;
 
@@ -24,14 +24,14 @@
     /** First assignments per second, decayed with a time constant of ten seconds. */
     private double earningRatePerS;
 
-    public Budget(Policy.Repeats r) {
+    public TokenRetryBudget(Policy.Repeats r) {
         share = r.share();
-        minPerS = r.leastPerS();
+        minPerS = r.minPerS();
         tokens = cap();
     }
 
     /** Creates a budget that takes over the tokens of its predecessor, which may be null. */
-    public Budget(Policy.Repeats r, Budget before) {
+    public TokenRetryBudget(Policy.Repeats r, TokenRetryBudget before) {
         this(r);
         if (before != null) {
             updatedAt = before.updatedAt;
--- a/src/main/java/gingerspool/store/ClientTask.java
+++ b/src/main/java/gingerspool/store/ClientTask.java
@@ -18,7 +18,7 @@
     public Inbound client;
 
     /** The task's place within the limits that the operator set for its route, or null. */
-    public Routes.Stay admission;
+    public Routes.Admission admission;
 
     /** All attempts so far, indexed by the number of the assignment. */
     public final List<WorkerAttempt> attempts = new ArrayList<>(1);
--- a/src/test/java/gingerspool/config/MergeTest.java
+++ b/src/test/java/gingerspool/config/MergeTest.java
@@ -295,11 +295,14 @@
                     for (int p = 0; p < 2; p++) {
                         int first = 0;
                         while (first < route
-                                && !m.routes.get(first).match.takes("p" + p, path, host, tenant)) {
+                                && !m.routes
+                                        .get(first)
+                                        .match
+                                        .matches("p" + p, path, host, tenant)) {
                             first++;
                         }
                         if (first == route
-                                && m.routes.get(route).match.takes("p" + p, path, host, tenant)) {
+                                && m.routes.get(route).match.matches("p" + p, path, host, tenant)) {
                             return true;
                         }
                     }
--- a/src/test/java/gingerspool/dispatch/TermsTest.java
+++ b/src/test/java/gingerspool/dispatch/TermsTest.java
@@ -458,7 +458,7 @@
             double minPerSecond = 2;
             int[][] withBudget =
                     simulateFailingFleet(
-                            new gingerspool.route.Budget(
+                            new gingerspool.route.TokenRetryBudget(
                                     new gingerspool.route.Policy.Repeats(share, minPerSecond)),
                             seed);
             int[][] withoutBudget = simulateFailingFleet(null, seed);
--- a/src/test/java/gingerspool/route/LimitsTest.java
+++ b/src/test/java/gingerspool/route/LimitsTest.java
@@ -83,7 +83,7 @@
     public void retriesNeverExceedBudget() {
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
-            Budget b = new Budget(new Policy.Repeats(0.2, 2));
+            TokenRetryBudget b = new TokenRetryBudget(new Policy.Repeats(0.2, 2));
             double now = 0;
             int firsts = 0;
             int repeats = 0;
@@ -106,14 +106,14 @@
 
     @Test
     public void zeroBudgetAllowsNoRetries() {
-        Budget b = new Budget(new Policy.Repeats(0, 0));
+        TokenRetryBudget b = new TokenRetryBudget(new Policy.Repeats(0, 0));
         b.earn(0);
         assertFalse(b.allows(1e9));
     }
 
     @Test
     public void idleTimeDoesNotAccumulateBudget() {
-        Budget b = new Budget(new Policy.Repeats(0.1, 2));
+        TokenRetryBudget b = new TokenRetryBudget(new Policy.Repeats(0.1, 2));
         int n = 0;
         for (; b.allows(3.6e6); n++) {
             b.spend(3.6e6);
@@ -132,13 +132,13 @@
                                         policy(null, inHand(1), null))),
                         null);
         Task first = task();
-        Routes.Stay stay = routes.admit(0, first, "/p", "h", "t");
+        Routes.Admission stay = routes.admit(0, first, "/p", "h", "t");
         assertFalse(first.overLimit);
         Task second = task();
         assertNull(routes.admit(0, second, "/p", "h", "t"));
         assertTrue(second.overLimit);
-        Routes.done(1, stay, true);
-        Routes.done(2, stay, true);
+        Routes.release(1, stay, true);
+        Routes.release(2, stay, true);
         Task third = task();
         assertNotNull(routes.admit(3, third, "/p", "h", "t"));
         assertFalse(third.overLimit);
@@ -188,12 +188,12 @@
     public void reloadedRoutesKeepUsage() {
         Match all = new Match(null, null, null, null);
         Routes old = new Routes(List.of(route("a", all, policy(null, inHand(2), inHand(2)))), null);
-        Routes.Stay stay = old.admit(0, task(), "/p", null, "t");
+        Routes.Admission stay = old.admit(0, task(), "/p", null, "t");
         Routes now = new Routes(List.of(route("a", all, policy(null, inHand(1), inHand(1)))), old);
         Task second = task();
         now.admit(1, second, "/p", null, "t");
         assertTrue(second.overLimit);
-        Routes.done(2, stay, true);
+        Routes.release(2, stay, true);
         Task third = task();
         now.admit(3, third, "/p", null, "t");
         assertFalse(third.overLimit);
--- a/src/test/java/gingerspool/route/MatchTableTest.java
+++ b/src/test/java/gingerspool/route/MatchTableTest.java
@@ -46,7 +46,7 @@
         for (int seed = 0; seed < 3000; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
             List<Match> all = matches(r, 12);
-            Table table = new Table();
+            MatchTable table = new MatchTable();
             all.forEach(table::add);
             for (int i = 0; i < 30; i++) {
                 String profile = any(r, "p", "q");
@@ -55,7 +55,7 @@
                 String tenant = any(r, "t", "u", "v");
                 int expected = 0;
                 while (expected < all.size()
-                        && !all.get(expected).takes(profile, path, host, tenant)) {
+                        && !all.get(expected).matches(profile, path, host, tenant)) {
                     expected++;
                 }
                 assertEquals(
@@ -73,7 +73,7 @@
         for (int seed = 0; seed < 3000; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
             List<Match> all = matches(r, 6);
-            Table table = new Table();
+            MatchTable table = new MatchTable();
             all.forEach(table::add);
             Match m =
                     new Match(
@@ -88,8 +88,8 @@
                 String host = any(r, "x.org", "a.x.org", "b.a.x.org", "y", "c.org");
                 String tenant = any(r, "t", "u", "v");
                 assertTrue(
-                        !m.takes(profile, path, host, tenant)
-                                || all.get(by).takes(profile, path, host, tenant),
+                        !m.matches(profile, path, host, tenant)
+                                || all.get(by).matches(profile, path, host, tenant),
                         "seed " + seed);
             }
             if (by < 0) {
@@ -101,7 +101,7 @@
 
     @Test
     public void pathsWithManySegmentsAreBounded() {
-        Table table = new Table();
+        MatchTable table = new MatchTable();
         table.add(new Match(null, "/*/*/*/*/**", null, null));
         table.add(new Match(null, "/a/*/a/*/a/*/a/*/a/*/a", null, null));
         assertEquals(table.first("p", "/a".repeat(5000), "h".repeat(3000), "t"), 0);
