--- a/src/main/java/gingerspool/route/Policy.java
+++ b/src/main/java/gingerspool/route/Policy.java
@@ -7,14 +7,15 @@
  * The operator's policy for the assignments of a task. Durations are in milliseconds, rates per
  * second.
  *
- * @param assignments maximum number in all, copies included
+ * @param maxAssignments maximum number in all, copies included
  * @param timeout of one assignment; infinite: until the task's expiry
  * @param pause between one assignment's end and the next, or null for none
  * @param copies when further copies may be in flight, or null for one assignment at a time
- * @param repeats the budget of retries and copies, or null for none
+ * @param retryBudget the budget of retries and copies, or null for none
  * @param limit the admission limit of the route, or null
  * @param tenantLimit the admission limit of each tenant, or null
- * @param again the outcomes that may be retried, or null where only the task's effect decides
+ * @param retryableOutcomes the outcomes that may be retried, or null where only the task's effect
+ *     decides
  */
 public record Policy(
         int maxAssignments,
